--- a/cli/measure.go
+++ b/cli/measure.go
@@ -34,8 +34,8 @@
 
 // Run measures every combination.
 func (m *measureSubsets) Run(out io.Writer) error {
-	t := subset.Terms{Least: m.Subset, Connections: m.Connections, Away: m.Away}
-	if err := t.Check(); err != nil {
+	t := subset.Config{MinMembers: m.Subset, Connections: m.Connections, MinOtherZone: m.Away}
+	if err := t.Validate(); err != nil {
 		return err
 	}
 	if m.Zones < 1 || m.Zones > 26 {
--- a/cli/shares.go
+++ b/cli/shares.go
@@ -46,8 +46,8 @@
 		row(p, "this gateway", p.Part, p.Used, p.Want, p.Left)
 		lent := int64(0)
 		for k, l := range p.Loans {
-			row(p, "  "+p.Names[k], l.Part, l.Used, l.Want, l.Left)
-			lent += l.Part
+			row(p, "  "+p.Names[k], l.Amount, l.Used, l.Demand, l.Remaining)
+			lent += l.Amount
 		}
 		if len(p.Loans) > 0 {
 			fmt.Fprintf(table, "%s\t%s\t%s\t  not lent\t%s\t\t\t\n", p.Name, amount(p.Amount, p.Rate), p.Keeper, amount(max(0, p.Amount-lent), p.Rate))
@@ -61,5 +61,5 @@
 	if !rate {
 		return fmt.Sprint(n)
 	}
-	return strings.TrimSuffix(fmt.Sprintf("%.1f", float64(n)/quota.Whole), ".0") + "/s"
+	return strings.TrimSuffix(fmt.Sprintf("%.1f", float64(n)/quota.UnitsPerTxn), ".0") + "/s"
 }
--- a/cli/watch_test.go
+++ b/cli/watch_test.go
@@ -26,7 +26,7 @@
 		Subjects: []agreement.Standing{{Name: "routes", InForce: v, Next: &agreement.Version{No: 4, Who: "bob"}}},
 		Gateways: []agreement.Gateway{{ID: 1, Name: "n1", Address: "10.0.0.4:7946", Zone: "a", Vote: true}, {ID: 2, Name: "n2", Address: "10.0.0.5:7946", Vote: true}}},
 		Seen: []agreement.Seen{{ID: 1, By: 1, Left: 15e8}}}, shares: []fleet.Part{{Name: "portal, rate", Rate: true, Amount: 20000, Keeper: "n1", Part: 5000, Want: 4000, Left: 2e9,
-		Loans: []quota.Loan{{Holder: 1, Part: 5000, Want: 4000, Left: 3e9}}, Names: []string{"n1"}}}})
+		Loans: []quota.Grant{{Holder: 1, Amount: 5000, Demand: 4000, Remaining: 3e9}}, Names: []string{"n1"}}}})
 	show(looked{err: errors.New("the gateway is gone")})
 	_, end := m.Update(tea.KeyMsg{Type: tea.KeyCtrlC})
 	fmt.Println(end() == tea.Quit())
--- a/fleet/coordination.go
+++ b/fleet/coordination.go
@@ -22,7 +22,7 @@
 
 // CoordinationPlan is what the operator says of choices that many gateways make together.
 type CoordinationPlan struct {
-	Subset  *subset.Terms // nil: each gateway has every member
+	Subset  *subset.Config // nil: each gateway has every member
 	Signals bool
 	Turns   bool  // needs Signals, by which words go
 	Wait    int64 // turns.Terms
@@ -34,7 +34,7 @@
 		return errors.New("coordination: turns need signals")
 	}
 	if p.Subset != nil {
-		if err := p.Subset.Check(); err != nil {
+		if err := p.Subset.Validate(); err != nil {
 			return err
 		}
 	}
@@ -197,7 +197,7 @@
 	})
 }
 
-func (c *Coordination) divided(all []subset.Divided) {
+func (c *Coordination) divided(all []subset.GroupDivision) {
 	clear(c.holders)
 	numbers := map[uint64]uint32{}
 	for no, id := range c.places {
@@ -211,7 +211,7 @@
 		}
 	}
 	c.Subset.Clock(c.host.Now())
-	c.Subset.Lists(all)
+	c.Subset.SetDivision(all)
 	c.subsets()
 }
 
@@ -313,16 +313,16 @@
 			}
 		}
 		if c.Subset != nil {
-			c.Subset.Suspect(m.Key, s.Suspect || c.Signals != nil && !ok && c.Signals.TakenForIll(m.Key))
+			c.Subset.SetSuspect(m.Key, s.Suspect || c.Signals != nil && !ok && c.Signals.TakenForIll(m.Key))
 		}
 	}
 	if c.Subset != nil {
 		c.Subset.Clock(now)
 		for _, no := range slices.Sorted(maps.Keys(groups)) {
-			lacks := c.Subset.Sees(c.host.Sees(no))
+			lacks := c.Subset.Observe(c.host.Sees(no))
 			if wide := c.Subset.Widened(no) > 0; wide != c.wide[no] {
 				c.wide[no] = wide
-				c.host.Logger().Info("coordination: subset of members", "group", no, "wider", wide, "no_primary_known", lacks == subset.Primary, "none_fresh", lacks == subset.Fresh)
+				c.host.Logger().Info("coordination: subset of members", "group", no, "wider", wide, "no_primary_known", lacks == subset.NeedPrimary, "none_fresh", lacks == subset.NeedFresh)
 			}
 		}
 	}
--- a/fleet/quotas.go
+++ b/fleet/quotas.go
@@ -21,7 +21,7 @@
 // Quotas hosts the module in quota. It belongs to the loop.
 type Quotas struct {
 	f       *Fleet
-	terms   quota.Terms
+	terms   quota.Config
 	Module  *quota.Quota
 	out     []byte
 	wakeAt  int64
@@ -36,7 +36,7 @@
 // NewQuotas prepares it. linger is the longest time of any txn type.
 func NewQuotas(f *Fleet, linger int64) (*Quotas, error) {
 	t := f.plan.Terms
-	q := &Quotas{f: f, terms: quota.Terms{Self: f.me.ID, Run: f.me.Epoch, Lease: t.Lease, ClockError: t.ClockError, Turn: t.Turn, Linger: linger}}
+	q := &Quotas{f: f, terms: quota.Config{Self: f.me.ID, Incarnation: f.me.Epoch, LeaseDuration: t.Lease, ClockError: t.ClockError, MaxEffectDelay: t.Turn, MaxTxnDuration: linger}}
 	m, err := quota.New(q.terms)
 	q.Module = m
 	f.quotas = q
@@ -47,11 +47,11 @@
 func (q *Quotas) Clock() { q.Module.Clock(q.f.host.Now(), q.f.Leased()) }
 
 // Bounds takes the fleet's.
-func (q *Quotas) Bounds(all []quota.Bound) error {
+func (q *Quotas) Bounds(all []quota.Limit) error {
 	q.Clock()
 	q.stirred = true
 	q.wants = len(all) > 0
-	return q.Module.Bounds(all)
+	return q.Module.SetLimits(all)
 }
 
 // heard takes a message.
@@ -63,7 +63,7 @@
 	m.From, m.To = from, q.f.me.ID
 	q.Clock()
 	q.stirred = true
-	q.Module.Heard(m)
+	q.Module.Receive(m)
 	return nil
 }
 
@@ -82,9 +82,9 @@
 		switch d.Kind {
 		case quota.Send:
 			q.send(&d.Message)
-		case quota.Move:
+		case quota.Reassign:
 			if q.moving == 0 && !q.asking {
-				q.moving, q.asking = d.Keeper, true
+				q.moving, q.asking = d.Allocator, true
 				q.f.Survey()
 			}
 		case quota.Wake:
@@ -99,7 +99,7 @@
 
 // offices takes who keeps the books, of what this gateway is about to hold.
 func (q *Quotas) offices(m *agreement.Manifest, text func(agreement.Digest) []byte) {
-	var o quota.Offices
+	var o quota.Assignment
 	for _, s := range m.Subjects {
 		if s.Name != subjectOffices {
 			continue
@@ -108,21 +108,21 @@
 			if v == nil {
 				return nil
 			}
-			ids, err := quota.OfficesOf(text(v.Digest))
+			ids, err := quota.DecodeAssignment(text(v.Digest))
 			if err != nil {
 				q.f.host.Logger().Error("who keeps the books of bounds can't be read", "why", err)
 			}
 			return ids
 		}
-		o.Keepers, o.Next = read(s.InForce), read(s.Next)
+		o.Allocators, o.Next = read(s.InForce), read(s.Next)
 		if s.InForce != nil {
-			o.No = s.InForce.No
+			o.Version = s.InForce.No
 		}
 		q.version = s.Last
 	}
 	q.Clock()
 	q.stirred = true
-	q.Module.Office(o)
+	q.Module.SetAssignment(o)
 }
 
 // move asks for other keepers once voters have said that one is away: that a single gateway can't reach it is no reason.
@@ -145,7 +145,7 @@
 	before := []quota.ID{}
 	for _, s := range held.Subjects {
 		if s.Name == subjectOffices && s.Next == nil && s.InForce != nil {
-			before, _ = quota.OfficesOf(q.f.Text(s.InForce.Digest))
+			before, _ = quota.DecodeAssignment(q.f.Text(s.InForce.Digest))
 		} else if s.Name == subjectOffices {
 			return // another version is on its way
 		}
@@ -153,9 +153,9 @@
 	var list []quota.Candidate
 	for _, g := range held.Gateways {
 		i := slices.IndexFunc(seen, func(s agreement.Seen) bool { return s.ID == g.ID })
-		list = append(list, quota.Candidate{ID: g.ID, Seated: g.Seated, Heard: i >= 0 && seen[i].Left > 0})
+		list = append(list, quota.Candidate{ID: g.ID, Admitted: g.Seated, Reachable: i >= 0 && seen[i].Left > 0})
 	}
-	next, ok := quota.Successors(before, keeper, list, q.f.module.SurveyedByMost())
+	next, ok := quota.ReplaceAllocator(before, keeper, list, q.f.module.SurveyedByMost())
 	if !ok {
 		return
 	}
@@ -165,7 +165,7 @@
 	}
 	v := agreement.Version{Subject: subjectOffices, Predecessor: q.version, Who: "gateway " + q.f.plan.Name, At: time.Now().UnixNano(), Why: why, Form: 1,
 		Clashes: []string{"a bound's keeper"}}
-	q.wish, _ = q.f.Ask(agreement.Wish{Version: &v}, quota.Text(next), time.Duration(q.terms.Patience()))
+	q.wish, _ = q.f.Ask(agreement.Wish{Version: &v}, quota.EncodeAssignment(next), time.Duration(q.terms.ReassignTimeout()))
 }
 
 // outcome takes what became of a wish of its own.
@@ -199,7 +199,7 @@
 var errQuota = errors.New("malformed message of the quota")
 
 func appendQuota(dst []byte, m *quota.Message) []byte {
-	dst, _ = binary.Append(dst, binary.BigEndian, &quotaHead{kindOfQuota, uint8(m.Kind), uint8(m.Book), m.Office, m.Run, m.No})
+	dst, _ = binary.Append(dst, binary.BigEndian, &quotaHead{kindOfQuota, uint8(m.Kind), uint8(m.Shard), m.AssignmentVersion, m.Incarnation, m.RequestTime})
 	dst, _ = binary.Append(dst, binary.BigEndian, m.Items)
 	return dst
 }
@@ -210,7 +210,7 @@
 	if binary.Read(r, binary.BigEndian, &h) != nil || r.Len()%binary.Size(quota.Item{}) != 0 {
 		return nil, errQuota
 	}
-	m := &quota.Message{Kind: quota.MessageKind(h.Of), Book: int(h.Book), Office: h.Office, Run: h.Run, No: h.No}
+	m := &quota.Message{Kind: quota.MessageKind(h.Of), Shard: int(h.Book), AssignmentVersion: h.Office, Incarnation: h.Run, RequestTime: h.No}
 	m.Items = make([]quota.Item, r.Len()/binary.Size(quota.Item{}))
 	if binary.Read(r, binary.BigEndian, m.Items) != nil {
 		return nil, errQuota
@@ -227,23 +227,23 @@
 	Part   int64 // that this gateway holds
 	Used   int64 // of that, or a rate's tokens
 	Want   int64
-	Left   int64        // nanoseconds of its lease
-	Loans  []quota.Loan // where this gateway keeps the book
-	Names  []string     // of their holders
+	Left   int64         // nanoseconds of its lease
+	Loans  []quota.Grant // where this gateway keeps the book
+	Names  []string      // of their holders
 }
 
 // Parts tells of all bounds.
 func (q *Quotas) Parts() (all []Part) {
 	q.Clock()
-	for _, b := range q.Module.All() {
+	for _, b := range q.Module.Limits() {
 		p := Part{Name: b.Name, Amount: b.Amount, Rate: b.Kind == quota.Rate, Keeper: "-"}
-		if id := q.Module.Keeper(b.Key); id != 0 {
+		if id := q.Module.Allocator(b.Key); id != 0 {
 			p.Keeper = q.f.nameOf(id)
 		}
 		var until int64
-		p.Part, p.Used, p.Want, until = q.Module.Held(b.Key)
+		p.Part, p.Used, p.Want, until = q.Module.Allocation(b.Key)
 		p.Left = until - q.f.host.Now()
-		p.Loans, _ = q.Module.Kept(b.Key)
+		p.Loans, _ = q.Module.Grants(b.Key)
 		for _, l := range p.Loans {
 			p.Names = append(p.Names, q.f.nameOf(l.Holder))
 		}
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -17,7 +17,7 @@
 }
 
 // fleetBoundsOf gives them by tenant, nil for one whose bounds are each gateway's own.
-func fleetBoundsOf(t *routes.Table) (all []*fleetBounds, bounds []quota.Bound) {
+func fleetBoundsOf(t *routes.Table) (all []*fleetBounds, bounds []quota.Limit) {
 	if t == nil {
 		return nil, nil
 	}
@@ -27,20 +27,20 @@
 			all = append(all, nil)
 			continue
 		}
-		add := func(what string, kind quota.Kind, amount, burst int64) uint64 {
+		add := func(what string, kind quota.LimitKind, amount, burst int64) uint64 {
 			if amount == 0 {
 				return 0
 			}
-			b := quota.Bound{Name: x.Name + ", " + what, Kind: kind, Amount: amount, Burst: burst}
+			b := quota.Limit{Name: x.Name + ", " + what, Kind: kind, Amount: amount, Burst: burst}
 			b.Key = quota.KeyOf(b.Name)
 			bounds = append(bounds, b)
 			return b.Key
 		}
 		all = append(all, &fleetBounds{x.Name,
-			add("rate", quota.Rate, int64(x.Rate*quota.Whole), int64(x.Burst*quota.Whole)),
-			add("in flight", quota.Level, int64(x.InFlight), 0),
-			add("bytes", quota.Level, x.Bytes, 0),
-			add("connections", quota.Level, int64(x.Clients), 0)})
+			add("rate", quota.Rate, int64(x.Rate*quota.UnitsPerTxn), int64(x.Burst*quota.UnitsPerTxn)),
+			add("in flight", quota.Concurrency, int64(x.InFlight), 0),
+			add("bytes", quota.Concurrency, x.Bytes, 0),
+			add("connections", quota.Concurrency, int64(x.Clients), 0)})
 	}
 	return all, bounds
 }
@@ -50,15 +50,15 @@
 	if gs.g.quotas == nil {
 		return
 	}
-	var all []quota.Bound
+	var all []quota.Limit
 	for _, x := range []*generation{gs.inForce, gs.told} {
 		if x == nil {
 			continue
 		}
-		var bounds []quota.Bound
+		var bounds []quota.Limit
 		x.fleet, bounds = fleetBoundsOf(x.table)
 		for _, b := range bounds {
-			i := slices.IndexFunc(all, func(o quota.Bound) bool { return o.Key == b.Key })
+			i := slices.IndexFunc(all, func(o quota.Limit) bool { return o.Key == b.Key })
 			if i < 0 {
 				all = append(all, b)
 				continue
@@ -74,9 +74,9 @@
 		if t.counted && len(t.bounds) == 0 {
 			t.bounds = gs.boundsOf(t)
 			for _, b := range t.bounds {
-				gs.g.quotas.Module.Carry(b.flight, 1)
-				t.bytes = gs.g.quotas.Module.Fits(b.bytes, int64(t.size))
-				gs.g.quotas.Module.Carry(b.bytes, t.bytes)
+				gs.g.quotas.Module.AddExisting(b.flight, 1)
+				t.bytes = gs.g.quotas.Module.ClampToLimit(b.bytes, int64(t.size))
+				gs.g.quotas.Module.AddExisting(b.bytes, t.bytes)
 			}
 		}
 	}
@@ -109,16 +109,16 @@
 	q.Stir()
 	t.bytes = int64(t.size)
 	for _, b := range t.bounds {
-		t.bytes = min(t.bytes, q.Module.Fits(b.bytes, t.bytes))
+		t.bytes = min(t.bytes, q.Module.ClampToLimit(b.bytes, t.bytes))
 		for _, x := range [...]struct {
 			key   uint64
 			units int64
 			why   routes.Why
-		}{{b.rate, quota.Whole, routes.Rate}, {b.flight, 1, routes.InFlight}, {b.bytes, t.bytes, routes.Bytes}} {
+		}{{b.rate, quota.UnitsPerTxn, routes.Rate}, {b.flight, 1, routes.InFlight}, {b.bytes, t.bytes, routes.Bytes}} {
 			if x.key == 0 {
 				continue
 			}
-			if ok, wait, none := q.Module.May(x.key, x.units); !ok && why == routes.Free {
+			if ok, wait, none := q.Module.CanBegin(x.key, x.units); !ok && why == routes.Free {
 				why, after, first = x.why, wait, none
 			}
 		}
@@ -132,7 +132,7 @@
 // beginOfFleet counts a txn that mayOfFleet allowed, endOfFleet takes it back.
 func (gs *generations) beginOfFleet(t *txn) {
 	for _, b := range t.bounds {
-		gs.g.quotas.Module.Begin(b.rate, quota.Whole)
+		gs.g.quotas.Module.Begin(b.rate, quota.UnitsPerTxn)
 		gs.g.quotas.Module.Begin(b.flight, 1)
 		gs.g.quotas.Module.Begin(b.bytes, t.bytes)
 	}
@@ -154,7 +154,7 @@
 	q, key := gs.g.quotas, gs.inForce.fleet[tenant].connects
 	q.Clock()
 	q.Stir()
-	if ok, _, first = q.Module.May(key, 1); ok {
+	if ok, _, first = q.Module.CanBegin(key, 1); ok {
 		q.Module.Begin(key, 1)
 		c.connects = key
 	}
@@ -164,13 +164,13 @@
 // waitsForPart tells whether a client's query, or its coming, is to wait a moment for a first part of a bound of the fleet.
 func (cs *clients) waitsForPart(c *client) bool {
 	now := int64(cs.g.clock.now())
-	c.partAt, c.partSeen = cmp.Or(c.partAt, now), cs.g.quotas.Module.Lent()
-	return now-c.partAt < quota.MostWait
+	c.partAt, c.partSeen = cmp.Or(c.partAt, now), cs.g.quotas.Module.ResponseCount()
+	return now-c.partAt < quota.MaxFirstWait
 }
 
 // stillWaits tells, without asking for more, whether one that waits goes on to: nothing has come since it was told so.
 func (cs *clients) stillWaits(c *client) bool {
-	return c.partAt != 0 && c.partSeen == cs.g.quotas.Module.Lent() && int64(cs.g.clock.now())-c.partAt < quota.MostWait
+	return c.partAt != 0 && c.partSeen == cs.g.quotas.Module.ResponseCount() && int64(cs.g.clock.now())-c.partAt < quota.MaxFirstWait
 }
 
 // Shares tells of the bounds of the fleet as this gateway has them; nil where it agrees on nothing with others.
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -71,7 +71,7 @@
 			c.tenant = n + 1
 			if int(n) < len(x.fleet) && x.fleet[n] != nil && x.fleet[n].connects != 0 {
 				c.connects = x.fleet[n].connects
-				cs.g.quotas.Module.Carry(c.connects, 1)
+				cs.g.quotas.Module.AddExisting(c.connects, 1)
 			}
 		}
 	}
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -154,11 +154,11 @@
 	for i := range parts {
 		p, unit := &parts[i], 1.0
 		if p.Rate {
-			unit = quota.Whole
+			unit = quota.UnitsPerTxn
 		}
 		lent := int64(0)
 		for _, l := range p.Loans {
-			lent += l.Part
+			lent += l.Amount
 		}
 		for k, value := range [...]int64{p.Amount, p.Part, p.Want, lent} {
 			if k < 3 || len(p.Loans) > 0 {
--- a/internal/operator/coordination.go
+++ b/internal/operator/coordination.go
@@ -15,17 +15,17 @@
 	in := r.block(b, []string{"subset", "connections", "away", "signals", "turns", "wait"})
 	r.coordinated = b.DefRange
 	p := &fleet.CoordinationPlan{Signals: true, Wait: turns.UsualWait}
-	t := subset.UsualTerms()
-	in.Whole("subset", &t.Least, 0, 1000)
+	t := subset.DefaultConfig()
+	in.Whole("subset", &t.MinMembers, 0, 1000)
 	in.Whole("connections", &t.Connections, 1, 10000)
-	in.Whole("away", &t.Away, 0, 999)
+	in.Whole("away", &t.MinOtherZone, 0, 999)
 	in.Decode("signals", &p.Signals)
 	p.Turns = p.Signals
 	in.Decode("turns", &p.Turns)
 	in.Span("wait", &p.Wait, time.Millisecond)
-	if in.Attrs["subset"] != nil && t.Least > 0 {
-		if p.Subset = &t; t.Check() != nil {
-			r.Wrong(in.RangeOf("subset"), t.Check().Error(), "Two members of each group at the least, more than away; 0 is all of them.")
+	if in.Attrs["subset"] != nil && t.MinMembers > 0 {
+		if p.Subset = &t; t.Validate() != nil {
+			r.Wrong(in.RangeOf("subset"), t.Validate().Error(), "Two members of each group at the least, more than away; 0 is all of them.")
 			p.Subset = nil
 		}
 	} else if in.Attrs["connections"] != nil || in.Attrs["away"] != nil {
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -21,10 +21,10 @@
 	rng *rand.Rand
 	agenda.Agenda
 	nodes   []*node
-	bounds  []Bound
+	bounds  []Limit
 	cut     func(from, to *node) bool
 	loss    float64
-	offices []Offices // versions, the latest last
+	offices []Assignment // versions, the latest last
 	busy    map[uint64]int64
 	tokens  map[uint64]float64
 	filled  map[uint64]int64
@@ -56,9 +56,9 @@
 }
 
 // With little slack, so that what is wrong by more than clocks are is seen.
-var terms = Terms{Lease: 2 * second, ClockError: second / 20, Turn: second / 100, Linger: second / 2}
+var terms = Config{LeaseDuration: 2 * second, ClockError: second / 20, MaxEffectDelay: second / 100, MaxTxnDuration: second / 2}
 
-func newWorld(t testing.TB, seed uint64, n int, bounds ...Bound) *world {
+func newWorld(t testing.TB, seed uint64, n int, bounds ...Limit) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 5)), bounds: bounds, Agenda: agenda.Agenda{Now: second}, cut: func(_, _ *node) bool { return false },
 		busy: map[uint64]int64{}, tokens: map[uint64]float64{}, filled: map[uint64]int64{}, begun: map[uint64]int64{}, tried: map[uint64]int64{},
 		trace: func(string, ...any) {}}
@@ -87,14 +87,14 @@
 	p.run++
 	p.offset = int64(w.rng.Float64() * 1000e9)
 	t := terms
-	t.Self, t.Run = p.id, p.run<<40
+	t.Self, t.Incarnation = p.id, p.run<<40
 	q, err := New(t)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	p.q, p.down, p.paused, p.held, p.office, p.knows, p.leased = q, false, false, nil, -1, -1, 0
 	q.Clock(p.clock(), 0)
-	if err := q.Bounds(w.bounds); err != nil {
+	if err := q.SetLimits(w.bounds); err != nil {
 		w.t.Fatal(err)
 	}
 	run := p.run
@@ -134,10 +134,10 @@
 				if w.cut(p, to) || w.rng.Float64() < w.loss {
 					continue
 				}
-				w.After(int64(2e5+w.rng.Float64()*3e6), func() { to.turn(func() { to.q.Heard(&m) }) })
+				w.After(int64(2e5+w.rng.Float64()*3e6), func() { to.turn(func() { to.q.Receive(&m) }) })
 			}
-		case Move:
-			w.move(d.Keeper)
+		case Reassign:
+			w.move(d.Allocator)
 		case Wake:
 			w.After(int64(float64(d.After)/p.rate), func() {
 				if p.run == run {
@@ -182,7 +182,7 @@
 	}
 	p.office = last
 	o := w.offices[last]
-	p.turn(func() { p.q.Office(o) })
+	p.turn(func() { p.q.SetAssignment(o) })
 }
 
 // agree has all that may act know of a next version, and then puts it in force.
@@ -193,19 +193,19 @@
 			may = append(may, p.id)
 		}
 	}
-	before := Offices{}
+	before := Assignment{}
 	if len(w.offices) > 0 {
 		if before = w.offices[len(w.offices)-1]; before.Next != nil {
 			return
 		}
 	}
-	next := Choose(before.Keepers, may)
-	if slices.Equal(next, before.Keepers) {
+	next := AssignAllocators(before.Allocators, may)
+	if slices.Equal(next, before.Allocators) {
 		return
 	}
 	w.moves++
 	w.trace("agreed on: keepers %v", next)
-	w.offices = append(w.offices, Offices{before.No, before.Keepers, next})
+	w.offices = append(w.offices, Assignment{before.Version, before.Allocators, next})
 	told := len(w.offices) - 1
 	var force func()
 	force = func() {
@@ -216,7 +216,7 @@
 			}
 		}
 		w.trace("in force: keepers %v", next)
-		w.offices = append(w.offices, Offices{uint64(told + 1), next, nil})
+		w.offices = append(w.offices, Assignment{uint64(told + 1), next, nil})
 	}
 	w.After(50e6, force)
 }
@@ -232,7 +232,7 @@
 }
 
 // tries is the load of one bound at a gateway.
-func (p *node) tries(run uint64, b *Bound) {
+func (p *node) tries(run uint64, b *Limit) {
 	w := p.w
 	if p.run != run || p.down {
 		return
@@ -245,7 +245,7 @@
 	w.After(int64(w.rng.ExpFloat64()/d*1e9), func() { p.tries(run, b) })
 	units := int64(1)
 	if b.Kind == Rate {
-		units = Whole
+		units = UnitsPerTxn
 	}
 	if p.paused { // what came while it stood is its first work when it goes on
 		if len(p.held) > 50 {
@@ -254,13 +254,13 @@
 	}
 	p.turn(func() {
 		w.tried[b.Key] += units
-		if ok, _, _ := p.q.May(b.Key, units); !ok {
+		if ok, _, _ := p.q.CanBegin(b.Key, units); !ok {
 			return
 		}
 		p.q.Begin(b.Key, units)
 		w.spend(b, units)
-		if b.Kind == Level {
-			over := int64(w.rng.Float64() * float64(terms.Linger))
+		if b.Kind == Concurrency {
+			over := int64(w.rng.Float64() * float64(terms.MaxTxnDuration))
 			w.After(over, func() { w.busy[b.Key] -= units }) // at a member: also when its gateway is gone
 			w.After(over, func() {
 				if p.run == run {
@@ -272,9 +272,9 @@
 }
 
 // spend counts units against the bound itself.
-func (w *world) spend(b *Bound, units int64) {
+func (w *world) spend(b *Limit, units int64) {
 	w.begun[b.Key] += units
-	if b.Kind == Level {
+	if b.Kind == Concurrency {
 		if w.busy[b.Key] += units; w.busy[b.Key] > b.Amount {
 			w.t.Fatalf("seed %d, at %d: %d of %q are held, the bound is %d", w.seed, w.Now, w.busy[b.Key], b.Name, b.Amount)
 		}
@@ -304,7 +304,7 @@
 	p.w.After(d, p.start)
 }
 
-var twoBounds = []Bound{{Name: "tenant a, rate", Kind: Rate, Amount: 200 * Whole, Burst: 12 * Whole}, {Name: "tenant a, in flight", Kind: Level, Amount: 30}}
+var twoBounds = []Limit{{Name: "tenant a, rate", Kind: Rate, Amount: 200 * UnitsPerTxn, Burst: 12 * UnitsPerTxn}, {Name: "tenant a, in flight", Kind: Concurrency, Amount: 30}}
 
 var seeds = flag.Int("seeds", 60, "days of faults by chance")
 
@@ -392,7 +392,7 @@
 // How soon demand that moves finds what it wants: within a second 0.95 of what can be used is used again elsewhere.
 func TestPartsFollowDemand(t *testing.T) {
 	bounds := slices.Clone(twoBounds)
-	bounds[0].Burst = 20 * Whole
+	bounds[0].Burst = 20 * UnitsPerTxn
 	w := newWorld(t, 3, 5, bounds...)
 	key := w.bounds[0].Key
 	w.step(5 * second)
@@ -421,7 +421,7 @@
 	for _, n := range []int{10, 100, 300, 1000, 2000} {
 		b.Run(fmt.Sprint(n, " gateways"), func(b *testing.B) {
 			for range b.N {
-				w := newWorld(b, 1, n, Bound{Name: "tenant a, rate", Kind: Rate, Amount: int64(n) * 10 * Whole, Burst: int64(n) * 4 * Whole})
+				w := newWorld(b, 1, n, Limit{Name: "tenant a, rate", Kind: Rate, Amount: int64(n) * 10 * UnitsPerTxn, Burst: int64(n) * 4 * UnitsPerTxn})
 				key := w.bounds[0].Key
 				w.step(5 * second)
 				for i, p := range w.nodes {
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -5,161 +5,169 @@
 	"slices"
 )
 
-// part is what this gateway holds of a bound.
-type part struct {
-	bound  *Bound
-	part   int64 // that it may use
-	until  int64 // nothing new past it
-	grant  uint64
-	used   int64   // of a level
-	burst  int64   // of a rate: tokens at the most
-	tokens float64 // of a rate
-	filled int64   // when they were counted
-	want   float64 // decaying sum of what was asked for, a rate's in units a second, a level's units at a time
-	long   float64 // of a rate the same over a longer time
-	wantAt int64
-	peak   float64 // of a level the most that was wanted in the last memory: one large txn is not wanted by halves
-	peakAt int64
-	calm   int64 // when something was last asked for
-	asked  bool  // it was asked for at all, so that it is told of
+// allocation is this gateway's allocation of one limit.
+type allocation struct {
+	limit      *Limit
+	amount     int64 // units that may be used
+	expiry     int64 // nothing new may begin after it
+	sequence   uint64
+	used       int64   // of a concurrency limit
+	burst      int64   // of a rate: maximum tokens
+	tokens     float64 // of a rate
+	refilledAt int64   // when tokens were last computed
+	// Decaying sum of what was asked for: units per second of a rate, units at a time of a concurrency
+	// limit.
+	recentDemand   float64
+	longTermDemand float64 // of a rate: the same over longDemandWindow
+	decayedAt      int64
+	// Of a concurrency limit: maximum demand within the last demandWindow. The demand of a single large
+	// transaction must not decay to a fraction of it.
+	peakDemand   float64
+	peakAt       int64
+	lastDemandAt int64 // when a transaction last asked for units
+	requested    bool  // units were asked for at all, so requests to the allocator include this limit
 }
 
-// asking is what goes on with the keeper of a book.
-type asking struct {
-	at     int64 // when it was asked last
-	urgent bool  // something was refused since
-	bare   bool  // as nothing is held at all
-	vain   int   // answers in a row that left it so
-	falls  bool  // much less is wanted than is held
-	open   int   // questions without an answer
-	since  int64 // the first of those
-	told   bool  // that nobody answers, until somebody does
+// requestState tracks the requests to the allocator of one shard.
+type requestState struct {
+	sentAt          int64 // time of the latest request
+	urgent          bool  // units were refused since then
+	empty           bool  // units were refused while no allocation was held
+	emptyResponses  int   // consecutive responses that left the holder without an allocation
+	surplus         bool  // demand is much lower than the allocation
+	unanswered      int   // requests without a response
+	unansweredSince int64 // time of the first of those
+	reported        bool  // the lack of a response has been logged; reset by the next response
 }
 
-func (q *Quota) partOf(key uint64) *part {
-	b, p := q.bounds[key], q.parts[key]
+func (q *Quota) allocationOf(key uint64) *allocation {
+	b, p := q.limits[key], q.allocations[key]
 	if b == nil {
 		return nil
 	}
 	if p == nil {
-		p = &part{bound: b}
-		q.parts[key] = p
+		p = &allocation{limit: b}
+		q.allocations[key] = p
 	}
 	return p
 }
 
-// live is what may be used of it now. A part is no more than the bound, which may have become less.
-func (p *part) live(now int64) int64 {
-	if now >= p.until {
+// usable returns the units that may be used now. It never exceeds the limit, which may have been
+// lowered since the grant.
+func (p *allocation) usable(now int64) int64 {
+	if now >= p.expiry {
 		return 0
 	}
-	return min(p.part, p.bound.Amount)
+	return min(p.amount, p.limit.Amount)
 }
 
-// refill counts what a rate has earned.
-func (p *part) refill(now int64) {
-	if now >= p.until {
-		p.tokens, p.burst = 0, 0 // its keeper earns them anew
+// refill adds the tokens that a rate has earned since the last call.
+func (p *allocation) refill(now int64) {
+	if now >= p.expiry {
+		p.tokens, p.burst = 0, 0 // the allocator earns the tokens of an expired allocation anew
 	}
-	if now <= p.filled {
+	if now <= p.refilledAt {
 		return
 	}
-	rate := float64(p.live(now)) * (1 - 1.0/slowness)
-	end := min(now, p.until)
-	if end > p.filled {
-		p.tokens = min(float64(p.burst), p.tokens+rate*float64(end-p.filled)/1e9)
+	rate := float64(p.usable(now)) * (1 - 1.0/clockDriftDivisor)
+	end := min(now, p.expiry)
+	if end > p.refilledAt {
+		p.tokens = min(float64(p.burst), p.tokens+rate*float64(end-p.refilledAt)/1e9)
 	}
-	p.filled = now
+	p.refilledAt = now
 }
 
-// wants counts something that is asked for.
-func (p *part) wants(now, units int64) {
-	p.fade(now)
-	p.calm = now
-	if p.bound.Kind == Rate {
-		most := float64(p.bound.Amount) // more than there is takes no longer to forget
-		p.want = min(most, p.want+float64(units)/memory*1e9)
-		p.long = min(most, p.long+float64(units)/longMemory*1e9)
+// addDemand records that units were asked for.
+func (p *allocation) addDemand(now, units int64) {
+	p.decayDemand(now)
+	p.lastDemandAt = now
+	if p.limit.Kind == Rate {
+		maxDemand := float64(p.limit.Amount) // demand above the limit would only take longer to decay
+		p.recentDemand = min(maxDemand, p.recentDemand+float64(units)/demandWindow*1e9)
+		p.longTermDemand = min(maxDemand, p.longTermDemand+float64(units)/longDemandWindow*1e9)
 	} else {
-		p.want = max(p.want, float64(p.used+units))
+		p.recentDemand = max(p.recentDemand, float64(p.used+units))
 	}
 }
 
-func (p *part) fade(now int64) {
-	if now > p.wantAt {
-		p.want *= math.Exp(-float64(now-p.wantAt) / memory)
-		p.long *= math.Exp(-float64(now-p.wantAt) / longMemory)
-		p.wantAt = now
+func (p *allocation) decayDemand(now int64) {
+	if now > p.decayedAt {
+		p.recentDemand *= math.Exp(-float64(now-p.decayedAt) / demandWindow)
+		p.longTermDemand *= math.Exp(-float64(now-p.decayedAt) / longDemandWindow)
+		p.decayedAt = now
 	}
 }
 
-// demand is what it wants now, of a level what it uses at least.
-func (p *part) demand(now int64) int64 {
-	p.fade(now)
-	if p.bound.Kind == Level {
-		d := max(int64(math.Ceil(p.want)), p.used)
-		if now-p.peakAt < int64(memory) {
-			d = max(d, int64(math.Ceil(p.peak)))
+// demand returns the current demand; of a concurrency limit at least what is in use.
+func (p *allocation) demand(now int64) int64 {
+	p.decayDemand(now)
+	if p.limit.Kind == Concurrency {
+		d := max(int64(math.Ceil(p.recentDemand)), p.used)
+		if now-p.peakAt < int64(demandWindow) {
+			d = max(d, int64(math.Ceil(p.peakDemand)))
 		}
 		return d
 	}
-	// Few txns a second come in clusters: the longer sum is steadier, the shorter one forgets demand that has gone elsewhere.
-	d := int64(math.Ceil(min(1.5*p.want, p.long)))
-	if now-p.calm < idleSpan { // one txn now and then has a use for a whole one
-		d = max(d, Whole)
+	// At a few transactions per second they come in clusters: the longer window is steadier, the shorter
+	// one forgets demand that has moved to another gateway.
+	d := int64(math.Ceil(min(1.5*p.recentDemand, p.longTermDemand)))
+	if now-p.lastDemandAt < idleTimeout { // an occasional transaction still needs the units of a whole one
+		d = max(d, UnitsPerTxn)
 	}
 	return d
 }
 
-// May tells whether so many units may be begun now; of a rate those of Whole to a txn. If not, after tells in how many
-// nanoseconds it may or is asked for again, 0 where that is not known, and first that no part is held and one is asked for: an answer comes
-// within some ways there and back.
-func (q *Quota) May(key uint64, units int64) (ok bool, after int64, first bool) {
-	p := q.partOf(key)
+// CanBegin reports whether this many units may begin now; a transaction counts UnitsPerTxn of a rate.
+// If they may not, retryAfter is the number of nanoseconds until they may or until the allocator is
+// asked again, 0 if unknown. unallocated reports that no allocation is held and one is being
+// requested: the response takes a few network round trips.
+func (q *Quota) CanBegin(key uint64, units int64) (ok bool, retryAfter int64, unallocated bool) {
+	p := q.allocationOf(key)
 	if p == nil {
 		return true, 0, false
 	}
-	p.asked = true
-	p.wants(q.now, units)
-	live := p.live(q.now)
-	if p.bound.Kind == Rate {
+	p.requested = true
+	p.addDemand(q.now, units)
+	usable := p.usable(q.now)
+	if p.limit.Kind == Rate {
 		p.refill(q.now)
-		if ok = q.now < p.until && p.tokens >= float64(units); !ok && live > 0 {
-			after = int64(math.Ceil((float64(units) - p.tokens) / float64(live) * 1e9))
+		if ok = q.now < p.expiry && p.tokens >= float64(units); !ok && usable > 0 {
+			retryAfter = int64(math.Ceil((float64(units) - p.tokens) / float64(usable) * 1e9))
 		}
 	} else {
-		ok = p.used+units <= live
+		ok = p.used+units <= usable
 	}
 	if !ok {
-		if p.bound.Kind == Level { // as many are wanted as are refused, not one more than there are
-			p.want = min(float64(p.bound.Amount), p.want+float64(units))
-			if p.want >= p.peak || q.now-p.peakAt >= int64(memory) {
-				p.peak, p.peakAt = p.want, q.now
+		if p.limit.Kind == Concurrency { // demand counts what is refused, at most the limit
+			p.recentDemand = min(float64(p.limit.Amount), p.recentDemand+float64(units))
+			if p.recentDemand >= p.peakDemand || q.now-p.peakAt >= int64(demandWindow) {
+				p.peakDemand, p.peakAt = p.recentDemand, q.now
 			}
 		}
-		a := &q.asked[bookOf(key)]
+		a := &q.requests[shardOf(key)]
 		a.urgent = true
-		a.bare = a.bare || live == 0
-		if live == 0 {
-			after = soon
+		a.empty = a.empty || usable == 0
+		if usable == 0 {
+			retryAfter = retryInterval
 		}
 	}
-	return ok, after, live == 0
+	return ok, retryAfter, usable == 0
 }
 
-// Fits is what of some units counts against a bound: one txn alone that is larger than all of it takes it all.
-func (q *Quota) Fits(key uint64, units int64) int64 {
-	if b := q.bounds[key]; b != nil {
+// ClampToLimit returns how many of the units count against a limit: a single transaction larger than
+// the whole limit takes all of it.
+func (q *Quota) ClampToLimit(key uint64, units int64) int64 {
+	if b := q.limits[key]; b != nil {
 		return min(units, b.Amount)
 	}
 	return units
 }
 
-// Begin counts units that May allowed.
+// Begin counts units that CanBegin admitted.
 func (q *Quota) Begin(key uint64, units int64) {
-	if p := q.partOf(key); p == nil {
+	if p := q.allocationOf(key); p == nil {
 		return
-	} else if p.bound.Kind == Rate {
+	} else if p.limit.Kind == Rate {
 		p.refill(q.now)
 		p.tokens -= float64(units)
 	} else {
@@ -167,145 +175,148 @@
 	}
 }
 
-// Carry counts units of a level that were begun before the bound was, beside any part.
-func (q *Quota) Carry(key uint64, units int64) {
-	if p := q.partOf(key); p != nil && p.bound.Kind == Level {
+// AddExisting counts units of a concurrency limit that began before the limit existed, in addition to
+// any allocation.
+func (q *Quota) AddExisting(key uint64, units int64) {
+	if p := q.allocationOf(key); p != nil && p.limit.Kind == Concurrency {
 		p.used += units
-		p.wants(q.now, 0)
+		p.addDemand(q.now, 0)
 	}
 }
 
-// End takes units of a level back.
+// End releases units of a concurrency limit.
 func (q *Quota) End(key uint64, units int64) {
-	if p := q.parts[key]; p != nil && p.bound.Kind == Level {
-		if p.used = max(0, p.used-units); p.used == 0 && q.bounds[key] == nil {
-			delete(q.parts, key)
+	if p := q.allocations[key]; p != nil && p.limit.Kind == Concurrency {
+		if p.used = max(0, p.used-units); p.used == 0 && q.limits[key] == nil {
+			delete(q.allocations, key)
 		}
 	}
 }
 
-// asks asks keepers for what is wanted, and for what is held to be renewed.
-func (q *Quota) asks() {
-	for b := range q.asked {
-		a := &q.asked[b]
-		wait := a.wait(q.terms.Lease)
-		if a.at != 0 && q.now-a.at < wait-leastWake || q.now >= q.leased { // a wake may come a little early
+// sendRequests asks allocators for what is demanded, and to renew what is held.
+func (q *Quota) sendRequests() {
+	for b := range q.requests {
+		a := &q.requests[b]
+		interval := a.interval(q.config.LeaseDuration)
+		if a.sentAt != 0 && q.now-a.sentAt < interval-minWakeDelay || q.now >= q.leaseUntil { // a wake-up may come slightly early
 			continue
 		}
-		keeper := q.offices.keeper(b)
+		allocator := q.assignment.allocator(b)
 		var items []Item
-		falls := false
+		surplus := false
 		for _, key := range q.keys {
-			p := q.parts[key]
-			if bookOf(key) != b || p == nil || !p.asked {
+			p := q.allocations[key]
+			if shardOf(key) != b || p == nil || !p.requested {
 				continue
 			}
-			d := p.demand(q.now)
-			if d == 0 && p.used == 0 && q.now-p.calm >= idleSpan {
-				p.asked = p.live(q.now) > 0 // told once more that nothing is wanted: then it is given back
-				p.part, p.tokens, p.burst = 0, 0, 0
+			demand := p.demand(q.now)
+			if demand == 0 && p.used == 0 && q.now-p.lastDemandAt >= idleTimeout {
+				p.requested = p.usable(q.now) > 0 // one more request reports zero demand and so returns the allocation
+				p.amount, p.tokens, p.burst = 0, 0, 0
 			}
-			has := max(p.live(q.now), p.used)
-			if p.bound.Kind == Rate {
-				if has = p.live(q.now); has == 0 { // it gathers nothing: what it has is all
+			held := max(p.usable(q.now), p.used)
+			if p.limit.Kind == Rate {
+				if held = p.usable(q.now); held == 0 { // without an allocation it earns nothing: its tokens are all it has
 					p.refill(q.now)
 					p.burst = int64(p.tokens)
 				}
 			}
-			falls = falls || 2*d < has
-			items = append(items, Item{Key: key, Grant: p.grant, Part: has, Used: p.used, Want: d, Burst: p.burst})
+			surplus = surplus || 2*demand < held
+			items = append(items, Item{Key: key, Sequence: p.sequence, Amount: held, Used: p.used, Demand: demand, Burst: p.burst})
 		}
-		a.urgent, a.bare, a.falls = false, false, falls
+		a.urgent, a.empty, a.surplus = false, false, surplus
 		if len(items) == 0 {
-			a.open, a.at = 0, 0
+			a.unanswered, a.sentAt = 0, 0
 			continue
 		}
-		a.at = q.now
-		if keeper == 0 {
-			q.silent(b, 0)
+		a.sentAt = q.now
+		if allocator == 0 {
+			q.reportUnresponsive(b, 0)
 			continue
 		}
-		if a.open++; a.open == 1 {
-			a.since = q.now
+		if a.unanswered++; a.unanswered == 1 {
+			a.unansweredSince = q.now
 		}
-		if a.open > silence && q.now-a.since > q.terms.Lease/2 {
-			q.silent(b, keeper)
+		if a.unanswered > maxUnanswered && q.now-a.unansweredSince > q.config.LeaseDuration/2 {
+			q.reportUnresponsive(b, allocator)
 		}
-		for chunk := range slices.Chunk(items, mostItems) {
-			q.send(Message{Kind: AskParts, To: keeper, Book: b, Office: q.offices.No, Run: q.terms.Run, No: q.now, Items: chunk})
+		for chunk := range slices.Chunk(items, maxItems) {
+			q.send(Message{Kind: AllocationRequest, To: allocator, Shard: b, AssignmentVersion: q.assignment.Version, Incarnation: q.config.Incarnation, RequestTime: q.now, Items: chunk})
 		}
 	}
 }
 
-// wait is after how long it asks again.
-func (a *asking) wait(lease int64) int64 {
+// interval returns the time until the next request.
+func (a *requestState) interval(lease int64) int64 {
 	switch {
 	case a.urgent:
-		return a.hurry()
-	case a.falls: // others wait for what is not wanted here
-		return soon
+		return a.retryDelay()
+	case a.surplus: // other gateways may wait for what is not needed here
+		return retryInterval
 	}
-	return lease / renewals
+	return lease / renewalsPerLease
 }
 
-// hurry is after how long it asks again that was refused something: at once where it holds nothing, but ever later where
-// that is in vain.
-func (a *asking) hurry() int64 {
-	if !a.bare {
-		return soon
+// retryDelay returns the time until the next request after units were refused: short where no
+// allocation is held, with backoff while the responses grant nothing.
+func (a *requestState) retryDelay() int64 {
+	if !a.empty {
+		return retryInterval
 	}
-	return min(soon, int64(hurry)<<min(a.vain, 3))
+	return min(retryInterval, int64(emptyRetryInterval)<<min(a.emptyResponses, 3))
 }
 
-// silent tells the host of a book without a keeper that answers, and again after each lease.
-func (q *Quota) silent(b int, keeper ID) {
-	a := &q.asked[b]
-	q.out = append(q.out, Decision{Kind: Move, Keeper: keeper})
-	if !a.told {
-		a.told = true
+// reportUnresponsive tells the host that a shard has no allocator or its allocator does not respond.
+// It is repeated while that lasts, but logged once.
+func (q *Quota) reportUnresponsive(b int, allocator ID) {
+	a := &q.requests[b]
+	q.out = append(q.out, Decision{Kind: Reassign, Allocator: allocator})
+	if !a.reported {
+		a.reported = true
 		q.log("book %d: nobody keeps it, or its keeper does not answer", b)
 	}
-	a.open, a.since = 1, q.now
+	a.unanswered, a.unansweredSince = 1, q.now
 }
 
-// lent takes what a keeper lends. It counts from when it was asked for, by this gateway's clock.
-func (q *Quota) lent(m *Message) {
-	if m.Run != q.terms.Run || m.From != q.offices.keeper(m.Book) || m.No+q.terms.Lease <= q.now {
+// handleResponse takes a grant. Its lease counts from the time of the request, by this gateway's
+// clock.
+func (q *Quota) handleResponse(m *Message) {
+	if m.Incarnation != q.config.Incarnation || m.From != q.assignment.allocator(m.Shard) || m.RequestTime+q.config.LeaseDuration <= q.now {
 		return
 	}
-	a := &q.asked[m.Book]
-	q.taken++
-	a.open, a.told = 0, false
-	vain := true
+	a := &q.requests[m.Shard]
+	q.responses++
+	a.unanswered, a.reported = 0, false
+	empty := true
 	for i := range m.Items {
 		x := &m.Items[i]
-		p := q.parts[x.Key]
-		if p == nil || bookOf(x.Key) != m.Book || x.Grant <= p.grant {
+		p := q.allocations[x.Key]
+		if p == nil || shardOf(x.Key) != m.Shard || x.Sequence <= p.sequence {
 			continue
 		}
 		p.refill(q.now)
-		p.grant = x.Grant
-		p.part, p.until = x.Part, max(p.until, m.No+q.terms.Lease)
+		p.sequence = x.Sequence
+		p.amount, p.expiry = x.Amount, max(p.expiry, m.RequestTime+q.config.LeaseDuration)
 		p.burst = x.Burst
 		p.tokens = min(p.tokens+float64(x.Tokens), float64(p.burst))
-		if vain = vain && p.part == 0 && x.Tokens == 0; !vain {
-			a.vain = 0
+		if empty = empty && p.amount == 0 && x.Tokens == 0; !empty {
+			a.emptyResponses = 0
 		}
 	}
-	if vain {
-		a.vain++
+	if empty {
+		a.emptyResponses++
 	}
 }
 
-// due is when the next round is needed, 0 for never.
-func (q *Quota) due() (at int64) {
-	if q.now >= q.leased { // it comes again with the word of a voter
+// nextDeadline returns when the next round is needed, 0 for never.
+func (q *Quota) nextDeadline() (at int64) {
+	if q.now >= q.leaseUntil { // rounds resume once a voter renews the lease
 		return 0
 	}
-	for b := range q.asked {
-		if a := &q.asked[b]; a.at != 0 {
-			wait := a.wait(q.terms.Lease)
-			if t := a.at + wait; at == 0 || t < at {
+	for b := range q.requests {
+		if a := &q.requests[b]; a.sentAt != 0 {
+			wait := a.interval(q.config.LeaseDuration)
+			if t := a.sentAt + wait; at == 0 || t < at {
 				at = t
 			}
 		} else if a.urgent {
@@ -315,17 +326,17 @@
 	return at
 }
 
-// Held tells what this gateway holds of a bound: its part, what of it is in use (a rate's tokens), what is wanted, and until
-// when.
-func (q *Quota) Held(key uint64) (part, used, want, until int64) {
-	p := q.parts[key]
+// Allocation returns what this gateway holds of a limit: its allocation, the units in use (the tokens
+// of a rate), the demand, and the expiry of the lease.
+func (q *Quota) Allocation(key uint64) (amount, used, demand, expiry int64) {
+	p := q.allocations[key]
 	if p == nil {
 		return 0, 0, 0, 0
 	}
 	used = p.used
-	if p.bound.Kind == Rate {
+	if p.limit.Kind == Rate {
 		p.refill(q.now)
 		used = int64(p.tokens)
 	}
-	return p.live(q.now), used, p.demand(q.now), p.until
+	return p.usable(q.now), used, p.demand(q.now), p.expiry
 }
--- a/quota/keeper.go
+++ b/quota/keeper.go
@@ -5,65 +5,68 @@
 	"slices"
 )
 
-// book is what this gateway keeps.
-type book struct {
-	keeps      bool
+// shard is the allocator's state of one shard.
+type shard struct {
+	active     bool
 	quietUntil int64
-	entries    map[uint64]*entry
-	loans      uint64 // number of the latest; it never begins anew, else who was forgotten here would take it for a late one
+	entries    map[uint64]*limitState
+	// Sequence number of the latest grant. It never restarts: a holder that was removed here would take a
+	// lower number for an old grant.
+	lastSequence uint64
 }
 
-// entry is one bound in a book.
-type entry struct {
-	loans  map[of]*loan
-	runs   map[ID]uint64 // the latest of each holder
-	part   int64         // of all loans
-	burst  int64
-	swept  int64 // when loans that are over were dropped
-	plan   map[of]claim
-	planAt int64
-	tokens float64 // of a rate, of what is not lent
-	free   int64   // that was not lent when they were counted
-	filled int64
+// limitState is the allocator's state of one limit.
+type limitState struct {
+	grants         map[holder]*grant
+	incarnations   map[ID]uint64 // latest incarnation of each holder
+	allocated      int64         // sum of all grants
+	allocatedBurst int64
+	sweptAt        int64 // when expired grants were last removed
+	shares         map[holder]share
+	sharesAt       int64
+	tokens         float64 // of a rate: tokens earned by the unallocated part
+	unallocated    int64   // unallocated part when tokens were last computed
+	refilledAt     int64
 }
 
-// of is a holder in one of its runs: what a killed one had begun goes on at members for a while.
-type of struct {
-	id  ID
-	run uint64
+// holder is a gateway in one incarnation. What a killed incarnation had begun goes on at members for a
+// while, so its grant is kept apart.
+type holder struct {
+	id          ID
+	incarnation uint64
 }
 
-// loan is a part as its keeper knows it.
-type loan struct {
-	part  int64  // that the holder keeps to at the most
-	burst int64  // of a rate: tokens that it may gather at the most
-	until int64  // by which it holds nothing, and what it began is over
-	grant uint64 // the number of the latest answer
-	want  int64
-	used  int64
-	asked int64 // the time of its latest question, by its clock
+// grant is an allocation as the allocator knows it.
+type grant struct {
+	amount      int64  // upper bound of what the holder limits itself to
+	burst       int64  // of a rate: maximum tokens that the holder may accumulate
+	expiry      int64  // by then the holder has lost its allocation and all work begun under it has ended
+	sequence    uint64 // sequence number of the latest response
+	demand      int64
+	used        int64
+	requestedAt int64 // time of its latest request, by the holder's clock
 }
 
-// lend answers a question for parts.
-func (q *Quota) lend(m *Message) {
-	b := &q.books[m.Book]
-	if !b.keeps || q.now >= q.leased || m.Office != q.offices.No {
+// handleRequest responds to a request for allocations.
+func (q *Quota) handleRequest(m *Message) {
+	b := &q.shards[m.Shard]
+	if !b.active || q.now >= q.leaseUntil || m.AssignmentVersion != q.assignment.Version {
 		return
 	}
-	out := Message{Kind: LendParts, To: m.From, Book: m.Book, Office: q.offices.No, Run: m.Run, No: m.No}
+	out := Message{Kind: AllocationResponse, To: m.From, Shard: m.Shard, AssignmentVersion: q.assignment.Version, Incarnation: m.Incarnation, RequestTime: m.RequestTime}
 	for i := range m.Items {
 		x := &m.Items[i]
-		bound := q.bounds[x.Key]
-		if bound == nil || bookOf(x.Key) != m.Book {
+		limit := q.limits[x.Key]
+		if limit == nil || shardOf(x.Key) != m.Shard {
 			continue
 		}
 		e := b.entries[x.Key]
 		if e == nil {
-			// Of what another one lent nothing is earned here before it is over.
-			e = &entry{loans: map[of]*loan{}, runs: map[ID]uint64{}, filled: max(q.now, b.quietUntil)}
+			// What a previous allocator granted earns no tokens here before it has expired.
+			e = &limitState{grants: map[holder]*grant{}, incarnations: map[ID]uint64{}, refilledAt: max(q.now, b.quietUntil)}
 			b.entries[x.Key] = e
 		}
-		if item, ok := q.lendOne(b, e, bound, m, x); ok {
+		if item, ok := q.allocate(b, e, limit, m, x); ok {
 			out.Items = append(out.Items, item)
 		}
 	}
@@ -72,202 +75,210 @@
 	}
 }
 
-// lendOne answers for one bound. What a holder may keep to is known by the loan that it says it took last: if that is the
-// latest, what it says is all it keeps to; else the former word stands, and what was lent since.
-func (q *Quota) lendOne(b *book, e *entry, bound *Bound, m *Message, x *Item) (Item, bool) {
-	if q.now-e.swept >= sweep {
-		e.swept = q.now
-		e.expire(q.now)
+// allocate handles one limit of a request. The sequence number in the request tells which grant the
+// holder applies: if it is the latest one, the holder limits itself to the amount in the request;
+// otherwise the previous upper bound holds, including all later grants.
+func (q *Quota) allocate(b *shard, e *limitState, limit *Limit, m *Message, x *Item) (Item, bool) {
+	if q.now-e.sweptAt >= sweepInterval {
+		e.sweptAt = q.now
+		e.removeExpired(q.now)
 	}
-	who := of{m.From, m.Run}
-	switch former := e.runs[m.From]; {
-	case former > m.Run:
-		return Item{}, false // late
-	case former < m.Run && bound.Kind == Rate:
-		e.drop(of{m.From, former}) // it spends nothing any more
+	requester := holder{m.From, m.Incarnation}
+	switch previous := e.incarnations[m.From]; {
+	case previous > m.Incarnation:
+		return Item{}, false // from an earlier incarnation, delayed
+	case previous < m.Incarnation && limit.Kind == Rate:
+		e.remove(holder{m.From, previous}) // a killed holder spends nothing more of a rate
 	}
-	e.runs[m.From] = m.Run
-	l := e.loans[who]
-	if l != nil && q.now >= l.until { // one that asks again past its time is new
-		e.drop(who)
+	e.incarnations[m.From] = m.Incarnation
+	l := e.grants[requester]
+	if l != nil && q.now >= l.expiry { // a request after the expiry starts a new grant
+		e.remove(requester)
 		l = nil
 	}
 	switch {
 	case l == nil:
-		l = &loan{}
-		e.loans[who] = l
-		// A part that another keeper lent, as its holder says. All of those together are within the bound; what is not
-		// told before the quiet ends is no more. Later it is what was begun under a loan that has run out since.
+		l = &grant{}
+		e.grants[requester] = l
+		// An allocation from a previous allocator is taken as its holder states it: all of those together are
+		// within the limit, and one that is not reported before the quiet period ends has expired. After the
+		// quiet period, what the holder uses was begun under a grant that has expired since.
 		if q.now < b.quietUntil {
-			e.keeps(l, x.Part, x.Burst)
+			e.update(l, x.Amount, x.Burst)
 		} else {
-			e.keeps(l, x.Used, 0)
+			e.update(l, x.Used, 0)
 		}
-	case m.No <= l.asked: // late, or twice
+	case m.RequestTime <= l.requestedAt: // delayed or duplicate
 		return Item{}, false
-	case x.Grant == l.grant:
-		e.keeps(l, x.Part, x.Burst)
+	case x.Sequence == l.sequence:
+		e.update(l, x.Amount, x.Burst)
 	}
-	l.asked, l.want, l.used = m.No, x.Want, x.Used
-	free, gather := bound.Amount-e.part, bound.Burst-e.burst
-	e.refill(q.now, bound, free, gather)
-	c := e.claim(who, bound, q.now)
-	give := max(0, min(c.part, l.part+free)) // less where more is held than the bound: it has shrunk, or former work goes on
-	if q.now < b.quietUntil {                // only what was held goes on
-		give = min(give, l.part)
+	l.requestedAt, l.demand, l.used = m.RequestTime, x.Demand, x.Used
+	unallocated, unallocatedBurst := limit.Amount-e.allocated, limit.Burst-e.allocatedBurst
+	e.refill(q.now, limit, unallocated, unallocatedBurst)
+	c := e.shareOf(requester, limit, q.now)
+	// The amount is below the share while more than the limit is held: the limit was lowered, or work of
+	// expired grants goes on.
+	amount := max(0, min(c.amount, l.amount+unallocated))
+	if q.now < b.quietUntil { // in the quiet period only existing allocations are renewed
+		amount = min(amount, l.amount)
 	}
-	item := Item{Key: x.Key, Part: give}
-	if bound.Kind == Rate {
-		e.gathers(&item, l, c.burst, max(0, free), max(0, gather), q.now < b.quietUntil)
-		give = item.Part
+	item := Item{Key: x.Key, Amount: amount}
+	if limit.Kind == Rate {
+		e.grantTokens(&item, l, c.burst, max(0, unallocated), max(0, unallocatedBurst), q.now < b.quietUntil)
+		amount = item.Amount
 	}
-	b.loans++
-	l.grant = b.loans
-	item.Grant = l.grant
-	e.free -= max(0, give-l.part)
-	e.keeps(l, max(l.part, give), max(l.burst, item.Burst))
-	l.until = q.now + q.terms.Lease + q.terms.ClockError + q.terms.Turn
-	if bound.Kind == Level {
-		l.until += q.terms.Linger
+	b.lastSequence++
+	l.sequence = b.lastSequence
+	item.Sequence = l.sequence
+	e.unallocated -= max(0, amount-l.amount)
+	e.update(l, max(l.amount, amount), max(l.burst, item.Burst))
+	l.expiry = q.now + q.config.LeaseDuration + q.config.ClockError + q.config.MaxEffectDelay
+	if limit.Kind == Concurrency {
+		l.expiry += q.config.MaxTxnDuration
 	}
 	return item, true
 }
 
-// expire drops loans that are over.
-func (e *entry) expire(now int64) {
-	for o, l := range e.loans {
-		if l.until != 0 && now >= l.until {
-			e.drop(o)
-			if e.runs[o.id] == o.run {
-				delete(e.runs, o.id)
+// removeExpired removes grants that have expired.
+func (e *limitState) removeExpired(now int64) {
+	for o, l := range e.grants {
+		if l.expiry != 0 && now >= l.expiry {
+			e.remove(o)
+			if e.incarnations[o.id] == o.incarnation {
+				delete(e.incarnations, o.id)
 			}
 		}
 	}
 }
 
-// keeps notes what a holder keeps to, and drop that it holds nothing.
-func (e *entry) keeps(l *loan, part, burst int64) {
-	e.part += part - l.part
-	e.burst += burst - l.burst
-	l.part, l.burst = part, burst
+// update sets what a holder limits itself to; remove deletes its grant.
+func (e *limitState) update(l *grant, part, burst int64) {
+	e.allocated += part - l.amount
+	e.allocatedBurst += burst - l.burst
+	l.amount, l.burst = part, burst
 }
 
-func (e *entry) drop(o of) {
-	if l := e.loans[o]; l != nil {
-		e.keeps(l, 0, 0)
-		delete(e.loans, o)
+func (e *limitState) remove(o holder) {
+	if l := e.grants[o]; l != nil {
+		e.update(l, 0, 0)
+		delete(e.grants, o)
 	}
 }
 
-// claim is a holder's. In a large fleet what all are to have is worked out some times a second, not for each question: what
-// is lent is bounded by what is free, whatever the plan.
-func (e *entry) claim(who of, bound *Bound, now int64) claim {
-	c, ok := e.plan[who]
-	if ok && len(e.loans) > smallFleet && now-e.planAt < sweep {
+// shareOf returns the share of one holder. With many holders the shares are computed several times per
+// second instead of for each request; that is safe since grants never exceed the unallocated part,
+// whatever the shares.
+func (e *limitState) shareOf(requester holder, limit *Limit, now int64) share {
+	c, ok := e.shares[requester]
+	if ok && len(e.grants) > maxHoldersUncached && now-e.sharesAt < sweepInterval {
 		return c
 	}
-	e.plan, e.planAt = map[of]claim{}, now
-	for _, c := range e.claims(bound) {
-		e.plan[c.of] = c
+	e.shares, e.sharesAt = map[holder]share{}, now
+	for _, c := range e.fairShares(limit) {
+		e.shares[c.holder] = c
 	}
-	return e.plan[who]
+	return e.shares[requester]
 }
 
-// gathers says how many tokens of a rate a holder may gather, and gives it what has been earned for it. Who is to gather none,
-// or can't yet as others have not given theirs back, gets single txns' tokens from what is not lent, as long as it wants any.
-func (e *entry) gathers(item *Item, l *loan, burst, free, gather int64, quiet bool) {
-	item.Burst = min(burst, l.burst+gather)
+// grantTokens sets how many tokens of a rate a holder may accumulate, and hands it earned tokens. A
+// holder that may accumulate none, or cannot yet because others have not returned theirs, gets the
+// tokens of single transactions from the unallocated part while it has demand.
+func (e *limitState) grantTokens(item *Item, l *grant, burst, unallocated, unallocatedBurst int64, quiet bool) {
+	item.Burst = min(burst, l.burst+unallocatedBurst)
 	if quiet {
 		item.Burst = min(item.Burst, l.burst)
 	}
 	switch earned := int64(e.tokens); {
-	case item.Part == 0 && l.want == 0:
+	case item.Amount == 0 && l.demand == 0:
 		item.Burst = 0
-	case item.Part > 0 && item.Burst >= Whole:
-		if more := item.Part - l.part; more > 0 { // of what is not lent the like share, a first txn's at least
-			item.Tokens = max(int64(e.tokens*float64(more)/float64(free)), min(Whole, earned))
+	case item.Amount > 0 && item.Burst >= UnitsPerTxn:
+		if added := item.Amount - l.amount; added > 0 { // a proportional share of the unallocated tokens, at least enough for a first transaction
+			item.Tokens = max(int64(e.tokens*float64(added)/float64(unallocated)), min(UnitsPerTxn, earned))
 		}
 		item.Tokens = min(item.Tokens, item.Burst)
 	case quiet:
-		item.Part, item.Burst = 0, 0
+		item.Amount, item.Burst = 0, 0
 	default:
-		if item.Part, item.Burst = 0, 0; l.want > 0 && earned >= Whole && l.burst+gather >= Whole {
-			item.Burst, item.Tokens = Whole, Whole
+		if item.Amount, item.Burst = 0, 0; l.demand > 0 && earned >= UnitsPerTxn && l.burst+unallocatedBurst >= UnitsPerTxn {
+			item.Burst, item.Tokens = UnitsPerTxn, UnitsPerTxn
 		}
 	}
-	e.tokens = max(0, min(e.tokens-float64(item.Tokens), float64(gather-max(0, item.Burst-l.burst))))
+	e.tokens = max(0, min(e.tokens-float64(item.Tokens), float64(unallocatedBurst-max(0, item.Burst-l.burst))))
 }
 
-// refill counts what a rate's part that is not lent has earned.
-func (e *entry) refill(now int64, bound *Bound, free, gather int64) {
-	if bound.Kind != Rate || now <= e.filled {
-		e.free = min(e.free, free)
+// refill adds the tokens earned by the unallocated part of a rate.
+func (e *limitState) refill(now int64, limit *Limit, unallocated, unallocatedBurst int64) {
+	if limit.Kind != Rate || now <= e.refilledAt {
+		e.unallocated = min(e.unallocated, unallocated)
 		return
 	}
-	share := float64(max(0, min(free, e.free))) // what came back meanwhile earns from now on
-	e.free = free
-	e.tokens = min(float64(max(0, gather)), e.tokens+share*(1-1.0/slowness)*float64(now-e.filled)/1e9)
-	e.filled = now
+	earning := float64(max(0, min(unallocated, e.unallocated))) // units that were returned meanwhile earn from now on
+	e.unallocated = unallocated
+	e.tokens = min(float64(max(0, unallocatedBurst)), e.tokens+earning*(1-1.0/clockDriftDivisor)*float64(now-e.refilledAt)/1e9)
+	e.refilledAt = now
 }
 
-// claim is what a holder is to have.
-type claim struct {
-	of          of
-	want        int64
-	part, burst int64
+// share is what a holder should get.
+type share struct {
+	holder        holder
+	demand        int64
+	amount, burst int64
 }
 
-// claims are what all holders are to have: what each wants and something beside, or where all together want more than there
-// is, a fair part: nobody gets more than another that wants more. The burst of a rate goes with its parts, a whole txn's at
-// least, to those first that get most: a part is worth nothing to who may not gather a txn's tokens.
-func (e *entry) claims(bound *Bound) (all []claim) {
-	for o, l := range e.loans {
-		w := l.want
+// fairShares returns the max-min fair shares of all holders: the demand of each plus headroom, or,
+// where the total demand exceeds the limit, a division in which no holder gets more than another one
+// with a higher demand. The burst of a rate is divided along with it, at least one transaction's
+// tokens each, to the largest shares first: an allocation is useless to a holder that may not
+// accumulate the tokens of one transaction.
+func (e *limitState) fairShares(limit *Limit) (all []share) {
+	for o, l := range e.grants {
+		w := l.demand
 		if w > 0 {
-			w += max(1, w/headroom)
+			w += max(1, w/headroomDivisor)
 		}
-		all = append(all, claim{of: o, want: max(w, l.used)})
+		all = append(all, share{holder: o, demand: max(w, l.used)})
 	}
-	slices.SortFunc(all, func(x, y claim) int {
-		return cmp.Or(cmp.Compare(x.want, y.want), cmp.Compare(x.of.id, y.of.id), cmp.Compare(x.of.run, y.of.run))
+	slices.SortFunc(all, func(x, y share) int {
+		return cmp.Or(cmp.Compare(x.demand, y.demand), cmp.Compare(x.holder.id, y.holder.id), cmp.Compare(x.holder.incarnation, y.holder.incarnation))
 	})
-	left := bound.Amount
+	remaining := limit.Amount
 	for i := range all {
 		c := &all[i]
-		c.part = min(c.want, left/int64(len(all)-i))
-		if c.want > 0 && c.part == 0 && left > 0 {
-			c.part = 1
+		c.amount = min(c.demand, remaining/int64(len(all)-i))
+		if c.demand > 0 && c.amount == 0 && remaining > 0 {
+			c.amount = 1
 		}
-		left -= c.part
+		remaining -= c.amount
 	}
-	gather := bound.Burst - max(Whole, bound.Burst/4) // the rest is for who gets none
-	for i := len(all) - 1; i >= 0 && bound.Kind == Rate; i-- {
-		if c := &all[i]; c.part > 0 && gather >= Whole {
-			c.burst = min(gather, Whole+int64(float64(bound.Burst)/2*float64(c.part)/float64(bound.Amount)))
-			gather -= c.burst
+	remainingBurst := limit.Burst - max(UnitsPerTxn, limit.Burst/4) // the rest is for holders without a share of the burst
+	for i := len(all) - 1; i >= 0 && limit.Kind == Rate; i-- {
+		if c := &all[i]; c.amount > 0 && remainingBurst >= UnitsPerTxn {
+			c.burst = min(remainingBurst, UnitsPerTxn+int64(float64(limit.Burst)/2*float64(c.amount)/float64(limit.Amount)))
+			remainingBurst -= c.burst
 		}
 	}
 	return all
 }
 
-// Loan is a part as its keeper knows it.
-type Loan struct {
-	Holder ID    `json:"holder"`
-	Part   int64 `json:"part"`
-	Used   int64 `json:"used"`
-	Want   int64 `json:"want"`
-	Left   int64 `json:"left"` // nanoseconds until it can be given out again
+// Grant is an allocation as its allocator knows it.
+type Grant struct {
+	Holder    ID    `json:"holder"`
+	Amount    int64 `json:"part"`
+	Used      int64 `json:"used"`
+	Demand    int64 `json:"want"`
+	Remaining int64 `json:"left"` // nanoseconds until it can be granted to another holder
 }
 
-// Kept tells all loans of a bound, where this gateway keeps its book.
-func (q *Quota) Kept(key uint64) (all []Loan, keeps bool) {
-	b := &q.books[bookOf(key)]
-	if !b.keeps || b.entries[key] == nil {
-		return nil, b.keeps
+// Grants returns all grants of a limit; active is false if this gateway is not its allocator.
+func (q *Quota) Grants(key uint64) (all []Grant, active bool) {
+	b := &q.shards[shardOf(key)]
+	if !b.active || b.entries[key] == nil {
+		return nil, b.active
 	}
-	for id, l := range b.entries[key].loans {
-		all = append(all, Loan{id.id, l.part, l.used, l.want, l.until - q.now})
+	for id, l := range b.entries[key].grants {
+		all = append(all, Grant{id.id, l.amount, l.used, l.demand, l.expiry - q.now})
 	}
-	slices.SortFunc(all, func(x, y Loan) int { return cmp.Compare(x.Holder, y.Holder) })
+	slices.SortFunc(all, func(x, y Grant) int { return cmp.Compare(x.Holder, y.Holder) })
 	return all, true
 }
--- a/quota/offices.go
+++ b/quota/offices.go
@@ -8,99 +8,105 @@
 	"slices"
 )
 
-// Offices say who keeps each book: a version that the fleet agreed on, and the one that takes its place, if any. Two versions
-// contradict each other, so nobody keeps a book by the next one while anybody may keep it by the former: package agreement.
-type Offices struct {
-	No      uint64 // of the version in force, 0 for none
-	Keepers []ID   // by book
-	Next    []ID   // nil where none is on its way
+// Assignment maps shards to allocators: the version that the fleet agreed on, and the one that
+// replaces it, if any. Two versions conflict, so package agreement ensures that no gateway acts as an
+// allocator by the next one while any may still act by the previous one.
+type Assignment struct {
+	Version    uint64 // of the version in force, 0 for none
+	Allocators []ID   // by shard
+	Next       []ID   // nil if no replacement is in progress
 }
 
-// text is a version's.
-type text struct {
-	Keepers []ID `json:"keepers"`
+// assignmentRecord is the stored form of a version.
+type assignmentRecord struct {
+	Allocators []ID `json:"keepers"`
 }
 
-// OfficesOf reads a version's text.
-func OfficesOf(words []byte) ([]ID, error) {
-	var t text
-	err := json.Unmarshal(words, &t)
-	return t.Keepers, err
+// DecodeAssignment returns the allocators in the stored form of a version.
+func DecodeAssignment(encoded []byte) ([]ID, error) {
+	var t assignmentRecord
+	err := json.Unmarshal(encoded, &t)
+	return t.Allocators, err
 }
 
-// Text words a version.
-func Text(keepers []ID) []byte {
-	words, err := json.Marshal(text{keepers})
+// EncodeAssignment returns the stored form of a version.
+func EncodeAssignment(allocators []ID) []byte {
+	encoded, err := json.Marshal(assignmentRecord{allocators})
 	if err != nil {
-		panic(err) // it holds nothing that has no JSON
+		panic(err) // unreachable: the record always has a JSON form
 	}
-	return words
+	return encoded
 }
 
-// Choose gives each book a keeper of those that may be one: who keeps one and still may goes on to, the others are chosen by
-// rendezvous hashing with at most a fair number of books each, so that a change moves as few as can be.
-func Choose(before []ID, may []ID) []ID {
-	if len(may) == 0 {
-		return before
+// AssignAllocators picks an allocator among the eligible gateways for each shard. An allocator that is
+// still eligible keeps its shards; the others are assigned by rendezvous hashing, with at most an even
+// number of shards each, so that a change moves as few shards as possible.
+func AssignAllocators(previous []ID, eligible []ID) []ID {
+	if len(eligible) == 0 {
+		return previous
 	}
-	most := (Books + len(may) - 1) / len(may)
-	keepers := make([]ID, Books)
-	load := map[ID]int{}
-	for b := range keepers {
-		if b < len(before) && slices.Contains(may, before[b]) && load[before[b]] < most {
-			keepers[b] = before[b]
-			load[before[b]]++
+	maxShards := (Shards + len(eligible) - 1) / len(eligible)
+	allocators := make([]ID, Shards)
+	shardCount := map[ID]int{}
+	for b := range allocators {
+		if b < len(previous) && slices.Contains(eligible, previous[b]) && shardCount[previous[b]] < maxShards {
+			allocators[b] = previous[b]
+			shardCount[previous[b]]++
 		}
 	}
-	for b := range keepers {
-		if keepers[b] != 0 {
+	for b := range allocators {
+		if allocators[b] != 0 {
 			continue
 		}
-		order := slices.Clone(may)
-		slices.SortFunc(order, func(x, y ID) int { return cmp.Or(cmp.Compare(weight(b, y), weight(b, x)), cmp.Compare(x, y)) })
+		order := slices.Clone(eligible)
+		slices.SortFunc(order, func(x, y ID) int {
+			return cmp.Or(cmp.Compare(rendezvousWeight(b, y), rendezvousWeight(b, x)), cmp.Compare(x, y))
+		})
 		for _, id := range order {
-			if load[id] < most {
-				keepers[b] = id
-				load[id]++
+			if shardCount[id] < maxShards {
+				allocators[b] = id
+				shardCount[id]++
 				break
 			}
 		}
 	}
-	return keepers
+	return allocators
 }
 
-// Candidate is a gateway of the list: whether whoever may act knows of it, and whether those that vote hear of it.
+// Candidate is a gateway of the fleet: Admitted if every gateway that may act knows of it, Reachable
+// if voters have contact with it.
 type Candidate struct {
-	ID            ID
-	Seated, Heard bool
+	ID                  ID
+	Admitted, Reachable bool
 }
 
-// Successors tells who is to keep the books after a keeper has been silent here, 0 where nobody keeps them yet; ok is false
-// where that stays as it is. byMost is that most of those that vote have said whom they hear of: who hears of few may be cut
-// off itself, and a keeper that one gateway alone can't reach goes on. Who keeps a book and is not the silent one goes on to,
-// heard of or not; another one has to be.
-func Successors(before []ID, silent ID, list []Candidate, byMost bool) (next []ID, ok bool) {
-	var may []ID
-	for _, c := range list {
-		if c.ID == silent && c.Heard {
+// ReplaceAllocator returns the allocators after one did not respond to this gateway; unresponsive is 0
+// if shards have no allocator yet. ok is false if the assignment stays as it is. majorityResponded
+// says whether a majority of voters has reported which gateways it reaches: a gateway that reaches few
+// may be cut off itself, and an allocator that only one gateway cannot reach stays. Other current
+// allocators stay whether reachable or not; a new one must be reachable.
+func ReplaceAllocator(previous []ID, unresponsive ID, candidates []Candidate, majorityResponded bool) (next []ID, ok bool) {
+	var eligible []ID
+	for _, c := range candidates {
+		if c.ID == unresponsive && c.Reachable {
 			return nil, false
 		}
-		if c.Seated && (c.Heard || c.ID != silent && slices.Contains(before, c.ID)) {
-			may = append(may, c.ID)
+		if c.Admitted && (c.Reachable || c.ID != unresponsive && slices.Contains(previous, c.ID)) {
+			eligible = append(eligible, c.ID)
 		}
 	}
-	if !byMost || len(may) == 0 {
+	if !majorityResponded || len(eligible) == 0 {
 		return nil, false
 	}
-	next = Choose(before, may)
-	return next, !slices.Equal(next, before)
+	next = AssignAllocators(previous, eligible)
+	return next, !slices.Equal(next, previous)
 }
 
-// Patience is how long a wish for other keepers may take before it is looked at anew.
-func (t *Terms) Patience() int64 { return 2 * t.Lease }
+// ReassignTimeout is how long a proposal for another assignment may take before it is reconsidered.
+func (t *Config) ReassignTimeout() int64 { return 2 * t.LeaseDuration }
 
-// weight is a gateway's for a book.
-func weight(book int, id ID) uint64 {
+// rendezvousWeight returns the hash weight of a gateway for a shard.
+func rendezvousWeight(book int, id ID) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(binary.BigEndian.AppendUint64([]byte{byte(book)}, uint64(id)))
 	x := h.Sum64() // its low bits are well mixed, its high ones are not
@@ -109,39 +115,41 @@
 	return x ^ x>>33
 }
 
-// keeper is who is to be asked for parts of a book's bounds, 0 for nobody.
-func (o *Offices) keeper(book int) ID {
-	if book >= len(o.Keepers) {
+// allocator returns the allocator of a shard, 0 for none.
+func (o *Assignment) allocator(book int) ID {
+	if book >= len(o.Allocators) {
 		return 0
 	}
-	return o.Keepers[book]
+	return o.Allocators[book]
 }
 
-// Office takes who keeps the books. A book that this gateway begins to keep is quiet until all that another one lent, or this
-// one in a former run, has run out: meanwhile it renews what holders say they hold, and lends nothing else.
-func (q *Quota) Office(o Offices) {
-	for b := range q.books {
-		k := &q.books[b]
-		had := k.keeps
-		// It ceases with the first word of another one, and begins once the other can be no more.
-		k.keeps = o.keeper(b) == q.terms.Self && (o.Next == nil || b < len(o.Next) && o.Next[b] == q.terms.Self)
-		if k.keeps && !had {
-			k.entries, k.loans = map[uint64]*entry{}, max(k.loans, q.terms.Run)
-			k.quietUntil = q.now + q.terms.Lease + q.terms.ClockError + q.terms.Turn + q.terms.Linger
+// SetAssignment takes the assignment of shards. A shard that this gateway begins to allocate stays
+// quiet until all grants of a previous allocator, or of a previous incarnation of this one, have
+// expired: meanwhile it renews what holders report and grants nothing else.
+func (q *Quota) SetAssignment(o Assignment) {
+	for b := range q.shards {
+		k := &q.shards[b]
+		wasActive := k.active
+		// It stops as soon as a replacement is announced, and starts only once the previous allocator can no
+		// longer act.
+		k.active = o.allocator(b) == q.config.Self && (o.Next == nil || b < len(o.Next) && o.Next[b] == q.config.Self)
+		if k.active && !wasActive {
+			k.entries, k.lastSequence = map[uint64]*limitState{}, max(k.lastSequence, q.config.Incarnation)
+			k.quietUntil = q.now + q.config.LeaseDuration + q.config.ClockError + q.config.MaxEffectDelay + q.config.MaxTxnDuration
 			q.log("keeps book %d", b)
 		}
-		if !k.keeps && had {
+		if !k.active && wasActive {
 			k.entries = nil
 			q.log("no longer keeps book %d", b)
 		}
-		if o.keeper(b) != q.offices.keeper(b) { // another one counts its loans anew
-			q.asked[b] = asking{urgent: q.asked[b].urgent || q.asked[b].at != 0}
-			for key, p := range q.parts {
-				if bookOf(key) == b {
-					p.grant = 0
+		if o.allocator(b) != q.assignment.allocator(b) { // another allocator numbers its grants anew
+			q.requests[b] = requestState{urgent: q.requests[b].urgent || q.requests[b].sentAt != 0}
+			for key, p := range q.allocations {
+				if shardOf(key) == b {
+					p.sequence = 0
 				}
 			}
 		}
 	}
-	q.offices = o
+	q.assignment = o
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,13 +1,17 @@
-// Package quota divides bounds of a fleet among its gateways, so that all of them together never pass one: a tenant's rate,
-// its txns and bytes in flight, its connections. Each bound is kept in a book, each book by one gateway, its keeper, whom the
-// fleet has agreed on (package agreement). The keeper lends parts for a lease; who holds a part spends it and no more, also
-// when it is cut off, and nothing once its lease has run out. docs/fleet.md has the argument.
+// Package quota divides fleet-wide limits among gateways so that their sum is never exceeded: a
+// tenant's transaction rate, its transactions and bytes in flight, and its connections. Limits are
+// spread over shards by key, and the fleet agrees on one gateway as the allocator of each shard
+// (package agreement). The allocator grants allocations for a lease. A holder spends no more than its
+// allocation, even while it is cut off from the rest, and nothing after its lease has expired.
+// docs/fleet.md has the safety argument.
 //
-// How it is called: New once; then, for each round, Clock with the time, then any inputs, which only update what is known;
-// then Next until it says there is no more. May, Begin and End are asked for each txn and change nothing but this gateway's
-// part. It runs without input or output, clock or chance of its own.
+// Usage: call New once. In each round call Clock with the time, then any of the methods that update
+// the known state, then Next until it reports that no decision is left. CanBegin, Begin and End are
+// called for each transaction and change only this gateway's allocation. The package does no I/O,
+// reads no clock and draws no random numbers.
 //
-// quota.go has the interface, holder.go what a gateway holds and spends, keeper.go the books, offices.go who keeps them.
+// quota.go has the public interface, holder.go the allocations that this gateway holds and spends,
+// keeper.go the allocator, and offices.go the assignment of shards to allocators.
 package quota
 
 import (
@@ -21,220 +25,234 @@
 	"magpieglade/agreement"
 )
 
-// ID is a gateway, as the agreement has it.
+// ID identifies a gateway, as in package agreement.
 type ID = agreement.ID
 
-// Terms are what all gateways of a fleet have alike, but for Self and Run. Times are nanoseconds.
-type Terms struct {
-	Self       ID
-	Run        uint64 // a later one at each start, by more than the loans of the former: nanoseconds of Unix time will do
-	Lease      int64  // of a part, from when it was asked for
-	ClockError int64  // by which two clocks differ at most over a lease
-	Turn       int64  // from a decision to its effect, at most
-	Linger     int64  // for which what was begun may go on after it: the longest time of any txn type
+// Config holds the settings of the quota. All are the same on every gateway of a fleet, except Self
+// and Incarnation. Times are in nanoseconds.
+type Config struct {
+	Self ID
+	// Incarnation increases at each start by more than the number of grants that the previous one made;
+	// nanoseconds of Unix time will do.
+	Incarnation    uint64
+	LeaseDuration  int64 // of an allocation, counted from when it was requested
+	ClockError     int64 // maximum difference between two clocks over one lease
+	MaxEffectDelay int64 // maximum time from a decision to its effect
+	MaxTxnDuration int64 // maximum duration of any transaction type: work may go on for this long after it began
 }
 
-// Check names the first term that is out of range.
-func (t *Terms) Check() error {
+// Validate returns an error that names the first setting out of range.
+func (t *Config) Validate() error {
 	switch {
 	case t.Self == 0:
 		return errors.New("quota: self is lacking")
-	case t.Lease < 200e6:
+	case t.LeaseDuration < 200e6:
 		return errors.New("quota: lease is shorter than 200ms")
-	case t.ClockError <= 0 || t.Turn <= 0 || t.Linger < 0:
+	case t.ClockError <= 0 || t.MaxEffectDelay <= 0 || t.MaxTxnDuration < 0:
 		return errors.New("quota: clock_error, turn or linger is out of range")
 	}
 	return nil
 }
 
-// Kind is what a bound is of.
-type Kind uint8
+// LimitKind says what a limit counts.
+type LimitKind uint8
 
-// A Rate is of units a second, with a burst that may come at once; a Level is of units that are held at a time.
+// Rate limits units per second, with a burst that may come at once. Concurrency limits units held at
+// the same time.
 const (
-	Rate Kind = iota
-	Level
+	Rate LimitKind = iota
+	Concurrency
 )
 
-// Whole is how many units a txn of a rate is: parts of a rate are finer than txns.
-const Whole = 1000
+// UnitsPerTxn is the number of rate units in one transaction: allocations of a rate are finer than
+// transactions.
+const UnitsPerTxn = 1000
 
-// Bound is one of the fleet's. A rate's Amount and Burst are in units of Whole to a txn.
-type Bound struct {
-	Key    uint64 // KeyOf its name
+// Limit is a fleet-wide limit. Amount and Burst of a rate are in units of 1/UnitsPerTxn of a
+// transaction.
+type Limit struct {
+	Key    uint64 // KeyOf(Name)
 	Name   string
-	Kind   Kind
+	Kind   LimitKind
 	Amount int64
 	Burst  int64
 }
 
-// KeyOf is a bound's number by its name, never 0.
+// KeyOf returns the key of a limit by its name. It is never 0.
 func KeyOf(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return max(1, h.Sum64())
 }
 
-// Books is how many there are: enough to spread their load, few enough to name the keeper of each in a line.
-const Books = 8
+// Shards is the number of shards: enough to spread the load of allocators, few enough to list the
+// allocator of each on one line.
+const Shards = 8
 
-// bookOf is the book of a bound.
-func bookOf(key uint64) int { return int(key % Books) }
+// shardOf returns the shard of a limit.
+func shardOf(key uint64) int { return int(key % Shards) }
 
 // Spans and sizes. Sources: ours, by the measurements in docs/results.md.
 const (
-	renewals   = 8            // a part is renewed this often in its lease
-	hurry      = 20e6         // who was refused and holds nothing asks again no sooner
-	soon       = int64(100e6) // and who holds a part
-	silence    = 5            // a keeper that answered none of so many questions, in half a lease at least, is silent
-	mostItems  = 16           // bounds in one message
-	memory     = 200e6        // over which demand is measured
-	longMemory = 1500e6       // and over which a rate's is, beside it
-	headroom   = 16           // an Nth of what is wanted is lent beside it
-	slowness   = 64           // rates are spent an Nth slower, as clocks may run that much apart
-	idleSpan   = 2000e6       // after which who wanted nothing gives its part back and asks no more
-	sweep      = int64(20e6)  // a keeper drops loans that are over, and in a large fleet works out shares, so often
-	smallFleet = 64           // holders of a bound up to which it does the latter for each question
-	leastWake  = 1e6          // between rounds that nothing else brings about
+	renewalsPerLease   = 8            // a part is renewed this often in its lease
+	emptyRetryInterval = 20e6         // who was refused and holds nothing asks again no sooner
+	retryInterval      = int64(100e6) // and who holds a part
+	maxUnanswered      = 5            // a keeper that answered none of so many questions, in half a lease at least, is silent
+	maxItems           = 16           // bounds in one message
+	demandWindow       = 200e6        // over which demand is measured
+	longDemandWindow   = 1500e6       // and over which a rate's is, beside it
+	headroomDivisor    = 16           // an Nth of what is wanted is lent beside it
+	clockDriftDivisor  = 64           // rates are spent an Nth slower, as clocks may run that much apart
+	idleTimeout        = 2000e6       // after which who wanted nothing gives its part back and asks no more
+	sweepInterval      = int64(20e6)  // a keeper drops loans that are over, and in a large fleet works out shares, so often
+	maxHoldersUncached = 64           // holders of a bound up to which it does the latter for each question
+	minWakeDelay       = 1e6          // between rounds that nothing else brings about
 )
 
-// MostWait is for how long a txn may be held while a first part is asked for, nanoseconds.
-const MostWait = int64(25e6)
+// MaxFirstWait is how long a transaction may be held, in nanoseconds, while a first allocation is
+// requested.
+const MaxFirstWait = int64(25e6)
 
-// MessageKind is what a message is.
+// MessageKind distinguishes messages between gateways.
 type MessageKind uint8
 
-// A question of a holder to a keeper, and its answer.
+// A holder sends an AllocationRequest to an allocator, which replies with an AllocationResponse.
 const (
-	AskParts MessageKind = iota + 1
-	LendParts
+	AllocationRequest MessageKind = iota + 1
+	AllocationResponse
 )
 
-// Message is what one gateway tells another. Whoever carries it vouches for From; it may be lost, late or come twice.
+// Message is sent from one gateway to another. The transport authenticates From. A message may be
+// lost, delayed or delivered twice.
 type Message struct {
-	Kind     MessageKind
-	From, To ID
-	Book     int
-	Office   uint64 // the version of the offices that it goes by
-	Run      uint64 // of who asks
-	No       int64  // when it asks, by its clock; the answer gives it back
-	Items    []Item
+	Kind              MessageKind
+	From, To          ID
+	Shard             int
+	AssignmentVersion uint64 // version of the assignment that the sender acts on
+	Incarnation       uint64 // of the requester
+	RequestTime       int64  // time of the request by the requester's clock; the response echoes it
+	Items             []Item
 }
 
-// Item is one bound in a message. In a question Part is what the asker keeps to and Grant the latest loan that it took; in an
-// answer what is lent, and the loan's number.
+// Item is one limit in a message. In a request, Amount is what the requester limits itself to and
+// Sequence identifies the latest grant that it received. In a response, Amount is what is granted, and
+// Sequence identifies this grant.
 type Item struct {
-	Key    uint64
-	Grant  uint64
-	Part   int64
-	Used   int64 // of a level
-	Want   int64 // asked for of late
-	Burst  int64 // of a rate, that may be gathered at the most
-	Tokens int64 // of a rate, that come with a loan
+	Key      uint64
+	Sequence uint64
+	Amount   int64
+	Used     int64 // of a concurrency limit
+	Demand   int64 // recent demand
+	Burst    int64 // of a rate: maximum tokens that the holder may accumulate
+	Tokens   int64 // of a rate: tokens that come with the grant
 }
 
-// DecisionKind is what the host is to do.
+// DecisionKind says what the host has to do.
 type DecisionKind uint8
 
-// What it is to do.
+// Kinds of decisions.
 const (
-	Send DecisionKind = iota // Message
-	Move                     // Keeper is silent: have the fleet agree on another one for its books, unless it is well with others
-	Wake                     // one more round After so many nanoseconds
-	Log
+	Send DecisionKind = iota // send Message
+	// Allocator does not respond: have the fleet agree on another one for its shards, unless other
+	// gateways reach it.
+	Reassign
+	Wake // run another round After this many nanoseconds
+	Log  // log Text
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host.
 type Decision struct {
-	Kind    DecisionKind
-	Message Message
-	Keeper  ID
-	After   int64
-	Text    string
+	Kind      DecisionKind
+	Message   Message
+	Allocator ID
+	After     int64
+	Text      string
 }
 
-// Quota is one gateway's part, as a holder and as a keeper.
+// Quota is the state of one gateway, both as a holder of allocations and as an allocator.
 type Quota struct {
-	terms   Terms
-	now     int64
-	leased  int64 // until when this gateway may act on what the fleet agreed on
-	bounds  map[uint64]*Bound
-	keys    []uint64 // in order
-	parts   map[uint64]*part
-	books   [Books]book
-	offices Offices
-	asked   [Books]asking
-	taken   int // answers of keepers
-	out     []Decision
-	wakeAt  int64
+	config      Config
+	now         int64
+	leaseUntil  int64 // until when this gateway may act on what the fleet agreed on
+	limits      map[uint64]*Limit
+	keys        []uint64 // sorted
+	allocations map[uint64]*allocation
+	shards      [Shards]shard
+	assignment  Assignment
+	requests    [Shards]requestState
+	responses   int // number of responses received
+	out         []Decision
+	wakeAt      int64
 }
 
-// New makes one that holds nothing.
-func New(t Terms) (*Quota, error) {
-	if err := t.Check(); err != nil {
+// New returns a Quota that holds no allocation.
+func New(t Config) (*Quota, error) {
+	if err := t.Validate(); err != nil {
 		return nil, err
 	}
-	return &Quota{terms: t, bounds: map[uint64]*Bound{}, parts: map[uint64]*part{}}, nil
+	return &Quota{config: t, limits: map[uint64]*Limit{}, allocations: map[uint64]*allocation{}}, nil
 }
 
-// Clock begins a round. leased is until when this gateway may act on what the fleet agreed on, by the same clock.
-func (q *Quota) Clock(now, leased int64) { q.now, q.leased = now, leased }
-
-// Bounds takes all bounds of the fleet. While one version of them takes the place of another, that is the lesser of both.
-func (q *Quota) Bounds(all []Bound) error {
-	bounds := map[uint64]*Bound{}
-	for i := range all {
-		b := all[i]
-		if other := bounds[b.Key]; other != nil && other.Name != b.Name {
+// Clock begins a round. leaseUntil is the time, by the same clock, until which this gateway may act on
+// what the fleet agreed on.
+func (q *Quota) Clock(now, leaseUntil int64) { q.now, q.leaseUntil = now, leaseUntil }
+
+// SetLimits replaces all limits of the fleet. While one version of the limits replaces another, the
+// caller passes the lower of both.
+func (q *Quota) SetLimits(list []Limit) error {
+	limits := map[uint64]*Limit{}
+	for i := range list {
+		b := list[i]
+		if other := limits[b.Key]; other != nil && other.Name != b.Name {
 			return fmt.Errorf("quota: %q and %q have one key", b.Name, other.Name)
 		}
-		if b.Amount <= 0 || b.Kind == Rate && b.Burst < Whole {
+		if b.Amount <= 0 || b.Kind == Rate && b.Burst < UnitsPerTxn {
 			return fmt.Errorf("quota: bound %q is out of range", b.Name)
 		}
-		bounds[b.Key] = &b
+		limits[b.Key] = &b
 	}
-	q.bounds, q.keys = bounds, slices.Sorted(maps.Keys(bounds))
-	for key, p := range q.parts {
-		switch b := bounds[key]; {
+	q.limits, q.keys = limits, slices.Sorted(maps.Keys(limits))
+	for key, p := range q.allocations {
+		switch b := limits[key]; {
 		case b != nil:
-			p.bound = b
+			p.limit = b
 		case p.used == 0:
-			delete(q.parts, key)
-		default: // what is under way counts again if the bound comes back
-			p.part, p.until, p.asked = 0, 0, false
+			delete(q.allocations, key)
+		default: // work in progress counts again if the limit comes back
+			p.amount, p.expiry, p.requested = 0, 0, false
 		}
 	}
-	for i := range q.books {
-		maps.DeleteFunc(q.books[i].entries, func(key uint64, _ *entry) bool { return bounds[key] == nil })
+	for i := range q.shards {
+		maps.DeleteFunc(q.shards[i].entries, func(key uint64, _ *limitState) bool { return limits[key] == nil })
 	}
 	return nil
 }
 
-// Heard takes a message.
-func (q *Quota) Heard(m *Message) {
-	if m.To != q.terms.Self || m.Book < 0 || m.Book >= Books {
+// Receive handles a message from another gateway.
+func (q *Quota) Receive(m *Message) {
+	if m.To != q.config.Self || m.Shard < 0 || m.Shard >= Shards {
 		return
 	}
 	switch m.Kind {
-	case AskParts:
-		q.lend(m)
-	case LendParts:
-		q.lent(m)
+	case AllocationRequest:
+		q.handleRequest(m)
+	case AllocationResponse:
+		q.handleResponse(m)
 	}
 }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns one decision of this round, or false if none is left.
 func (q *Quota) Next() (Decision, bool) {
 	if len(q.out) == 0 {
-		q.asks()
+		q.sendRequests()
 	}
 	if len(q.out) > 0 {
 		d := q.out[0]
 		q.out = q.out[1:]
 		return d, true
 	}
-	if at := q.due(); at > 0 {
-		if at = max(at, q.now+leastWake); q.wakeAt <= q.now || at < q.wakeAt {
+	if at := q.nextDeadline(); at > 0 {
+		if at = max(at, q.now+minWakeDelay); q.wakeAt <= q.now || at < q.wakeAt {
 			q.wakeAt = at
 			return Decision{Kind: Wake, After: at - q.now}, true
 		}
@@ -243,9 +261,9 @@
 }
 
 func (q *Quota) send(m Message) {
-	m.From = q.terms.Self
-	if m.To == q.terms.Self {
-		q.Heard(&m)
+	m.From = q.config.Self
+	if m.To == q.config.Self {
+		q.Receive(&m)
 		return
 	}
 	q.out = append(q.out, Decision{Kind: Send, Message: m})
@@ -255,17 +273,18 @@
 	q.out = append(q.out, Decision{Kind: Log, Text: fmt.Sprintf(format, x...)})
 }
 
-// All are the bounds, in the order of their names.
-func (q *Quota) All() (all []Bound) {
+// Limits returns all limits, sorted by name.
+func (q *Quota) Limits() (all []Limit) {
 	for _, key := range q.keys {
-		all = append(all, *q.bounds[key])
+		all = append(all, *q.limits[key])
 	}
-	slices.SortFunc(all, func(x, y Bound) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(all, func(x, y Limit) int { return strings.Compare(x.Name, y.Name) })
 	return all
 }
 
-// Lent counts the answers of keepers so far: until there is another one nothing has changed for who waits for a part.
-func (q *Quota) Lent() int { return q.taken }
+// ResponseCount returns the number of responses received so far. While it is unchanged, nothing has
+// changed for a transaction that waits for an allocation.
+func (q *Quota) ResponseCount() int { return q.responses }
 
-// Keeper is who keeps a bound, 0 for nobody.
-func (q *Quota) Keeper(key uint64) ID { return q.offices.keeper(bookOf(key)) }
+// Allocator returns the allocator of a limit, or 0 if there is none.
+func (q *Quota) Allocator(key uint64) ID { return q.assignment.allocator(shardOf(key)) }
--- a/quota/transcript_test.go
+++ b/quota/transcript_test.go
@@ -12,7 +12,7 @@
 // it and what its keeper says, while parts are lent, spent, lost with their holder and given anew, and while the book moves.
 // `go test ./quota -run Transcript -update` writes it anew.
 func TestTranscript(t *testing.T) {
-	w := newWorld(t, 5, 5, Bound{Name: "portal, in flight", Kind: Level, Amount: 100})
+	w := newWorld(t, 5, 5, Limit{Name: "portal, in flight", Kind: Concurrency, Amount: 100})
 	var out strings.Builder
 	key := w.bounds[0].Key
 	began := w.Now
@@ -27,18 +27,18 @@
 				continue
 			}
 			p.q.Clock(p.clock(), p.leased)
-			part, used, want, until := p.q.Held(key)
+			part, used, want, until := p.q.Allocation(key)
 			say("g%d holds %d for %d ms, uses %d, wants %d", p.no, part, max(0, until-p.clock())/1e6, used, want)
 		}
 		for _, p := range w.nodes {
-			all, keeps := p.q.Kept(key)
+			all, keeps := p.q.Grants(key)
 			if !keeps || p.down {
 				continue
 			}
 			lent := int64(0)
 			for _, l := range all {
-				say("  book of g%d: gateway %d has %d, given out again in %d ms", p.no, l.Holder, l.Part, l.Left/1e6)
-				lent += l.Part
+				say("  book of g%d: gateway %d has %d, given out again in %d ms", p.no, l.Holder, l.Amount, l.Remaining/1e6)
+				lent += l.Amount
 			}
 			say("  book of g%d: %d are not lent", p.no, 100-lent)
 		}
@@ -53,7 +53,7 @@
 	}
 	keeper := func() *node {
 		for _, p := range w.nodes {
-			if p.q.books[bookOf(key)].keeps && !p.down {
+			if p.q.shards[shardOf(key)].active && !p.down {
 				return p
 			}
 		}
--- a/rehearse/read.go
+++ b/rehearse/read.go
@@ -44,7 +44,7 @@
 	top.Whole("seed", &seed, 0, 1<<53)
 	s.Seed = uint64(seed)
 	top.Whole("gateways", &s.Gateways, 1, 5000)
-	s.SubsetConnections = subset.UsualTerms().Connections
+	s.SubsetConnections = subset.DefaultConfig().Connections
 	if top.Whole("subset", &s.Subset, 0, 1000); s.Subset == 1 {
 		f.Wrong(top.RangeOf("subset"), "a subset has two members at the least", "0 is all of them.")
 	}
--- a/rehearse/some.go
+++ b/rehearse/some.go
@@ -21,9 +21,9 @@
 const lookSpan = int64(100e6)
 
 // subsets are the terms of a scenario's subsets.
-func (s *Scenario) subsets() subset.Terms {
-	t := subset.UsualTerms()
-	t.Least, t.Connections, t.Away = s.Subset, s.SubsetConnections, min(t.Away, s.Subset-1)
+func (s *Scenario) subsets() subset.Config {
+	t := subset.DefaultConfig()
+	t.MinMembers, t.Connections, t.MinOtherZone = s.Subset, s.SubsetConnections, min(t.MinOtherZone, s.Subset-1)
 	return t
 }
 
@@ -167,7 +167,7 @@
 		members = append(members, subset.Member{Key: x.n.w.keyOf(d), Group: d.of.no, Zone: x.n.w.s.Zones[d.zone], Weight: 1, Primary: ok && p == serverOf(d) || x.primary[d.of.no] == d.no+1})
 	}
 	x.module.Clock(x.n.w.Now)
-	x.module.Lists(x.n.w.divisionFor(members).For(x.n.w.gatewayOf(x.n.no).ID))
+	x.module.SetDivision(x.n.w.divisionFor(members).For(x.n.w.gatewayOf(x.n.no).ID))
 	x.pull()
 }
 
@@ -229,7 +229,7 @@
 			}
 		}
 		if x.module != nil {
-			x.module.Suspect(w.keyOf(d), s.Suspect)
+			x.module.SetSuspect(w.keyOf(d), s.Suspect)
 		}
 		if x.signals == nil || !s.Known {
 			continue
@@ -250,7 +250,7 @@
 	}
 	x.module.Clock(w.Now)
 	for no := range w.groups {
-		x.module.Sees(no, known[no], replicas[no], lacking[no])
+		x.module.Observe(no, known[no], replicas[no], lacking[no])
 	}
 	if moved {
 		x.list()
--- a/rehearse/subsets.go
+++ b/rehearse/subsets.go
@@ -9,7 +9,7 @@
 // SubsetSize is a fleet whose subsets are measured.
 type SubsetSize struct {
 	Gateways, Members, Zones int
-	Terms                    subset.Terms
+	Terms                    subset.Config
 	Seed                     uint64
 }
 
@@ -41,7 +41,7 @@
 		members[i] = subset.Member{Key: rng.Uint64(), Zone: zone(), Weight: 1}
 	}
 	r := SubsetResult{SubsetSize: s, Size: s.Terms.Size(s.Gateways, s.Members), Least: s.Gateways, LeastLoad: 1e9}
-	before := subset.Choose(s.Terms, gateways, members)
+	before := subset.Assign(s.Terms, gateways, members)
 	count, near, all := make([]int, s.Members), 0, 0
 	for g, has := range before {
 		for _, m := range has {
@@ -60,7 +60,7 @@
 	}
 	r.Jain, r.Near = sum*sum/squares/float64(s.Members), float64(near)/float64(all)
 	moved := func(g []subset.Gateway, m []subset.Member) float64 {
-		return float64(subset.Moved(gateways, members, before, g, m, subset.Choose(s.Terms, g, m)))
+		return float64(subset.MovedConnections(gateways, members, before, g, m, subset.Assign(s.Terms, g, m)))
 	}
 	for i := range subsetTries {
 		if s.Gateways > subsetTries {
--- a/subset/choose.go
+++ b/subset/choose.go
@@ -6,29 +6,31 @@
 	"slices"
 )
 
-// tolerance is the part by which a member may have more or fewer gateways than its share, beside rounding. With none of it
-// one that comes or goes would have others change all along the list: measured, see docs/fleet.md.
-const tolerance = 0.02
+// loadTolerance is the fraction by which a member's gateways may deviate from its share, in addition
+// to rounding. Without it, one gateway that joins or leaves changes the members of others all along
+// the list; docs/fleet.md has the figures.
+const loadTolerance = 0.02
 
-// nearlyAll: members whose share is more than this part of all gateways come first.
-const nearlyAll = 0.7
+// nearlyAllRatio: members whose share exceeds this fraction of all gateways are assigned first.
+const nearlyAllRatio = 0.7
 
-// Size is how many members of a group each gateway has.
-func (t *Terms) Size(gateways, members int) int {
+// Size returns the number of members of a group per gateway.
+func (t *Config) Size(gateways, members int) int {
 	if gateways == 0 {
 		return members
 	}
-	return min(members, max(t.Least, (t.Connections*members+gateways-1)/gateways))
+	return min(members, max(t.MinMembers, (t.Connections*members+gateways-1)/gateways))
 }
 
-// score is how little a gateway and a member are drawn to each other, by chance that all know alike: an exponential variate
-// whose rate is the member's weight (weighted rendezvous hashing), so that the least of them falls on members by weight.
+// score ranks a pair of gateway and member, lower first. It is the same on all gateways: an
+// exponential variate whose rate is the member's weight (weighted rendezvous hashing), so that the
+// lowest score falls on members in proportion to their weights.
 func score(gateway uint64, m *Member) float64 {
-	return -math.Log(unit(gateway*0x9e3779b97f4a7c15^m.Key)) / m.Weight
+	return -math.Log(unitHash(gateway*0x9e3779b97f4a7c15^m.Key)) / m.Weight
 }
 
-// unit is a number in (0, 1) by a key, mixed by MurmurHash3's finalizer.
-func unit(x uint64) float64 {
+// unitHash maps a key to a number in (0, 1) with the MurmurHash3 finalizer.
+func unitHash(x uint64) float64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	x ^= x >> 33
@@ -37,7 +39,7 @@
 	return (float64(x>>11) + 0.5) / (1 << 53)
 }
 
-// preference is the order of members by a gateway's scores.
+// preference returns the indexes of members, ordered by a gateway's scores.
 func preference(gateway uint64, members []Member) []int {
 	order := make([]int, len(members))
 	scores := make([]float64, len(members))
@@ -48,20 +50,21 @@
 	return order
 }
 
-// pair is a gateway and a member that may come together.
+// pair is a gateway and a member that may be assigned to each other.
 type pair struct {
 	score   float64
 	gateway int32
 	member  int32
 }
 
-// Choose divides gateways over the members of one group: for each gateway, in the order of the list, its members, by their
-// places. All pairs are gone through by their score, least first; a pair comes together while its gateway has not enough
-// and its member not too many: first up to a little less than the member's share, those of one zone before others, then up
-// to a little more. Who comes or goes so pushes aside only pairs with larger scores than its own, a few.
+// Assign divides the members of one group among gateways. It returns the indexes of the members of
+// each gateway, in the order of the list. It goes through all pairs by score, lowest first, and
+// assigns a pair while its gateway has too few members and its member is below its maximum load: first
+// slightly below the member's share, with pairs of the same zone first, then slightly above it. A
+// gateway that joins or leaves thus displaces only a few pairs with higher scores than its own.
 //
-// Where a gateway has most of the members it is chosen in the same way which ones it lacks.
-func Choose(t Terms, gateways []Gateway, members []Member) [][]int {
+// Where a gateway has most of the members, the same method chooses the ones it does not have.
+func Assign(t Config, gateways []Gateway, members []Member) [][]int {
 	if len(members) == 0 {
 		return nil
 	}
@@ -75,13 +78,13 @@
 		sorted[i] = gateways[k]
 	}
 	has := make([][]int, len(gateways))
-	for i, all := range chooseSorted(t, sorted, members) {
+	for i, all := range assignSorted(t, sorted, members) {
 		has[order[i]] = all
 	}
 	return has
 }
 
-func chooseSorted(t Terms, gateways []Gateway, members []Member) [][]int {
+func assignSorted(t Config, gateways []Gateway, members []Member) [][]int {
 	size := t.Size(len(gateways), len(members))
 	if size == len(members) {
 		has := make([][]int, len(gateways))
@@ -90,76 +93,80 @@
 		}
 		return has
 	}
-	c := &choice{away: t.Away, size: size, gateways: gateways, members: members, has: make([][]int, len(gateways)), load: make([]int, len(members)),
-		most: make([]int, len(members)), shares: shares(size*len(gateways), len(gateways), members)}
-	c.zones = slices.ContainsFunc(members, func(m Member) bool { return m.Zone != members[0].Zone })
+	c := &assignment{minOtherZone: t.MinOtherZone, size: size, gateways: gateways, members: members, assigned: make([][]int, len(gateways)), load: make([]int, len(members)),
+		maxLoad: make([]int, len(members)), shares: memberShares(size*len(gateways), len(gateways), members)}
+	c.multipleZones = slices.ContainsFunc(members, func(m Member) bool { return m.Zone != members[0].Zone })
 	if 2*size <= len(members) {
 		c.divide()
-		return c.has
+		return c.assigned
 	}
-	c.size, c.lacks, c.members = len(members)-size, true, slices.Clone(members)
+	c.size, c.complement, c.members = len(members)-size, true, slices.Clone(members)
 	for i, x := range c.shares {
 		c.shares[i] = float64(len(gateways)) - x
 		c.members[i].Weight = max(1e-9, c.shares[i])
 		c.members[i].Key = ^members[i].Key
 	}
 	c.divide()
-	for g, lacks := range c.has {
-		c.has[g] = slices.DeleteFunc(preference(gateways[g].ID, members), func(m int) bool { return slices.Contains(lacks, m) })
+	for g, lacks := range c.assigned {
+		c.assigned[g] = slices.DeleteFunc(preference(gateways[g].ID, members), func(m int) bool { return slices.Contains(lacks, m) })
 	}
-	return c.has
+	return c.assigned
 }
 
-// choice is one division under way.
-type choice struct {
-	away     int // of a gateway's members in other zones
-	size     int
-	gateways []Gateway
-	members  []Member
-	shares   []float64 // of the gateways, by member
-	all      []pair    // by score
-	has      [][]int
-	load     []int
-	most     []int
-	zones    bool // there are several
-	lacks    bool // it is chosen what a gateway lacks
+// assignment is the working state of one division.
+type assignment struct {
+	minOtherZone  int // minimum of a gateway's members in other zones
+	size          int
+	gateways      []Gateway
+	members       []Member
+	shares        []float64 // number of gateways, by member
+	pairs         []pair    // by score
+	assigned      [][]int
+	load          []int
+	maxLoad       []int
+	multipleZones bool // members are in several zones
+	complement    bool // the assigned members are those that a gateway does not have
 }
 
-func (c *choice) divide() {
-	c.pairs()
-	bound := func(part float64) { // rounded at another size of the fleet for each member: else all of them would change at one join
+func (c *assignment) divide() {
+	c.collectPairs()
+	// Each member's bound is rounded up at a different fleet size; otherwise all of them would change at
+	// the same join.
+	setMaxLoad := func(part float64) {
 		for i, x := range c.shares {
-			c.most[i] = min(len(c.gateways), int(math.Floor(x*part+unit(c.members[i].Key))))
+			c.maxLoad[i] = min(len(c.gateways), int(math.Floor(x*part+unitHash(c.members[i].Key))))
 		}
 	}
-	near := c.near
-	if c.lacks { // those of other zones are what is lacked, but for some
-		near = func(g, m int) bool { return !c.near(g, m) && c.others(g) > c.away }
+	preferred := c.sameZone
+	if c.complement { // a gateway goes without members of other zones, except for the minimum
+		preferred = func(g, m int) bool { return !c.sameZone(g, m) && c.otherZoneCount(g) > c.minOtherZone }
 	}
-	bound(1 - tolerance)
-	c.pass(func(_, m int) bool { return c.shares[m] > nearlyAll*float64(len(c.gateways)) }) // it has few to choose from
-	if c.zones && !c.lacks {
-		c.pass(func(g, m int) bool { return !c.near(g, m) && c.others(g) < c.away })
-		c.pass(func(g, m int) bool { return c.near(g, m) && len(c.has[g])-c.others(g) < c.size-c.away })
-	} else if c.zones {
-		c.pass(near)
+	setMaxLoad(1 - loadTolerance)
+	c.assignPass(func(_, m int) bool { return c.shares[m] > nearlyAllRatio*float64(len(c.gateways)) }) // these members have few gateways to choose from
+	if c.multipleZones && !c.complement {
+		c.assignPass(func(g, m int) bool { return !c.sameZone(g, m) && c.otherZoneCount(g) < c.minOtherZone })
+		c.assignPass(func(g, m int) bool {
+			return c.sameZone(g, m) && len(c.assigned[g])-c.otherZoneCount(g) < c.size-c.minOtherZone
+		})
+	} else if c.multipleZones {
+		c.assignPass(preferred)
 	}
-	c.pass(func(int, int) bool { return true })
-	c.fill()
-	bound(1 + tolerance)
-	if c.zones {
-		c.pass(near)
+	c.assignPass(func(int, int) bool { return true })
+	c.fillMembers()
+	setMaxLoad(1 + loadTolerance)
+	if c.multipleZones {
+		c.assignPass(preferred)
 	}
-	c.pass(func(int, int) bool { return true })
-	c.rest()
-	c.level()
+	c.assignPass(func(int, int) bool { return true })
+	c.fillGateways()
+	c.rebalance()
 }
 
-// shares are how many gateways each member is to have, by weight, and all of them none.
-func shares(all, gateways int, members []Member) []float64 {
-	out := make([]float64, len(members))
+// memberShares returns how many gateways each member should have, by weight, at most all gateways.
+func memberShares(connections, gateways int, members []Member) []float64 {
+	result := make([]float64, len(members))
 	full := make([]bool, len(members))
-	for left := float64(all); ; { // what is cut off from one that would have more than all goes to the others
+	for remaining := float64(connections); ; { // the excess of a member over all gateways goes to the others
 		weight := 0.0
 		for i := range members {
 			if !full[i] {
@@ -171,59 +178,60 @@
 			if full[i] {
 				continue
 			}
-			if out[i] = left * members[i].Weight / weight; out[i] > float64(gateways) {
-				out[i], full[i], again = float64(gateways), true, true
+			if result[i] = remaining * members[i].Weight / weight; result[i] > float64(gateways) {
+				result[i], full[i], again = float64(gateways), true, true
 			}
 		}
 		if !again {
-			return out
+			return result
 		}
-		left = float64(all)
+		remaining = float64(connections)
 		for i := range members {
 			if full[i] {
-				left -= float64(gateways)
+				remaining -= float64(gateways)
 			}
 		}
 	}
 }
 
-// pairs has those of each gateway that come into question: several times as many as it is to have, the nearest.
-func (c *choice) pairs() {
+// collectPairs collects the candidate pairs: for each gateway several times as many as it needs, with
+// the lowest scores.
+func (c *assignment) collectPairs() {
 	weight := 0.0
 	for i := range c.members {
 		weight += c.members[i].Weight
 	}
-	cut := math.Inf(1)
-	if few := 6 * c.size; few < len(c.members) {
-		cut = float64(few) / weight // so many are below it on average
+	maxScore := math.Inf(1)
+	if candidates := 6 * c.size; candidates < len(c.members) {
+		maxScore = float64(candidates) / weight // expected number of members below it is candidates
 	}
 	for g := range c.gateways {
 		for m := range c.members {
-			if s := score(c.gateways[g].ID, &c.members[m]); s < cut || c.gateways[g].Zone == c.members[m].Zone && s < 3*cut {
-				c.all = append(c.all, pair{s, int32(g), int32(m)})
+			if s := score(c.gateways[g].ID, &c.members[m]); s < maxScore || c.gateways[g].Zone == c.members[m].Zone && s < 3*maxScore {
+				c.pairs = append(c.pairs, pair{s, int32(g), int32(m)})
 			}
 		}
 	}
-	slices.SortFunc(c.all, func(x, y pair) int {
+	slices.SortFunc(c.pairs, func(x, y pair) int {
 		return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.gateway, y.gateway), cmp.Compare(x.member, y.member))
 	})
 }
 
-func (c *choice) near(g, m int) bool { return c.gateways[g].Zone == c.members[m].Zone }
+func (c *assignment) sameZone(g, m int) bool { return c.gateways[g].Zone == c.members[m].Zone }
 
-// others is how many of a gateway's members are in other zones.
-func (c *choice) others(g int) (n int) {
-	if c.lacks {
+// otherZoneCount returns how many of a gateway's members are in other zones.
+func (c *assignment) otherZoneCount(g int) (n int) {
+	if c.complement {
 		for m := range c.members {
-			if !c.near(g, m) {
+			if !c.sameZone(g, m) {
 				n++
 			}
 		}
 	}
-	for _, m := range c.has[g] {
+	for _, m := range c.assigned[g] {
 		switch {
-		case c.near(g, m):
-		case c.lacks:
+		case c.sameZone(g, m):
+		case c.complement:
 			n--
 		default:
 			n++
@@ -232,78 +240,79 @@
 	return n
 }
 
-// pass brings together what may be.
-func (c *choice) pass(may func(g, m int) bool) {
-	for _, p := range c.all {
-		if g, m := int(p.gateway), int(p.member); len(c.has[g]) < c.size && c.load[m] < c.most[m] && !slices.Contains(c.has[g], m) && may(g, m) {
-			c.join(g, m)
+// assignPass assigns all pairs that are allowed and within the bounds.
+func (c *assignment) assignPass(allowed func(g, m int) bool) {
+	for _, p := range c.pairs {
+		if g, m := int(p.gateway), int(p.member); len(c.assigned[g]) < c.size && c.load[m] < c.maxLoad[m] && !slices.Contains(c.assigned[g], m) && allowed(g, m) {
+			c.assign(g, m)
 		}
 	}
 }
 
-func (c *choice) join(g, m int) {
-	c.has[g] = append(c.has[g], m)
+func (c *assignment) assign(g, m int) {
+	c.assigned[g] = append(c.assigned[g], m)
 	c.load[m]++
 }
 
-// fill gives members that have too few gateways some that have room, as the nearest pairs left them out.
-func (c *choice) fill() {
+// fillMembers gives members with too few gateways some that have room, where the candidate pairs left
+// them out.
+func (c *assignment) fillMembers() {
 	for m := range c.members {
-		if c.load[m] >= c.most[m] {
+		if c.load[m] >= c.maxLoad[m] {
 			continue
 		}
 		var free []pair
 		for g := range c.gateways {
-			if len(c.has[g]) < c.size && !slices.Contains(c.has[g], m) {
+			if len(c.assigned[g]) < c.size && !slices.Contains(c.assigned[g], m) {
 				free = append(free, pair{score(c.gateways[g].ID, &c.members[m]), int32(g), int32(m)})
 			}
 		}
 		slices.SortFunc(free, func(x, y pair) int { return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.gateway, y.gateway)) })
-		for _, p := range free[:min(len(free), c.most[m]-c.load[m])] {
-			c.join(int(p.gateway), m)
+		for _, p := range free[:min(len(free), c.maxLoad[m]-c.load[m])] {
+			c.assign(int(p.gateway), m)
 		}
 	}
 }
 
-// rest gives gateways that have too few members what is left: one with room, or one whose other gateway can take one with
-// room instead; failing that the least loaded.
-func (c *choice) rest() {
+// fillGateways gives gateways with too few members a member with room, or swaps with another gateway
+// that can take one with room instead; failing that it takes the least loaded member.
+func (c *assignment) fillGateways() {
 	for g := range c.gateways {
-		for len(c.has[g]) < c.size {
-			if !c.swap(g) {
-				best, low := -1, 0.0
+		for len(c.assigned[g]) < c.size {
+			if !c.assignOrSwap(g) {
+				best, lowest := -1, 0.0
 				for m := range c.members {
-					if slices.Contains(c.has[g], m) {
+					if slices.Contains(c.assigned[g], m) {
 						continue
 					}
-					if x := float64(c.load[m]+1) / c.shares[m]; best < 0 || x < low {
-						best, low = m, x
+					if x := float64(c.load[m]+1) / c.shares[m]; best < 0 || x < lowest {
+						best, lowest = m, x
 					}
 				}
-				c.join(g, best)
+				c.assign(g, best)
 			}
 		}
 	}
 }
 
-func (c *choice) swap(g int) bool {
+func (c *assignment) assignOrSwap(g int) bool {
 	for free := range c.members {
-		if c.load[free] >= c.most[free] {
+		if c.load[free] >= c.maxLoad[free] {
 			continue
 		}
-		if !slices.Contains(c.has[g], free) {
-			c.join(g, free)
+		if !slices.Contains(c.assigned[g], free) {
+			c.assign(g, free)
 			return true
 		}
-		for o, has := range c.has {
+		for o, has := range c.assigned {
 			if o == g || slices.Contains(has, free) {
 				continue
 			}
 			for i, m := range has {
-				if !slices.Contains(c.has[g], m) {
+				if !slices.Contains(c.assigned[g], m) {
 					has[i] = free
 					c.load[free]++
-					c.has[g] = append(c.has[g], m)
+					c.assigned[g] = append(c.assigned[g], m)
 					return true
 				}
 			}
@@ -312,44 +321,45 @@
 	return false
 }
 
-// level gives members that still have too few gateways some of those of members that have more than their share.
-func (c *choice) level() {
+// rebalance moves gateways from members above their share to members that still have too few.
+func (c *assignment) rebalance() {
 	for m, share := range c.shares {
-		for least := int(math.Floor(share * (1 - tolerance))); c.load[m] < least; {
-			from, at, over := -1, 0, 0.0
-			for g, has := range c.has {
+		for minLoad := int(math.Floor(share * (1 - loadTolerance))); c.load[m] < minLoad; {
+			from, at, maxExcess := -1, 0, 0.0
+			for g, has := range c.assigned {
 				if slices.Contains(has, m) {
 					continue
 				}
 				for i, o := range has {
-					if x := float64(c.load[o]) - c.shares[o]; x > over {
-						from, at, over = g, i, x
+					if x := float64(c.load[o]) - c.shares[o]; x > maxExcess {
+						from, at, maxExcess = g, i, x
 					}
 				}
 			}
 			if from < 0 {
 				break
 			}
-			c.load[c.has[from][at]]--
-			c.has[from][at] = m
+			c.load[c.assigned[from][at]]--
+			c.assigned[from][at] = m
 			c.load[m]++
 		}
 	}
 }
 
-// Moved counts the connections that gateways of two lists have by the second division alone.
-func Moved(gateways []Gateway, members []Member, before [][]int, nowGateways []Gateway, nowMembers []Member, after [][]int) (n int) {
-	at := map[uint64]map[uint64]bool{}
+// MovedConnections counts the connections that gateways present in both lists have only in the second
+// division.
+func MovedConnections(gateways []Gateway, members []Member, before [][]int, gatewaysAfter []Gateway, membersAfter []Member, after [][]int) (n int) {
+	membersBefore := map[uint64]map[uint64]bool{}
 	for i, has := range before {
-		at[gateways[i].ID] = map[uint64]bool{}
+		membersBefore[gateways[i].ID] = map[uint64]bool{}
 		for _, m := range has {
-			at[gateways[i].ID][members[m].Key] = true
+			membersBefore[gateways[i].ID][members[m].Key] = true
 		}
 	}
 	for i, has := range after {
-		if was := at[nowGateways[i].ID]; was != nil {
+		if was := membersBefore[gatewaysAfter[i].ID]; was != nil {
 			for _, m := range has {
-				if !was[nowMembers[m].Key] {
+				if !was[membersAfter[m].Key] {
 					n++
 				}
 			}
--- a/subset/choose_test.go
+++ b/subset/choose_test.go
@@ -14,12 +14,12 @@
 // way is one to divide gateways over members; the others are what was weighed.
 type way struct {
 	name   string
-	choose func(t Terms, gateways []Gateway, members []Member) [][]int
+	choose func(t Config, gateways []Gateway, members []Member) [][]int
 }
 
 // rounds is deterministic subsetting (Site Reliability Engineering, chapter 20): members are shuffled anew for each round
 // of gateways, and cut into subsets.
-func rounds(t Terms, gateways []Gateway, members []Member) [][]int {
+func rounds(t Config, gateways []Gateway, members []Member) [][]int {
 	size := t.Size(len(gateways), len(members))
 	subsets := len(members) / size
 	out := make([][]int, len(gateways))
@@ -33,7 +33,7 @@
 
 // ring is a deterministic aperture: gateways stand on a ring in the order of their IDs, and each has the arc of members
 // behind its place.
-func ring(t Terms, gateways []Gateway, members []Member) [][]int {
+func ring(t Config, gateways []Gateway, members []Member) [][]int {
 	size := t.Size(len(gateways), len(members))
 	order := make([]int, len(gateways))
 	for i := range order {
@@ -51,7 +51,7 @@
 }
 
 // hashed is rendezvous hashing without bounds.
-func hashed(t Terms, gateways []Gateway, members []Member) [][]int {
+func hashed(t Config, gateways []Gateway, members []Member) [][]int {
 	out := make([][]int, len(gateways))
 	for i := range gateways {
 		out[i] = preference(gateways[i].ID, members)[:t.Size(len(gateways), len(members))]
@@ -59,7 +59,7 @@
 	return out
 }
 
-var ways = []way{{"taken", Choose}, {"rounds", rounds}, {"ring", ring}, {"hashed", hashed}}
+var ways = []way{{"taken", Assign}, {"rounds", rounds}, {"ring", ring}, {"hashed", hashed}}
 
 func fleetOf(n, m, zones int, rng *rand.Rand) (gateways []Gateway, members []Member) {
 	for range n {
@@ -95,7 +95,7 @@
 }
 
 func moved(before, after [][]int, gatewaysBefore, gatewaysAfter []Gateway, membersBefore, membersAfter []Member) int {
-	return Moved(gatewaysBefore, membersBefore, before, gatewaysAfter, membersAfter, after)
+	return MovedConnections(gatewaysBefore, membersBefore, before, gatewaysAfter, membersAfter, after)
 }
 
 // jain is Jain's index of fairness.
@@ -116,7 +116,7 @@
 					for range b.N {
 						rng := rand.New(rand.NewPCG(1, 2))
 						gateways, members := fleetOf(n, m, 1, rng)
-						t := UsualTerms()
+						t := DefaultConfig()
 						before := w.choose(t, gateways, members)
 						load, connections := loads(before, members)
 						b.ReportMetric(slices.Max(load), "most-load")
@@ -156,10 +156,10 @@
 				members[i].Weight = 1 + rng.Float64()
 			}
 		}
-		terms := UsualTerms()
-		chosen := Choose(terms, gateways, members)
+		terms := DefaultConfig()
+		chosen := Assign(terms, gateways, members)
 		size := terms.Size(n, m)
-		share := shares(size*n, n, members)
+		share := memberShares(size*n, n, members)
 		_, connections := loads(chosen, members)
 		for i, c := range connections {
 			if float64(c) > math.Ceil(share[i]*1.05) || float64(c) < math.Floor(share[i]*0.95) {
@@ -181,7 +181,7 @@
 		for i, k := range order {
 			other[i] = gateways[k]
 		}
-		again := Choose(terms, other, members)
+		again := Assign(terms, other, members)
 		for i, k := range order {
 			x, y := slices.Clone(again[i]), slices.Clone(chosen[k])
 			slices.Sort(x)
@@ -203,9 +203,9 @@
 	for i := range members {
 		members[i].Zone = fmt.Sprint("z", i%3)
 	}
-	terms := UsualTerms()
+	terms := DefaultConfig()
 	near, all, alone := 0, 0, 0
-	for g, has := range Choose(terms, gateways, members) {
+	for g, has := range Assign(terms, gateways, members) {
 		away := 0
 		for _, m := range has {
 			if all++; members[m].Zone == gateways[g].Zone {
@@ -214,7 +214,7 @@
 				away++
 			}
 		}
-		if away < terms.Away {
+		if away < terms.MinOtherZone {
 			alone++
 		}
 	}
@@ -229,20 +229,20 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	for _, size := range [][2]int{{100, 12}, {300, 120}, {1000, 120}} {
 		gateways, members := fleetOf(size[0], size[1], 3, rng)
-		terms := UsualTerms()
-		before := Choose(terms, gateways, members)
+		terms := DefaultConfig()
+		before := Assign(terms, gateways, members)
 		_, connections := loads(before, members)
 		joins, leaves, gone, least, leastLeave, its := 0, 0, 0, 0, 0, 0
 		for i := range 12 {
 			more := append(slices.Clone(gateways), Gateway{rng.Uint64(), "z1"})
-			joins += moved(before, Choose(terms, more, members), gateways, more, members, members)
+			joins += moved(before, Assign(terms, more, members), gateways, more, members, members)
 			less := slices.Delete(slices.Clone(gateways), i, i+1)
 			if d := terms.Size(len(less), size[1]) - terms.Size(size[0], size[1]); d > 0 {
 				leastLeave += d * len(less) // all have so many more now
 			}
-			leaves += moved(before, Choose(terms, less, members), gateways, less, members, members)
+			leaves += moved(before, Assign(terms, less, members), gateways, less, members, members)
 			fewer := slices.Delete(slices.Clone(members), i, i+1)
-			gone += moved(before, Choose(terms, gateways, fewer), gateways, gateways, members, fewer)
+			gone += moved(before, Assign(terms, gateways, fewer), gateways, gateways, members, fewer)
 			least += terms.Size(size[0], size[1])
 			leastLeave += terms.Size(size[0], size[1])
 			its += connections[i]
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -1,12 +1,15 @@
-// Package subset decides which members of a group each gateway of a fleet is connected to, so that a member's connections
-// are bounded however many gateways there are, load on members is even, and few connections move when a gateway or a member
-// comes or goes. It runs without input or output, clock or chance of its own.
+// Package subset decides which members of a group each gateway connects to, so that the connections of
+// a member are bounded however many gateways there are, load on members is even, and few connections
+// move when a gateway or a member joins or leaves. The package does no I/O and reads no clock; its
+// random numbers come from a seed.
 //
-// choose.go is the division of all gateways over a group's members, which all of them work out alike; subset.go what one
-// gateway has of it over time: moves that do not all come at once, more members while some are suspect or lag.
+// choose.go assigns members to all gateways, with the same result on each of them. subset.go follows
+// that assignment over time on one gateway: it spreads changes over a window and adds members while
+// some are suspect or stale.
 //
-// How it is called: New once; then, for each round, Clock with the time, then any of Lists, Suspect and Sees, which only
-// update what is known; then Next until it says there is no more. docs/fleet.md has the argument.
+// Usage: call New once. In each round call Clock with the time, then any of SetDivision, SetSuspect
+// and Observe, which only update the known state, then Next until it reports that no decision is left.
+// docs/fleet.md has the rationale.
 package subset
 
 import (
@@ -17,168 +20,173 @@
 	"slices"
 )
 
-// Terms are what all gateways of a fleet have alike.
-type Terms struct {
-	Least       int // members of a group that a gateway has, its primary aside
-	Connections int // gateways that a member has at the least, where there are so many: else one more or less is uneven
-	Away        int // of a gateway's members those in other zones than its own, at least
+// Config holds the settings, the same on every gateway of a fleet.
+type Config struct {
+	MinMembers int // members of a group per gateway, without the primary
+	// Gateways per member, at least, where the fleet is large enough: with fewer, one gateway more or less
+	// makes the load uneven.
+	Connections  int
+	MinOtherZone int // minimum of a gateway's members in other zones than its own
 }
 
-// UsualTerms are those of who does not say. Sources: a round of a group of five lives with two suspect members; with 20
-// gateways a member one more or less is 5%.
-func UsualTerms() Terms { return Terms{Least: 4, Connections: 20, Away: 1} }
+// DefaultConfig returns the default settings. With 4 members a gateway still forms a quorum of a group
+// of five with two suspect members; with 20 gateways per member, one more or less changes its load by
+// 5%.
+func DefaultConfig() Config { return Config{MinMembers: 4, Connections: 20, MinOtherZone: 1} }
 
-// Check names the first term that is out of range.
-func (t *Terms) Check() error {
+// Validate returns an error that names the first setting out of range.
+func (t *Config) Validate() error {
 	switch {
-	case t.Least < 2 || t.Least > 1000:
+	case t.MinMembers < 2 || t.MinMembers > 1000:
 		return errors.New("subset: from 2 to 1000 members of a group")
 	case t.Connections < 1 || t.Connections > 10000:
 		return errors.New("subset: connections are from 1 to 10000")
-	case t.Away < 0 || t.Away >= t.Least:
+	case t.MinOtherZone < 0 || t.MinOtherZone >= t.MinMembers:
 		return errors.New("subset: away is below the size of a subset")
 	}
 	return nil
 }
 
-// Gateway is one of the fleet's, as the list that it agrees on has it.
+// Gateway is a gateway in the list that the fleet agreed on.
 type Gateway struct {
 	ID   uint64
 	Zone string
 }
 
-// Member is one database server. Members of a group are told apart by Key, which is the same at all gateways.
+// Member is a database server. Key identifies it within its group and is the same on all gateways.
 type Member struct {
 	Key     uint64
 	Group   int
 	Zone    string
-	Weight  float64 // what it can take against others of its group, above 0
-	Primary bool    // every gateway has it, whatever else it has
+	Weight  float64 // capacity relative to other members of its group, above 0
+	Primary bool    // every gateway connects to it in addition to its subset
 }
 
 // Spans and shares. Sources: ours, by the measurements in docs/results.md.
 const (
-	moveSpan    = int64(2e9)   // moves that nothing hurries are spread over this by chance: many gateways make them
-	narrowSpan  = int64(10e9)  // a subset that was widened narrows after this long without need
-	widenSpan   = int64(200e6) // between two widenings for one need: the first may do
-	leastWell   = 0.75         // of a subset's members that are well, below which it widens
-	mostLacking = 0.5          // of a subset\'s replicas that lack proof, above which it widens for fresh ones
-	primaryWait = int64(300e6) // for which a group's primary may be unknown: elections and first answers take some tenths
-	mostPart    = 2            // a subset grows to so many times its size, for want of a primary to the whole group
+	moveWindow      = int64(2e9)   // moves that nothing hurries are spread over this by chance: many gateways make them
+	narrowDelay     = int64(10e9)  // a subset that was widened narrows after this long without need
+	widenInterval   = int64(200e6) // between two widenings for one need: the first may do
+	minHealthyRatio = 0.75         // of a subset's members that are well, below which it widens
+	maxStaleRatio   = 0.5          // of a subset\'s replicas that lack proof, above which it widens for fresh ones
+	primaryTimeout  = int64(300e6) // for which a group's primary may be unknown: elections and first answers take some tenths
+	maxGrowthFactor = 2            // a subset grows to so many times its size, for want of a primary to the whole group
 )
 
-// DecisionKind is what the host is to do.
+// DecisionKind says what the host has to do.
 type DecisionKind uint8
 
-// What it is to do.
+// Kinds of decisions.
 const (
-	Add  DecisionKind = iota // have the decisions know of the member Key
-	Drop                     // have them forget it: it gets nothing new
-	Wake                     // one more round After so many nanoseconds
+	Add  DecisionKind = iota // start to use the member Key
+	Drop                     // stop using the member Key: it gets no new work
+	Wake                     // run another round After this many nanoseconds
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host.
 type Decision struct {
 	Kind  DecisionKind
 	Key   uint64
 	After int64
 }
 
-// Subset is one gateway's.
+// Subset is the state of one gateway.
 type Subset struct {
-	terms  Terms
+	config Config
 	self   Gateway
 	rng    *rand.Rand
 	now    int64
 	groups map[int]*group
-	keys   map[uint64]int // the group of each member
+	keys   map[uint64]int // group of each member
 	out    []Decision
 	wakeAt int64
 }
 
 type group struct {
-	members []Member // by key
-	target  []uint64 // that the division gives it
-	order   []uint64 // all, by this gateway's preference
-	has     map[uint64]*held
-	suspect map[uint64]bool
-	lacks   Need
-	widened int   // members beyond the target
-	widenAt int64 // when it may widen again
-	calmAt  int64 // since when there is no need
-	lostAt  int64 // since when its primary is not known, 0 if it is
+	members       []Member // sorted by key
+	target        []uint64 // assigned by the division
+	preference    []uint64 // all members in this gateway's order of preference
+	held          map[uint64]*heldMember
+	suspect       map[uint64]bool
+	need          Need
+	widened       int   // number of members beyond the target
+	nextWidenAt   int64 // earliest time of the next widening
+	lastNeededAt  int64 // when extra members were last needed
+	primaryLostAt int64 // since when the primary is unknown, 0 if it is known
 }
 
-// held is a member that this gateway has, is to have or to lose.
-type held struct {
+// heldMember is a member that this gateway uses, or is about to add or drop.
+type heldMember struct {
 	added  bool
-	addAt  int64 // when it is added
-	dropAt int64 // when it is dropped, 0 for not
+	addAt  int64 // when to add it
+	dropAt int64 // when to drop it, 0 for never
 }
 
-// Need is what a group's subset lacks.
+// Need says why a subset needs more members.
 type Need uint8
 
-// What it may lack.
+// Reasons to widen a subset.
 const (
-	Nothing Need = iota
-	Fresh        // members that reads of sessions can be served at
-	Primary      // to know its primary, which may be any of its members
+	NeedNothing Need = iota
+	NeedFresh        // replicas fresh enough for reads of sessions
+	NeedPrimary      // the primary is unknown, and any member may be it
 )
 
-// New makes one that has nothing yet.
-func New(t Terms, self Gateway, seed uint64) (*Subset, error) {
-	if err := t.Check(); err != nil {
+// New returns a Subset without members.
+func New(t Config, self Gateway, seed uint64) (*Subset, error) {
+	if err := t.Validate(); err != nil {
 		return nil, err
 	}
-	return &Subset{terms: t, self: self, rng: rand.New(rand.NewPCG(seed, self.ID)), groups: map[int]*group{}, keys: map[uint64]int{}}, nil
+	return &Subset{config: t, self: self, rng: rand.New(rand.NewPCG(seed, self.ID)), groups: map[int]*group{}, keys: map[uint64]int{}}, nil
 }
 
-// Clock begins a round. Times are nanoseconds of a clock that never goes back.
+// Clock begins a round. now is in nanoseconds of a monotonic clock.
 func (s *Subset) Clock(now int64) { s.now = now }
 
-// Divided is a group's division: what this gateway has, its preference among all members, and who has each.
-type Divided struct {
-	Group   int
-	Members []Member
-	Mine    []uint64
-	Order   []uint64
-	Holders [][]uint64 // by member, the gateways that have it
+// GroupDivision is the division of one group from the view of one gateway: its own members, its order
+// of preference among all members, and the gateways of each member.
+type GroupDivision struct {
+	Group      int
+	Members    []Member
+	Own        []uint64
+	Preference []uint64
+	Holders    [][]uint64 // gateways of each member, by index in Members
 }
 
-// Division is that of all groups, the same for all gateways.
+// Division is the division of all groups. It is the same on all gateways.
 type Division struct {
-	terms    Terms
+	config   Config
 	gateways []Gateway
-	groups   []Divided // but for Mine and Order
+	groups   []GroupDivision // without Own and Preference
 }
 
-// Divide works out who has what of each group. It takes some tenths of a second in a fleet of thousands and uses nothing but
-// its arguments, so a host may have it done beside its loop.
-func Divide(t Terms, gateways []Gateway, members []Member) *Division {
+// Divide assigns the members of each group to gateways. It takes some tenths of a second in a fleet of
+// thousands and reads only its arguments, so a host may run it outside its event loop.
+func Divide(config Config, gateways []Gateway, members []Member) *Division {
 	groups := map[int][]Member{}
 	for _, m := range members {
 		groups[m.Group] = append(groups[m.Group], m)
 	}
-	all := &Division{terms: t, gateways: gateways}
+	all := &Division{config: config, gateways: gateways}
 	for _, no := range slices.Sorted(maps.Keys(groups)) {
-		d := Divided{Group: no, Members: groups[no], Holders: make([][]uint64, len(groups[no]))}
+		d := GroupDivision{Group: no, Members: groups[no], Holders: make([][]uint64, len(groups[no]))}
 		slices.SortFunc(d.Members, func(x, y Member) int { return cmp.Compare(x.Key, y.Key) })
-		// The primary is every gateway's: the others are divided, so that reads are even on them. When it moves two change places.
+		// Every gateway has the primary. The replicas are divided on their own, so that reads are even on
+		// them. When the primary moves, two members change roles.
 		var divided []Member
-		var at []int
+		var indexes []int
 		for i, m := range d.Members {
 			if !m.Primary {
-				divided, at = append(divided, m), append(at, i)
+				divided, indexes = append(divided, m), append(indexes, i)
 				continue
 			}
 			for _, g := range gateways {
 				d.Holders[i] = append(d.Holders[i], g.ID)
 			}
 		}
-		for g, has := range Choose(t, gateways, divided) {
+		for g, has := range Assign(config, gateways, divided) {
 			for _, k := range has {
-				d.Holders[at[k]] = append(d.Holders[at[k]], gateways[g].ID)
+				d.Holders[indexes[k]] = append(d.Holders[indexes[k]], gateways[g].ID)
 			}
 		}
 		all.groups = append(all.groups, d)
@@ -186,15 +194,16 @@
 	return all
 }
 
-// For is what one gateway has. One that is not in the list yet has what it is drawn to most.
-func (d *Division) For(self uint64) (all []Divided) {
+// For returns the division from the view of one gateway. A gateway that is not in the list yet gets
+// the members it prefers most.
+func (d *Division) For(self uint64) (all []GroupDivision) {
 	listed := slices.ContainsFunc(d.gateways, func(g Gateway) bool { return g.ID == self })
 	for _, x := range d.groups {
-		x.Mine, x.Order = nil, nil
+		x.Own, x.Preference = nil, nil
 		for _, i := range preference(self, x.Members) {
 			m := &x.Members[i]
-			if x.Order = append(x.Order, m.Key); !m.Primary && (listed && slices.Contains(x.Holders[i], self) || !listed && len(x.Mine) < d.terms.Least) {
-				x.Mine = append(x.Mine, m.Key)
+			if x.Preference = append(x.Preference, m.Key); !m.Primary && (listed && slices.Contains(x.Holders[i], self) || !listed && len(x.Own) < d.config.MinMembers) {
+				x.Own = append(x.Own, m.Key)
 			}
 		}
 		all = append(all, x)
@@ -202,33 +211,34 @@
 	return all
 }
 
-// Lists takes a division: of another list of gateways, or of members. What this gateway has and no longer should is dropped
-// only after what it is to have instead was added, each at a time by chance.
-func (s *Subset) Lists(all []Divided) {
+// SetDivision takes a new division, after a change of gateways or members. A member that is no longer
+// assigned is dropped only after its replacements were added, and each change comes at a random time
+// within moveWindow.
+func (s *Subset) SetDivision(all []GroupDivision) {
 	clear(s.keys)
 	seen := map[int]bool{}
 	for _, d := range all {
 		seen[d.Group] = true
 		g := s.groups[d.Group]
 		if g == nil {
-			g = &group{has: map[uint64]*held{}, suspect: map[uint64]bool{}, calmAt: s.now}
+			g = &group{held: map[uint64]*heldMember{}, suspect: map[uint64]bool{}, lastNeededAt: s.now}
 			s.groups[d.Group] = g
 		}
-		g.members, g.target, g.order = d.Members, d.Mine, d.Order
+		g.members, g.target, g.preference = d.Members, d.Own, d.Preference
 		for _, m := range d.Members {
 			s.keys[m.Key] = d.Group
 		}
-		for key := range g.has {
+		for key := range g.held {
 			if s.keys[key] != d.Group || !slices.ContainsFunc(d.Members, func(m Member) bool { return m.Key == key }) {
 				s.forget(g, key)
 			}
 		}
-		maps.DeleteFunc(g.suspect, func(key uint64, _ bool) bool { return !slices.Contains(d.Order, key) })
-		s.aim(g)
+		maps.DeleteFunc(g.suspect, func(key uint64, _ bool) bool { return !slices.Contains(d.Preference, key) })
+		s.schedule(g)
 	}
 	for no, g := range s.groups {
 		if !seen[no] {
-			for key := range g.has {
+			for key := range g.held {
 				s.forget(g, key)
 			}
 			delete(s.groups, no)
@@ -236,133 +246,135 @@
 	}
 }
 
-// forget drops a member that left its group: nothing is to be kept of it.
+// forget drops a member that left its group at once.
 func (s *Subset) forget(g *group, key uint64) {
-	if g.has[key].added {
+	if g.held[key].added {
 		s.out = append(s.out, Decision{Kind: Drop, Key: key})
 	}
-	delete(g.has, key)
+	delete(g.held, key)
 }
 
-// wanted is what a group's subset is to be: the target, the primary, and as many more by preference as it was widened by.
-func (g *group) wanted() []uint64 {
-	all := slices.Clone(g.target)
+// desired returns the members that the subset should have: the target, the primary, and the extra ones
+// by preference.
+func (g *group) desired() []uint64 {
+	desired := slices.Clone(g.target)
 	for _, m := range g.members {
-		if m.Primary && !slices.Contains(all, m.Key) {
-			all = append(all, m.Key)
+		if m.Primary && !slices.Contains(desired, m.Key) {
+			desired = append(desired, m.Key)
 		}
 	}
-	more := g.widened
-	for _, key := range g.order {
-		if more > 0 && !slices.Contains(all, key) && !g.suspect[key] {
-			all = append(all, key)
-			more--
+	extra := g.widened
+	for _, key := range g.preference {
+		if extra > 0 && !slices.Contains(desired, key) && !g.suspect[key] {
+			desired = append(desired, key)
+			extra--
 		}
 	}
-	return all
+	return desired
 }
 
-// aim sets what is to be added and dropped, and when.
-func (s *Subset) aim(g *group) {
-	wanted := g.wanted()
-	well := 0
-	for key, h := range g.has {
+// schedule sets which members are added and dropped, and when.
+func (s *Subset) schedule(g *group) {
+	desired := g.desired()
+	healthy := 0
+	for key, h := range g.held {
 		if h.added && !g.suspect[key] {
-			well++
+			healthy++
 		}
 	}
 	last := s.now
-	for i, key := range wanted {
-		h := g.has[key]
+	for i, key := range desired {
+		h := g.held[key]
 		if h == nil {
 			at := s.now
-			// One that is needed now is not waited for: what a start lacks, a primary, what a widening brings.
-			if need := min(s.terms.Least, len(g.members)); well >= need && i < len(g.target) && !g.primary(key) {
-				at += s.chance(moveSpan)
+			// Members needed at once are not delayed: too few at startup, a primary, and those of a widening.
+			if need := min(s.config.MinMembers, len(g.members)); healthy >= need && i < len(g.target) && !g.isPrimary(key) {
+				at += s.randomDelay(moveWindow)
 			}
-			well++
-			h = &held{addAt: at}
-			g.has[key] = h
+			healthy++
+			h = &heldMember{addAt: at}
+			g.held[key] = h
 		}
 		h.dropAt = 0
 		if !h.added {
 			last = max(last, h.addAt)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(g.has)) {
-		h := g.has[key]
+	for _, key := range slices.Sorted(maps.Keys(g.held)) {
+		h := g.held[key]
 		switch {
-		case slices.Contains(wanted, key) || h.dropAt != 0:
+		case slices.Contains(desired, key) || h.dropAt != 0:
 		case !h.added:
-			delete(g.has, key)
+			delete(g.held, key)
 		default:
-			h.dropAt = last + s.chance(moveSpan)
+			h.dropAt = last + s.randomDelay(moveWindow)
 		}
 	}
 }
 
-func (g *group) primary(key uint64) bool {
+func (g *group) isPrimary(key uint64) bool {
 	return slices.ContainsFunc(g.members, func(m Member) bool { return m.Key == key && m.Primary })
 }
 
-// Suspect tells that a member of this gateway's is suspect, or is no longer.
-func (s *Subset) Suspect(key uint64, on bool) {
-	if g := s.groups[s.keys[key]]; g != nil && g.suspect[key] != on {
-		if g.suspect[key] = on; !on {
+// SetSuspect reports that one of this gateway's members is suspect, or no longer is.
+func (s *Subset) SetSuspect(key uint64, suspect bool) {
+	if g := s.groups[s.keys[key]]; g != nil && g.suspect[key] != suspect {
+		if g.suspect[key] = suspect; !suspect {
 			delete(g.suspect, key)
 		}
 	}
 }
 
-// Sees tells what this gateway knows of a group: whether its primary, and how many replicas it has, of which reads lately
-// passed so many over for want of proof. It gives what the group's subset lacks for that.
-func (s *Subset) Sees(no int, primary bool, replicas, lacking int) Need {
-	g := s.groups[no]
+// Observe reports what this gateway knows of a group: whether its primary is known, how many replicas
+// it has, and how many of those recent reads skipped because they were not proven fresh enough. It
+// returns what the subset needs as a result.
+func (s *Subset) Observe(groupNumber int, primaryKnown bool, replicas, stale int) Need {
+	g := s.groups[groupNumber]
 	if g == nil {
-		return Nothing
+		return NeedNothing
 	}
-	if primary {
-		g.lostAt = 0
-	} else if g.lostAt == 0 {
-		g.lostAt = s.now
+	if primaryKnown {
+		g.primaryLostAt = 0
+	} else if g.primaryLostAt == 0 {
+		g.primaryLostAt = s.now
 	}
-	g.lacks = Nothing
+	g.need = NeedNothing
 	switch {
-	case !primary && s.now-g.lostAt > primaryWait:
-		g.lacks = Primary
-	case float64(lacking) > mostLacking*float64(replicas):
-		g.lacks = Fresh
+	case !primaryKnown && s.now-g.primaryLostAt > primaryTimeout:
+		g.need = NeedPrimary
+	case float64(stale) > maxStaleRatio*float64(replicas):
+		g.need = NeedFresh
 	}
-	return g.lacks
+	return g.need
 }
 
-// Has tells whether a member is this gateway's.
+// Has reports whether this gateway uses a member.
 func (s *Subset) Has(key uint64) bool {
 	g := s.groups[s.keys[key]]
-	return g != nil && g.has[key] != nil && g.has[key].added
+	return g != nil && g.held[key] != nil && g.held[key].added
 }
 
-// needs tells whether a subset is to be wider than it is.
-func (g *group) needs() bool {
-	well := 0
-	for key, h := range g.has {
-		if h.dropAt == 0 && !g.suspect[key] { // one that is to come counts: it comes at once where it is needed
-			well++
+// needsWidening reports whether the subset should be wider than it is.
+func (g *group) needsWidening() bool {
+	healthy := 0
+	for key, h := range g.held {
+		if h.dropAt == 0 && !g.suspect[key] { // a member still to be added counts, as it is added at once where needed
+			healthy++
 		}
 	}
 	size := min(len(g.members), len(g.target))
-	return g.lacks != Nothing || float64(well) < leastWell*float64(size)
+	return g.need != NeedNothing || float64(healthy) < minHealthyRatio*float64(size)
 }
 
-// most is by how many members it may be widened.
-func (g *group) most() int {
-	if g.lacks == Primary {
+// maxWidening returns the maximum number of extra members.
+func (g *group) maxWidening() int {
+	if g.need == NeedPrimary {
 		return len(g.members)
 	}
-	return min(len(g.members), mostPart*len(g.target)) - len(g.target)
+	return min(len(g.members), maxGrowthFactor*len(g.target)) - len(g.target)
 }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns one decision of this round, or false if none is left.
 func (s *Subset) Next() (Decision, bool) {
 	if len(s.out) == 0 {
 		s.round()
@@ -372,7 +384,7 @@
 		s.out = s.out[1:]
 		return d, true
 	}
-	if at := s.due(); at > 0 && (s.wakeAt <= s.now || at < s.wakeAt) {
+	if at := s.nextDeadline(); at > 0 && (s.wakeAt <= s.now || at < s.wakeAt) {
 		s.wakeAt = at
 		return Decision{Kind: Wake, After: max(at-s.now, 1e6)}, true
 	}
@@ -382,65 +394,65 @@
 func (s *Subset) round() {
 	for _, no := range slices.Sorted(maps.Keys(s.groups)) {
 		g := s.groups[no]
-		switch need := g.needs(); {
-		case need && s.now >= g.widenAt && g.widened < g.most():
-			more := max(1, len(g.target)/4)
-			if g.lacks == Primary { // it may be any: what is looked at doubles, so that a large group takes no longer
-				more = max(more, len(g.target)+g.widened)
+		switch need := g.needsWidening(); {
+		case need && s.now >= g.nextWidenAt && g.widened < g.maxWidening():
+			extra := max(1, len(g.target)/4)
+			if g.need == NeedPrimary { // any member may be the primary: the number looked at doubles, so that a large group takes little longer
+				extra = max(extra, len(g.target)+g.widened)
 			}
-			g.widened, g.widenAt = g.widened+more, s.now+widenSpan
-			g.calmAt = s.now
-			s.aim(g)
+			g.widened, g.nextWidenAt = g.widened+extra, s.now+widenInterval
+			g.lastNeededAt = s.now
+			s.schedule(g)
 		case need:
-			g.calmAt = s.now
-		case g.widened > 0 && s.now-g.calmAt >= narrowSpan:
-			g.widened, g.calmAt = 0, s.now
-			s.aim(g)
+			g.lastNeededAt = s.now
+		case g.widened > 0 && s.now-g.lastNeededAt >= narrowDelay:
+			g.widened, g.lastNeededAt = 0, s.now
+			s.schedule(g)
 		}
-		for _, key := range slices.Sorted(maps.Keys(g.has)) {
-			switch h := g.has[key]; {
+		for _, key := range slices.Sorted(maps.Keys(g.held)) {
+			switch h := g.held[key]; {
 			case !h.added && s.now >= h.addAt:
 				h.added = true
 				s.out = append(s.out, Decision{Kind: Add, Key: key})
 			case h.added && h.dropAt != 0 && s.now >= h.dropAt:
-				delete(g.has, key)
+				delete(g.held, key)
 				s.out = append(s.out, Decision{Kind: Drop, Key: key})
 			}
 		}
 	}
 }
 
-// due is when the next round is needed, 0 for not by itself.
-func (s *Subset) due() (at int64) {
-	sooner := func(x int64) {
+// nextDeadline returns when the next round is needed, 0 for never.
+func (s *Subset) nextDeadline() (at int64) {
+	consider := func(x int64) {
 		if at == 0 || x < at {
 			at = x
 		}
 	}
 	for _, g := range s.groups {
-		for _, h := range g.has {
+		for _, h := range g.held {
 			if !h.added {
-				sooner(h.addAt)
+				consider(h.addAt)
 			} else if h.dropAt != 0 {
-				sooner(h.dropAt)
+				consider(h.dropAt)
 			}
 		}
 		if g.widened > 0 {
-			sooner(g.calmAt + narrowSpan)
+			consider(g.lastNeededAt + narrowDelay)
 		}
-		if g.needs() && g.widened < g.most() {
-			sooner(g.widenAt)
+		if g.needsWidening() && g.widened < g.maxWidening() {
+			consider(g.nextWidenAt)
 		}
 	}
 	return at
 }
 
-// chance is a time by chance, up to a span.
-func (s *Subset) chance(span int64) int64 { return int64(s.rng.Float64() * float64(span)) }
+// randomDelay returns a uniformly random duration below limit.
+func (s *Subset) randomDelay(limit int64) int64 { return int64(s.rng.Float64() * float64(limit)) }
 
-// Widened is by how many members a group's subset is wider than it is to be.
-func (s *Subset) Widened(no int) int {
-	if g := s.groups[no]; g != nil {
+// Widened returns the number of extra members in a group's subset.
+func (s *Subset) Widened(groupNumber int) int {
+	if g := s.groups[groupNumber]; g != nil {
 		return g.widened
 	}
 	return 0
--- a/subset/subset_test.go
+++ b/subset/subset_test.go
@@ -43,7 +43,7 @@
 }
 
 func (c *crowd) join(g Gateway) {
-	s, err := New(UsualTerms(), g, 1)
+	s, err := New(DefaultConfig(), g, 1)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -53,10 +53,10 @@
 // lists has all hear of the lists as they are.
 func (c *crowd) lists() {
 	c.adds, c.drops = map[int64]int{}, map[int64]int{}
-	d := Divide(UsualTerms(), c.gateways, c.members)
+	d := Divide(DefaultConfig(), c.gateways, c.members)
 	for _, g := range c.gateways {
 		c.all[g.ID].Clock(c.now)
-		c.all[g.ID].Lists(d.For(g.ID))
+		c.all[g.ID].SetDivision(d.For(g.ID))
 	}
 }
 
@@ -100,7 +100,7 @@
 // than twice as many, and the connections that move come over two seconds, not all at once.
 func TestMovesAreSpread(t *testing.T) {
 	c := newCrowd(t, 300, 60)
-	terms := UsualTerms()
+	terms := DefaultConfig()
 	size := terms.Size(300, 60)
 	least, most := c.sizes()
 	if least < size || most > size+1 {
@@ -116,7 +116,7 @@
 	for range 250 {
 		c.run(step)
 		l, m := c.sizes()
-		if l < terms.Least || m > 2*size+1 {
+		if l < terms.MinMembers || m > 2*size+1 {
 			t.Fatal("on the way: ", l, m, size)
 		}
 	}
@@ -140,7 +140,7 @@
 	sick := 0
 	for _, m := range c.members {
 		if c.has[g.ID][m.Key] && sick < size/2 {
-			s.Suspect(m.Key, true)
+			s.SetSuspect(m.Key, true)
 			sick++
 		}
 	}
@@ -151,23 +151,23 @@
 	c.run(3 * second)
 	wide := len(c.has[g.ID])
 	for _, m := range c.members {
-		s.Suspect(m.Key, false)
+		s.SetSuspect(m.Key, false)
 	}
 	c.run(15 * second)
 	t.Logf("%d members, %d while %d of them were suspect, %d later", size, wide, sick, len(c.has[g.ID]))
 	if wide > 2*size+1 || wide-sick < size*3/4 || len(c.has[g.ID]) != size {
 		t.Fatal(size, wide, sick, len(c.has[g.ID]))
 	}
-	s.Sees(0, false, 9, 0)
-	c.run(primaryWait + second/10)
-	s.Sees(0, false, 9, 0)
+	s.Observe(0, false, 9, 0)
+	c.run(primaryTimeout + second/10)
+	s.Observe(0, false, 9, 0)
 	c.run(5 * second)
 	if n := len(c.has[g.ID]); n != len(c.members) {
 		t.Fatal("a primary may be anywhere", n)
 	}
-	s.Sees(0, true, 9, 0)
+	s.Observe(0, true, 9, 0)
 	c.run(15 * second)
-	s.Sees(0, true, 9, 5)
+	s.Observe(0, true, 9, 5)
 	c.run(5 * second)
 	if n := len(c.has[g.ID]); n <= size || n > 2*size+1 {
 		t.Fatal("for fresh ones", n, size)
@@ -203,7 +203,7 @@
 		}
 		c.run(20 * second)
 		for _, g := range c.gateways {
-			want := Divide(UsualTerms(), c.gateways, c.members).For(g.ID)[0].Mine
+			want := Divide(DefaultConfig(), c.gateways, c.members).For(g.ID)[0].Own
 			for _, key := range append(want, c.members[0].Key) {
 				if !c.has[g.ID][key] || !c.all[g.ID].Has(key) {
 					t.Fatal("seed ", seed, ": a member of its division is lacking")
