--- a/quota/holder.go
+++ b/quota/holder.go
@@ -270,7 +270,7 @@
 // It is repeated while that lasts, but logged once.
 func (q *Quota) reportUnresponsive(shardIndex int, allocator ID) {
 	state := &q.requests[shardIndex]
-	q.out = append(q.out, Decision{Kind: Reassign, Allocator: allocator})
+	q.pending = append(q.pending, Decision{Kind: Reassign, Allocator: allocator})
 	if !state.reported {
 		state.reported = true
 		q.log("shard %d has no allocator, or its allocator does not respond", shardIndex)
--- a/quota/keeper.go
+++ b/quota/keeper.go
@@ -53,7 +53,7 @@
 	if !sh.active || q.now >= q.leaseUntil || m.AssignmentVersion != q.assignment.Version {
 		return
 	}
-	out := Message{Kind: AllocationResponse, To: m.From, Shard: m.Shard, AssignmentVersion: q.assignment.Version, Incarnation: m.Incarnation, RequestTime: m.RequestTime}
+	response := Message{Kind: AllocationResponse, To: m.From, Shard: m.Shard, AssignmentVersion: q.assignment.Version, Incarnation: m.Incarnation, RequestTime: m.RequestTime}
 	for i := range m.Items {
 		requested := &m.Items[i]
 		limit := q.limits[requested.Key]
@@ -67,11 +67,11 @@
 			sh.limits[requested.Key] = state
 		}
 		if item, ok := q.allocate(sh, state, limit, m, requested); ok {
-			out.Items = append(out.Items, item)
+			response.Items = append(response.Items, item)
 		}
 	}
-	if len(out.Items) > 0 {
-		q.send(out)
+	if len(response.Items) > 0 {
+		q.send(response)
 	}
 }
 
@@ -231,34 +231,34 @@
 // with a higher demand. The burst of a rate is divided along with it, at least one transaction's
 // tokens each, to the largest shares first: an allocation is useless to a holder that may not
 // accumulate the tokens of one transaction.
-func (s *limitState) fairShares(limit *Limit) (all []share) {
+func (s *limitState) fairShares(limit *Limit) (shares []share) {
 	for h, g := range s.grants {
 		demand := g.demand
 		if demand > 0 {
 			demand += max(1, demand/headroomDivisor)
 		}
-		all = append(all, share{holder: h, demand: max(demand, g.used)})
+		shares = append(shares, share{holder: h, demand: max(demand, g.used)})
 	}
-	slices.SortFunc(all, func(x, y share) int {
+	slices.SortFunc(shares, func(x, y share) int {
 		return cmp.Or(cmp.Compare(x.demand, y.demand), cmp.Compare(x.holder.id, y.holder.id), cmp.Compare(x.holder.incarnation, y.holder.incarnation))
 	})
 	remaining := limit.Amount
-	for i := range all {
-		fair := &all[i]
-		fair.amount = min(fair.demand, remaining/int64(len(all)-i))
+	for i := range shares {
+		fair := &shares[i]
+		fair.amount = min(fair.demand, remaining/int64(len(shares)-i))
 		if fair.demand > 0 && fair.amount == 0 && remaining > 0 {
 			fair.amount = 1
 		}
 		remaining -= fair.amount
 	}
 	remainingBurst := limit.Burst - max(UnitsPerTxn, limit.Burst/4) // the rest is for holders without a share of the burst
-	for i := len(all) - 1; i >= 0 && limit.Kind == Rate; i-- {
-		if fair := &all[i]; fair.amount > 0 && remainingBurst >= UnitsPerTxn {
+	for i := len(shares) - 1; i >= 0 && limit.Kind == Rate; i-- {
+		if fair := &shares[i]; fair.amount > 0 && remainingBurst >= UnitsPerTxn {
 			fair.burst = min(remainingBurst, UnitsPerTxn+int64(float64(limit.Burst)/2*float64(fair.amount)/float64(limit.Amount)))
 			remainingBurst -= fair.burst
 		}
 	}
-	return all
+	return shares
 }
 
 // Grant is an allocation as its allocator knows it.
@@ -271,14 +271,14 @@
 }
 
 // Grants returns all grants of a limit; active is false if this gateway is not its allocator.
-func (q *Quota) Grants(key uint64) (all []Grant, active bool) {
+func (q *Quota) Grants(key uint64) (grants []Grant, active bool) {
 	sh := &q.shards[shardOf(key)]
 	if !sh.active || sh.limits[key] == nil {
 		return nil, sh.active
 	}
 	for h, g := range sh.limits[key].grants {
-		all = append(all, Grant{h.id, g.amount, g.used, g.demand, g.expiry - q.now})
+		grants = append(grants, Grant{h.id, g.amount, g.used, g.demand, g.expiry - q.now})
 	}
-	slices.SortFunc(all, func(x, y Grant) int { return cmp.Compare(x.Holder, y.Holder) })
-	return all, true
+	slices.SortFunc(grants, func(x, y Grant) int { return cmp.Compare(x.Holder, y.Holder) })
+	return grants, true
 }
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -188,7 +188,7 @@
 	assignment  Assignment
 	requests    [Shards]requestState
 	responses   int // number of responses received
-	out         []Decision
+	pending     []Decision
 	wakeAt      int64
 }
 
@@ -250,12 +250,12 @@
 
 // Next returns one decision of this round, or false if none is left.
 func (q *Quota) Next() (Decision, bool) {
-	if len(q.out) == 0 {
+	if len(q.pending) == 0 {
 		q.sendRequests()
 	}
-	if len(q.out) > 0 {
-		d := q.out[0]
-		q.out = q.out[1:]
+	if len(q.pending) > 0 {
+		d := q.pending[0]
+		q.pending = q.pending[1:]
 		return d, true
 	}
 	if at := q.nextDeadline(); at > 0 {
@@ -273,20 +273,20 @@
 		q.Receive(&m)
 		return
 	}
-	q.out = append(q.out, Decision{Kind: Send, Message: m})
+	q.pending = append(q.pending, Decision{Kind: Send, Message: m})
 }
 
-func (q *Quota) log(format string, x ...any) {
-	q.out = append(q.out, Decision{Kind: Log, Text: fmt.Sprintf(format, x...)})
+func (q *Quota) log(format string, args ...any) {
+	q.pending = append(q.pending, Decision{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
 // Limits returns all limits, sorted by name.
-func (q *Quota) Limits() (all []Limit) {
+func (q *Quota) Limits() (limits []Limit) {
 	for _, key := range q.keys {
-		all = append(all, *q.limits[key])
+		limits = append(limits, *q.limits[key])
 	}
-	slices.SortFunc(all, func(x, y Limit) int { return strings.Compare(x.Name, y.Name) })
-	return all
+	slices.SortFunc(limits, func(x, y Limit) int { return strings.Compare(x.Name, y.Name) })
+	return limits
 }
 
 // ResponseCount returns the number of responses received so far. While it is unchanged, nothing has
--- a/quota/transcript_test.go
+++ b/quota/transcript_test.go
@@ -17,19 +17,19 @@
 	var out strings.Builder
 	key := sim.limits[0].Key
 	start := sim.Now
-	print := func(format string, x ...any) {
+	printLine := func(format string, x ...any) {
 		fmt.Fprintf(&out, "%6.2f  "+format+"\n", append([]any{float64(sim.Now-start) / 1e9}, x...)...)
 	}
-	sim.trace = print
+	sim.trace = printLine
 	printState := func() {
 		for _, n := range sim.nodes {
 			if n.down {
-				print("g%d is down", n.no)
+				printLine("g%d is down", n.no)
 				continue
 			}
 			n.q.Clock(n.clock(), n.leaseUntil)
 			amount, used, demand, expiry := n.q.Allocation(key)
-			print("g%d holds %d for %d ms, uses %d, demand %d", n.no, amount, max(0, expiry-n.clock())/1e6, used, demand)
+			printLine("g%d holds %d for %d ms, uses %d, demand %d", n.no, amount, max(0, expiry-n.clock())/1e6, used, demand)
 		}
 		for _, n := range sim.nodes {
 			grants, active := n.q.Grants(key)
@@ -38,14 +38,14 @@
 			}
 			granted := int64(0)
 			for _, grant := range grants {
-				print("  allocator g%d: gateway %d has %d, available again in %d ms", n.no, grant.Holder, grant.Amount, grant.Remaining/1e6)
+				printLine("  allocator g%d: gateway %d has %d, available again in %d ms", n.no, grant.Holder, grant.Amount, grant.Remaining/1e6)
 				granted += grant.Amount
 			}
-			print("  allocator g%d: %d are unallocated", n.no, 100-granted)
+			printLine("  allocator g%d: %d are unallocated", n.no, 100-granted)
 		}
 	}
 	step := func(what string, duration int64, demand ...float64) {
-		print("--- %s", what)
+		printLine("--- %s", what)
 		for i, d := range demand {
 			sim.nodes[i].demand[key] = d
 		}
@@ -68,17 +68,17 @@
 	if holder == allocator() {
 		holder = sim.nodes[0]
 	}
-	print("--- g%d is killed", holder.no)
+	printLine("--- g%d is killed", holder.no)
 	holder.down = true
 	holder.incarnation++
 	step("its allocation stays reserved, as its work goes on and nobody knows that it is down", second, 0, 0, 2000, 2000)
 	step("its lease has expired", 2*second)
-	print("--- g%d, the allocator, is paused", allocator().no)
+	printLine("--- g%d, the allocator, is paused", allocator().no)
 	paused := allocator()
 	paused.paused = true
 	sim.advance(8 * second)
 	printState()
-	print("--- g%d resumes", paused.no)
+	printLine("--- g%d resumes", paused.no)
 	paused.pause(false)
 	sim.advance(second)
 	printState()
--- a/subset/choose.go
+++ b/subset/choose.go
@@ -93,24 +93,24 @@
 		}
 		return assigned
 	}
-	c := &assignment{minOtherZone: config.MinOtherZone, size: size, gateways: gateways, members: members, assigned: make([][]int, len(gateways)), load: make([]int, len(members)),
+	a := &assignment{minOtherZone: config.MinOtherZone, size: size, gateways: gateways, members: members, assigned: make([][]int, len(gateways)), load: make([]int, len(members)),
 		maxLoad: make([]int, len(members)), shares: memberShares(size*len(gateways), len(gateways), members)}
-	c.multipleZones = slices.ContainsFunc(members, func(m Member) bool { return m.Zone != members[0].Zone })
+	a.multipleZones = slices.ContainsFunc(members, func(m Member) bool { return m.Zone != members[0].Zone })
 	if 2*size <= len(members) {
-		c.divide()
-		return c.assigned
+		a.divide()
+		return a.assigned
 	}
-	c.size, c.complement, c.members = len(members)-size, true, slices.Clone(members)
-	for i, share := range c.shares {
-		c.shares[i] = float64(len(gateways)) - share
-		c.members[i].Weight = max(1e-9, c.shares[i])
-		c.members[i].Key = ^members[i].Key
+	a.size, a.complement, a.members = len(members)-size, true, slices.Clone(members)
+	for i, share := range a.shares {
+		a.shares[i] = float64(len(gateways)) - share
+		a.members[i].Weight = max(1e-9, a.shares[i])
+		a.members[i].Key = ^members[i].Key
 	}
-	c.divide()
-	for g, excluded := range c.assigned {
-		c.assigned[g] = slices.DeleteFunc(preference(gateways[g].ID, members), func(m int) bool { return slices.Contains(excluded, m) })
+	a.divide()
+	for g, excluded := range a.assigned {
+		a.assigned[g] = slices.DeleteFunc(preference(gateways[g].ID, members), func(m int) bool { return slices.Contains(excluded, m) })
 	}
-	return c.assigned
+	return a.assigned
 }
 
 // assignment is the working state of one division.
@@ -128,38 +128,38 @@
 	complement    bool // the assigned members are those that a gateway does not have
 }
 
-func (c *assignment) divide() {
-	c.collectPairs()
+func (a *assignment) divide() {
+	a.collectPairs()
 	// Each member's bound is rounded up at a different fleet size; otherwise all of them would change at
 	// the same join.
 	setMaxLoad := func(factor float64) {
-		for i, share := range c.shares {
-			c.maxLoad[i] = min(len(c.gateways), int(math.Floor(share*factor+unitHash(c.members[i].Key))))
+		for i, share := range a.shares {
+			a.maxLoad[i] = min(len(a.gateways), int(math.Floor(share*factor+unitHash(a.members[i].Key))))
 		}
 	}
-	preferred := c.sameZone
-	if c.complement { // a gateway goes without members of other zones, except for the minimum
-		preferred = func(g, m int) bool { return !c.sameZone(g, m) && c.otherZoneCount(g) > c.minOtherZone }
+	preferred := a.sameZone
+	if a.complement { // a gateway goes without members of other zones, except for the minimum
+		preferred = func(g, m int) bool { return !a.sameZone(g, m) && a.otherZoneCount(g) > a.minOtherZone }
 	}
 	setMaxLoad(1 - loadTolerance)
-	c.assignPass(func(_, m int) bool { return c.shares[m] > nearlyAllRatio*float64(len(c.gateways)) }) // these members have few gateways to choose from
-	if c.multipleZones && !c.complement {
-		c.assignPass(func(g, m int) bool { return !c.sameZone(g, m) && c.otherZoneCount(g) < c.minOtherZone })
-		c.assignPass(func(g, m int) bool {
-			return c.sameZone(g, m) && len(c.assigned[g])-c.otherZoneCount(g) < c.size-c.minOtherZone
+	a.assignPass(func(_, m int) bool { return a.shares[m] > nearlyAllRatio*float64(len(a.gateways)) }) // these members have few gateways to choose from
+	if a.multipleZones && !a.complement {
+		a.assignPass(func(g, m int) bool { return !a.sameZone(g, m) && a.otherZoneCount(g) < a.minOtherZone })
+		a.assignPass(func(g, m int) bool {
+			return a.sameZone(g, m) && len(a.assigned[g])-a.otherZoneCount(g) < a.size-a.minOtherZone
 		})
-	} else if c.multipleZones {
-		c.assignPass(preferred)
+	} else if a.multipleZones {
+		a.assignPass(preferred)
 	}
-	c.assignPass(func(int, int) bool { return true })
-	c.fillMembers()
+	a.assignPass(func(int, int) bool { return true })
+	a.fillMembers()
 	setMaxLoad(1 + loadTolerance)
-	if c.multipleZones {
-		c.assignPass(preferred)
+	if a.multipleZones {
+		a.assignPass(preferred)
 	}
-	c.assignPass(func(int, int) bool { return true })
-	c.fillGateways()
-	c.rebalance()
+	a.assignPass(func(int, int) bool { return true })
+	a.fillGateways()
+	a.rebalance()
 }
 
 // memberShares returns how many gateways each member should have, by weight, at most all gateways.
@@ -196,42 +196,42 @@
 
 // collectPairs collects the candidate pairs: for each gateway several times as many as it needs, with
 // the lowest scores.
-func (c *assignment) collectPairs() {
+func (a *assignment) collectPairs() {
 	weight := 0.0
-	for i := range c.members {
-		weight += c.members[i].Weight
+	for i := range a.members {
+		weight += a.members[i].Weight
 	}
 	maxScore := math.Inf(1)
-	if candidates := 6 * c.size; candidates < len(c.members) {
+	if candidates := 6 * a.size; candidates < len(a.members) {
 		maxScore = float64(candidates) / weight // expected number of members below it is candidates
 	}
-	for g := range c.gateways {
-		for m := range c.members {
-			if s := score(c.gateways[g].ID, &c.members[m]); s < maxScore || c.gateways[g].Zone == c.members[m].Zone && s < 3*maxScore {
-				c.pairs = append(c.pairs, pair{s, int32(g), int32(m)})
+	for g := range a.gateways {
+		for m := range a.members {
+			if s := score(a.gateways[g].ID, &a.members[m]); s < maxScore || a.gateways[g].Zone == a.members[m].Zone && s < 3*maxScore {
+				a.pairs = append(a.pairs, pair{s, int32(g), int32(m)})
 			}
 		}
 	}
-	slices.SortFunc(c.pairs, func(x, y pair) int {
+	slices.SortFunc(a.pairs, func(x, y pair) int {
 		return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.gateway, y.gateway), cmp.Compare(x.member, y.member))
 	})
 }
 
-func (c *assignment) sameZone(g, m int) bool { return c.gateways[g].Zone == c.members[m].Zone }
+func (a *assignment) sameZone(g, m int) bool { return a.gateways[g].Zone == a.members[m].Zone }
 
 // otherZoneCount returns how many of a gateway's members are in other zones.
-func (c *assignment) otherZoneCount(g int) (n int) {
-	if c.complement {
-		for m := range c.members {
-			if !c.sameZone(g, m) {
+func (a *assignment) otherZoneCount(g int) (n int) {
+	if a.complement {
+		for m := range a.members {
+			if !a.sameZone(g, m) {
 				n++
 			}
 		}
 	}
-	for _, m := range c.assigned[g] {
+	for _, m := range a.assigned[g] {
 		switch {
-		case c.sameZone(g, m):
-		case c.complement:
+		case a.sameZone(g, m):
+		case a.complement:
 			n--
 		default:
 			n++
@@ -241,78 +241,78 @@
 }
 
 // assignPass assigns all pairs that are allowed and within the bounds.
-func (c *assignment) assignPass(allowed func(g, m int) bool) {
-	for _, p := range c.pairs {
-		if g, m := int(p.gateway), int(p.member); len(c.assigned[g]) < c.size && c.load[m] < c.maxLoad[m] && !slices.Contains(c.assigned[g], m) && allowed(g, m) {
-			c.assign(g, m)
+func (a *assignment) assignPass(allowed func(g, m int) bool) {
+	for _, p := range a.pairs {
+		if g, m := int(p.gateway), int(p.member); len(a.assigned[g]) < a.size && a.load[m] < a.maxLoad[m] && !slices.Contains(a.assigned[g], m) && allowed(g, m) {
+			a.assign(g, m)
 		}
 	}
 }
 
-func (c *assignment) assign(g, m int) {
-	c.assigned[g] = append(c.assigned[g], m)
-	c.load[m]++
+func (a *assignment) assign(g, m int) {
+	a.assigned[g] = append(a.assigned[g], m)
+	a.load[m]++
 }
 
 // fillMembers gives members with too few gateways some that have room, where the candidate pairs left
 // them out.
-func (c *assignment) fillMembers() {
-	for m := range c.members {
-		if c.load[m] >= c.maxLoad[m] {
+func (a *assignment) fillMembers() {
+	for m := range a.members {
+		if a.load[m] >= a.maxLoad[m] {
 			continue
 		}
 		var free []pair
-		for g := range c.gateways {
-			if len(c.assigned[g]) < c.size && !slices.Contains(c.assigned[g], m) {
-				free = append(free, pair{score(c.gateways[g].ID, &c.members[m]), int32(g), int32(m)})
+		for g := range a.gateways {
+			if len(a.assigned[g]) < a.size && !slices.Contains(a.assigned[g], m) {
+				free = append(free, pair{score(a.gateways[g].ID, &a.members[m]), int32(g), int32(m)})
 			}
 		}
 		slices.SortFunc(free, func(x, y pair) int { return cmp.Or(cmp.Compare(x.score, y.score), cmp.Compare(x.gateway, y.gateway)) })
-		for _, p := range free[:min(len(free), c.maxLoad[m]-c.load[m])] {
-			c.assign(int(p.gateway), m)
+		for _, p := range free[:min(len(free), a.maxLoad[m]-a.load[m])] {
+			a.assign(int(p.gateway), m)
 		}
 	}
 }
 
 // fillGateways gives gateways with too few members a member with room, or swaps with another gateway
 // that can take one with room instead; failing that it takes the least loaded member.
-func (c *assignment) fillGateways() {
-	for g := range c.gateways {
-		for len(c.assigned[g]) < c.size {
-			if !c.assignOrSwap(g) {
+func (a *assignment) fillGateways() {
+	for g := range a.gateways {
+		for len(a.assigned[g]) < a.size {
+			if !a.assignOrSwap(g) {
 				best, lowest := -1, 0.0
-				for m := range c.members {
-					if slices.Contains(c.assigned[g], m) {
+				for m := range a.members {
+					if slices.Contains(a.assigned[g], m) {
 						continue
 					}
-					if x := float64(c.load[m]+1) / c.shares[m]; best < 0 || x < lowest {
+					if x := float64(a.load[m]+1) / a.shares[m]; best < 0 || x < lowest {
 						best, lowest = m, x
 					}
 				}
-				c.assign(g, best)
+				a.assign(g, best)
 			}
 		}
 	}
 }
 
-func (c *assignment) assignOrSwap(g int) bool {
-	for free := range c.members {
-		if c.load[free] >= c.maxLoad[free] {
+func (a *assignment) assignOrSwap(g int) bool {
+	for free := range a.members {
+		if a.load[free] >= a.maxLoad[free] {
 			continue
 		}
-		if !slices.Contains(c.assigned[g], free) {
-			c.assign(g, free)
+		if !slices.Contains(a.assigned[g], free) {
+			a.assign(g, free)
 			return true
 		}
-		for other, assigned := range c.assigned {
+		for other, assigned := range a.assigned {
 			if other == g || slices.Contains(assigned, free) {
 				continue
 			}
 			for i, m := range assigned {
-				if !slices.Contains(c.assigned[g], m) {
+				if !slices.Contains(a.assigned[g], m) {
 					assigned[i] = free
-					c.load[free]++
-					c.assigned[g] = append(c.assigned[g], m)
+					a.load[free]++
+					a.assigned[g] = append(a.assigned[g], m)
 					return true
 				}
 			}
@@ -322,16 +322,16 @@
 }
 
 // rebalance moves gateways from members above their share to members that still have too few.
-func (c *assignment) rebalance() {
-	for m, share := range c.shares {
-		for minLoad := int(math.Floor(share * (1 - loadTolerance))); c.load[m] < minLoad; {
+func (a *assignment) rebalance() {
+	for m, share := range a.shares {
+		for minLoad := int(math.Floor(share * (1 - loadTolerance))); a.load[m] < minLoad; {
 			gateway, index, maxExcess := -1, 0, 0.0
-			for g, assigned := range c.assigned {
+			for g, assigned := range a.assigned {
 				if slices.Contains(assigned, m) {
 					continue
 				}
 				for i, other := range assigned {
-					if x := float64(c.load[other]) - c.shares[other]; x > maxExcess {
+					if x := float64(a.load[other]) - a.shares[other]; x > maxExcess {
 						gateway, index, maxExcess = g, i, x
 					}
 				}
@@ -339,25 +339,25 @@
 			if gateway < 0 {
 				break
 			}
-			c.load[c.assigned[gateway][index]]--
-			c.assigned[gateway][index] = m
-			c.load[m]++
+			a.load[a.assigned[gateway][index]]--
+			a.assigned[gateway][index] = m
+			a.load[m]++
 		}
 	}
 }
 
 // MovedConnections counts the connections that gateways present in both lists have only in the second
 // division.
-func MovedConnections(gateways []Gateway, members []Member, before [][]int, gatewaysAfter []Gateway, membersAfter []Member, after [][]int) (n int) {
-	membersBefore := map[uint64]map[uint64]bool{}
+func MovedConnections(gatewaysBefore []Gateway, membersBefore []Member, before [][]int, gatewaysAfter []Gateway, membersAfter []Member, after [][]int) (n int) {
+	connected := map[uint64]map[uint64]bool{}
 	for i, assigned := range before {
-		membersBefore[gateways[i].ID] = map[uint64]bool{}
+		connected[gatewaysBefore[i].ID] = map[uint64]bool{}
 		for _, m := range assigned {
-			membersBefore[gateways[i].ID][members[m].Key] = true
+			connected[gatewaysBefore[i].ID][membersBefore[m].Key] = true
 		}
 	}
 	for i, assigned := range after {
-		if previous := membersBefore[gatewaysAfter[i].ID]; previous != nil {
+		if previous := connected[gatewaysAfter[i].ID]; previous != nil {
 			for _, m := range assigned {
 				if !previous[membersAfter[m].Key] {
 					n++
--- a/subset/choose_test.go
+++ b/subset/choose_test.go
@@ -59,7 +59,7 @@
 	return assigned
 }
 
-var algorithms = []algorithm{{"taken", Assign}, {"rounds", rounds}, {"ring", ring}, {"hashed", rendezvous}}
+var algorithms = []algorithm{{"assign", Assign}, {"rounds", rounds}, {"ring", ring}, {"rendezvous", rendezvous}}
 
 func randomFleet(n, m, zones int, rng *rand.Rand) (gateways []Gateway, members []Member) {
 	for range n {
@@ -121,8 +121,8 @@
 						config := DefaultConfig()
 						before := a.assign(config, gateways, members)
 						load, connections := loads(before, members)
-						b.ReportMetric(slices.Max(load), "most-load")
-						b.ReportMetric(slices.Min(load), "least-load")
+						b.ReportMetric(slices.Max(load), "max-load")
+						b.ReportMetric(slices.Min(load), "min-load")
 						b.ReportMetric(jain(load), "jain")
 						b.ReportMetric(float64(slices.Max(connections)), "connections")
 						size := config.Size(n, m)
--- a/subset/subset.go
+++ b/subset/subset.go
@@ -94,14 +94,14 @@
 
 // Subset is the state of one gateway.
 type Subset struct {
-	config Config
-	self   Gateway
-	rng    *rand.Rand
-	now    int64
-	groups map[int]*group
-	keys   map[uint64]int // group of each member
-	out    []Decision
-	wakeAt int64
+	config  Config
+	self    Gateway
+	rng     *rand.Rand
+	now     int64
+	groups  map[int]*group
+	groupOf map[uint64]int // group of each member
+	pending []Decision
+	wakeAt  int64
 }
 
 type group struct {
@@ -139,7 +139,7 @@
 	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	return &Subset{config: config, self: self, rng: rand.New(rand.NewPCG(seed, self.ID)), groups: map[int]*group{}, keys: map[uint64]int{}}, nil
+	return &Subset{config: config, self: self, rng: rand.New(rand.NewPCG(seed, self.ID)), groups: map[int]*group{}, groupOf: map[uint64]int{}}, nil
 }
 
 // Clock begins a round. now is in nanoseconds of a monotonic clock.
@@ -169,7 +169,7 @@
 	for _, m := range members {
 		groups[m.Group] = append(groups[m.Group], m)
 	}
-	all := &Division{config: config, gateways: gateways}
+	division := &Division{config: config, gateways: gateways}
 	for _, groupNumber := range slices.Sorted(maps.Keys(groups)) {
 		d := GroupDivision{Group: groupNumber, Members: groups[groupNumber], Holders: make([][]uint64, len(groups[groupNumber]))}
 		slices.SortFunc(d.Members, func(x, y Member) int { return cmp.Compare(x.Key, y.Key) })
@@ -191,14 +191,14 @@
 				d.Holders[indexes[k]] = append(d.Holders[indexes[k]], gateways[g].ID)
 			}
 		}
-		all.groups = append(all.groups, d)
+		division.groups = append(division.groups, d)
 	}
-	return all
+	return division
 }
 
 // For returns the division from the view of one gateway. A gateway that is not in the list yet gets
 // the members it prefers most.
-func (d *Division) For(self uint64) (all []GroupDivision) {
+func (d *Division) For(self uint64) (groups []GroupDivision) {
 	listed := slices.ContainsFunc(d.gateways, func(g Gateway) bool { return g.ID == self })
 	for _, x := range d.groups {
 		x.Own, x.Preference = nil, nil
@@ -208,16 +208,16 @@
 				x.Own = append(x.Own, m.Key)
 			}
 		}
-		all = append(all, x)
+		groups = append(groups, x)
 	}
-	return all
+	return groups
 }
 
 // SetDivision takes a new division, after a change of gateways or members. A member that is no longer
 // assigned is dropped only after its replacements were added, and each change comes at a random time
 // within moveWindow.
 func (s *Subset) SetDivision(groups []GroupDivision) {
-	clear(s.keys)
+	clear(s.groupOf)
 	seen := map[int]bool{}
 	for _, d := range groups {
 		seen[d.Group] = true
@@ -228,10 +228,10 @@
 		}
 		g.members, g.target, g.preference = d.Members, d.Own, d.Preference
 		for _, m := range d.Members {
-			s.keys[m.Key] = d.Group
+			s.groupOf[m.Key] = d.Group
 		}
 		for key := range g.held {
-			if s.keys[key] != d.Group || !slices.ContainsFunc(d.Members, func(m Member) bool { return m.Key == key }) {
+			if s.groupOf[key] != d.Group || !slices.ContainsFunc(d.Members, func(m Member) bool { return m.Key == key }) {
 				s.forget(g, key)
 			}
 		}
@@ -251,7 +251,7 @@
 // forget drops a member that left its group at once.
 func (s *Subset) forget(g *group, key uint64) {
 	if g.held[key].added {
-		s.out = append(s.out, Decision{Kind: Drop, Key: key})
+		s.pending = append(s.pending, Decision{Kind: Drop, Key: key})
 	}
 	delete(g.held, key)
 }
@@ -320,7 +320,7 @@
 
 // SetSuspect reports that one of this gateway's members is suspect, or no longer is.
 func (s *Subset) SetSuspect(key uint64, suspect bool) {
-	if g := s.groups[s.keys[key]]; g != nil && g.suspect[key] != suspect {
+	if g := s.groups[s.groupOf[key]]; g != nil && g.suspect[key] != suspect {
 		if g.suspect[key] = suspect; !suspect {
 			delete(g.suspect, key)
 		}
@@ -352,7 +352,7 @@
 
 // Has reports whether this gateway uses a member.
 func (s *Subset) Has(key uint64) bool {
-	g := s.groups[s.keys[key]]
+	g := s.groups[s.groupOf[key]]
 	return g != nil && g.held[key] != nil && g.held[key].added
 }
 
@@ -378,12 +378,12 @@
 
 // Next returns one decision of this round, or false if none is left.
 func (s *Subset) Next() (Decision, bool) {
-	if len(s.out) == 0 {
+	if len(s.pending) == 0 {
 		s.round()
 	}
-	if len(s.out) > 0 {
-		d := s.out[0]
-		s.out = s.out[1:]
+	if len(s.pending) > 0 {
+		d := s.pending[0]
+		s.pending = s.pending[1:]
 		return d, true
 	}
 	if at := s.nextDeadline(); at > 0 && (s.wakeAt <= s.now || at < s.wakeAt) {
@@ -415,10 +415,10 @@
 			switch h := g.held[key]; {
 			case !h.added && s.now >= h.addAt:
 				h.added = true
-				s.out = append(s.out, Decision{Kind: Add, Key: key})
+				s.pending = append(s.pending, Decision{Kind: Add, Key: key})
 			case h.added && h.dropAt != 0 && s.now >= h.dropAt:
 				delete(g.held, key)
-				s.out = append(s.out, Decision{Kind: Drop, Key: key})
+				s.pending = append(s.pending, Decision{Kind: Drop, Key: key})
 			}
 		}
 	}
