--- a/quota/holder.go
+++ b/quota/holder.go
@@ -5,327 +5,338 @@
 	"slices"
 )
 
-// part is what this gateway holds of a bound.
-type part struct {
-	bound  *Bound
-	part   int64 // that it may use
-	until  int64 // nothing new past it
-	grant  uint64
-	used   int64   // of a level
-	burst  int64   // of a rate: tokens at the most
-	tokens float64 // of a rate
-	filled int64   // when they were counted
-	want   float64 // decaying sum of what was asked for, a rate's in units a second, a level's units at a time
-	long   float64 // of a rate the same over a longer time
-	wantAt int64
-	peak   float64 // of a level the most that was wanted in the last memory: one large txn is not wanted by halves
-	peakAt int64
-	calm   int64 // when something was last asked for
-	asked  bool  // it was asked for at all, so that it is told of
+// allocation is this gateway's allocation of one limit.
+type allocation struct {
+	limit      *Limit
+	amount     int64 // units that may be used
+	expiry     int64 // nothing new may begin after it
+	sequence   uint64
+	used       int64   // of a concurrency limit
+	burst      int64   // of a rate: maximum tokens
+	tokens     float64 // of a rate
+	refilledAt int64   // when tokens were last computed
+	// Decaying sum of what was asked for: units per second of a rate, units at a time of a concurrency
+	// limit.
+	recentDemand   float64
+	longTermDemand float64 // of a rate: the same over longDemandWindow
+	decayedAt      int64
+	// Of a concurrency limit: maximum demand within the last demandWindow. The demand of a single large
+	// transaction must not decay to a fraction of it.
+	peakDemand   float64
+	peakAt       int64
+	lastDemandAt int64 // when a transaction last asked for units
+	requested    bool  // units were asked for at all, so requests to the allocator include this limit
 }
 
-// asking is what goes on with the keeper of a book.
-type asking struct {
-	at     int64 // when it was asked last
-	urgent bool  // something was refused since
-	bare   bool  // as nothing is held at all
-	vain   int   // answers in a row that left it so
-	falls  bool  // much less is wanted than is held
-	open   int   // questions without an answer
-	since  int64 // the first of those
-	told   bool  // that nobody answers, until somebody does
+// requestState tracks the requests to the allocator of one shard.
+type requestState struct {
+	sentAt          int64 // time of the latest request
+	urgent          bool  // units were refused since then
+	empty           bool  // units were refused while no allocation was held
+	emptyResponses  int   // consecutive responses that left the holder without an allocation
+	surplus         bool  // demand is much lower than the allocation
+	unanswered      int   // requests without a response
+	unansweredSince int64 // time of the first of those
+	reported        bool  // the lack of a response has been logged; reset by the next response
 }
 
-func (q *Quota) partOf(key uint64) *part {
-	b, p := q.bounds[key], q.parts[key]
-	if b == nil {
+func (q *Quota) allocationOf(key uint64) *allocation {
+	limit, alloc := q.limits[key], q.allocations[key]
+	if limit == nil {
 		return nil
 	}
-	if p == nil {
-		p = &part{bound: b}
-		q.parts[key] = p
+	if alloc == nil {
+		alloc = &allocation{limit: limit}
+		q.allocations[key] = alloc
 	}
-	return p
+	return alloc
 }
 
-// live is what may be used of it now. A part is no more than the bound, which may have become less.
-func (p *part) live(now int64) int64 {
-	if now >= p.until {
+// usable returns the units that may be used now. It never exceeds the limit, which may have been
+// lowered since the grant.
+func (a *allocation) usable(now int64) int64 {
+	if now >= a.expiry {
 		return 0
 	}
-	return min(p.part, p.bound.Amount)
+	return min(a.amount, a.limit.Amount)
 }
 
-// refill counts what a rate has earned.
-func (p *part) refill(now int64) {
-	if now >= p.until {
-		p.tokens, p.burst = 0, 0 // its keeper earns them anew
+// refill adds the tokens that a rate has earned since the last call.
+func (a *allocation) refill(now int64) {
+	if now >= a.expiry {
+		a.tokens, a.burst = 0, 0 // the allocator earns the tokens of an expired allocation anew
 	}
-	if now <= p.filled {
+	if now <= a.refilledAt {
 		return
 	}
-	rate := float64(p.live(now)) * (1 - 1.0/slowness)
-	end := min(now, p.until)
-	if end > p.filled {
-		p.tokens = min(float64(p.burst), p.tokens+rate*float64(end-p.filled)/1e9)
+	rate := float64(a.usable(now)) * (1 - 1.0/clockDriftDivisor)
+	end := min(now, a.expiry)
+	if end > a.refilledAt {
+		a.tokens = min(float64(a.burst), a.tokens+rate*float64(end-a.refilledAt)/1e9)
 	}
-	p.filled = now
+	a.refilledAt = now
 }
 
-// wants counts something that is asked for.
-func (p *part) wants(now, units int64) {
-	p.fade(now)
-	p.calm = now
-	if p.bound.Kind == Rate {
-		most := float64(p.bound.Amount) // more than there is takes no longer to forget
-		p.want = min(most, p.want+float64(units)/memory*1e9)
-		p.long = min(most, p.long+float64(units)/longMemory*1e9)
+// addDemand records that units were asked for.
+func (a *allocation) addDemand(now, units int64) {
+	a.decayDemand(now)
+	a.lastDemandAt = now
+	if a.limit.Kind == Rate {
+		maxDemand := float64(a.limit.Amount) // demand above the limit would only take longer to decay
+		a.recentDemand = min(maxDemand, a.recentDemand+float64(units)/demandWindow*1e9)
+		a.longTermDemand = min(maxDemand, a.longTermDemand+float64(units)/longDemandWindow*1e9)
 	} else {
-		p.want = max(p.want, float64(p.used+units))
+		a.recentDemand = max(a.recentDemand, float64(a.used+units))
 	}
 }
 
-func (p *part) fade(now int64) {
-	if now > p.wantAt {
-		p.want *= math.Exp(-float64(now-p.wantAt) / memory)
-		p.long *= math.Exp(-float64(now-p.wantAt) / longMemory)
-		p.wantAt = now
+func (a *allocation) decayDemand(now int64) {
+	if now > a.decayedAt {
+		a.recentDemand *= math.Exp(-float64(now-a.decayedAt) / demandWindow)
+		a.longTermDemand *= math.Exp(-float64(now-a.decayedAt) / longDemandWindow)
+		a.decayedAt = now
 	}
 }
 
-// demand is what it wants now, of a level what it uses at least.
-func (p *part) demand(now int64) int64 {
-	p.fade(now)
-	if p.bound.Kind == Level {
-		d := max(int64(math.Ceil(p.want)), p.used)
-		if now-p.peakAt < int64(memory) {
-			d = max(d, int64(math.Ceil(p.peak)))
+// demand returns the current demand; of a concurrency limit at least what is in use.
+func (a *allocation) demand(now int64) int64 {
+	a.decayDemand(now)
+	if a.limit.Kind == Concurrency {
+		d := max(int64(math.Ceil(a.recentDemand)), a.used)
+		if now-a.peakAt < int64(demandWindow) {
+			d = max(d, int64(math.Ceil(a.peakDemand)))
 		}
 		return d
 	}
-	// Few txns a second come in clusters: the longer sum is steadier, the shorter one forgets demand that has gone elsewhere.
-	d := int64(math.Ceil(min(1.5*p.want, p.long)))
-	if now-p.calm < idleSpan { // one txn now and then has a use for a whole one
-		d = max(d, Whole)
+	// At a few transactions per second they come in clusters: the longer window is steadier, the shorter
+	// one forgets demand that has moved to another gateway.
+	d := int64(math.Ceil(min(1.5*a.recentDemand, a.longTermDemand)))
+	if now-a.lastDemandAt < idleTimeout { // an occasional transaction still needs the units of a whole one
+		d = max(d, UnitsPerTxn)
 	}
 	return d
 }
 
-// May tells whether so many units may be begun now; of a rate those of Whole to a txn. If not, after tells in how many
-// nanoseconds it may or is asked for again, 0 where that is not known, and first that no part is held and one is asked for: an answer comes
-// within some ways there and back.
-func (q *Quota) May(key uint64, units int64) (ok bool, after int64, first bool) {
-	p := q.partOf(key)
-	if p == nil {
+// CanBegin reports whether this many units may begin now; a transaction counts UnitsPerTxn of a rate.
+// If they may not, retryAfter is the number of nanoseconds until they may or until the allocator is
+// asked again, 0 if unknown. unallocated reports that no allocation is held and one is being
+// requested: the response takes a few network round trips.
+func (q *Quota) CanBegin(key uint64, units int64) (ok bool, retryAfter int64, unallocated bool) {
+	alloc := q.allocationOf(key)
+	if alloc == nil {
 		return true, 0, false
 	}
-	p.asked = true
-	p.wants(q.now, units)
-	live := p.live(q.now)
-	if p.bound.Kind == Rate {
-		p.refill(q.now)
-		if ok = q.now < p.until && p.tokens >= float64(units); !ok && live > 0 {
-			after = int64(math.Ceil((float64(units) - p.tokens) / float64(live) * 1e9))
+	alloc.requested = true
+	alloc.addDemand(q.now, units)
+	usable := alloc.usable(q.now)
+	if alloc.limit.Kind == Rate {
+		alloc.refill(q.now)
+		if ok = q.now < alloc.expiry && alloc.tokens >= float64(units); !ok && usable > 0 {
+			retryAfter = int64(math.Ceil((float64(units) - alloc.tokens) / float64(usable) * 1e9))
 		}
 	} else {
-		ok = p.used+units <= live
+		ok = alloc.used+units <= usable
 	}
 	if !ok {
-		if p.bound.Kind == Level { // as many are wanted as are refused, not one more than there are
-			p.want = min(float64(p.bound.Amount), p.want+float64(units))
-			if p.want >= p.peak || q.now-p.peakAt >= int64(memory) {
-				p.peak, p.peakAt = p.want, q.now
+		if alloc.limit.Kind == Concurrency { // demand counts what is refused, at most the limit
+			alloc.recentDemand = min(float64(alloc.limit.Amount), alloc.recentDemand+float64(units))
+			if alloc.recentDemand >= alloc.peakDemand || q.now-alloc.peakAt >= int64(demandWindow) {
+				alloc.peakDemand, alloc.peakAt = alloc.recentDemand, q.now
 			}
 		}
-		a := &q.asked[bookOf(key)]
-		a.urgent = true
-		a.bare = a.bare || live == 0
-		if live == 0 {
-			after = soon
+		state := &q.requests[shardOf(key)]
+		state.urgent = true
+		state.empty = state.empty || usable == 0
+		if usable == 0 {
+			retryAfter = retryInterval
 		}
 	}
-	return ok, after, live == 0
+	return ok, retryAfter, usable == 0
 }
 
-// Fits is what of some units counts against a bound: one txn alone that is larger than all of it takes it all.
-func (q *Quota) Fits(key uint64, units int64) int64 {
-	if b := q.bounds[key]; b != nil {
-		return min(units, b.Amount)
+// ClampToLimit returns how many of the units count against a limit: a single transaction larger than
+// the whole limit takes all of it.
+func (q *Quota) ClampToLimit(key uint64, units int64) int64 {
+	if limit := q.limits[key]; limit != nil {
+		return min(units, limit.Amount)
 	}
 	return units
 }
 
-// Begin counts units that May allowed.
+// Begin counts units that CanBegin admitted.
 func (q *Quota) Begin(key uint64, units int64) {
-	if p := q.partOf(key); p == nil {
+	if alloc := q.allocationOf(key); alloc == nil {
 		return
-	} else if p.bound.Kind == Rate {
-		p.refill(q.now)
-		p.tokens -= float64(units)
+	} else if alloc.limit.Kind == Rate {
+		alloc.refill(q.now)
+		alloc.tokens -= float64(units)
 	} else {
-		p.used += units
+		alloc.used += units
 	}
 }
 
-// Carry counts units of a level that were begun before the bound was, beside any part.
-func (q *Quota) Carry(key uint64, units int64) {
-	if p := q.partOf(key); p != nil && p.bound.Kind == Level {
-		p.used += units
-		p.wants(q.now, 0)
+// AddExisting counts units of a concurrency limit that began before the limit existed, in addition to
+// any allocation.
+func (q *Quota) AddExisting(key uint64, units int64) {
+	if alloc := q.allocationOf(key); alloc != nil && alloc.limit.Kind == Concurrency {
+		alloc.used += units
+		alloc.addDemand(q.now, 0)
 	}
 }
 
-// End takes units of a level back.
+// End releases units of a concurrency limit.
 func (q *Quota) End(key uint64, units int64) {
-	if p := q.parts[key]; p != nil && p.bound.Kind == Level {
-		if p.used = max(0, p.used-units); p.used == 0 && q.bounds[key] == nil {
-			delete(q.parts, key)
+	if alloc := q.allocations[key]; alloc != nil && alloc.limit.Kind == Concurrency {
+		if alloc.used = max(0, alloc.used-units); alloc.used == 0 && q.limits[key] == nil {
+			delete(q.allocations, key)
 		}
 	}
 }
 
-// asks asks keepers for what is wanted, and for what is held to be renewed.
-func (q *Quota) asks() {
-	for b := range q.asked {
-		a := &q.asked[b]
-		wait := a.wait(q.terms.Lease)
-		if a.at != 0 && q.now-a.at < wait-leastWake || q.now >= q.leased { // a wake may come a little early
+// sendRequests asks allocators for what is demanded, and to renew what is held.
+func (q *Quota) sendRequests() {
+	for shardIndex := range q.requests {
+		state := &q.requests[shardIndex]
+		interval := state.interval(q.config.LeaseDuration)
+		if state.sentAt != 0 && q.now-state.sentAt < interval-minWakeDelay || q.now >= q.leaseUntil { // a wake-up may come slightly early
 			continue
 		}
-		keeper := q.offices.keeper(b)
+		allocator := q.assignment.allocator(shardIndex)
 		var items []Item
-		falls := false
+		surplus := false
 		for _, key := range q.keys {
-			p := q.parts[key]
-			if bookOf(key) != b || p == nil || !p.asked {
+			alloc := q.allocations[key]
+			if shardOf(key) != shardIndex || alloc == nil || !alloc.requested {
 				continue
 			}
-			d := p.demand(q.now)
-			if d == 0 && p.used == 0 && q.now-p.calm >= idleSpan {
-				p.asked = p.live(q.now) > 0 // told once more that nothing is wanted: then it is given back
-				p.part, p.tokens, p.burst = 0, 0, 0
+			demand := alloc.demand(q.now)
+			if demand == 0 && alloc.used == 0 && q.now-alloc.lastDemandAt >= idleTimeout {
+				alloc.requested = alloc.usable(q.now) > 0 // one more request reports zero demand and so returns the allocation
+				alloc.amount, alloc.tokens, alloc.burst = 0, 0, 0
 			}
-			has := max(p.live(q.now), p.used)
-			if p.bound.Kind == Rate {
-				if has = p.live(q.now); has == 0 { // it gathers nothing: what it has is all
-					p.refill(q.now)
-					p.burst = int64(p.tokens)
+			held := max(alloc.usable(q.now), alloc.used)
+			if alloc.limit.Kind == Rate {
+				if held = alloc.usable(q.now); held == 0 { // without an allocation it earns nothing: its tokens are all it has
+					alloc.refill(q.now)
+					alloc.burst = int64(alloc.tokens)
 				}
 			}
-			falls = falls || 2*d < has
-			items = append(items, Item{Key: key, Grant: p.grant, Part: has, Used: p.used, Want: d, Burst: p.burst})
+			surplus = surplus || 2*demand < held
+			items = append(items, Item{Key: key, Sequence: alloc.sequence, Amount: held, Used: alloc.used, Demand: demand, Burst: alloc.burst})
 		}
-		a.urgent, a.bare, a.falls = false, false, falls
+		state.urgent, state.empty, state.surplus = false, false, surplus
 		if len(items) == 0 {
-			a.open, a.at = 0, 0
+			state.unanswered, state.sentAt = 0, 0
 			continue
 		}
-		a.at = q.now
-		if keeper == 0 {
-			q.silent(b, 0)
+		state.sentAt = q.now
+		if allocator == 0 {
+			q.reportUnresponsive(shardIndex, 0)
 			continue
 		}
-		if a.open++; a.open == 1 {
-			a.since = q.now
+		if state.unanswered++; state.unanswered == 1 {
+			state.unansweredSince = q.now
 		}
-		if a.open > silence && q.now-a.since > q.terms.Lease/2 {
-			q.silent(b, keeper)
+		if state.unanswered > maxUnanswered && q.now-state.unansweredSince > q.config.LeaseDuration/2 {
+			q.reportUnresponsive(shardIndex, allocator)
 		}
-		for chunk := range slices.Chunk(items, mostItems) {
-			q.send(Message{Kind: AskParts, To: keeper, Book: b, Office: q.offices.No, Run: q.terms.Run, No: q.now, Items: chunk})
+		for chunk := range slices.Chunk(items, maxItems) {
+			q.send(Message{Kind: AllocationRequest, To: allocator, Shard: shardIndex, AssignmentVersion: q.assignment.Version, Incarnation: q.config.Incarnation, RequestTime: q.now, Items: chunk})
 		}
 	}
 }
 
-// wait is after how long it asks again.
-func (a *asking) wait(lease int64) int64 {
+// interval returns the time until the next request.
+func (r *requestState) interval(leaseDuration int64) int64 {
 	switch {
-	case a.urgent:
-		return a.hurry()
-	case a.falls: // others wait for what is not wanted here
-		return soon
+	case r.urgent:
+		return r.retryDelay()
+	case r.surplus: // other gateways may wait for what is not needed here
+		return retryInterval
 	}
-	return lease / renewals
+	return leaseDuration / renewalsPerLease
 }
 
-// hurry is after how long it asks again that was refused something: at once where it holds nothing, but ever later where
-// that is in vain.
-func (a *asking) hurry() int64 {
-	if !a.bare {
-		return soon
+// retryDelay returns the time until the next request after units were refused: short where no
+// allocation is held, with backoff while the responses grant nothing.
+func (r *requestState) retryDelay() int64 {
+	if !r.empty {
+		return retryInterval
 	}
-	return min(soon, int64(hurry)<<min(a.vain, 3))
+	return min(retryInterval, int64(emptyRetryInterval)<<min(r.emptyResponses, 3))
 }
 
-// silent tells the host of a book without a keeper that answers, and again after each lease.
-func (q *Quota) silent(b int, keeper ID) {
-	a := &q.asked[b]
-	q.out = append(q.out, Decision{Kind: Move, Keeper: keeper})
-	if !a.told {
-		a.told = true
-		q.log("book %d: nobody keeps it, or its keeper does not answer", b)
+// reportUnresponsive tells the host that a shard has no allocator or its allocator does not respond.
+// It is repeated while that lasts, but logged once.
+func (q *Quota) reportUnresponsive(shardIndex int, allocator ID) {
+	state := &q.requests[shardIndex]
+	q.pending = append(q.pending, Decision{Kind: Reassign, Allocator: allocator})
+	if !state.reported {
+		state.reported = true
+		q.log("shard %d has no allocator, or its allocator does not respond", shardIndex)
 	}
-	a.open, a.since = 1, q.now
+	state.unanswered, state.unansweredSince = 1, q.now
 }
 
-// lent takes what a keeper lends. It counts from when it was asked for, by this gateway's clock.
-func (q *Quota) lent(m *Message) {
-	if m.Run != q.terms.Run || m.From != q.offices.keeper(m.Book) || m.No+q.terms.Lease <= q.now {
+// handleResponse takes a grant. Its lease counts from the time of the request, by this gateway's
+// clock.
+func (q *Quota) handleResponse(m *Message) {
+	if m.Incarnation != q.config.Incarnation || m.From != q.assignment.allocator(m.Shard) || m.RequestTime+q.config.LeaseDuration <= q.now {
 		return
 	}
-	a := &q.asked[m.Book]
-	q.taken++
-	a.open, a.told = 0, false
-	vain := true
+	state := &q.requests[m.Shard]
+	q.responses++
+	state.unanswered, state.reported = 0, false
+	empty := true
 	for i := range m.Items {
-		x := &m.Items[i]
-		p := q.parts[x.Key]
-		if p == nil || bookOf(x.Key) != m.Book || x.Grant <= p.grant {
+		item := &m.Items[i]
+		alloc := q.allocations[item.Key]
+		if alloc == nil || shardOf(item.Key) != m.Shard || item.Sequence <= alloc.sequence {
 			continue
 		}
-		p.refill(q.now)
-		p.grant = x.Grant
-		p.part, p.until = x.Part, max(p.until, m.No+q.terms.Lease)
-		p.burst = x.Burst
-		p.tokens = min(p.tokens+float64(x.Tokens), float64(p.burst))
-		if vain = vain && p.part == 0 && x.Tokens == 0; !vain {
-			a.vain = 0
+		alloc.refill(q.now)
+		alloc.sequence = item.Sequence
+		alloc.amount, alloc.expiry = item.Amount, max(alloc.expiry, m.RequestTime+q.config.LeaseDuration)
+		alloc.burst = item.Burst
+		alloc.tokens = min(alloc.tokens+float64(item.Tokens), float64(alloc.burst))
+		if empty = empty && alloc.amount == 0 && item.Tokens == 0; !empty {
+			state.emptyResponses = 0
 		}
 	}
-	if vain {
-		a.vain++
+	if empty {
+		state.emptyResponses++
 	}
 }
 
-// due is when the next round is needed, 0 for never.
-func (q *Quota) due() (at int64) {
-	if q.now >= q.leased { // it comes again with the word of a voter
+// nextDeadline returns when the next round is needed, 0 for never.
+func (q *Quota) nextDeadline() (at int64) {
+	if q.now >= q.leaseUntil { // rounds resume once a voter renews the lease
 		return 0
 	}
-	for b := range q.asked {
-		if a := &q.asked[b]; a.at != 0 {
-			wait := a.wait(q.terms.Lease)
-			if t := a.at + wait; at == 0 || t < at {
+	for shardIndex := range q.requests {
+		if state := &q.requests[shardIndex]; state.sentAt != 0 {
+			interval := state.interval(q.config.LeaseDuration)
+			if t := state.sentAt + interval; at == 0 || t < at {
 				at = t
 			}
-		} else if a.urgent {
+		} else if state.urgent {
 			return q.now
 		}
 	}
 	return at
 }
 
-// Held tells what this gateway holds of a bound: its part, what of it is in use (a rate's tokens), what is wanted, and until
-// when.
-func (q *Quota) Held(key uint64) (part, used, want, until int64) {
-	p := q.parts[key]
-	if p == nil {
+// Allocation returns what this gateway holds of a limit: its allocation, the units in use (the tokens
+// of a rate), the demand, and the expiry of the lease.
+func (q *Quota) Allocation(key uint64) (amount, used, demand, expiry int64) {
+	alloc := q.allocations[key]
+	if alloc == nil {
 		return 0, 0, 0, 0
 	}
-	used = p.used
-	if p.bound.Kind == Rate {
-		p.refill(q.now)
-		used = int64(p.tokens)
+	used = alloc.used
+	if alloc.limit.Kind == Rate {
+		alloc.refill(q.now)
+		used = int64(alloc.tokens)
 	}
-	return p.live(q.now), used, p.demand(q.now), p.until
+	return alloc.usable(q.now), used, alloc.demand(q.now), alloc.expiry
 }
