--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -11,23 +11,23 @@
 // coldFleet is many gateways before one group on a virtual clock. Its members serve in order of arrival on some cores; one
 // of them comes cold. What all gateways together send it within the window of the rule is held to what a cold member bears.
 type coldFleet struct {
-	now     Nanos
-	work    float64 // service time of a txn on a warm core
-	until   Nanos   // the end of the play, when it is warm
-	gates   []*Gateway
-	wakes   []Nanos // of each gateway; 0 is none
-	members map[Server]*coldServer
-	events  coldEvents
-	count   int
-	rng     pcg
-	got     []Nanos // when the cold member got a txn
-	started Nanos
+	now        Nanos
+	work       float64 // service time of a txn on a warm core
+	endsAt     Nanos   // the end of the play, when it is warm
+	gateways   []*Gateway
+	wakes      []Nanos // of each gateway; 0 is none
+	members    map[Server]*coldServer
+	events     coldEvents
+	eventCount int
+	rng        pcg
+	receivedAt []Nanos // when the cold member got a txn
+	started    Nanos
 }
 
 type coldServer struct {
-	free   []Nanos // when each core is free
-	cold   bool
-	silent bool
+	coreFreeAt []Nanos // when each core is free
+	cold       bool
+	silent     bool
 }
 
 type coldEvent struct {
@@ -52,66 +52,66 @@
 }
 
 const (
-	coldCores = 4
-	coldFor   = 10000 * ms
-	coldLeast = 0.2
+	coldCores       = 4
+	coldDuration    = 10000 * ms
+	coldMinCapacity = 0.2
 )
 
-func (f *coldFleet) after(span Nanos, run func()) {
-	f.count++
-	heap.Push(&f.events, coldEvent{f.now + span, f.count, run})
+func (f *coldFleet) after(delay Nanos, run func()) {
+	f.eventCount++
+	heap.Push(&f.events, coldEvent{f.now + delay, f.eventCount, run})
 }
 
 // able is the share of its work that the cold member can do.
-func (f *coldFleet) able(at Nanos) float64 {
-	return min(1, coldLeast+(1-coldLeast)*float64(at-f.started)/float64(coldFor))
+func (f *coldFleet) capacity(at Nanos) float64 {
+	return min(1, coldMinCapacity+(1-coldMinCapacity)*float64(at-f.started)/float64(coldDuration))
 }
 
 // bears is what the cold member may get in the window that ends at a time, by the operators' formula.
-func (f *coldFleet) bears(at Nanos) float64 {
-	n := 2 * f.able(at) * coldCores * float64(1000*ms) / f.work
+func (f *coldFleet) maxSubmissions(at Nanos) float64 {
+	n := 2 * f.capacity(at) * coldCores * float64(1000*ms) / f.work
 	return n + 2*math.Sqrt(n) + 2
 }
 
-func (f *coldFleet) turn(i int) {
-	g := f.gates[i]
-	g.Clock(f.now)
+func (f *coldFleet) runRound(i int) {
+	g := f.gateways[i]
+	g.BeginRound(f.now)
 	for d, ok := g.Next(); ok; d, ok = g.Next() {
 		switch d.Kind {
 		case Submit:
 			f.submit(i, d.Txn, d.Server)
 		case Wake:
-			f.after(d.After, func() { f.turn(i) })
+			f.after(d.Delay, func() { f.runRound(i) })
 		}
 	}
 }
 
 func (f *coldFleet) submit(i int, id uint64, to Server) {
-	g, s := f.gates[i], f.members[to]
+	g, s := f.gateways[i], f.members[to]
 	t := g.txns[id]
-	no, at := len(t.subs)-1, f.now
+	no, at := len(t.submissions)-1, f.now
 	work := f.work
 	if s.cold {
-		f.got = append(f.got, f.now)
-		work /= f.able(f.now)
+		f.receivedAt = append(f.receivedAt, f.now)
+		work /= f.capacity(f.now)
 	}
 	if s.silent {
 		f.after(t.expiry-f.now, func() {
-			g.Clock(f.now)
-			g.Ended(id, no, to, TimedOut, f.now-at, RoleUnknown, 0, false, nil)
-			f.turn(i)
+			g.BeginRound(f.now)
+			g.SubmissionEnded(id, no, to, TimedOut, f.now-at, RoleUnknown, 0, false, nil)
+			f.runRound(i)
 		})
 		return
 	}
 	core := 0
-	for k, free := range s.free {
-		if free < s.free[core] {
+	for k, free := range s.coreFreeAt {
+		if free < s.coreFreeAt[core] {
 			core = k
 		}
 	}
-	s.free[core] = max(f.now, s.free[core]) + Nanos(work)
-	f.after(s.free[core]-f.now, func() {
-		g.Clock(f.now)
+	s.coreFreeAt[core] = max(f.now, s.coreFreeAt[core]) + Nanos(work)
+	f.after(s.coreFreeAt[core]-f.now, func() {
+		g.BeginRound(f.now)
 		role := RoleReplica
 		if to == (Server{'a'}) {
 			role = RolePrimary
@@ -120,41 +120,41 @@
 		if s.cold { // it has proven nothing yet
 			position = 0
 		}
-		g.Ended(id, no, to, Committed, f.now-at, role, position, true, nil)
-		f.turn(i)
+		g.SubmissionEnded(id, no, to, Committed, f.now-at, role, position, true, nil)
+		f.runRound(i)
 	})
 }
 
 // play has so many gateways meet a member that starts cold, with an event in the middle, and gives the most that the cold
 // member got against what it bears, and the share of what it bears on the mean that it got.
-func playCold(seed uint64, gateways int, work Nanos, load float64, event string) (worst, used float64) {
-	f := &coldFleet{work: float64(work), now: 10000 * ms, until: (10000+6000)*ms + coldFor, rng: newPCG(seed), members: map[Server]*coldServer{}}
+func simulateCold(seed uint64, gateways int, work Nanos, load float64, event string) (worst, used float64) {
+	f := &coldFleet{work: float64(work), now: 10000 * ms, endsAt: (10000+6000)*ms + coldDuration, rng: newPCG(seed), members: map[Server]*coldServer{}}
 	site := strings.NewReplacer(`"whenBehind":"await"`, `"whenBehind":"none"`, `"tickMs":5`, `"tickMs":1`,
-		`"fleetSize":2`, fmt.Sprintf(`"fleetSize":%d`, gateways)).Replace(traceSite)
+		`"fleetSize":2`, fmt.Sprintf(`"fleetSize":%d`, gateways)).Replace(traceSettings)
 	for _, m := range "abcd" {
-		f.members[Server{byte(m)}] = &coldServer{free: make([]Nanos, coldCores)}
+		f.members[Server{byte(m)}] = &coldServer{coreFreeAt: make([]Nanos, coldCores)}
 	}
-	tell := func(g *Gateway, start Nanos) {
+	sendList := func(g *Gateway, start Nanos) {
 		for _, m := range "abcd" {
 			at := Nanos(0)
 			if m == 'c' {
 				at = start
 			}
-			g.Listed(Server{byte(m)}, 0, m == 'a', Ready, 0, 1, 0, at)
+			g.UpdateMember(Server{byte(m)}, 0, m == 'a', Ready, 0, 1, 0, at)
 		}
-		g.ListEnds(FullList)
+		g.EndMemberList(FullList)
 	}
 	for i := range gateways {
 		g, err := New(seed<<20+uint64(i), []byte(site))
 		if err != nil {
 			panic(err)
 		}
-		g.Clock(f.now)
+		g.BeginRound(f.now)
 		for _, m := range "abd" {
-			g.Listed(Server{byte(m)}, 0, m == 'a', Ready, 0, 1, 0, 0)
+			g.UpdateMember(Server{byte(m)}, 0, m == 'a', Ready, 0, 1, 0, 0)
 		}
-		g.ListEnds(FullList)
-		f.gates = append(f.gates, g)
+		g.EndMemberList(FullList)
+		f.gateways = append(f.gateways, g)
 	}
 	rate := load * 3 * coldCores / f.work
 	burst := 1.0
@@ -167,26 +167,26 @@
 	arrive = func() {
 		id++
 		i := int(f.rng.unit() * float64(gateways))
-		f.gates[i].Clock(f.now)
+		f.gateways[i].BeginRound(f.now)
 		age := Nanos(50 * ms)
 		if since := f.started + 1000*ms; f.started > 0 && f.now > since+age {
 			age = f.now - since // all need what the cold member has reached, and none knows that it has
 		}
-		if err := f.gates[i].Arrived(id, class, 0, id, 1000*ms, 0, 0, age); err != nil {
+		if err := f.gateways[i].AddTxn(id, class, 0, id, 1000*ms, 0, 0, age); err != nil {
 			panic(err)
 		}
-		f.turn(i)
+		f.runRound(i)
 		f.after(Nanos(-math.Log(1-f.rng.unit())/(rate*burst)), arrive)
 	}
 	f.after(0, arrive)
 	f.after(6000*ms, func() {
 		f.started = f.now
 		f.members[Server{'c'}].cold = true
-		for i, g := range f.gates {
+		for i, g := range f.gateways {
 			f.after(Nanos(f.rng.unit()*float64(300*ms)), func() {
-				g.Clock(f.now)
-				tell(g, f.started)
-				f.turn(i)
+				g.BeginRound(f.now)
+				sendList(g, f.started)
+				f.runRound(i)
 			})
 		}
 	})
@@ -197,30 +197,30 @@
 		case "silent":
 			f.members[Server{'b'}].silent, f.members[Server{'d'}].silent = true, true
 		case "proof": // all hear at once that it has caught up
-			for i, g := range f.gates {
-				g.Clock(f.now)
-				g.HeardOf(News{Server{'c'}, f.now, false})
-				f.turn(i)
+			for i, g := range f.gateways {
+				g.BeginRound(f.now)
+				g.ReceiveUpdate(MemberUpdate{Server{'c'}, f.now, false})
+				f.runRound(i)
 			}
 		}
 	})
-	for len(f.events) > 0 && f.now < f.until {
+	for len(f.events) > 0 && f.now < f.endsAt {
 		e := heap.Pop(&f.events).(coldEvent)
 		f.now = e.at
 		e.run()
 	}
 	from := 0
-	for i, at := range f.got {
-		for f.got[from] <= at-1000*ms {
+	for i, at := range f.receivedAt {
+		for f.receivedAt[from] <= at-1000*ms {
 			from++
 		}
-		worst = max(worst, float64(i-from+1)/f.bears(at))
+		worst = max(worst, float64(i-from+1)/f.maxSubmissions(at))
 	}
 	all := 0.0
 	for at := f.started; at < f.now; at += ms {
-		all += 2 * f.able(at) * coldCores / f.work * float64(ms)
+		all += 2 * f.capacity(at) * coldCores / f.work * float64(ms)
 	}
-	return worst, float64(len(f.got)) / all
+	return worst, float64(len(f.receivedAt)) / all
 }
 
 // All gateways together send a cold member no more than it bears, however many they are, when there is a burst, when others
@@ -231,7 +231,7 @@
 			for _, event := range []string{"none", "burst", "silent", "proof"} {
 				worst, used := 0.0, 0.0
 				for seed := range uint64(2) {
-					w, u := playCold(seed+1, gateways, work, 0.75, event)
+					w, u := simulateCold(seed+1, gateways, work, 0.75, event)
 					worst, used = max(worst, w), used+u/2
 				}
 				t.Logf("%3d ms, %3d gateways, %-6s: most %.2f of what it bears, %.2f of N used", work/ms, gateways, event, worst, used)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -8,10 +8,10 @@
 // Step 3: a tokened read goes to the replica that is known to have reached its token.
 func Example_provenReplica() {
 	t := open().list("a b c")
-	t.txn(1, 3, 0).pull().end(1, 0, "a", Committed, 1, 10000).pull()
-	t.at(10100).txn(2, 2, 0).txn(3, 2, 0).pull()
+	t.txn(1, 3, 0).printRound().end(1, 0, "a", Committed, 1, 10000).printRound()
+	t.at(10100).txn(2, 2, 0).txn(3, 2, 0).printRound()
 	t.end(2, 0, "b", Committed, 2, 10090).end(3, 0, "c", Committed, 2, 9000)
-	t.at(10200).txn(4, 0, 150).txn(5, 0, 150).pull()
+	t.at(10200).txn(4, 0, 150).txn(5, 0, 150).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10100 submit 2 to b
@@ -25,9 +25,9 @@
 func Example_waitThenPrimary() {
 	t := open("await", "none").list("a* b c")
 	t.txn(1, 0, 50).run(10150) // a is only named primary, which must do for a read
-	t.txn(2, 3, 0).pull().end(2, 0, "a", Committed, 1, 10150).pull()
-	t.end(1, 0, "a", Committed, 1, 10200).at(10400).txn(3, 0, 50).pull()
-	t.at(10450).txn(4, 2, 0).pull().end(4, 0, "c", Committed, 2, 10440).pull()
+	t.txn(2, 3, 0).printRound().end(2, 0, "a", Committed, 1, 10150).printRound()
+	t.end(1, 0, "a", Committed, 1, 10200).at(10400).txn(3, 0, 50).printRound()
+	t.at(10450).txn(4, 2, 0).printRound().end(4, 0, "c", Committed, 2, 10440).printRound()
 	t.at(10500).txn(5, 0, 40).run(10650)
 	// Output:
 	// 10150 submit 2 to a
@@ -38,9 +38,9 @@
 }
 
 // Step 4 where servers check: their hold is the wait, their miss ends it, and the primary is step 5.
-func Example_missThenPrimary() {
+func Example_refusalThenPrimary() {
 	t := open().list("a* b c")
-	t.txn(1, 0, 50).pull().at(10025).end(1, 0, "b", Missed, 2, 9000).pull()
+	t.txn(1, 0, 50).printRound().at(10025).end(1, 0, "b", NotEligible, 2, 9000).printRound()
 	// Output:
 	// 10000 submit 1 to b
 	//  10025 submit 1 to a
@@ -48,10 +48,10 @@
 
 // Step 6: a bounded read needs a replica inside the bound, as proven.
 func Example_bounded() {
-	t := open("await", "none").list("a* b c").txn(1, 3, 0).pull()
-	t.end(1, 0, "a", Committed, 1, 10000).txn(2, 2, 0).txn(3, 2, 0).pull()
+	t := open("await", "none").list("a* b c").txn(1, 3, 0).printRound()
+	t.end(1, 0, "a", Committed, 1, 10000).txn(2, 2, 0).txn(3, 2, 0).printRound()
 	t.end(2, 0, "b", Committed, 2, 9990).end(3, 0, "c", Committed, 2, 9000)
-	t.txn(4, 1, 0).txn(5, 1, 0).pull().at(10400).txn(6, 1, 0).pull()
+	t.txn(4, 1, 0).txn(5, 1, 0).printRound().at(10400).txn(6, 1, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to b
@@ -64,11 +64,11 @@
 }
 
 // Step 1 without a primary: members in turn, one scout at a time, then a short hold.
-func Example_membersInTurn() {
-	t := open().list("a b").txn(1, 3, 0).txn(2, 3, 0).pull()
-	t.at(10010).end(1, 0, "a", Missed, 2, 10000).pull()
-	t.at(10020).end(2, 0, "b", Missed, 2, 10000).pull().run(10100)
-	t.end(1, 1, "a", Committed, 1, 10100).pull()
+func Example_primarySearch() {
+	t := open().list("a b").txn(1, 3, 0).txn(2, 3, 0).printRound()
+	t.at(10010).end(1, 0, "a", NotEligible, 2, 10000).printRound()
+	t.at(10020).end(2, 0, "b", NotEligible, 2, 10000).printRound().run(10100)
+	t.end(1, 1, "a", Committed, 1, 10100).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 submit 2 to b
@@ -78,8 +78,8 @@
 
 // Once-only: a second submission or a decline only when the first cannot have run.
 func Example_onceOnly() {
-	t := open().list("a* b").txn(1, 3, 0).txn(2, 3, 0).txn(3, 3, 0).pull()
-	t.at(10100).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "a", Full, 1, 10090).pull().run(10110)
+	t := open().list("a* b").txn(1, 3, 0).txn(2, 3, 0).txn(3, 3, 0).printRound()
+	t.at(10100).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "a", AtCapacity, 1, 10090).printRound().run(10110)
 	t.run(11000)
 	// Output:
 	// 10000 submit 1 to a
@@ -92,10 +92,10 @@
 }
 
 // Referenced: sent again within the window, rolled back after it, since its group alone drops a repeat.
-func Example_window() {
-	t := open().list("a* b").txn(1, 4, 0).txn(2, 4, 0).pull()
-	t.at(10100).end(1, 0, "a", Failed, 2, 0).pull().end(1, 1, "b", Missed, 1, 10100).pull()
-	t.at(10850).end(2, 0, "a", Broken, 0, 0).pull()
+func Example_dedupWindow() {
+	t := open().list("a* b").txn(1, 4, 0).txn(2, 4, 0).printRound()
+	t.at(10100).end(1, 0, "a", Failed, 2, 0).printRound().end(1, 1, "b", NotEligible, 1, 10100).printRound()
+	t.at(10850).end(2, 0, "a", Broken, 0, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to a
@@ -106,10 +106,10 @@
 
 // Drains: nothing goes to a member from the moment that the list bars it, nor to one that a whole list lacks.
 func Example_drain() {
-	t := open().list("a b c").list("a- b").txn(1, 2, 0).txn(2, 2, 0).txn(3, 3, 0).pull()
+	t := open().list("a b c").list("a- b").txn(1, 2, 0).txn(2, 2, 0).txn(3, 3, 0).printRound()
 	soft := open(`"tickMs"`, `"x":0,"tickMs"`, `"coldFrom"`, `"softRemoval":true,"coldFrom"`)
-	soft.list("a b").list("a-").txn(4, 2, 0).txn(5, 2, 0).pull()
-	t.at(10100).list("a b").txn(6, 3, 0).pull()
+	soft.list("a b").list("a-").txn(4, 2, 0).txn(5, 2, 0).printRound()
+	t.at(10100).list("a b").txn(6, 3, 0).printRound()
 	// Output:
 	// 10000 submit 3 to b
 	//  10000 submit 1 to b
@@ -125,7 +125,7 @@
 	for id := uint64(1); id <= 12; id++ {
 		t.txn(id, 2, 0)
 	}
-	t.pull()
+	t.printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to a
@@ -144,8 +144,8 @@
 	for id := uint64(1); id <= 8; id++ {
 		t.txn(id, 2, 0)
 	}
-	t.pull().at(10020).end(2, 0, "b", Committed, 2, 10000)
-	t.quiet = false
+	t.printRound().at(10020).end(2, 0, "b", Committed, 2, 10000)
+	t.hideLog = false
 	t.run(10700)
 	// Output:
 	// 10000 submit 1 to a
@@ -169,10 +169,10 @@
 
 // A suspect primary gets reads as trials: without them nothing would show that it answers again.
 func Example_suspectPrimary() {
-	t := open().list("a* b").txn(1, 3, 0).pull().at(10010).end(1, 0, "a", Committed, 1, 10000)
-	t.txn(2, 3, 0).pull().at(10020).end(2, 0, "a", Unreachable, 0, 0).pull()
-	t.txn(3, 2, 0).at(10300).txn(4, 2, 0).txn(5, 3, 0).pull()
-	t.at(10320).end(4, 0, "a", Committed, 1, 10310).pull()
+	t := open().list("a* b").txn(1, 3, 0).printRound().at(10010).end(1, 0, "a", Committed, 1, 10000)
+	t.txn(2, 3, 0).printRound().at(10020).end(2, 0, "a", Unreachable, 0, 0).printRound()
+	t.txn(3, 2, 0).at(10300).txn(4, 2, 0).txn(5, 3, 0).printRound()
+	t.at(10320).end(4, 0, "a", Committed, 1, 10310).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 submit 2 to a
@@ -185,10 +185,10 @@
 // When every member is silent the fault is likely nearer, and none is avoided; where every connection
 // fails, single trials go on, at a pace that a server just started can bear.
 func Example_allSuspect() {
-	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).pull()
-	t.at(10500).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "b", TimedOut, 0, 0).txn(3, 2, 0).pull()
-	lost := open().list("a b").txn(4, 2, 0).txn(5, 2, 0).pull()
-	lost.end(4, 0, "a", Unreachable, 0, 0).end(5, 0, "b", Unreachable, 0, 0).pull()
+	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
+	t.at(10500).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "b", TimedOut, 0, 0).txn(3, 2, 0).printRound()
+	lost := open().list("a b").txn(4, 2, 0).txn(5, 2, 0).printRound()
+	lost.end(4, 0, "a", Unreachable, 0, 0).end(5, 0, "b", Unreachable, 0, 0).printRound()
 	lost.at(10240).txn(6, 2, 0).run(10300)
 	// Output:
 	// 10000 submit 1 to a
@@ -204,16 +204,16 @@
 }
 
 // A member back after lost connections may be cold, whatever the list says of it.
-func Example_coldUntold() {
-	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).pull()
-	t.end(1, 0, "a", Committed, 2, 9990).end(2, 0, "b", Broken, 0, 0).pull()
-	t.at(10020).end(2, 1, "a", Committed, 2, 10010).pull()
-	t.at(11500).txn(3, 2, 0).txn(4, 2, 0).pull().at(11520)
+func Example_coldAfterLostConnections() {
+	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
+	t.end(1, 0, "a", Committed, 2, 9990).end(2, 0, "b", Broken, 0, 0).printRound()
+	t.at(10020).end(2, 1, "a", Committed, 2, 10010).printRound()
+	t.at(11500).txn(3, 2, 0).txn(4, 2, 0).printRound().at(11520)
 	t.end(3, 0, "a", Committed, 2, 11510).end(4, 0, "b", Committed, 2, 11510)
 	for id := uint64(5); id < 10; id++ {
 		t.txn(id, 2, 0)
 	}
-	t.pull()
+	t.printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to b
@@ -229,27 +229,27 @@
 
 // Members that are gone are forgotten, with what was known of them, once the list drops them; what was out to them
 // ends as ever. Who comes to the address of one is another: it is proven nothing.
-func Example_goneForgotten() {
+func Example_removedMembers() {
 	t := open().list("a")
 	for i := range 1000 {
 		id := uint64(i + 1)
 		t.at(t.clock+100).txn(id, 2, 0).txn(5000+id, 0, 50).each(func(Decision) {})
 		next := Server{byte(i), byte(i >> 8), 1}
-		old := t.g.txns[id].subs[0].to.id
-		t.g.Listed(next, 0, false, Ready, 0, 1, 0, 0)
-		t.g.Listed(old, 0, false, Draining, 0, 1, 0, 0)
-		t.g.ListEnds(Delta)
-		t.g.Listed(old, 0, false, Gone, 0, 1, 0, 0)
-		t.g.ListEnds(Delta)
-		t.g.Ended(id, 0, old, Committed, Millis(20), RoleReplica, Millis(t.clock), true, nil)
+		old := t.g.txns[id].submissions[0].member.id
+		t.g.UpdateMember(next, 0, false, Ready, 0, 1, 0, 0)
+		t.g.UpdateMember(old, 0, false, Draining, 0, 1, 0, 0)
+		t.g.EndMemberList(Delta)
+		t.g.UpdateMember(old, 0, false, Removed, 0, 1, 0, 0)
+		t.g.EndMemberList(Delta)
+		t.g.SubmissionEnded(id, 0, old, Committed, Millis(20), RoleReplica, Millis(t.clock), true, nil)
 		read := t.g.txns[5000+id]
-		t.g.Withdrawn(read.id)
-		for no, s := range read.subs {
-			t.g.Ended(read.id, no, s.to.id, Cancelled, Millis(20), 0, 0, true, nil)
+		t.g.ClientGone(read.id)
+		for no, s := range read.submissions {
+			t.g.SubmissionEnded(read.id, no, s.member.id, Cancelled, Millis(20), 0, 0, true, nil)
 		}
 	}
 	t.at(t.clock + 10000).each(func(Decision) {})
-	fmt.Println(len(t.g.members), len(t.g.groups[0].members), len(t.g.lacking), len(t.g.txns), len(t.g.unserved))
+	fmt.Println(len(t.g.members), len(t.g.groups[0].members), len(t.g.needingPosition), len(t.g.txns), len(t.g.unserved))
 	t.list("a").list("").list("a")
 	fmt.Println(t.g.members[Server{'a'}].position)
 	// Output:
@@ -260,17 +260,17 @@
 // Connections that break one by one, with answers or a probe between them, do not make a member suspect, nor do
 // they make connections scarce: it may be the connection or the answer. Five in a row do, and a probe that
 // finds nobody; one that is reset finds nothing out.
-func Example_brokenOnce() {
-	t := open(`"probes":false`, `"probes":true`).list("a b").txn(1, 2, 0).txn(2, 2, 0).pull()
-	t.quiet = false
-	t.end(1, 0, "a", Broken, 0, 0).end(2, 0, "b", Reset, 0, 0).pull().at(10001)
-	t.g.Probed(Server{'a'}, Reset, Millis(1), nil)
-	t.g.Probed(Server{'b'}, TimedOut, Millis(1), nil)
-	t.pull().end(1, 1, "a", Committed, 2, 10000).end(2, 1, "b", Committed, 2, 10000).pull()
+func Example_brokenConnections() {
+	t := open(`"probes":false`, `"probes":true`).list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
+	t.hideLog = false
+	t.end(1, 0, "a", Broken, 0, 0).end(2, 0, "b", ResetBeforeSend, 0, 0).printRound().at(10001)
+	t.g.ProbeEnded(Server{'a'}, ResetBeforeSend, Millis(1), nil)
+	t.g.ProbeEnded(Server{'b'}, TimedOut, Millis(1), nil)
+	t.printRound().end(1, 1, "a", Committed, 2, 10000).end(2, 1, "b", Committed, 2, 10000).printRound()
 	for id := uint64(3); id < 12; id++ {
 		t.at(t.clock+10).txn(id, 2, 0).each(func(d Decision) {
 			if d.Kind == Submit && d.Server == (Server{'a'}) && id < 8 {
-				t.g.Ended(id, len(t.g.txns[id].subs)-1, d.Server, Reset, Millis(1), 0, 0, false, nil)
+				t.g.SubmissionEnded(id, len(t.g.txns[id].submissions)-1, d.Server, ResetBeforeSend, Millis(1), 0, 0, false, nil)
 			} else if d.Kind == Log {
 				fmt.Println(d.Text)
 			}
@@ -290,9 +290,9 @@
 
 // Two members claim the role: the newest answer wins, and a miss ends a claim at once.
 func Example_twoPrimaries() {
-	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).pull()
-	t.end(1, 0, "a", Committed, 1, 9990).end(2, 0, "b", Committed, 1, 9990).txn(3, 3, 0).pull()
-	t.at(10010).end(3, 0, "b", Missed, 2, 10000).pull()
+	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
+	t.end(1, 0, "a", Committed, 1, 9990).end(2, 0, "b", Committed, 1, 9990).txn(3, 3, 0).printRound()
+	t.at(10010).end(3, 0, "b", NotEligible, 2, 10000).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to b
@@ -302,9 +302,9 @@
 
 // Kept tokens hold until every replica is known past them, then any replica will do again.
 func Example_keptToken() {
-	t := open("brought", "kept").list("a* b c").txn(1, 3, 0).pull().at(10010).end(1, 0, "a", Committed, 1, 10005)
-	t.txn(2, 0, 0).pull().at(10050).end(2, 0, "b", Committed, 2, 10020).pull()
-	t.txn(3, 0, 0).txn(4, 2, 0).pull().at(10060).end(4, 0, "c", Committed, 2, 10030).txn(5, 0, 0).pull()
+	t := open("brought", "kept").list("a* b c").txn(1, 3, 0).printRound().at(10010).end(1, 0, "a", Committed, 1, 10005)
+	t.txn(2, 0, 0).printRound().at(10050).end(2, 0, "b", Committed, 2, 10020).printRound()
+	t.txn(3, 0, 0).txn(4, 2, 0).printRound().at(10060).end(4, 0, "c", Committed, 2, 10030).txn(5, 0, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 submit 2 to b
@@ -314,13 +314,13 @@
 }
 
 // A client's repeat with too little of its limit left for the SLA time waits for the others.
-func Example_lateRepeat() {
+func Example_lateRetry() {
 	t := open().list("a")
 	for id := uint64(1); id <= 6; id++ {
 		t.txn(id, 2, 0)
 	}
-	t.g.Arrived(7, 2, 0, 7, Millis(300), 0, 0, 0)
-	t.txn(8, 2, 0).pull()
+	t.g.AddTxn(7, 2, 0, 7, Millis(300), 0, 0, 0)
+	t.txn(8, 2, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to a
@@ -332,12 +332,12 @@
 }
 
 // A replica that reads pass over is asked by a probe where reports show positions.
-func Example_unheard() {
+func Example_positionProbe() {
 	reports := `"how":"probe","fields":["x0","x1"]`
 	probes := open("await", "none", `"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`)
-	probes.list("a* b").txn(4, 1, 0).pull().at(10100).txn(5, 1, 0).pull()
-	probes.at(10210).g.Probed(Server{'b'}, Committed, Millis(3), []float64{10.2, 0})
-	probes.txn(6, 1, 0).pull()
+	probes.list("a* b").txn(4, 1, 0).printRound().at(10100).txn(5, 1, 0).printRound()
+	probes.at(10210).g.ProbeEnded(Server{'b'}, Committed, Millis(3), []float64{10.2, 0})
+	probes.txn(6, 1, 0).printRound()
 	// Output:
 	// 10000 probe b
 	//  10210 decline 4
@@ -347,11 +347,11 @@
 
 // Reads make way on a primary whose writes wait or whose latency rises.
 func Example_writesFirst() {
-	t := open("await", "none").list("a*").txn(1, 3, 0).pull().at(10250).end(1, 0, "a", Committed, 1, 10240)
+	t := open("await", "none").list("a*").txn(1, 3, 0).printRound().at(10250).end(1, 0, "a", Committed, 1, 10240)
 	for id := uint64(2); id <= 7; id++ {
 		t.txn(id, 1, 0)
 	}
-	t.pull().txn(8, 3, 0).txn(9, 3, 0).pull()
+	t.printRound().txn(8, 3, 0).txn(9, 3, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10250 submit 2 to a
@@ -366,14 +366,14 @@
 
 // The list must be asked for: calls that fail are made again, later each time, and well within the
 // rule's time.
-func Example_ask() {
+func Example_subscribeBackoff() {
 	t := open(`"push"`, `"ask"`)
-	t.quiet = false
-	t.g.Listed(Server{'a'}, 0, false, Ready, 0, 1, 0, 0)
-	t.g.ListEnds(CachedList)
-	t.run(10300).g.ListFailed()
-	t.run(11000).g.ListFailed()
-	t.run(12000).g.ListEnds(Delta)
+	t.hideLog = false
+	t.g.UpdateMember(Server{'a'}, 0, false, Ready, 0, 1, 0, 0)
+	t.g.EndMemberList(CachedList)
+	t.run(10300).g.MemberListFailed()
+	t.run(11000).g.MemberListFailed()
+	t.run(12000).g.EndMemberList(Delta)
 	t.run(12050)
 	// Output:
 	// 10090 follow the list
@@ -384,8 +384,8 @@
 
 // Every txn gets one final answer before its time is up, and what comes later changes nothing.
 func Example_finalAnswer() {
-	t := open().list("a").txn(1, 2, 0).txn(2, 3, 0).txn(3, 0, 5).pull()
-	t.run(11000).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "a", Committed, 1, 10900).pull()
+	t := open().list("a").txn(1, 2, 0).txn(2, 3, 0).txn(3, 0, 5).printRound()
+	t.run(11000).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "a", Committed, 1, 10900).printRound()
 	t.txn(4, 9, 0)
 	// Output:
 	// 10000 submit 2 to a
@@ -400,10 +400,10 @@
 }
 
 // The list goes on naming a former primary: its own miss outweighs the list, and a note finds the new one.
-func Example_listNamesFormer() {
-	t := open().list("a* b c").txn(1, 3, 0).pull().at(10010).end(1, 0, "a", Missed, 2, 10000).pull()
-	t.at(10020).end(1, 1, "b", Missed, 2, 10010).pull().at(10030).end(1, 2, "c", Committed, 1, 10025)
-	t.at(10040).list("a* b c").txn(2, 3, 0).pull()
+func Example_formerPrimaryInList() {
+	t := open().list("a* b c").txn(1, 3, 0).printRound().at(10010).end(1, 0, "a", NotEligible, 2, 10000).printRound()
+	t.at(10020).end(1, 1, "b", NotEligible, 2, 10010).printRound().at(10030).end(1, 2, "c", Committed, 1, 10025)
+	t.at(10040).list("a* b c").txn(2, 3, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 submit 1 to b
@@ -415,9 +415,9 @@
 func Example_answersProbesOnly() {
 	reports := `"how":"probe","fields":["x0","x1"]`
 	t := open(`"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`).list("a b")
-	t.txn(1, 2, 0).txn(2, 2, 0).pull().end(1, 0, "a", Unreachable, 0, 0).pull()
-	t.g.Probed(Server{'a'}, Committed, Millis(2), []float64{9.9, 0})
-	t.at(10050).end(2, 0, "b", Committed, 2, 10040).txn(3, 2, 0).txn(4, 2, 0).pull()
+	t.txn(1, 2, 0).txn(2, 2, 0).printRound().end(1, 0, "a", Unreachable, 0, 0).printRound()
+	t.g.ProbeEnded(Server{'a'}, Committed, Millis(2), []float64{9.9, 0})
+	t.at(10050).end(2, 0, "b", Committed, 2, 10040).txn(3, 2, 0).txn(4, 2, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to b
@@ -431,10 +431,10 @@
 	reports := `"how":"probe","fields":["x0","x1"]`
 	t := open("await", "none", `"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`)
 	t.list("a b")
-	t.txn(1, 3, 0).pull().end(1, 0, "a", Committed, 1, 10000).txn(2, 2, 0).pull()
+	t.txn(1, 3, 0).printRound().end(1, 0, "a", Committed, 1, 10000).txn(2, 2, 0).printRound()
 	t.at(10010).end(2, 0, "b", Committed, 2, 10005)
-	t.g.Probed(Server{'b'}, Committed, Millis(2), []float64{3, 1})
-	t.txn(3, 0, 50).txn(4, 3, 0).pull()
+	t.g.ProbeEnded(Server{'b'}, Committed, Millis(2), []float64{3, 1})
+	t.txn(3, 0, 50).txn(4, 3, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 probe b
@@ -447,10 +447,10 @@
 func Example_restart() {
 	t := open(`"push"`, `"ask"`, `"probes":false`, `"probes":true`)
 	for _, m := range "abcd" {
-		t.g.Listed(Server{byte(m)}, 0, false, Ready, 0, 1, 0, 0)
+		t.g.UpdateMember(Server{byte(m)}, 0, false, Ready, 0, 1, 0, 0)
 	}
-	t.g.ListEnds(CachedList)
-	t.txn(1, 3, 0).txn(2, 3, 0).txn(3, 3, 0).txn(4, 2, 0).pull().run(10120)
+	t.g.EndMemberList(CachedList)
+	t.txn(1, 3, 0).txn(2, 3, 0).txn(3, 3, 0).txn(4, 2, 0).printRound().run(10120)
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 4 to b
@@ -461,11 +461,11 @@
 
 // A primary that serves reads but holds writes keeps its reads; its writes end in time, as nothing else takes them.
 func Example_readsButNoWrites() {
-	t := open().list("a*").txn(1, 3, 0).pull()
+	t := open().list("a*").txn(1, 3, 0).printRound()
 	for id := uint64(2); id < 8; id++ {
-		t.at(t.clock+150).txn(id, 2, 0).pull().end(id, 0, "a", Committed, 1, t.clock)
+		t.at(t.clock+150).txn(id, 2, 0).printRound().end(id, 0, "a", Committed, 1, t.clock)
 	}
-	t.txn(20, 3, 0).pull().txn(21, 3, 0).run(10990)
+	t.txn(20, 3, 0).printRound().txn(21, 3, 0).run(10990)
 	// Output:
 	// 10000 submit 1 to a
 	//  10450 decline 2
@@ -481,8 +481,8 @@
 
 // Positions that stand still, as in an election: reads that need more wait or are declined, others go on.
 func Example_positionsStandStill() {
-	t := open("await", "none").list("a* b").txn(1, 2, 0).pull().at(10010).end(1, 0, "b", Committed, 2, 10000)
-	t.txn(2, 3, 0).pull().at(10020).end(2, 0, "a", Unreachable, 0, 0).pull()
+	t := open("await", "none").list("a* b").txn(1, 2, 0).printRound().at(10010).end(1, 0, "b", Committed, 2, 10000)
+	t.txn(2, 3, 0).printRound().at(10020).end(2, 0, "a", Unreachable, 0, 0).printRound()
 	t.at(10400).txn(3, 0, 100).txn(4, 1, 0).txn(5, 2, 0).run(10700)
 	// Output:
 	// 10000 submit 1 to b
@@ -496,11 +496,11 @@
 // Members that answer others refuse connections at once: none is suspect, the refused rest for a moment, and idle
 // connections are closed so that other gateways find room.
 func Example_connectionsScarce() {
-	t := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`).list("a b c").txn(1, 2, 0).txn(2, 2, 0).pull()
-	t.quiet = false
+	t := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`).list("a b c").txn(1, 2, 0).txn(2, 2, 0).printRound()
+	t.hideLog = false
 	t.at(10010).end(1, 0, "c", Unreachable, 0, 0).end(2, 0, "b", Unreachable, 0, 0).run(10020)
 	t.end(1, 1, "a", Unreachable, 0, 0).end(2, 1, "a", Unreachable, 0, 0).run(10170)
-	t.end(1, 2, "b", Committed, 2, 10140).end(1, 2, "c", Committed, 2, 10140).pull()
+	t.end(1, 2, "b", Committed, 2, 10140).end(1, 2, "c", Committed, 2, 10140).printRound()
 	// Output:
 	// 10000 submit 1 to c
 	//  10000 submit 2 to b
@@ -516,14 +516,14 @@
 // not all that waited. One that answers the probe is crowded.
 func Example_refusedAndDown() {
 	t := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`, `"probes":false`, `"probes":true`)
-	t.list("a* b").txn(1, 3, 0).pull()
-	t.quiet = false
-	t.at(10010).end(1, 0, "a", Unreachable, 0, 0).pull().g.Probed(Server{'a'}, Unreachable, Millis(2), nil)
+	t.list("a* b").txn(1, 3, 0).printRound()
+	t.hideLog = false
+	t.at(10010).end(1, 0, "a", Unreachable, 0, 0).printRound().g.ProbeEnded(Server{'a'}, Unreachable, Millis(2), nil)
 	t.txn(2, 3, 0).txn(3, 3, 0).run(10200)
 	crowd := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`, `"probes":false`, `"probes":true`)
-	crowd.list("a* b").txn(1, 3, 0).pull()
-	crowd.at(10010).end(1, 0, "a", Unreachable, 0, 0).pull().g.Probed(Server{'a'}, Committed, Millis(2), nil)
-	crowd.txn(2, 3, 0).txn(3, 3, 0).run(10200).end(1, 1, "a", Committed, 1, 10190).pull()
+	crowd.list("a* b").txn(1, 3, 0).printRound()
+	crowd.at(10010).end(1, 0, "a", Unreachable, 0, 0).printRound().g.ProbeEnded(Server{'a'}, Committed, Millis(2), nil)
+	crowd.txn(2, 3, 0).txn(3, 3, 0).run(10200).end(1, 1, "a", Committed, 1, 10190).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 probe a
@@ -539,8 +539,8 @@
 // A txn that waits gets a round soon, though a later one is due already: it was lost when its time was short.
 func Example_soonerWake() {
 	t := open().list("a").txn(1, 2, 0)
-	t.wakes = true
-	t.pull().at(10002).txn(2, 0, 5).list("a-").pull()
+	t.showWakes = true
+	t.printRound().at(10002).txn(2, 0, 5).list("a-").printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 wake in 20 ms
@@ -548,21 +548,21 @@
 }
 
 // A slow way to another zone is no fault of the members there: reads stay near, the limit there is not cut.
-func Example_slowWay() {
+func Example_slowZone() {
 	t := open(`"whenBehind":"await"`, `"whenBehind":"none"`)
 	for i, m := range "abc" {
-		t.g.Listed(Server{byte(m)}, 0, false, Ready, i/2, 1, 0, 0)
+		t.g.UpdateMember(Server{byte(m)}, 0, false, Ready, i/2, 1, 0, 0)
 	}
-	t.g.ListEnds(FullList)
+	t.g.EndMemberList(FullList)
 	for id := uint64(1); id <= 3; id++ {
 		t.txn(id, 2, 0)
 	}
-	t.pull().end(1, 0, "a", Committed, 2, 9990).end(2, 0, "b", Committed, 2, 9990)
-	t.at(10260).g.Ended(3, 0, Server{'c'}, Committed, Millis(260), RoleReplica, Millis(9990), true, nil)
+	t.printRound().end(1, 0, "a", Committed, 2, 9990).end(2, 0, "b", Committed, 2, 9990)
+	t.at(10260).g.SubmissionEnded(3, 0, Server{'c'}, Committed, Millis(260), RoleReplica, Millis(9990), true, nil)
 	for id := uint64(4); id <= 7; id++ {
 		t.txn(id, 2, 0)
 	}
-	t.pull()
+	t.printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to b
@@ -577,9 +577,9 @@
 func Example_limitBelowOne() {
 	t := open().list("a")
 	for id := uint64(1); id <= 12; id += 2 {
-		t.at(t.clock+900).txn(id, 2, 0).txn(id+1, 0, 0).pull().at(t.clock + 280)
-		t.g.Ended(id, 0, Server{'a'}, Committed, Millis(280), RoleReplica, 0, true, nil)
-		t.g.Ended(id+1, 0, Server{'a'}, Committed, Millis(280), RoleReplica, 0, true, nil)
+		t.at(t.clock+900).txn(id, 2, 0).txn(id+1, 0, 0).printRound().at(t.clock + 280)
+		t.g.SubmissionEnded(id, 0, Server{'a'}, Committed, Millis(280), RoleReplica, 0, true, nil)
+		t.g.SubmissionEnded(id+1, 0, Server{'a'}, Committed, Millis(280), RoleReplica, 0, true, nil)
 	}
 	// Output:
 	// 10900 submit 2 to a
@@ -597,13 +597,13 @@
 
 // Worthless txns that end in a quick error anywhere tell nothing of a member that answers nothing else.
 func Example_errorsClearNothing() {
-	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).pull().at(10020).end(2, 0, "b", Committed, 2, 10000)
-	t.end(1, 0, "a", Broken, 0, 0).pull().end(1, 1, "b", Committed, 2, 10010).at(10300)
-	t.txn(3, 2, 0).txn(9, 2, 0).pull().end(3, 0, "a", Failed, 2, 10290).end(9, 0, "a", Failed, 2, 10290)
+	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound().at(10020).end(2, 0, "b", Committed, 2, 10000)
+	t.end(1, 0, "a", Broken, 0, 0).printRound().end(1, 1, "b", Committed, 2, 10010).at(10300)
+	t.txn(3, 2, 0).txn(9, 2, 0).printRound().end(3, 0, "a", Failed, 2, 10290).end(9, 0, "a", Failed, 2, 10290)
 	for id := uint64(4); id < 7; id++ {
 		t.txn(id, 2, 0)
 	}
-	t.pull()
+	t.printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to b
@@ -618,17 +618,17 @@
 
 // A txn that comes with no time left gets its answer in the same round, though open txns were looked at just now.
 func Example_noTimeLeft() {
-	t := open("await", "none").list("a b").txn(1, 1, 0).pull().at(10002)
-	t.g.Arrived(2, 0, 0, 7, 0, 0, 0, Millis(50))
-	t.pull()
+	t := open("await", "none").list("a b").txn(1, 1, 0).printRound().at(10002)
+	t.g.AddTxn(2, 0, 0, 7, 0, 0, 0, Millis(50))
+	t.printRound()
 	// Output:
 	// 10002 decline 2
 }
 
 // A second error, at another member where there is one, ends a txn: it is worthless, and none does better by it.
 func Example_twoErrors() {
-	t := open().list("a b").txn(1, 2, 0).pull().at(10010).end(1, 0, "a", Failed, 2, 10000).pull()
-	t.at(10020).end(1, 1, "b", Failed, 2, 10010).pull()
+	t := open().list("a b").txn(1, 2, 0).printRound().at(10010).end(1, 0, "a", Failed, 2, 10000).printRound()
+	t.at(10020).end(1, 1, "b", Failed, 2, 10010).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 submit 1 to b
@@ -637,7 +637,7 @@
 
 // A member that answers most txns with quick errors, as others do not, is idle and yet comes last; where all do
 // so none does.
-func Example_errorsOfItsOwn() {
+func Example_failingMember() {
 	for _, bad := range []string{"a", "ab"} {
 		t := open().list("a b")
 		n := map[string]int{}
@@ -649,7 +649,7 @@
 						r = Failed
 					}
 					n[m]++
-					t.g.Ended(d.Txn, len(t.g.txns[d.Txn].subs)-1, d.Server, r, Millis(5), 2, 0, r == Committed, nil)
+					t.g.SubmissionEnded(d.Txn, len(t.g.txns[d.Txn].submissions)-1, d.Server, r, Millis(5), 2, 0, r == Committed, nil)
 				}
 			})
 		}
@@ -663,9 +663,9 @@
 // No primary is known and nothing names one: members are probed for their role, and the write goes where it is.
 func Example_probedRole() {
 	reports := `"how":"answers","fields":["x0","x1"]`
-	t := open(`"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`).list("a b c").txn(1, 3, 0).pull()
-	t.at(10005).g.Probed(Server{'b'}, Committed, Millis(2), []float64{10, 1})
-	t.end(1, 0, "a", Missed, 2, 10000).pull()
+	t := open(`"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`).list("a b c").txn(1, 3, 0).printRound()
+	t.at(10005).g.ProbeEnded(Server{'b'}, Committed, Millis(2), []float64{10, 1})
+	t.end(1, 0, "a", NotEligible, 2, 10000).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 probe b
@@ -677,26 +677,26 @@
 // take its members for silent.
 func ExampleGateway_quickAnswers() {
 	t := open().list("a")
-	t.quiet = false
+	t.hideLog = false
 	for i := range uint64(200) {
 		at := 10000 + float64(i)
 		t.at(at).txn(i, 2, 0).g.Next()
-		t.at(at+0.1).g.Ended(i, 0, Server{'a'}, Committed, Millis(0.1), RoleReplica, 0, true, nil)
+		t.at(at+0.1).g.SubmissionEnded(i, 0, Server{'a'}, Committed, Millis(0.1), RoleReplica, 0, true, nil)
 	}
-	t.at(10300).txn(1000, 2, 0).pull()
-	t.at(10310).pull()
+	t.at(10300).txn(1000, 2, 0).printRound()
+	t.at(10310).printRound()
 	// Output:
 	// 10300 submit 1000 to a
 }
 
 // A session's read that came to nothing makes its next one look like a repeat whose SLA time is over. It must not
 // be held unsent until its client leaves: a member that is idle takes it.
-func Example_lateRepeatMeetsIdle() {
+func Example_lateRetryOnIdleMember() {
 	t := open().list("a")
-	t.txn(1, 0, 0).pull().at(10100).g.Withdrawn(1)
-	t.pull().at(10150).end(1, 0, "a", Cancelled, RoleUnknown, 0)
-	t.at(10600).txn(2, 0, 0).pull().at(10610).txn(3, 0, 0).pull()
-	t.at(10620).end(2, 0, "a", Committed, RoleReplica, 10620).pull()
+	t.txn(1, 0, 0).printRound().at(10100).g.ClientGone(1)
+	t.printRound().at(10150).end(1, 0, "a", Cancelled, RoleUnknown, 0)
+	t.at(10600).txn(2, 0, 0).printRound().at(10610).txn(3, 0, 0).printRound()
+	t.at(10620).end(2, 0, "a", Committed, RoleReplica, 10620).printRound()
 	// Output:
 	//  10000 submit 1 to a
 	//  10100 cancel 1/0
@@ -706,7 +706,7 @@
 
 // A txn that no member takes is answered by half of its time, when its client can still ask elsewhere, unless
 // a late answer earns more than holding it costs.
-func Example_heldUnsent() {
+func Example_unsentTxn() {
 	t := open(`"worth":1,"name":"any"`, `"worth":1,"lateValue":0.2,"name":"any"`).list("a-")
 	t.txn(1, 2, 0).txn(2, 3, 0).run(11000)
 	// Output:
@@ -716,7 +716,7 @@
 
 // each hands a round's decisions to a function.
 func (t *trace) each(f func(Decision)) {
-	t.g.Clock(Millis(t.clock))
+	t.g.BeginRound(Millis(t.clock))
 	for d, ok := t.g.Next(); ok; d, ok = t.g.Next() {
 		f(d)
 	}
@@ -724,13 +724,13 @@
 
 // What never reached a suspect costs it nothing: once it answers again it is sent a cold member's share at once,
 // not after as long as it was tried in vain.
-func Example_triedInVain() {
+func Example_failedTrials() {
 	t := open().list("a b")
 	for id := uint64(1); id <= 300; id++ {
 		t.at(t.clock+10).txn(id, 2, 0).each(func(d Decision) {
 			if d.Kind == Submit {
-				t.g.Ended(d.Txn, len(t.g.txns[d.Txn].subs)-1, d.Server, Moot, Millis(40), 0, 0, false, nil)
-				t.g.lost(t.g.members[d.Server], "silent", false)
+				t.g.SubmissionEnded(d.Txn, len(t.g.txns[d.Txn].submissions)-1, d.Server, NotSent, Millis(40), 0, 0, false, nil)
+				t.g.markSuspect(t.g.members[d.Server], "silent", false)
 			}
 		})
 	}
@@ -739,7 +739,7 @@
 		t.at(t.clock+10).txn(id, 2, 0).each(func(d Decision) {
 			if d.Kind == Submit {
 				n++
-				t.g.Ended(d.Txn, len(t.g.txns[d.Txn].subs)-1, d.Server, Committed, Millis(20), 2, 0, true, nil)
+				t.g.SubmissionEnded(d.Txn, len(t.g.txns[d.Txn].submissions)-1, d.Server, Committed, Millis(20), 2, 0, true, nil)
 			}
 		})
 	}
@@ -750,7 +750,7 @@
 
 // Clients who leave at once whatever is done do not shorten the time for those who stay, which is seen by
 // answers that come after as long; clients who all leave after a while do.
-func Example_leavers() {
+func Example_earlyDepartures() {
 	for _, stay := range []float64{30, 90} {
 		t := open().list("a b c")
 		for id := uint64(1); id <= 200; id += 2 {
@@ -759,15 +759,15 @@
 				x := t.g.txns[id+uint64(i)]
 				t.at(t.clock + after)
 				if i == 0 {
-					t.g.Withdrawn(x.id)
+					t.g.ClientGone(x.id)
 				}
-				if len(x.subs) > 0 { // the second has waited for longer than the first, where that left soon
+				if len(x.submissions) > 0 { // the second has waited for longer than the first, where that left soon
 					r := []Result{Cancelled, Committed}[i]
-					t.g.Ended(x.id, 0, x.subs[0].to.id, r, Millis(60), 2, 0, true, nil)
+					t.g.SubmissionEnded(x.id, 0, x.submissions[0].member.id, r, Millis(60), 2, 0, true, nil)
 				}
 			}
 		}
-		fmt.Println(t.g.patience(2) / Millisecond)
+		fmt.Println(t.g.targetLatency(2) / Millisecond)
 	}
 	// Output:
 	// 300
@@ -776,15 +776,15 @@
 
 // A part of an answer is a sign of life: who sends long answers, a, is not silent while they come.
 func Example_longAnswers() {
-	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).pull()
-	t.quiet = false
+	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
+	t.hideLog = false
 	t.end(1, 0, "a", Committed, 2, 9990).end(2, 0, "b", Committed, 2, 9990)
 	for id := uint64(3); id < 11; id++ {
 		t.txn(id, 2, 0)
 	}
 	t.each(func(Decision) {})
 	for t.clock < 10400 {
-		t.g.Heard(Server{'a'})
+		t.g.ResponseProgress(Server{'a'})
 		t.run(t.clock + 10)
 	}
 	// Output:
@@ -805,9 +805,9 @@
 // many times of its own: taken for one, it was called off and begun anew elsewhere, again and again.
 func Example_longReadIsNotSilent() {
 	t := open(long...).list("a b")
-	t.txn(1, 0, 0).pull().at(10020).end(1, 0, "a", Committed, 2, 10000).pull()
-	_ = t.g.Arrived(2, 2, 0, 7, Millis(15000), 0, 0, 0)
-	t.pull().run(13000)
+	t.txn(1, 0, 0).printRound().at(10020).end(1, 0, "a", Committed, 2, 10000).printRound()
+	_ = t.g.AddTxn(2, 2, 0, 7, Millis(15000), 0, 0, 0)
+	t.printRound().run(13000)
 	// Output:
 	// 10000 submit 1 to a
 	//  10020 submit 2 to a
@@ -815,16 +815,16 @@
 
 // A replica that holds a long read may apply nothing. Spread by load such reads left no replica current; they go to
 // a quarter of a group, one of four here, however idle the others are.
-func Example_holders() {
+func Example_longReadReplicas() {
 	t := open(long...).list("p* a b c")
 	for id := range uint64(3) {
-		_ = t.g.Arrived(id, 2, 0, 7, Millis(15000), 0, 0, 0)
+		_ = t.g.AddTxn(id, 2, 0, 7, Millis(15000), 0, 0, 0)
 	}
-	t.pull()
+	t.printRound()
 	t.at(14000).end(0, 0, "a", Committed, 2, 10000) // it is behind, and so goes on to be the one
-	t.g.HeardOf(News{Server{'b'}, Millis(13990), false})
-	_ = t.g.Arrived(3, 2, 0, 7, Millis(15000), 0, 0, 0)
-	t.txn(4, 0, 100).pull() // what must be current keeps off it
+	t.g.ReceiveUpdate(MemberUpdate{Server{'b'}, Millis(13990), false})
+	_ = t.g.AddTxn(3, 2, 0, 7, Millis(15000), 0, 0, 0)
+	t.txn(4, 0, 100).printRound() // what must be current keeps off it
 	// Output:
 	// 10000 submit 0 to a
 	//  10000 submit 1 to a
@@ -835,10 +835,10 @@
 
 // A miss at once is no wait: the read is tried on another replica, not sent to the primary with all others. And it
 // tells a lag, which the next reads heed, where answers hold no position.
-func Example_missAtOnce() {
+func Example_immediateRefusal() {
 	t := open(`"await"`, `"bounce"`, `"waitMs":20`, `"waitMs":0`, `"answersStamped":true`, `"answersStamped":false`)
-	t.list("p* a b").txn(1, 1, 0).pull().at(10001).end(1, 0, "a", Missed, 2, 0).pull()
-	t.txn(2, 1, 0).pull()
+	t.list("p* a b").txn(1, 1, 0).printRound().at(10001).end(1, 0, "a", NotEligible, 2, 0).printRound()
+	t.txn(2, 1, 0).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10001 submit 1 to b
@@ -846,13 +846,13 @@
 }
 
 // A position that another gateway saw is a proof, told once to all; without it a fresh gateway had nothing to go by.
-func Example_newsOfPositions() {
+func Example_positionUpdates() {
 	t := open("await", "none", `"mayDuplicate"`, `"peers":true,"mayDuplicate"`).list("a* b c")
-	t.txn(1, 0, 50).pull()
-	t.g.HeardOf(News{Server{'c'}, Millis(9990), false})
-	t.pull()
-	t.txn(2, 2, 0).pull().end(2, 0, "b", Committed, 2, 9995).pull()
-	t.txn(3, 2, 0).pull().end(3, 0, "b", Committed, 2, 9998).pull() // nearly as much was told
+	t.txn(1, 0, 50).printRound()
+	t.g.ReceiveUpdate(MemberUpdate{Server{'c'}, Millis(9990), false})
+	t.printRound()
+	t.txn(2, 2, 0).printRound().end(2, 0, "b", Committed, 2, 9995).printRound()
+	t.txn(3, 2, 0).printRound().end(3, 0, "b", Committed, 2, 9998).printRound() // nearly as much was told
 	// Output:
 	// 10000 submit 1 to c
 	//  10000 submit 2 to b
@@ -861,11 +861,11 @@
 }
 
 // News that come late do not make a former primary one again.
-func Example_lateNewsOfPrimary() {
+func Example_latePrimaryUpdate() {
 	t := open().list("a b").at(10100)
-	t.txn(1, 3, 0).pull().end(1, 0, "a", Missed, 2, 10090)
-	t.g.HeardOf(News{Server{'a'}, Millis(10050), true})
-	t.txn(2, 3, 0).pull()
+	t.txn(1, 3, 0).printRound().end(1, 0, "a", NotEligible, 2, 10090)
+	t.g.ReceiveUpdate(MemberUpdate{Server{'a'}, Millis(10050), true})
+	t.txn(2, 3, 0).printRound()
 	// Output:
 	// 10100 submit 1 to a
 	//  10100 submit 1 to b
@@ -878,8 +878,8 @@
 		for t.clock < 11000 {
 			t.at(t.clock + 10)
 			for d, ok := t.g.Next(); ok; d, ok = t.g.Next() {
-				if d.Kind == Decline {
-					fmt.Println(t.clock, d.After/Millisecond)
+				if d.Kind == Reject {
+					fmt.Println(t.clock, d.Delay/Millisecond)
 				}
 			}
 		}
@@ -896,10 +896,10 @@
 	t.txn(1, 2, 0)
 	a, b := t.g.members[Server{'a'}], t.g.members[Server{'b'}]
 	t.at(10100)
-	t.g.lost(a, "silent", false)
-	t.g.lost(b, "silent", false)
-	a.credit, b.credit = -float64(100*ms), -float64(100*ms)
-	fmt.Println(t.g.room(a, t.g.txns[1]), t.g.room(b, t.g.txns[1]))
+	t.g.markSuspect(a, "silent", false)
+	t.g.markSuspect(b, "silent", false)
+	a.coldCredit, b.coldCredit = -float64(100*ms), -float64(100*ms)
+	fmt.Println(t.g.hasCapacity(a, t.g.txns[1]), t.g.hasCapacity(b, t.g.txns[1]))
 	// Output:
 	// true false
 }
@@ -916,12 +916,12 @@
 			t.at(10015+20*float64(i)).end(1+i, 0, "a", Committed, 1, 10000)
 		}
 		if d, ok := t.g.Next(); ok && d.Kind == Cancel {
-			fmt.Println("txn", d.Txn, "called off at", t.clock, "in flight", a.out, "suspect", a.suspect)
-			t.end(21, 0, "a", Cancelled, 0, 0).pull().end(21, 1, "a", Committed, 1, 10000)
+			fmt.Println("txn", d.Txn, "called off at", t.clock, "in flight", a.inFlight, "suspect", a.suspect)
+			t.end(21, 0, "a", Cancelled, 0, 0).printRound().end(21, 1, "a", Committed, 1, 10000)
 			break
 		}
 	}
-	t.at(11000).txn(50, 3, 0).pull().at(11050).txn(51, 3, 0).pull() // once-only: not to be sent again
+	t.at(11000).txn(50, 3, 0).printRound().at(11050).txn(51, 3, 0).printRound() // once-only: not to be sent again
 	t.at(11100).end(51, 0, "a", Committed, 1, 10000)
 	before := a.limit
 	t.at(11900).end(50, 0, "a", TimedOut, 0, 0)
@@ -937,7 +937,7 @@
 // The other side: a crowded member answers in the order in which it was sent to. Its answers to what came earlier
 // do not save it, as they would if any answer since did.
 func Example_crowdedMemberIsCut() {
-	t := open().list("a*").txn(1, 4, 0).pull().at(10100).txn(2, 4, 0).pull()
+	t := open().list("a*").txn(1, 4, 0).printRound().at(10100).txn(2, 4, 0).printRound()
 	a := t.g.members[Server{'a'}]
 	t.at(10450).end(1, 0, "a", Committed, 1, 10000)
 	before := a.limit
@@ -952,11 +952,11 @@
 // A handshake that is lost at a member that answers others meanwhile is no sign that the member is away: to take it
 // for lost called off all that it had in flight, which cost it as many handshakes more.
 func Example_handshakeLost() {
-	t := open().list("a*").txn(1, 4, 0).txn(2, 4, 0).pull()
+	t := open().list("a*").txn(1, 4, 0).txn(2, 4, 0).printRound()
 	a := t.g.members[Server{'a'}]
 	t.at(10200).end(2, 0, "a", Committed, 1, 10000).at(10250).end(1, 0, "a", Unreachable, 0, 0)
 	fmt.Println(a.suspect)
-	t.pull().at(10600).end(1, 1, "a", Unreachable, 0, 0)
+	t.printRound().at(10600).end(1, 1, "a", Unreachable, 0, 0)
 	fmt.Println(a.suspect)
 	// Output:
 	// 10000 submit 1 to a
@@ -969,9 +969,9 @@
 // What is given up unanswered past its SLA time has taken that long at least. Only answers counted: a replica that
 // served nobody in time kept the first limit of every gateway, and all went on sending to it.
 func Example_unansweredCutsLimits() {
-	t := open().list("a").txn(1, 2, 0).pull()
+	t := open().list("a").txn(1, 2, 0).printRound()
 	fmt.Println(t.g.members[Server{'a'}].limit)
-	t.at(10250).end(1, 0, "a", TimedOut, 0, 0).txn(2, 2, 0).pull() // within its SLA time
+	t.at(10250).end(1, 0, "a", TimedOut, 0, 0).txn(2, 2, 0).printRound() // within its SLA time
 	fmt.Println(t.g.members[Server{'a'}].limit)
 	t.at(10700).end(2, 0, "a", TimedOut, 0, 0)
 	fmt.Println(t.g.members[Server{'a'}].limit < 2)
@@ -988,10 +988,10 @@
 // at four cores, which got the less done for it.
 func Example_crowdedPrimary() {
 	t := open().list("a*")
-	t.txn(1, 3, 0).pull().end(1, 0, "a", Committed, 1, 10000).pull()
+	t.txn(1, 3, 0).printRound().end(1, 0, "a", Committed, 1, 10000).printRound()
 	m := t.g.members[Server{'a'}]
 	for range 20 {
-		t.g.cut(m)
+		t.g.reduceLimit(m)
 	}
 	fmt.Println(m.limit)
 	// Output:
@@ -1001,23 +1001,23 @@
 
 // A txn that is kept to a zone is read there, however crowded it is against others, until no member there is well: then
 // anywhere. Its own SLA time is the shorter one.
-func Example_bound() {
+func Example_zoneRestriction() {
 	t := open().list("a b c")
 	for _, m := range t.g.members {
 		m.zone = int(m.id[0] - 'a')
 	}
 	for id := range uint64(3) {
 		t.txn(1+id, 2, 0)
-		t.g.Bind(1+id, 1<<1, Millis(300))
+		t.g.RestrictReads(1+id, 1<<1, Millis(300))
 	}
-	t.pull().end(1, 0, "b", Committed, 2, 9000)
-	t.g.Listed(Server{'b'}, 0, false, Draining, 1, 1, 0, 0)
-	t.g.ListEnds(Delta)
+	t.printRound().end(1, 0, "b", Committed, 2, 9000)
+	t.g.UpdateMember(Server{'b'}, 0, false, Draining, 1, 1, 0, 0)
+	t.g.EndMemberList(Delta)
 	t.txn(4, 2, 0)
-	t.g.Bind(4, 1<<1, Millis(300))
-	t.pull().txn(5, 2, 0)
-	t.g.Bind(5, 0, Millis(40))
-	fmt.Println((t.g.txns[4].aim-t.g.now)/ms, (t.g.txns[5].aim-t.g.now)/ms)
+	t.g.RestrictReads(4, 1<<1, Millis(300))
+	t.printRound().txn(5, 2, 0)
+	t.g.RestrictReads(5, 0, Millis(40))
+	fmt.Println((t.g.txns[4].slaDeadline-t.g.now)/ms, (t.g.txns[5].slaDeadline-t.g.now)/ms)
 	// Output:
 	// 10000 submit 1 to b
 	//  10000 submit 2 to b
--- a/decide/interface.go
+++ b/decide/interface.go
@@ -39,21 +39,21 @@
 type Result int
 
 const (
-	Committed Result = iota
-	Failed           // answered with an error: may have had an effect
-	Full             // turned away unseen
+	Committed  Result = iota
+	Failed            // answered with an error: may have had an effect
+	AtCapacity        // turned away unseen
 	TimedOut
-	Unreachable // no connection: never ran
-	Broken      // the connection failed, or the answer was spoilt: may have run
-	Cancelled   // may have run
-	Moot        // never sent
-	Missed      // turned away untouched: not the primary, or too far behind
-	Reset       // the connection was made and failed before the txn was out: never ran
+	Unreachable     // no connection: never ran
+	Broken          // the connection failed, or the answer was spoilt: may have run
+	Cancelled       // may have run
+	NotSent         // never sent
+	NotEligible     // turned away untouched: not the primary, or too far behind
+	ResetBeforeSend // the connection was made and failed before the txn was out: never ran
 )
 
 // resultNames are the labels of results in logs and metrics.
-var resultNames = [...]string{Committed: "committed", Failed: "failed", Full: "full", TimedOut: "timed out", Unreachable: "unreachable",
-	Broken: "broken", Cancelled: "cancelled", Moot: "not sent", Missed: "missed", Reset: "reset before sent"}
+var resultNames = [...]string{Committed: "committed", Failed: "failed", AtCapacity: "full", TimedOut: "timed out", Unreachable: "unreachable",
+	Broken: "broken", Cancelled: "cancelled", NotSent: "not sent", NotEligible: "missed", ResetBeforeSend: "reset before sent"}
 
 func (r Result) String() string {
 	if r < 0 || int(r) >= len(resultNames) {
@@ -75,7 +75,7 @@
 type Status int
 
 const (
-	Gone Status = iota
+	Removed Status = iota
 	Ready
 	Draining
 )
@@ -93,22 +93,22 @@
 type Kind int
 
 const (
-	Submit   Kind = iota // Txn to Server, sent Before a time if at all, given up at Until
-	Decline              // Txn, final; a retry does no harm; come back After
-	RollBack             // Txn, final; nothing is promised
-	Cancel               // submission No of Txn
-	Probe                // Server
-	HangUp               // close the idle connections to Server
-	Follow               // subscribe to the list's changes
-	Fetch                // ask for the whole list once
-	Wake                 // a call of Woken After this span
-	Tell                 // all other gateways the News
-	Log                  // Text
+	Submit        Kind = iota // Txn to Server, sent Before a time if at all, given up at Until
+	Reject                    // Txn, final; a retry does no harm; come back After
+	RollBack                  // Txn, final; nothing is promised
+	Cancel                    // submission No of Txn
+	Probe                     // Server
+	CloseIdle                 // close the idle connections to Server
+	SubscribeList             // subscribe to the list's changes
+	FetchList                 // ask for the whole list once
+	Wake                      // a call of Woken After this span
+	SendUpdates               // all other gateways the News
+	Log                       // Text
 )
 
-// News is what one gateway tells the others of a member: a position that it was proven to have reached, and that
+// MemberUpdate is what one gateway tells the others of a member: a position that it was proven to have reached, and that
 // it was primary then. Neither is ever taken back, so that news may come late, twice or not at all.
-type News struct {
+type MemberUpdate struct {
 	Server   Server
 	Position Nanos
 	Primary  bool
@@ -116,13 +116,13 @@
 
 // Decision is one thing for the host to do; which fields count depends on Kind.
 type Decision struct {
-	Kind   Kind
-	Txn    uint64
-	No     uint16
-	Server Server
-	Until  Nanos
-	Before Nanos // a submission begun later must not be sent any more; 0 is none
-	After  Nanos
-	Text   string
-	News   []News
+	Kind       Kind
+	Txn        uint64
+	Attempt    uint16
+	Server     Server
+	Expiry     Nanos
+	SendBefore Nanos // a submission begun later must not be sent any more; 0 is none
+	Delay      Nanos
+	Text       string
+	Updates    []MemberUpdate
 }
--- a/decide/site.go
+++ b/decide/site.go
@@ -7,29 +7,29 @@
 )
 
 // class is one txn type, as the host's settings give it.
-type class struct {
-	Name       string
-	Worth      float64
-	LateValue  float64
-	Aim        Nanos `json:"promiseMs"`
-	HardLimit  Nanos `json:"hardLimitMs"`
-	AimStretch float64
-	Effect     string
-	Group      string
-	Window     Nanos `json:"windowMs"`
+type txnClass struct {
+	Name          string
+	Worth         float64
+	LateValue     float64
+	TargetLatency Nanos `json:"promiseMs"`
+	HardLimit     Nanos `json:"hardLimitMs"`
+	AimStretch    float64
+	Effect        string
+	Group         string
+	DedupWindow   Nanos `json:"windowMs"`
 }
 
 // site holds what the decisions read of the host's settings.
-type site struct {
-	Classes []class
-	Family  struct {
+type settings struct {
+	Classes     []txnClass
+	Replication struct {
 		Consistency    []string
-		Bound          []Nanos `json:"oldestDataMs"`
+		MaxStaleness   []Nanos `json:"oldestDataMs"`
 		WhenBehind     string
 		WriteMarks     string
 		RoleInList     string
-		Zero           Nanos `json:"countedFromMs"`
-		Hold           Nanos `json:"waitMs"`
+		PositionEpoch  Nanos `json:"countedFromMs"`
+		ReplicaWait    Nanos `json:"waitMs"`
 		AnswersStamped bool
 	} `json:"familyInfo"`
 	FleetSize int
@@ -51,48 +51,48 @@
 	MembershipMode string
 	ObjectiveMix   struct{ WorstClass float64 }
 	Rules          struct {
-		AskWithin    Nanos `json:"askWithinMs"`
-		ColdFrom     float64
-		Cold         Nanos `json:"coldMs"`
-		FallMultiple float64
-		OverloadFor  Nanos `json:"overloadForMs"`
-		SoftRemoval  bool
+		MaxListAge     Nanos `json:"askWithinMs"`
+		ColdFrom       float64
+		ColdDuration   Nanos `json:"coldMs"`
+		FallMultiple   float64
+		OverloadWindow Nanos `json:"overloadForMs"`
+		SoftRemoval    bool
 	}
 	Tick Nanos `json:"tickMs"`
 }
 
 // readSite decodes the settings and names the first value that is lacking or unknown.
-func readSite(text []byte) (*site, error) {
-	s := new(site)
+func parseSettings(text []byte) (*settings, error) {
+	s := new(settings)
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	lacking := func(name string) error { return fmt.Errorf("settings: %s is lacking or out of range", name) }
+	missing := func(name string) error { return fmt.Errorf("settings: %s is lacking or out of range", name) }
 	switch {
 	case len(s.Classes) == 0:
-		return nil, lacking("classes")
-	case len(s.Family.Consistency) != len(s.Classes):
-		return nil, lacking("familyInfo.consistency")
-	case len(s.Family.Bound) != len(s.Classes):
-		return nil, lacking("familyInfo.oldestDataMs")
+		return nil, missing("classes")
+	case len(s.Replication.Consistency) != len(s.Classes):
+		return nil, missing("familyInfo.consistency")
+	case len(s.Replication.MaxStaleness) != len(s.Classes):
+		return nil, missing("familyInfo.oldestDataMs")
 	case s.FleetSize < 1:
-		return nil, lacking("fleetSize")
+		return nil, missing("fleetSize")
 	case s.Limits.MaxAttempts < 1:
-		return nil, lacking("limits.maxAttempts")
+		return nil, missing("limits.maxAttempts")
 	case s.Tick <= 0:
-		return nil, lacking("tickMs")
+		return nil, missing("tickMs")
 	case s.Rules.ColdFrom <= 0 || s.Rules.ColdFrom > 1:
-		return nil, lacking("rules.coldFrom")
+		return nil, missing("rules.coldFrom")
 	case s.Rules.FallMultiple <= 0:
-		return nil, lacking("rules.fallMultiple")
-	case s.Rules.OverloadFor <= 0:
-		return nil, lacking("rules.overloadForMs")
-	case s.MembershipMode == "ask" && s.Rules.AskWithin <= 0:
-		return nil, lacking("rules.askWithinMs")
+		return nil, missing("rules.fallMultiple")
+	case s.Rules.OverloadWindow <= 0:
+		return nil, missing("rules.overloadForMs")
+	case s.MembershipMode == "ask" && s.Rules.MaxListAge <= 0:
+		return nil, missing("rules.askWithinMs")
 	}
-	known := func(name, value string, values ...string) error {
+	oneOf := func(name, value string, values ...string) error {
 		if value == "" {
-			return lacking(name)
+			return missing(name)
 		}
 		if !slices.Contains(values, value) {
 			return fmt.Errorf("settings: %s has the unknown value %q", name, value)
@@ -100,29 +100,29 @@
 		return nil
 	}
 	for i, c := range s.Classes {
-		if c.Aim <= 0 {
-			return nil, lacking("classes[].promiseMs")
+		if c.TargetLatency <= 0 {
+			return nil, missing("classes[].promiseMs")
 		}
-		if err := known("classes[].effect", c.Effect, "repeatable", "by_key", "once"); err != nil {
+		if err := oneOf("classes[].effect", c.Effect, "repeatable", "by_key", "once"); err != nil {
 			return nil, err
 		}
 		if c.Effect == "by_key" {
-			if err := known("classes[].group", c.Group, "all", "zone", "cell"); err != nil {
+			if err := oneOf("classes[].group", c.Group, "all", "zone", "cell"); err != nil {
 				return nil, err
 			}
 		}
-		need := s.Family.Consistency[i]
-		err := known("familyInfo.consistency", need, "mutate", "strong", "causal", "lag_bound", "eventual")
+		need := s.Replication.Consistency[i]
+		err := oneOf("familyInfo.consistency", need, "mutate", "strong", "causal", "lag_bound", "eventual")
 		if err != nil {
 			return nil, err
 		}
 	}
 	for _, k := range []error{
-		known("familyInfo.whenBehind", s.Family.WhenBehind, "none", "bounce", "await"),
-		known("familyInfo.writeMarks", s.Family.WriteMarks, "brought", "kept"),
-		known("familyInfo.roleInList", s.Family.RoleInList, "trailing", "static", "none"),
-		known("loadReport.how", s.LoadReport.How, "answers", "probe", "none"),
-		known("membershipMode", s.MembershipMode, "push", "ask"),
+		oneOf("familyInfo.whenBehind", s.Replication.WhenBehind, "none", "bounce", "await"),
+		oneOf("familyInfo.writeMarks", s.Replication.WriteMarks, "brought", "kept"),
+		oneOf("familyInfo.roleInList", s.Replication.RoleInList, "trailing", "static", "none"),
+		oneOf("loadReport.how", s.LoadReport.How, "answers", "probe", "none"),
+		oneOf("membershipMode", s.MembershipMode, "push", "ask"),
 	} {
 		if k != nil {
 			return nil, k
--- a/decide/trace_test.go
+++ b/decide/trace_test.go
@@ -7,13 +7,13 @@
 
 // trace drives one instance and prints what it decides, a line for each decision.
 type trace struct {
-	g     *Gateway
-	clock float64
-	quiet bool // no log lines
-	wakes bool // wake decisions too
+	g         *Gateway
+	clock     float64
+	hideLog   bool // no log lines
+	showWakes bool // wake decisions too
 }
 
-const traceSite = `{"classes":[
+const traceSettings = `{"classes":[
  {"effect":"repeatable","promiseMs":300,"hardLimitMs":1000,"worth":2,"name":"session"},
  {"effect":"repeatable","promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"bounded"},
  {"effect":"repeatable","promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"any"},
@@ -32,18 +32,18 @@
 
 // open starts an instance at 10 s under traceSite with old, new pairs replaced.
 func open(changes ...string) *trace {
-	g, err := New(1, []byte(strings.NewReplacer(changes...).Replace(traceSite)))
+	g, err := New(1, []byte(strings.NewReplacer(changes...).Replace(traceSettings)))
 	if err != nil {
 		panic(err)
 	}
-	t := &trace{g: g, quiet: true}
+	t := &trace{g: g, hideLog: true}
 	t.at(10000)
 	return t
 }
 
 func (t *trace) at(ms float64) *trace {
 	t.clock = ms
-	t.g.Clock(Millis(ms))
+	t.g.BeginRound(Millis(ms))
 	return t
 }
 
@@ -58,15 +58,15 @@
 		if strings.Contains(m, "!") {
 			start = Millis(t.clock)
 		}
-		t.g.Listed(Server{m[0]}, 0, strings.Contains(m, "*"), st, 0, 1, 0, start)
+		t.g.UpdateMember(Server{m[0]}, 0, strings.Contains(m, "*"), st, 0, 1, 0, start)
 	}
-	t.g.ListEnds(FullList)
+	t.g.EndMemberList(FullList)
 	return t
 }
 
 // txn brings a txn with a second of time and a session whose last write is age old.
 func (t *trace) txn(id uint64, class int, age float64) *trace {
-	if err := t.g.Arrived(id, class, 0, 7, Millis(1000), 0, 0, Millis(age)); err != nil {
+	if err := t.g.AddTxn(id, class, 0, 7, Millis(1000), 0, 0, Millis(age)); err != nil {
 		fmt.Println(err)
 	}
 	return t
@@ -75,40 +75,40 @@
 // end tells how submission no of a txn ended at a member after 20 ms, with the note's role and position.
 func (t *trace) end(id uint64, no int, m string, r Result, role Role, position float64) *trace {
 	over := r == Committed
-	t.g.Ended(id, no, Server{m[0]}, r, Millis(20), role, Millis(position), over, nil)
+	t.g.SubmissionEnded(id, no, Server{m[0]}, r, Millis(20), role, Millis(position), over, nil)
 	return t
 }
 
 // pull prints the round's decisions.
-func (t *trace) pull() *trace {
+func (t *trace) printRound() *trace {
 	line := func(format string, a ...any) { fmt.Printf("%6.0f "+format+"\n", append([]any{t.clock}, a...)...) }
-	t.g.Clock(Millis(t.clock))
+	t.g.BeginRound(Millis(t.clock))
 	for d, ok := t.g.Next(); ok; d, ok = t.g.Next() {
 		switch d.Kind {
 		case Submit:
 			line("submit %d to %c", d.Txn, d.Server[0])
-		case Decline:
+		case Reject:
 			line("decline %d", d.Txn)
 		case RollBack:
 			line("roll back %d", d.Txn)
 		case Cancel:
-			line("cancel %d/%d", d.Txn, d.No)
+			line("cancel %d/%d", d.Txn, d.Attempt)
 		case Probe:
 			line("probe %c", d.Server[0])
 		case Wake:
-			if t.wakes {
-				line("wake in %d ms", d.After/Millisecond)
+			if t.showWakes {
+				line("wake in %d ms", d.Delay/Millisecond)
 			}
-		case HangUp:
+		case CloseIdle:
 			line("hang up on %c", d.Server[0])
-		case Tell:
-			for _, n := range d.News {
+		case SendUpdates:
+			for _, n := range d.Updates {
 				line("tell %c at %d", n.Server[0], n.Position/Millisecond)
 			}
-		case Follow:
+		case SubscribeList:
 			line("follow the list")
 		case Log:
-			if !t.quiet {
+			if !t.hideLog {
 				line("log: %s", d.Text)
 			}
 		}
@@ -119,7 +119,7 @@
 // run lets the time pass in steps of 10 ms and prints what is decided.
 func (t *trace) run(until float64) *trace {
 	for t.clock < until {
-		t.at(t.clock + 10).pull()
+		t.at(t.clock + 10).printRound()
 	}
 	return t
 }
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -83,12 +83,12 @@
 		x.g.discovery.tellHost(h.entry)
 	default:
 		zone := slices.Index(x.g.names.Zones, h.entry.Site)
-		for _, s := range []decide.Status{decide.Draining, decide.Gone} {
-			x.g.module.Listed(h.server, h.entry.Block, false, s, zone, h.entry.Share, -1, 0)
+		for _, s := range []decide.Status{decide.Draining, decide.Removed} {
+			x.g.module.UpdateMember(h.server, h.entry.Block, false, s, zone, h.entry.Share, -1, 0)
 		}
 		x.g.members.closeIdle(h.server)
 	}
-	x.g.module.Recounted()
+	x.g.module.RefreshMembers()
 }
 
 // Observe tells what this gateway itself sees of a member.
@@ -97,7 +97,7 @@
 	if !ok {
 		return o, false
 	}
-	s := x.g.module.SeenOf(h.server)
+	s := x.g.module.StateOf(h.server)
 	o = fleet.Observed{Suspect: s.Suspect, Latency: int64(s.Latency) / 1000, InFlight: int64(s.InFlight)}
 	if s.Primary && s.Position > 0 {
 		o.Primary = int64(x.g.position(s.Position))
@@ -109,8 +109,8 @@
 func (x *coordinated) Sees(group int) (no int, primary bool, replicas, lacking int) {
 	_, primary = x.g.module.Primary(group)
 	for _, h := range x.g.discovery.list.hosts {
-		if s := x.g.module.SeenOf(h.server); h.entry.Block == group && s.Known && !s.Primary {
-			if replicas++; s.Lacking {
+		if s := x.g.module.StateOf(h.server); h.entry.Block == group && s.Known && !s.Primary {
+			if replicas++; s.NeedsPosition {
 				lacking++
 			}
 		}
@@ -143,9 +143,9 @@
 		x.g.inputs = append(x.g.inputs, in)
 	case signals.Verdict:
 		if ill {
-			x.g.module.HeardIll(h.server)
+			x.g.module.ReportUnhealthy(h.server)
 		} else if i.Value == signals.Well {
-			x.g.module.HeardWell(h.server)
+			x.g.module.ReportHealthy(h.server)
 		}
 	case signals.Probe:
 		x.probes[i.Member] = decide.Result(uint32(i.Value))
@@ -154,7 +154,7 @@
 }
 
 // told has the others told what the module has learned of positions.
-func (x *coordinated) told(all []decide.News) {
+func (x *coordinated) told(all []decide.MemberUpdate) {
 	for _, n := range all {
 		for _, h := range x.g.discovery.list.hosts {
 			if h.server == n.Server {
@@ -204,7 +204,7 @@
 		x.g.members.probe(h.server)
 		return
 	}
-	x.c.Did(key, uint32(decide.Moot))
+	x.c.Did(key, uint32(decide.NotSent))
 }
 
 // holds tells whether a call to a list service that was down waits for another gateway's.
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -340,7 +340,7 @@
 	for _, e := range n.list.Hosts {
 		ds.tellHost(e)
 	}
-	ds.g.module.ListEnds(n.scope)
+	ds.g.module.EndMemberList(n.scope)
 	if ds.g.coordinated != nil {
 		ds.g.coordinated.members()
 	}
@@ -356,7 +356,7 @@
 		}
 	}
 	zone := slices.Index(ds.g.names.Zones, h.entry.Site)
-	ds.g.module.Listed(h.server, h.entry.Block, false, decide.Gone, zone, h.entry.Share, -1, 0)
+	ds.g.module.UpdateMember(h.server, h.entry.Block, false, decide.Removed, zone, h.entry.Share, -1, 0)
 	ds.g.members.bar(h.server)
 }
 
@@ -389,7 +389,7 @@
 		return // others have it
 	}
 	kind := slices.Index(ds.g.names.MachineTypes, e.Class)
-	ds.g.module.Listed(server, e.Block, e.Mode == "read-write", status, zone, e.Share, kind, ds.g.clock.at(e.BornMs))
+	ds.g.module.UpdateMember(server, e.Block, e.Mode == "read-write", status, zone, e.Share, kind, ds.g.clock.at(e.BornMs))
 	delete(ds.leave, server)
 	if status != decide.Ready {
 		ds.leave[server] = true
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -282,7 +282,7 @@
 	g.kill = g.clock.now() + lateComers + min(decide.Millis(longest), longestKill) - killMargin
 	g.last = g.kill + lastMargin
 	for _, id := range slices.Sorted(maps.Keys(g.byID)) {
-		g.module.EndsBy(id, g.kill)
+		g.module.LimitExpiry(id, g.kill)
 	}
 	g.deadlines.Add(int64(g.clock.now()+lateComers), due{kind: dueClosing})
 	g.deadlines.Add(int64(g.kill), due{kind: dueFinal})
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -334,7 +334,7 @@
 		}
 	}
 	if told {
-		gs.g.module.ListEnds(decide.Delta)
+		gs.g.module.EndMemberList(decide.Delta)
 	}
 }
 
@@ -424,7 +424,7 @@
 		return
 	}
 	if aim := t.generation.table.Routes[t.route.Route].Aim; t.route.Zones != 0 || aim > 0 {
-		gs.g.module.Bind(t.id, t.route.Zones, cmp.Or(decide.Nanos(aim), decide.Millis(gs.g.names.Classes[t.class].PromiseMs)))
+		gs.g.module.RestrictReads(t.id, t.route.Zones, cmp.Or(decide.Nanos(aim), decide.Millis(gs.g.names.Classes[t.class].PromiseMs)))
 	}
 }
 
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -147,7 +147,7 @@
 	began := g.clock.now()
 	for {
 		g.turnAt = g.clock.now()
-		g.module.Clock(g.turnAt)
+		g.module.BeginRound(g.turnAt)
 		if g.sessions != nil { // what comes is told at its time: after a quiet spell the former one is long past
 			g.sessions.Clock()
 		}
@@ -191,14 +191,14 @@
 	case inEnded:
 		g.tellEnded(in)
 	case inProbed:
-		g.module.Probed(in.server, in.result, in.elapsed, in.report)
+		g.module.ProbeEnded(in.server, in.result, in.elapsed, in.report)
 		if in.fence != 0 {
 			g.fenced(&in)
 		} else if g.coordinated != nil {
 			g.coordinated.probed(in.server, in.result)
 		}
 	case inHeard:
-		g.module.Heard(in.server)
+		g.module.ResponseProgress(in.server)
 	case inWithdrawn:
 		g.tellWithdrawn(in.ref)
 	case inCancelled:
@@ -214,9 +214,9 @@
 	case inList:
 		g.discovery.tellList(in.list)
 	case inListFailed:
-		g.module.ListFailed()
+		g.module.MemberListFailed()
 	case inNews:
-		g.module.HeardOf(decide.News{Server: in.server, Position: in.position, Primary: in.role == decide.RolePrimary})
+		g.module.ReceiveUpdate(decide.MemberUpdate{Server: in.server, Position: in.position, Primary: in.role == decide.RolePrimary})
 	}
 }
 
@@ -224,31 +224,31 @@
 	switch d.Kind {
 	case decide.Submit:
 		g.submit(d)
-	case decide.Decline:
-		g.decline(d.Txn, d.After)
+	case decide.Reject:
+		g.decline(d.Txn, d.Delay)
 	case decide.RollBack:
 		g.rollBack(d.Txn)
 	case decide.Cancel:
-		g.cancel(d.Txn, int(d.No))
+		g.cancel(d.Txn, int(d.Attempt))
 	case decide.Probe:
 		if g.coordinated != nil {
 			g.coordinated.probe(d.Server)
 		} else {
 			g.members.probe(d.Server)
 		}
-	case decide.HangUp:
+	case decide.CloseIdle:
 		g.members.closeIdle(d.Server)
-	case decide.Follow:
+	case decide.SubscribeList:
 		g.discovery.call(callWatch)
-	case decide.Fetch:
+	case decide.FetchList:
 		g.discovery.call(callFetch)
 	case decide.Wake:
-		g.deadlines.Add(int64(g.clock.now()+d.After), due{kind: dueWake})
-	case decide.Tell:
+		g.deadlines.Add(int64(g.clock.now()+d.Delay), due{kind: dueWake})
+	case decide.SendUpdates:
 		if g.coordinated != nil {
-			g.coordinated.told(d.News)
+			g.coordinated.told(d.Updates)
 		} else {
-			g.tellNews(d.News)
+			g.tellNews(d.Updates)
 		}
 	case decide.Log:
 		g.log.Info(d.Text)
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -115,7 +115,7 @@
 	for !ms.g.dial(server.String(), wait, &owner{kind: ownerMember, ref: ref}) {
 		if !ms.closeLongestIdle() {
 			ms.conns.Free(ref)
-			ms.noteEnd(j, server, decide.Moot, nil)
+			ms.noteEnd(j, server, decide.NotSent, nil)
 			return slots.Ref{}
 		}
 	}
@@ -179,7 +179,7 @@
 	m := ms.conns.Get(ref)
 	late := m.job.before > 0 && ms.g.clock.now() >= m.job.before
 	if m.barred || late {
-		ms.finish(ref, decide.Moot, false)
+		ms.finish(ref, decide.NotSent, false)
 		ms.toIdle(ref)
 		return
 	}
@@ -192,7 +192,7 @@
 	} else {
 		var ok bool
 		if parts, ok = ms.g.statement(m.job.txn, m.job.until); !ok {
-			ms.finish(ref, decide.Moot, false)
+			ms.finish(ref, decide.NotSent, false)
 			ms.toIdle(ref)
 			return
 		}
@@ -273,7 +273,7 @@
 		case m.answer.problem.Code == "53300": // it has no connection to give
 			ms.finish(ref, decide.Unreachable, false)
 		default:
-			ms.finish(ref, decide.Reset, false)
+			ms.finish(ref, decide.ResetBeforeSend, false)
 		}
 	}
 	ms.release(ref)
@@ -284,7 +284,7 @@
 func (ms *members) giveUp(ref slots.Ref, r decide.Result) {
 	m := ms.conns.Get(ref)
 	if m.phase != busy {
-		r = decide.Moot // it was never written: the member is not silent, and nothing ran
+		r = decide.NotSent // it was never written: the member is not silent, and nothing ran
 	}
 	ms.finish(ref, r, false)
 	if m.phase != busy {
@@ -311,7 +311,7 @@
 // notConnected is the result of a job whose connection did not come up.
 func (m *memberConn) notConnected() decide.Result {
 	if m.phase == dialling && m.delayed {
-		return decide.Moot
+		return decide.NotSent
 	}
 	return decide.Unreachable
 }
@@ -412,9 +412,9 @@
 func resultOf(code string) decide.Result {
 	switch code {
 	case "25006", "72000":
-		return decide.Missed
+		return decide.NotEligible
 	case "53300":
-		return decide.Full
+		return decide.AtCapacity
 	}
 	return decide.Failed
 }
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -14,7 +14,7 @@
 )
 
 // tellNews tells all other gateways what the module has learned of members. Who the list no longer names has no name.
-func (g *Gateway) tellNews(all []decide.News) {
+func (g *Gateway) tellNews(all []decide.MemberUpdate) {
 	var entries []peerwire.Entry
 	for _, n := range all {
 		for _, h := range g.discovery.list.hosts {
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -110,7 +110,7 @@
 			age = -1
 		}
 	}
-	if err := g.module.Arrived(t.id, t.class, 0, t.session, max(1, t.until-now), 0, t.comment.Group, age); err != nil {
+	if err := g.module.AddTxn(t.id, t.class, 0, t.session, max(1, t.until-now), 0, t.comment.Group, age); err != nil {
 		g.rollBack(t.id)
 		return
 	}
@@ -127,7 +127,7 @@
 
 // Fence asks the primary of a group for its position, or whoever may be it.
 func (x sessionTxns) Fence(group int, no uint64, turn int, wait int64) bool {
-	server, ok := x.g.module.Standing(group, turn)
+	server, ok := x.g.module.PositionSource(group, turn)
 	if !ok {
 		return false
 	}
--- a/gateway/told_test.go
+++ b/gateway/told_test.go
@@ -26,9 +26,9 @@
 		// asks lets time pass until the module asks.
 		asks := func() {
 			for end := now + 20000*ms; ; now += ms {
-				g.Clock(now)
+				g.BeginRound(now)
 				for d, ok := g.Next(); ok; d, ok = g.Next() {
-					if d.Kind == decide.Follow {
+					if d.Kind == decide.SubscribeList {
 						return
 					}
 				}
@@ -37,13 +37,13 @@
 				}
 			}
 		}
-		fails := func() { g.Clock(now); g.ListFailed() }
-		g.Clock(now)
-		g.ListEnds(decide.CachedList)
+		fails := func() { g.BeginRound(now); g.MemberListFailed() }
+		g.BeginRound(now)
+		g.EndMemberList(decide.CachedList)
 		asks()
 		now += upTo(callSpan)
-		g.Clock(now)
-		g.ListEnds(decide.FullList)
+		g.BeginRound(now)
+		g.EndMemberList(decide.FullList)
 		var from decide.Nanos // when discovery has the change and can be reached
 		if seed%2 == 0 {      // a watch falls silent, the change comes right after
 			from = now + upTo(watchMs*ms)
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -138,13 +138,13 @@
 			age = -1 // 0 is none
 		}
 	}
-	if err := g.module.Arrived(t.id, t.class, 0, t.session, budget, 0, comment.Group, age); err != nil {
+	if err := g.module.AddTxn(t.id, t.class, 0, t.session, budget, 0, comment.Group, age); err != nil {
 		g.settled(c.txn, true)
 		return err.Error()
 	}
 	g.generations.bind(held)
 	if g.leaving {
-		g.module.EndsBy(t.id, g.kill)
+		g.module.LimitExpiry(t.id, g.kill)
 	}
 	return ""
 }
@@ -270,7 +270,7 @@
 		if t.held {
 			g.sessions.Module.Withdrawn(t.id)
 		} else {
-			g.module.Withdrawn(t.id)
+			g.module.ClientGone(t.id)
 		}
 		g.settled(ref, true)
 	}
@@ -310,10 +310,10 @@
 	}
 	if t.answered {
 		t.subs = append(t.subs, slots.Ref{})
-		g.inputs = append(g.inputs, input{kind: inEnded, ref: ref, no: no, server: server, result: decide.Moot})
+		g.inputs = append(g.inputs, input{kind: inEnded, ref: ref, no: no, server: server, result: decide.NotSent})
 		return
 	}
-	job := job{txn: ref, no: no, at: g.clock.now(), until: d.Until, before: d.Before}
+	job := job{txn: ref, no: no, at: g.clock.now(), until: d.Expiry, before: d.SendBefore}
 	on := g.members.connect(server, job)
 	if t = g.txns.Get(ref); t != nil {
 		t.subs = append(t.subs, on)
@@ -339,7 +339,7 @@
 	}
 	t.out--
 	g.outcomes.attempts[in.result]++
-	g.module.Ended(t.id, in.no, in.server, in.result, in.elapsed, in.role, in.position,
+	g.module.SubmissionEnded(t.id, in.no, in.server, in.result, in.elapsed, in.role, in.position,
 		t.answered, in.report)
 	g.settled(in.ref, false)
 }
--- a/internal/benchwire/news_test.go
+++ b/internal/benchwire/news_test.go
@@ -7,21 +7,21 @@
 )
 
 // News come back as they were told, rounded down to a millisecond; 45 of them need two messages.
-func Example_news() {
-	h, n := &host{}, names{}
-	var news []decide.News
+func Example_updates() {
+	h, n := &host{}, serverIDs{}
+	var news []decide.MemberUpdate
 	for i := range byte(45) {
 		s := decide.Server{10, 0, 0, i, 1, 2}
 		n.add(s)
-		news = append(news, decide.News{Server: s, Position: 146484879*decide.Millisecond + 702000, Primary: i == 44})
+		news = append(news, decide.MemberUpdate{Server: s, Position: 146484879*decide.Millisecond + 702000, Primary: i == 44})
 	}
-	h.tell(news)
+	h.writeUpdates(news)
 	fmt.Println(h.records, "messages")
 	read := 0
 	for f := (&frame{rest: h.out}); len(f.rest) > 0; {
 		f.u8()
 		f.u32()
-		n.read(f.take(int(f.u16())), 146485000*decide.Millisecond, func(e decide.News) {
+		n.decode(f.take(int(f.u16())), 146485000*decide.Millisecond, func(e decide.MemberUpdate) {
 			if e.Server == news[read].Server && e.Position == 146484879*decide.Millisecond && e.Primary == news[read].Primary {
 				read++
 			}
@@ -34,16 +34,16 @@
 }
 
 // What is cut short, names nobody, or could be one of two is left aside.
-func Example_newsLeftAside() {
+func Example_skippedEntries() {
 	h := &host{}
 	a, b := decide.Server{10, 0, 0, 1, 1, 2}, decide.Server{10, 0, 0, 2, 1, 2}
-	h.tell([]decide.News{{Server: a, Position: decide.Millisecond}, {Server: b, Position: decide.Millisecond}})
+	h.writeUpdates([]decide.MemberUpdate{{Server: a, Position: decide.Millisecond}, {Server: b, Position: decide.Millisecond}})
 	text := h.out[7:]
-	known := func(n names) (all []decide.Server) {
-		n.read(text[:11], 2*decide.Millisecond, func(e decide.News) { all = append(all, e.Server) })
+	known := func(n serverIDs) (all []decide.Server) {
+		n.decode(text[:11], 2*decide.Millisecond, func(e decide.MemberUpdate) { all = append(all, e.Server) })
 		return all
 	}
-	fmt.Println(len(known(names{})), len(known(names{short(a): {a}, short(b): {b}})), len(known(names{short(a): {a, b}})))
+	fmt.Println(len(known(serverIDs{})), len(known(serverIDs{serverID(a): {a}, serverID(b): {b}})), len(known(serverIDs{serverID(a): {a, b}})))
 	// Output:
 	// 0 1 0
 }
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -19,23 +19,23 @@
 // results and statuses give the module's word for each of the wire's codes.
 var (
 	results = map[byte]decide.Result{
-		0: decide.Committed, 13: decide.Failed, 8: decide.Full, 4: decide.TimedOut, 14: decide.Unreachable,
-		10: decide.Broken, 1: decide.Cancelled, 9: decide.Moot, 5: decide.Missed,
+		0: decide.Committed, 13: decide.Failed, 8: decide.AtCapacity, 4: decide.TimedOut, 14: decide.Unreachable,
+		10: decide.Broken, 1: decide.Cancelled, 9: decide.NotSent, 5: decide.NotEligible,
 	}
-	statuses = map[byte]decide.Status{0: decide.Gone, 1: decide.Ready, 2: decide.Draining}
+	statuses = map[byte]decide.Status{0: decide.Removed, 1: decide.Ready, 2: decide.Draining}
 	roles    = [4]decide.Role{1: decide.RolePrimary, 2: decide.RoleReplica}
 	scopes   = map[byte]decide.Scope{0: decide.Delta, 1: decide.FullList, 2: decide.CachedList}
 )
 
 // frame reads fields in turn; the first read past its end spoils it for good.
 type frame struct {
-	rest []byte
-	bad  bool
+	rest      []byte
+	malformed bool
 }
 
 func (f *frame) take(n int) []byte {
-	if f.bad || n < 0 || n > len(f.rest) {
-		f.bad = true
+	if f.malformed || n < 0 || n > len(f.rest) {
+		f.malformed = true
 		return make([]byte, min(max(n, 0), 32))
 	}
 	b := f.rest[:n]
@@ -43,13 +43,13 @@
 	return b
 }
 
-func (f *frame) u8() byte         { return f.take(1)[0] }
-func (f *frame) u16() uint16      { return le.Uint16(f.take(2)) }
-func (f *frame) u32() uint32      { return le.Uint32(f.take(4)) }
-func (f *frame) u64() uint64      { return le.Uint64(f.take(8)) }
-func (f *frame) f32() float32     { return math.Float32frombits(f.u32()) }
-func (f *frame) f64() float64     { return math.Float64frombits(f.u64()) }
-func (f *frame) ms() decide.Nanos { return decide.Millis(f.f64()) }
+func (f *frame) u8() byte             { return f.take(1)[0] }
+func (f *frame) u16() uint16          { return le.Uint16(f.take(2)) }
+func (f *frame) u32() uint32          { return le.Uint32(f.take(4)) }
+func (f *frame) u64() uint64          { return le.Uint64(f.take(8)) }
+func (f *frame) f32() float32         { return math.Float32frombits(f.u32()) }
+func (f *frame) f64() float64         { return math.Float64frombits(f.u64()) }
+func (f *frame) millis() decide.Nanos { return decide.Millis(f.f64()) }
 func (f *frame) server() (s decide.Server) {
 	copy(s[:], f.take(6))
 	return s
@@ -59,7 +59,7 @@
 // stricter position. A 1 is exact, as it stands for yes.
 func (f *frame) report() []float64 {
 	report := make([]float64, 0, 4)
-	for n := f.u8(); n > 0 && !f.bad; n-- {
+	for n := f.u8(); n > 0 && !f.malformed; n-- {
 		x := f.f32()
 		if x != 1 {
 			x = math.Nextafter32(x, 0)
@@ -72,9 +72,9 @@
 // host keeps the instances of one process and the numbered lists; nothing else is common to them.
 type host struct {
 	instances map[uint32]*decide.Gateway
-	names     map[uint32]names // by instance
+	serverIDs map[uint32]serverIDs // by instance
 	pages     map[uint32][]byte
-	acting    []uint32 // instances with an event in this batch, in the order of their first
+	active    []uint32 // instances with an event in this batch, in the order of their first
 	out       []byte
 	records   uint32
 }
@@ -82,7 +82,7 @@
 // Serve answers batches from in until it ends.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
-	h := &host{instances: map[uint32]*decide.Gateway{}, names: map[uint32]names{}, pages: map[uint32][]byte{}}
+	h := &host{instances: map[uint32]*decide.Gateway{}, serverIDs: map[uint32]serverIDs{}, pages: map[uint32][]byte{}}
 	var body bytes.Buffer
 	for {
 		var head [8]byte
@@ -96,8 +96,8 @@
 		if _, err := io.CopyN(&body, r, n); err != nil {
 			return fmt.Errorf("frame of %d bytes ends after %d", n, body.Len())
 		}
-		h.out, h.records, h.acting = append(h.out[:0], make([]byte, 8)...), 0, h.acting[:0]
-		if err := h.batch(le.Uint32(head[:]), &frame{rest: body.Bytes()}); err != nil {
+		h.out, h.records, h.active = append(h.out[:0], make([]byte, 8)...), 0, h.active[:0]
+		if err := h.processBatch(le.Uint32(head[:]), &frame{rest: body.Bytes()}); err != nil {
 			return err
 		}
 		le.PutUint32(h.out, h.records)
@@ -111,60 +111,60 @@
 	}
 }
 
-func (h *host) batch(records uint32, f *frame) error {
-	now := f.ms()
-	var at uint32
+func (h *host) processBatch(records uint32, f *frame) error {
+	now := f.millis()
+	var instance uint32
 	var g *decide.Gateway
-	met := map[uint32]bool{}
+	seen := map[uint32]bool{}
 	for i := uint32(0); i < records; i++ {
 		code := f.u8()
-		if f.bad {
+		if f.malformed {
 			return fmt.Errorf("batch: %d records announced, %d found", records, i)
 		}
 		if g == nil && (code >= 16 && code <= 19 || code >= 21 && code <= 24 || code == 27) {
-			return fmt.Errorf("record %d: event %d for instance %d, which is not open", i, code, at)
+			return fmt.Errorf("record %d: event %d for instance %d, which is not open", i, code, instance)
 		}
 		var err error
 		switch code {
 		case 25: // FOR
-			at = f.u32()
-			g = h.instances[at]
-			if !met[at] {
-				met[at] = true
-				h.acting = append(h.acting, at)
+			instance = f.u32()
+			g = h.instances[instance]
+			if !seen[instance] {
+				seen[instance] = true
+				h.active = append(h.active, instance)
 			}
 			if g != nil {
-				g.Clock(now)
+				g.BeginRound(now)
 			}
 		case 26: // OPEN_INSTANCE
 			seed := f.u64()
 			text := f.take(int(f.u32()))
-			if f.bad {
+			if f.malformed {
 				break
 			}
-			if !met[at] {
+			if !seen[instance] {
 				return fmt.Errorf("record %d: OPEN_INSTANCE without FOR", i)
 			}
 			if g, err = decide.New(seed, text); err == nil {
-				h.instances[at], h.names[at] = g, names{}
-				g.Clock(now)
+				h.instances[instance], h.serverIDs[instance] = g, serverIDs{}
+				g.BeginRound(now)
 			}
 		case 18: // KILLED
-			delete(h.instances, at)
-			delete(h.names, at)
+			delete(h.instances, instance)
+			delete(h.serverIDs, instance)
 			g = nil
 		case 20: // PAGE
 			id, n := f.u32(), int(f.u32())
 			if n > len(f.rest)/28 {
-				f.bad = true
+				f.malformed = true
 			}
 			h.pages[id] = bytes.Clone(f.take(n * 28))
 		case 21: // ANNOUNCE
-			err = h.announce(at, f.u8(), f.u32(), f.u32())
+			err = h.applyList(instance, f.u8(), f.u32(), f.u32())
 		case 24: // KNOCK
 			id, class, owner, key := f.u64(), f.u8(), f.u32(), f.u64()
-			left, estimate, group, age, options := f.ms(), f.ms(), f.f32(), f.f32(), f.u8()
-			if !f.bad {
+			left, estimate, group, age, options := f.millis(), f.millis(), f.f32(), f.f32(), f.u8()
+			if !f.malformed {
 				// The age is a rounded figure: one step down errs towards a younger, stricter token.
 				young := decide.Millis(float64(math.Nextafter32(age, 0)))
 				if age > 0 && young <= 0 {
@@ -173,29 +173,29 @@
 				if options&1 == 0 {
 					estimate = 0
 				}
-				err = g.Arrived(id, int(class), int(owner), key, left, estimate, int(group), young)
+				err = g.AddTxn(id, int(class), int(owner), key, left, estimate, int(group), young)
 			}
 		case 23: // RESPONSE
 			id, no, server, verdict := f.u64(), f.u16(), f.server(), f.u8()
-			elapsed, note, over, report := f.ms(), f.u32(), f.u8(), f.report()
+			elapsed, note, over, report := f.millis(), f.u32(), f.u8(), f.report()
 			result, ok := results[verdict]
-			if !f.bad && !ok {
+			if !f.malformed && !ok {
 				return fmt.Errorf("record %d: RESPONSE has the unknown verdict %d", i, verdict)
 			}
-			if !f.bad {
+			if !f.malformed {
 				position := decide.Nanos(note>>2) * decide.Millisecond
-				g.Ended(id, int(no), server, result, elapsed, roles[note&3], position, over != 0, report)
+				g.SubmissionEnded(id, int(no), server, result, elapsed, roles[note&3], position, over != 0, report)
 			}
 		case 16: // DUE
 			f.u64()
 		case 17: // STATUS_BACK
-			elapsed, server, verdict, report := f.ms(), f.server(), f.u8(), f.report()
+			elapsed, server, verdict, report := f.millis(), f.server(), f.u8(), f.report()
 			result, ok := results[verdict]
-			if !f.bad && !ok {
+			if !f.malformed && !ok {
 				return fmt.Errorf("record %d: STATUS_BACK has the unknown verdict %d", i, verdict)
 			}
-			if !f.bad {
-				g.Probed(server, result, elapsed, report)
+			if !f.malformed {
+				g.ProbeEnded(server, result, elapsed, report)
 			}
 		case 27: // FLOWING
 			f.u64()
@@ -203,13 +203,13 @@
 			f.server()
 			f.f64()
 		case 19: // WITHDRAWN
-			if id := f.u64(); !f.bad {
-				g.Withdrawn(id)
+			if id := f.u64(); !f.malformed {
+				g.ClientGone(id)
 			}
 		case 22: // MEMO
 			f.u16()
-			if text := f.take(int(f.u16())); !f.bad {
-				h.names[at].read(text, now, g.HeardOf)
+			if text := f.take(int(f.u16())); !f.malformed {
+				h.serverIDs[instance].decode(text, now, g.ReceiveUpdate)
 			}
 		default:
 			return fmt.Errorf("record %d has the unknown code %d", i, code)
@@ -217,28 +217,28 @@
 		if err != nil {
 			return fmt.Errorf("record %d: %w", i, err)
 		}
-		if f.bad {
+		if f.malformed {
 			return fmt.Errorf("record %d (code %d) is cut short", i, code)
 		}
 	}
 	if len(f.rest) > 0 {
 		return fmt.Errorf("batch: %d bytes after the last of %d records", len(f.rest), records)
 	}
-	for _, id := range h.acting {
+	for _, id := range h.active {
 		if g := h.instances[id]; g != nil {
-			h.act(id, g)
+			h.writeDecisions(id, g)
 		}
 	}
 	return nil
 }
 
-func (h *host) announce(at uint32, scope byte, version, page uint32) error {
-	g := h.instances[at]
+func (h *host) applyList(instance uint32, scope byte, version, page uint32) error {
+	g := h.instances[instance]
 	if scope == 3 {
-		g.ListFailed()
+		g.MemberListFailed()
 		return nil
 	}
-	s, ok := scopes[scope]
+	listScope, ok := scopes[scope]
 	if !ok {
 		return fmt.Errorf("ANNOUNCE has the unknown scope %d", scope)
 	}
@@ -247,22 +247,22 @@
 		return errors.New("ANNOUNCE names a PAGE that was never sent")
 	}
 	for f := (&frame{rest: entries}); len(f.rest) > 0; {
-		started, cluster, writer, code := f.ms(), f.u16(), f.f32(), f.u8()
+		started, cluster, writer, code := f.millis(), f.u16(), f.f32(), f.u8()
 		zone, share, server := f.u16(), f.f32(), f.server()
 		status, ok := statuses[code]
 		if !ok {
 			return fmt.Errorf("PAGE entry has the unknown status %d", code)
 		}
-		h.names[at].add(server)
-		g.Listed(server, int(cluster), writer == 1, status, int(zone), float64(share), int(f.u8()), started)
+		h.serverIDs[instance].add(server)
+		g.UpdateMember(server, int(cluster), writer == 1, status, int(zone), float64(share), int(f.u8()), started)
 	}
-	g.ListEnds(s)
+	g.EndMemberList(listScope)
 	return nil
 }
 
 // act writes an instance's decisions until it has none left.
-func (h *host) act(id uint32, g *decide.Gateway) {
-	h.record(92)
+func (h *host) writeDecisions(id uint32, g *decide.Gateway) {
+	h.startRecord(92)
 	h.out = le.AppendUint32(h.out, id)
 	for {
 		d, ok := g.Next()
@@ -271,52 +271,52 @@
 		}
 		switch d.Kind {
 		case decide.Submit:
-			h.txn(80, d.Txn)
-			h.ms(d.Until)
+			h.writeTxn(80, d.Txn)
+			h.writeMillis(d.Expiry)
 			h.out = append(h.out, d.Server[:]...)
-		case decide.Decline:
-			h.txn(81, d.Txn)
-			h.ms(d.After)
+		case decide.Reject:
+			h.writeTxn(81, d.Txn)
+			h.writeMillis(d.Delay)
 		case decide.RollBack:
-			h.txn(82, d.Txn)
+			h.writeTxn(82, d.Txn)
 		case decide.Cancel:
-			h.txn(83, d.Txn)
-			h.out = le.AppendUint16(h.out, d.No)
+			h.writeTxn(83, d.Txn)
+			h.out = le.AppendUint16(h.out, d.Attempt)
 		case decide.Wake:
-			h.record(84)
-			h.ms(d.After)
+			h.startRecord(84)
+			h.writeMillis(d.Delay)
 			h.out = le.AppendUint64(h.out, 0)
 		case decide.Probe:
-			h.record(85)
+			h.startRecord(85)
 			h.out = append(h.out, d.Server[:]...)
-		case decide.HangUp:
-			h.record(86)
+		case decide.CloseIdle:
+			h.startRecord(86)
 			h.out = append(h.out, d.Server[:]...)
 		case decide.Log:
 			text := d.Text[:min(len(d.Text), math.MaxUint16)]
-			h.record(88)
+			h.startRecord(88)
 			h.out = append(le.AppendUint16(h.out, uint16(len(text))), text...)
-		case decide.Tell:
-			h.tell(d.News)
-		case decide.Follow:
-			h.record(90)
+		case decide.SendUpdates:
+			h.writeUpdates(d.Updates)
+		case decide.SubscribeList:
+			h.startRecord(90)
 			h.out = append(h.out, 1)
-		case decide.Fetch:
-			h.record(91)
+		case decide.FetchList:
+			h.startRecord(91)
 		}
 	}
 }
 
-func (h *host) record(code byte) {
+func (h *host) startRecord(code byte) {
 	h.out = append(h.out, code)
 	h.records++
 }
 
-func (h *host) txn(code byte, id uint64) {
-	h.record(code)
+func (h *host) writeTxn(code byte, id uint64) {
+	h.startRecord(code)
 	h.out = le.AppendUint64(h.out, id)
 }
 
-func (h *host) ms(t decide.Nanos) {
+func (h *host) writeMillis(t decide.Nanos) {
 	h.out = le.AppendUint64(h.out, math.Float64bits(float64(t)/1e6))
 }
--- a/rehearse/covered.go
+++ b/rehearse/covered.go
@@ -69,7 +69,7 @@
 	case session.Refuse:
 		n.answer(n.open[d.Read], audit.Declined, 0, 0, d.After)
 	case session.Fence:
-		server, ok := n.module.Standing(d.Group, h.turns)
+		server, ok := n.module.PositionSource(d.Group, h.turns)
 		if !ok {
 			h.module.FenceFailed(d.Group, d.No)
 			return
--- a/rehearse/nodes.go
+++ b/rehearse/nodes.go
@@ -150,7 +150,7 @@
 
 // tell gives the module inputs, and carries out what it decides.
 func (n *node) tell(input func()) {
-	n.module.Clock(decide.Nanos(n.w.Now))
+	n.module.BeginRound(decide.Nanos(n.w.Now))
 	input()
 	if n.busy {
 		return
@@ -182,7 +182,7 @@
 		}
 		n.listed(d)
 	}
-	n.module.ListEnds(scope)
+	n.module.EndMemberList(scope)
 	if n.some != nil && scope != decide.CachedList {
 		run := n.run
 		n.w.After(0, func() {
@@ -197,11 +197,11 @@
 func (n *node) listed(d *database) {
 	st := decide.Ready
 	if d.gone {
-		st = decide.Gone
+		st = decide.Removed
 	} else if d.drained {
 		st = decide.Draining
 	}
-	n.module.Listed(serverOf(d), d.of.no, false, st, d.zone, 1, 0, decide.Nanos(d.born))
+	n.module.UpdateMember(serverOf(d), d.of.no, false, st, d.zone, 1, 0, decide.Nanos(d.born))
 }
 
 // told has the list reach it.
@@ -217,7 +217,7 @@
 func (n *node) listLost() {
 	if n.up && n.follows {
 		n.follows = false
-		n.tell(n.module.ListFailed)
+		n.tell(n.module.MemberListFailed)
 	}
 }
 
@@ -225,38 +225,38 @@
 	w, run := n.w, n.run
 	switch d.Kind {
 	case decide.Submit:
-		n.submit(n.open[d.Txn], w.baseOf(d.Server), int64(d.Until))
-	case decide.Decline:
-		n.answer(n.open[d.Txn], audit.Declined, 0, 0, int64(d.After))
+		n.submit(n.open[d.Txn], w.baseOf(d.Server), int64(d.Expiry))
+	case decide.Reject:
+		n.answer(n.open[d.Txn], audit.Declined, 0, 0, int64(d.Delay))
 	case decide.RollBack:
 		n.answer(n.open[d.Txn], audit.RolledBack, 0, 0, 0)
 	case decide.Cancel:
-		if t := n.open[d.Txn]; t != nil && int(d.No) < len(t.subs) {
-			n.ended(t, int(d.No), reply{result: cancelled})
+		if t := n.open[d.Txn]; t != nil && int(d.Attempt) < len(t.subs) {
+			n.ended(t, int(d.Attempt), reply{result: cancelled})
 		}
 	case decide.Probe:
 		n.probe(w.baseOf(d.Server))
-	case decide.HangUp:
+	case decide.CloseIdle:
 		b := w.baseOf(d.Server)
 		if l := &n.links[b.no]; l.run == b.run {
 			b.conns -= l.idle
 			l.idle = 0
 		}
-	case decide.Follow, decide.Fetch:
-		follow := d.Kind == decide.Follow
+	case decide.SubscribeList, decide.FetchList:
+		follow := d.Kind == decide.SubscribeList
 		w.After(2*w.way(0, n.zone), func() {
 			if n.run != run || !n.up {
 				return
 			}
 			if w.noList {
-				n.tell(n.module.ListFailed)
+				n.tell(n.module.MemberListFailed)
 				return
 			}
 			n.follows = n.follows || follow
 			n.tell(func() { n.list(decide.FullList) })
 		})
 	case decide.Wake:
-		w.After(int64(d.After), func() {
+		w.After(int64(d.Delay), func() {
 			if n.run == run && n.up {
 				n.tell(func() {})
 			}
@@ -320,7 +320,7 @@
 		}
 	}
 	n.tell(func() {
-		if err := n.module.Arrived(t.id, t.kind, 0, t.session, decide.Nanos(max(1, t.came+t.budget-n.w.Now)), 0, n.groupOf(t), age); err != nil {
+		if err := n.module.AddTxn(t.id, t.kind, 0, t.session, decide.Nanos(max(1, t.came+t.budget-n.w.Now)), 0, n.groupOf(t), age); err != nil {
 			panic(err) // a type that the settings lack: they are ours
 		}
 	})
@@ -423,7 +423,7 @@
 				}
 				back(func() {
 					if d.run != s.run {
-						n.ended(t, no, reply{result: int(decide.Reset)})
+						n.ended(t, no, reply{result: int(decide.ResetBeforeSend)})
 						return
 					}
 					n.query(t, no, s)
@@ -498,7 +498,7 @@
 		report = []float64{float64(r.position) / 1e9, x1, 0}
 	}
 	n.tell(func() {
-		n.module.Ended(t.id, no, serverOf(d), decide.Result(r.result), decide.Nanos(n.w.Now-s.at), role, decide.Nanos(r.position), t.done, report)
+		n.module.SubmissionEnded(t.id, no, serverOf(d), decide.Result(r.result), decide.Nanos(n.w.Now-s.at), role, decide.Nanos(r.position), t.done, report)
 	})
 	n.settled(t)
 }
@@ -512,7 +512,7 @@
 			return
 		}
 		over = true
-		n.tell(func() { n.module.Probed(serverOf(d), r, decide.Nanos(w.Now-at), report) })
+		n.tell(func() { n.module.ProbeEnded(serverOf(d), r, decide.Nanos(w.Now-at), report) })
 	}
 	w.After(connectTimeout, func() { end(decide.TimedOut, nil) })
 	n.ask(d, end)
--- a/rehearse/some.go
+++ b/rehearse/some.go
@@ -117,14 +117,14 @@
 				x.list()
 			}
 			x.n.tell(func() {
-				x.n.module.HeardOf(decide.News{Server: serverOf(d), Position: decide.Nanos(i.Value), Primary: true})
+				x.n.module.ReceiveUpdate(decide.MemberUpdate{Server: serverOf(d), Position: decide.Nanos(i.Value), Primary: true})
 			})
 		case signals.Verdict:
 			x.n.tell(func() {
 				if i.Value == signals.Well {
-					x.n.module.HeardWell(serverOf(d))
+					x.n.module.ReportHealthy(serverOf(d))
 				} else if x.signals.TakenForIll(i.Member) {
-					x.n.module.HeardIll(serverOf(d))
+					x.n.module.ReportUnhealthy(serverOf(d))
 				}
 			})
 		}
@@ -195,15 +195,15 @@
 				if d.Kind == subset.Add {
 					n.listed(b)
 				} else {
-					for _, st := range []decide.Status{decide.Draining, decide.Gone} {
-						n.module.Listed(serverOf(b), b.of.no, false, st, b.zone, 1, 0, decide.Nanos(b.born))
+					for _, st := range []decide.Status{decide.Draining, decide.Removed} {
+						n.module.UpdateMember(serverOf(b), b.of.no, false, st, b.zone, 1, 0, decide.Nanos(b.born))
 					}
 					if l := &n.links[b.no]; l.run == b.run {
 						b.conns -= l.idle
 						l.idle = 0
 					}
 				}
-				n.module.Recounted()
+				n.module.RefreshMembers()
 			})
 		}
 	}
@@ -222,9 +222,9 @@
 	}
 	replicas, lacking := make([]int, len(w.groups)), make([]int, len(w.groups))
 	for _, d := range w.bases {
-		s := x.n.module.SeenOf(serverOf(d))
+		s := x.n.module.StateOf(serverOf(d))
 		if s.Known && !s.Primary {
-			if replicas[d.of.no]++; s.Lacking {
+			if replicas[d.of.no]++; s.NeedsPosition {
 				lacking[d.of.no]++
 			}
 		}
--- a/rehearse/world.go
+++ b/rehearse/world.go
@@ -19,13 +19,13 @@
 const (
 	committed   = int(decide.Committed)
 	failed      = int(decide.Failed)
-	full        = int(decide.Full)
+	full        = int(decide.AtCapacity)
 	timedOut    = int(decide.TimedOut)
 	unreachable = int(decide.Unreachable)
 	broken      = int(decide.Broken)
 	cancelled   = int(decide.Cancelled)
-	moot        = int(decide.Moot)
-	missed      = int(decide.Missed)
+	moot        = int(decide.NotSent)
+	missed      = int(decide.NotEligible)
 )
 
 // world is a simulated day under way: one virtual clock, one agenda, one source of chance.
