--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -8,24 +8,25 @@
 	"testing"
 )
 
-// coldFleet is many gateways before one group on a virtual clock. Its members serve in order of arrival on some cores; one
-// of them comes cold. What all gateways together send it within the window of the rule is held to what a cold member bears.
+// coldFleet simulates many gateways and one group on a virtual clock. Its members serve in order of arrival
+// on a few cores; one of them starts cold. The number of txns that all gateways together send it within the
+// rule's window must not exceed what a cold member can handle.
 type coldFleet struct {
 	now        Nanos
 	work       float64 // service time of a txn on a warm core
-	endsAt     Nanos   // the end of the play, when it is warm
+	endsAt     Nanos   // end of the simulation, when the member is warm
 	gateways   []*Gateway
-	wakes      []Nanos // of each gateway; 0 is none
+	wakes      []Nanos // of each gateway; 0 for none
 	members    map[Server]*coldServer
 	events     coldEvents
 	eventCount int
 	rng        pcg
-	receivedAt []Nanos // when the cold member got a txn
+	receivedAt []Nanos // times at which the cold member got a txn
 	started    Nanos
 }
 
 type coldServer struct {
-	coreFreeAt []Nanos // when each core is free
+	coreFreeAt []Nanos // when each core becomes free
 	cold       bool
 	silent     bool
 }
@@ -62,12 +63,13 @@
 	heap.Push(&f.events, coldEvent{f.now + delay, f.eventCount, run})
 }
 
-// able is the share of its work that the cold member can do.
+// capacity is the fraction of full capacity that the cold member has.
 func (f *coldFleet) capacity(at Nanos) float64 {
 	return min(1, coldMinCapacity+(1-coldMinCapacity)*float64(at-f.started)/float64(coldDuration))
 }
 
-// bears is what the cold member may get in the window that ends at a time, by the operators' formula.
+// maxSubmissions is the number of txns that the cold member can handle in the window that ends at the given
+// time, by the operators' formula.
 func (f *coldFleet) maxSubmissions(at Nanos) float64 {
 	n := 2 * f.capacity(at) * coldCores * float64(1000*ms) / f.work
 	return n + 2*math.Sqrt(n) + 2
@@ -125,8 +127,9 @@
 	})
 }
 
-// play has so many gateways meet a member that starts cold, with an event in the middle, and gives the most that the cold
-// member got against what it bears, and the share of what it bears on the mean that it got.
+// simulateCold runs a number of gateways against a member that starts cold, with an event in the middle. It
+// returns the highest ratio of what the cold member got to what it can handle, and the fraction of its mean
+// capacity that was used.
 func simulateCold(seed uint64, gateways int, work Nanos, load float64, event string) (worst, used float64) {
 	f := &coldFleet{work: float64(work), now: 10000 * ms, endsAt: (10000+6000)*ms + coldDuration, rng: newPCG(seed), members: map[Server]*coldServer{}}
 	site := strings.NewReplacer(`"whenBehind":"await"`, `"whenBehind":"none"`, `"tickMs":5`, `"tickMs":1`,
@@ -170,7 +173,7 @@
 		f.gateways[i].BeginRound(f.now)
 		age := Nanos(50 * ms)
 		if since := f.started + 1000*ms; f.started > 0 && f.now > since+age {
-			age = f.now - since // all need what the cold member has reached, and none knows that it has
+			age = f.now - since // all reads need a position that the cold member has reached, but no gateway knows that it has
 		}
 		if err := f.gateways[i].AddTxn(id, class, 0, id, 1000*ms, 0, 0, age); err != nil {
 			panic(err)
@@ -196,7 +199,7 @@
 			burst = 1.5
 		case "silent":
 			f.members[Server{'b'}].silent, f.members[Server{'d'}].silent = true, true
-		case "proof": // all hear at once that it has caught up
+		case "proof": // all gateways learn at once that it has caught up
 			for i, g := range f.gateways {
 				g.BeginRound(f.now)
 				g.ReceiveUpdate(MemberUpdate{Server{'c'}, f.now, false})
@@ -223,8 +226,9 @@
 	return worst, float64(len(f.receivedAt)) / all
 }
 
-// All gateways together send a cold member no more than it bears, however many they are, when there is a burst, when others
-// fall silent, and when all hear at once that it may get what none of them could send it before.
+// All gateways together send a cold member no more than it can handle: for any number of gateways, during a
+// burst, when others fall silent, and when all learn at once that it may serve what none of them could send
+// it before.
 func TestColdMemberBeforeManyGateways(t *testing.T) {
 	for _, work := range []Nanos{20 * ms, 100 * ms} { // short and long against the SLA time
 		for _, gateways := range []int{2, 5, 20, 30, 300} {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Step 3: a tokened read goes to the replica that is known to have reached its token.
+// Step 3: a read with a token goes to the replica that is known to have reached the token.
 func Example_provenReplica() {
 	t := open().list("a b c")
 	t.txn(1, 3, 0).printRound().end(1, 0, "a", Committed, 1, 10000).printRound()
@@ -20,11 +20,11 @@
 	//  10200 submit 5 to b
 }
 
-// Steps 4 and 5 where servers do not check: wait for word of a replica, then the primary; never an
-// unproven one.
+// Steps 4 and 5 on servers that do not check: wait until the position of some replica is known, then use the
+// primary; never an unproven replica.
 func Example_waitThenPrimary() {
 	t := open("await", "none").list("a* b c")
-	t.txn(1, 0, 50).run(10150) // a is only named primary, which must do for a read
+	t.txn(1, 0, 50).run(10150) // only the list names a as primary, which is enough for a read
 	t.txn(2, 3, 0).printRound().end(2, 0, "a", Committed, 1, 10150).printRound()
 	t.end(1, 0, "a", Committed, 1, 10200).at(10400).txn(3, 0, 50).printRound()
 	t.at(10450).txn(4, 2, 0).printRound().end(4, 0, "c", Committed, 2, 10440).printRound()
@@ -37,7 +37,8 @@
 	//  10650 submit 5 to a
 }
 
-// Step 4 where servers check: their hold is the wait, their miss ends it, and the primary is step 5.
+// Step 4 on servers that check: the server waits for the position, its refusal ends the wait, and the
+// primary is step 5.
 func Example_refusalThenPrimary() {
 	t := open().list("a* b c")
 	t.txn(1, 0, 50).printRound().at(10025).end(1, 0, "b", NotEligible, 2, 9000).printRound()
@@ -46,7 +47,7 @@
 	//  10025 submit 1 to a
 }
 
-// Step 6: a bounded read needs a replica inside the bound, as proven.
+// Step 6: a read with a staleness bound needs a replica that is proven to be within the bound.
 func Example_bounded() {
 	t := open("await", "none").list("a* b c").txn(1, 3, 0).printRound()
 	t.end(1, 0, "a", Committed, 1, 10000).txn(2, 2, 0).txn(3, 2, 0).printRound()
@@ -63,7 +64,7 @@
 	//  10400 submit 6 to a
 }
 
-// Step 1 without a primary: members in turn, one scout at a time, then a short hold.
+// Step 1 without a primary: members in turn, one write at a time, then a short pause.
 func Example_primarySearch() {
 	t := open().list("a b").txn(1, 3, 0).txn(2, 3, 0).printRound()
 	t.at(10010).end(1, 0, "a", NotEligible, 2, 10000).printRound()
@@ -76,7 +77,7 @@
 	//  10100 submit 2 to a
 }
 
-// Once-only: a second submission or a decline only when the first cannot have run.
+// Once-only txns: a second submission or a rejection only if the first submission cannot have run.
 func Example_onceOnly() {
 	t := open().list("a* b").txn(1, 3, 0).txn(2, 3, 0).txn(3, 3, 0).printRound()
 	t.at(10100).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "a", AtCapacity, 1, 10090).printRound().run(10110)
@@ -91,7 +92,8 @@
 	//  10990 roll back 3
 }
 
-// Referenced: sent again within the window, rolled back after it, since its group alone drops a repeat.
+// Keyed txns: sent again within the deduplication window, rolled back after it, since only their own group
+// drops a duplicate.
 func Example_dedupWindow() {
 	t := open().list("a* b").txn(1, 4, 0).txn(2, 4, 0).printRound()
 	t.at(10100).end(1, 0, "a", Failed, 2, 0).printRound().end(1, 1, "b", NotEligible, 1, 10100).printRound()
@@ -104,7 +106,8 @@
 	//  10850 roll back 2
 }
 
-// Drains: nothing goes to a member from the moment that the list bars it, nor to one that a whole list lacks.
+// Drains: nothing is sent to a member once the list excludes it, nor to one that is missing from a full
+// list.
 func Example_drain() {
 	t := open().list("a b c").list("a- b").txn(1, 2, 0).txn(2, 2, 0).txn(3, 3, 0).printRound()
 	soft := open(`"tickMs"`, `"x":0,"tickMs"`, `"coldFrom"`, `"softRemoval":true,"coldFrom"`)
@@ -119,7 +122,7 @@
 	//  10100 submit 6 to a
 }
 
-// A cold member gets a share of what its busiest warm peer gets; a fresh one starts with one submission.
+// A cold member gets a fraction of what its busiest warm peer gets; a fresh one starts with one submission.
 func Example_cold() {
 	t := open().list("a b!")
 	for id := uint64(1); id <= 12; id++ {
@@ -137,8 +140,8 @@
 	//  10000 submit 8 to a
 }
 
-// Silence with work out makes a member suspect; its reads move, it keeps a trickle of trials, an answer
-// clears it.
+// Silence with work in flight makes a member suspect: its reads move elsewhere, it gets occasional trials,
+// and an answer clears it.
 func Example_silence() {
 	t := open().list("a b")
 	for id := uint64(1); id <= 8; id++ {
@@ -177,13 +180,13 @@
 	// 10000 submit 1 to a
 	//  10010 submit 2 to a
 	//  10020 submit 2 to b
-	//  10300 decline 3
+	//  10300 reject 3
 	//  10300 submit 4 to a
 	//  10320 submit 5 to a
 }
 
-// When every member is silent the fault is likely nearer, and none is avoided; where every connection
-// fails, single trials go on, at a pace that a server just started can bear.
+// When every member is silent, the fault is more likely in the gateway or its network, and none is avoided.
+// Where every connection fails, single trials go on, at a rate that a newly started server can handle.
 func Example_allSuspect() {
 	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
 	t.at(10500).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "b", TimedOut, 0, 0).txn(3, 2, 0).printRound()
@@ -193,17 +196,17 @@
 	// Output:
 	// 10000 submit 1 to a
 	//  10000 submit 2 to b
-	//  10500 decline 1
-	//  10500 decline 2
+	//  10500 reject 1
+	//  10500 reject 2
 	//  10500 submit 3 to b
 	//  10000 submit 4 to a
 	//  10000 submit 5 to b
-	//  10250 decline 4
-	//  10250 decline 5
+	//  10250 reject 4
+	//  10250 reject 5
 	//  10250 submit 6 to a
 }
 
-// A member back after lost connections may be cold, whatever the list says of it.
+// A member that returns after lost connections may be cold, whatever the list says about it.
 func Example_coldAfterLostConnections() {
 	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
 	t.end(1, 0, "a", Committed, 2, 9990).end(2, 0, "b", Broken, 0, 0).printRound()
@@ -227,8 +230,8 @@
 	//  11520 submit 9 to a
 }
 
-// Members that are gone are forgotten, with what was known of them, once the list drops them; what was out to them
-// ends as ever. Who comes to the address of one is another: it is proven nothing.
+// Removed members are deleted with all their state once the list drops them; submissions in flight to them
+// still end normally. A server that reuses the address is a different one: none of its positions are proven.
 func Example_removedMembers() {
 	t := open().list("a")
 	for i := range 1000 {
@@ -257,9 +260,9 @@
 	// 0
 }
 
-// Connections that break one by one, with answers or a probe between them, do not make a member suspect, nor do
-// they make connections scarce: it may be the connection or the answer. Five in a row do, and a probe that
-// finds nobody; one that is reset finds nothing out.
+// Connections that break one at a time, with answers or a probe in between, do not make a member suspect,
+// nor do they make connections scarce: the connection or the answer may be at fault. Five in a row do, and
+// so does a probe that finds no server; a probe that is reset shows nothing.
 func Example_brokenConnections() {
 	t := open(`"probes":false`, `"probes":true`).list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
 	t.hideLog = false
@@ -288,7 +291,7 @@
 	// member 97.0.0.0:0 suspect: connections broken, 0 in flight, quiet for 0 ms
 }
 
-// Two members claim the role: the newest answer wins, and a miss ends a claim at once.
+// Two members claim to be primary: the newest answer wins, and a refusal ends a claim at once.
 func Example_twoPrimaries() {
 	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
 	t.end(1, 0, "a", Committed, 1, 9990).end(2, 0, "b", Committed, 1, 9990).txn(3, 3, 0).printRound()
@@ -300,7 +303,7 @@
 	//  10010 submit 3 to a
 }
 
-// Kept tokens hold until every replica is known past them, then any replica will do again.
+// Stored tokens apply until every replica is known to have reached them, then any replica will do again.
 func Example_keptToken() {
 	t := open("brought", "kept").list("a* b c").txn(1, 3, 0).printRound().at(10010).end(1, 0, "a", Committed, 1, 10005)
 	t.txn(2, 0, 0).printRound().at(10050).end(2, 0, "b", Committed, 2, 10020).printRound()
@@ -313,7 +316,7 @@
 	//  10060 submit 5 to c
 }
 
-// A client's repeat with too little of its limit left for the SLA time waits for the others.
+// A client's retry with too little of its limit left to meet the SLA time waits behind the others.
 func Example_lateRetry() {
 	t := open().list("a")
 	for id := uint64(1); id <= 6; id++ {
@@ -331,7 +334,7 @@
 	//  10000 submit 8 to a
 }
 
-// A replica that reads pass over is asked by a probe where reports show positions.
+// A replica that reads skip for lack of proof is probed for its position, where reports carry positions.
 func Example_positionProbe() {
 	reports := `"how":"probe","fields":["x0","x1"]`
 	probes := open("await", "none", `"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`)
@@ -340,12 +343,12 @@
 	probes.txn(6, 1, 0).printRound()
 	// Output:
 	// 10000 probe b
-	//  10210 decline 4
+	//  10210 reject 4
 	//  10210 submit 6 to b
 	//  10210 submit 5 to b
 }
 
-// Reads make way on a primary whose writes wait or whose latency rises.
+// Reads give way on a primary whose writes are queued or whose latency rises.
 func Example_writesFirst() {
 	t := open("await", "none").list("a*").txn(1, 3, 0).printRound().at(10250).end(1, 0, "a", Committed, 1, 10240)
 	for id := uint64(2); id <= 7; id++ {
@@ -364,8 +367,8 @@
 	//  10250 submit 9 to a
 }
 
-// The list must be asked for: calls that fail are made again, later each time, and well within the
-// rule's time.
+// The list must be requested: failed requests are retried with backoff, well within the time that the rules
+// allow.
 func Example_subscribeBackoff() {
 	t := open(`"push"`, `"ask"`)
 	t.hideLog = false
@@ -376,13 +379,13 @@
 	t.run(12000).g.EndMemberList(Delta)
 	t.run(12050)
 	// Output:
-	// 10090 follow the list
-	//  10530 follow the list
-	//  11270 follow the list
+	// 10090 subscribe to the list
+	//  10530 subscribe to the list
+	//  11270 subscribe to the list
 	//  12010 log: list followed, 1 members
 }
 
-// Every txn gets one final answer before its time is up, and what comes later changes nothing.
+// Every txn gets one final answer before it expires, and later events change nothing.
 func Example_finalAnswer() {
 	t := open().list("a").txn(1, 2, 0).txn(2, 3, 0).txn(3, 0, 5).printRound()
 	t.run(11000).end(1, 0, "a", TimedOut, 0, 0).end(2, 0, "a", Committed, 1, 10900).printRound()
@@ -393,13 +396,14 @@
 	//  10000 submit 1 to a
 	//  10350 cancel 1/0
 	//  10350 cancel 3/0
-	//  10990 decline 1
+	//  10990 reject 1
 	//  10990 roll back 2
-	//  10990 decline 3
+	//  10990 reject 3
 	// txn type 9 is not in the settings
 }
 
-// The list goes on naming a former primary: its own miss outweighs the list, and a note finds the new one.
+// The list keeps naming a former primary: that member's own refusal outweighs the list, and an answer's role
+// identifies the new primary.
 func Example_formerPrimaryInList() {
 	t := open().list("a* b c").txn(1, 3, 0).printRound().at(10010).end(1, 0, "a", NotEligible, 2, 10000).printRound()
 	t.at(10020).end(1, 1, "b", NotEligible, 2, 10010).printRound().at(10030).end(1, 2, "c", Committed, 1, 10025)
@@ -411,7 +415,7 @@
 	//  10040 submit 2 to c
 }
 
-// A probe's answer shows that a process runs, not that it serves: suspicion stays until a txn is answered.
+// A probe's answer shows that a process runs, not that it serves: it stays suspect until it answers a txn.
 func Example_answersProbesOnly() {
 	reports := `"how":"probe","fields":["x0","x1"]`
 	t := open(`"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`).list("a b")
@@ -426,7 +430,7 @@
 	//  10050 submit 4 to b
 }
 
-// A frozen report neither lowers a proven position nor outweighs an answer's word on the role.
+// A stale report neither lowers a proven position nor outweighs the role in an answer.
 func Example_frozenReport() {
 	reports := `"how":"probe","fields":["x0","x1"]`
 	t := open("await", "none", `"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`)
@@ -443,7 +447,7 @@
 	//  10010 submit 3 to b
 }
 
-// After a restart: one call for the list, no probe, and writes find their primary one by one.
+// After a restart: one request for the list, no probe, and writes find their primary one at a time.
 func Example_restart() {
 	t := open(`"push"`, `"ask"`, `"probes":false`, `"probes":true`)
 	for _, m := range "abcd" {
@@ -455,11 +459,12 @@
 	// 10000 submit 1 to a
 	//  10000 submit 4 to b
 	//  10060 submit 2 to b
-	//  10090 follow the list
+	//  10090 subscribe to the list
 	//  10120 submit 3 to c
 }
 
-// A primary that serves reads but holds writes keeps its reads; its writes end in time, as nothing else takes them.
+// A primary that serves reads but blocks writes keeps its reads; its writes are answered in time, as no
+// other member can take them.
 func Example_readsButNoWrites() {
 	t := open().list("a*").txn(1, 3, 0).printRound()
 	for id := uint64(2); id < 8; id++ {
@@ -468,9 +473,9 @@
 	t.txn(20, 3, 0).printRound().txn(21, 3, 0).run(10990)
 	// Output:
 	// 10000 submit 1 to a
-	//  10450 decline 2
+	//  10450 reject 2
 	//  10450 submit 4 to a
-	//  10600 decline 3
+	//  10600 reject 3
 	//  10600 submit 5 to a
 	//  10750 submit 6 to a
 	//  10900 submit 7 to a
@@ -479,7 +484,8 @@
 	//  10990 roll back 1
 }
 
-// Positions that stand still, as in an election: reads that need more wait or are declined, others go on.
+// Positions that do not advance, as during an election: reads that need more wait or are rejected, others go
+// on.
 func Example_positionsStandStill() {
 	t := open("await", "none").list("a* b").txn(1, 2, 0).printRound().at(10010).end(1, 0, "b", Committed, 2, 10000)
 	t.txn(2, 3, 0).printRound().at(10020).end(2, 0, "a", Unreachable, 0, 0).printRound()
@@ -489,12 +495,12 @@
 	//  10010 submit 2 to a
 	//  10410 submit 2 to b
 	//  10410 submit 5 to b
-	//  10610 decline 3
-	//  10610 decline 4
+	//  10610 reject 3
+	//  10610 reject 4
 }
 
-// Members that answer others refuse connections at once: none is suspect, the refused rest for a moment, and idle
-// connections are closed so that other gateways find room.
+// Members that answer other gateways refuse connections: none becomes suspect, they get a short pause, and
+// idle connections are closed so that other gateways can connect.
 func Example_connectionsScarce() {
 	t := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`).list("a b c").txn(1, 2, 0).txn(2, 2, 0).printRound()
 	t.hideLog = false
@@ -508,12 +514,13 @@
 	//  10020 submit 2 to a
 	//  10090 submit 2 to b
 	//  10110 submit 1 to c
-	//  10170 hang up on c
+	//  10170 close idle connections to c
 	//  10170 log: connections scarce: true, 4 refused of late
 }
 
-// A member that refuses connections and does not answer a probe is down: back, it gets a cold member's budget, and
-// not all that waited. One that answers the probe is crowded.
+// A member that refuses connections and does not answer a probe is down: when it returns it gets a cold
+// member's budget, not everything that was queued. One that answers the probe is overloaded with
+// connections.
 func Example_refusedAndDown() {
 	t := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`, `"probes":false`, `"probes":true`)
 	t.list("a* b").txn(1, 3, 0).printRound()
@@ -536,7 +543,8 @@
 	//  10200 submit 2 to a
 }
 
-// A txn that waits gets a round soon, though a later one is due already: it was lost when its time was short.
+// A queued txn gets an early round although a later one is already scheduled: without it a txn with little
+// time left was lost.
 func Example_soonerWake() {
 	t := open().list("a").txn(1, 2, 0)
 	t.showWakes = true
@@ -547,7 +555,8 @@
 	//  10002 wake in 5 ms
 }
 
-// A slow way to another zone is no fault of the members there: reads stay near, the limit there is not cut.
+// A slow network path to another zone is not the fault of the members there: reads stay in the local zone,
+// and the remote limit is not cut.
 func Example_slowZone() {
 	t := open(`"whenBehind":"await"`, `"whenBehind":"none"`)
 	for i, m := range "abc" {
@@ -573,7 +582,7 @@
 	//  10260 submit 7 to b
 }
 
-// Few answers of a member, all late: its limit falls below one, and what is worth most passes first.
+// Few answers of a member, all late: its limit falls below one, and the most valuable txns go first.
 func Example_limitBelowOne() {
 	t := open().list("a")
 	for id := uint64(1); id <= 12; id += 2 {
@@ -591,11 +600,11 @@
 	//  14440 submit 8 to a
 	//  14440 submit 7 to a
 	//  15620 submit 10 to a
-	//  16800 decline 9
+	//  16800 reject 9
 	//  16800 submit 12 to a
 }
 
-// Worthless txns that end in a quick error anywhere tell nothing of a member that answers nothing else.
+// Worthless txns, which fail quickly on any member, show nothing about a member that answers nothing else.
 func Example_errorsClearNothing() {
 	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound().at(10020).end(2, 0, "b", Committed, 2, 10000)
 	t.end(1, 0, "a", Broken, 0, 0).printRound().end(1, 1, "b", Committed, 2, 10010).at(10300)
@@ -616,27 +625,29 @@
 	//  10300 submit 6 to b
 }
 
-// A txn that comes with no time left gets its answer in the same round, though open txns were looked at just now.
+// A txn that arrives with no time left is answered in the same round, although open txns were reviewed just
+// before.
 func Example_noTimeLeft() {
 	t := open("await", "none").list("a b").txn(1, 1, 0).printRound().at(10002)
 	t.g.AddTxn(2, 0, 0, 7, 0, 0, 0, Millis(50))
 	t.printRound()
 	// Output:
-	// 10002 decline 2
+	// 10002 reject 2
 }
 
-// A second error, at another member where there is one, ends a txn: it is worthless, and none does better by it.
+// A second error, on another member if there is one, ends a txn: it is worthless, and no member can do
+// better.
 func Example_twoErrors() {
 	t := open().list("a b").txn(1, 2, 0).printRound().at(10010).end(1, 0, "a", Failed, 2, 10000).printRound()
 	t.at(10020).end(1, 1, "b", Failed, 2, 10010).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 submit 1 to b
-	//  10020 decline 1
+	//  10020 reject 1
 }
 
-// A member that answers most txns with quick errors, as others do not, is idle and yet comes last; where all do
-// so none does.
+// A member that answers most txns with quick errors, unlike its peers, is idle and yet chosen last; if all
+// members do so, none is.
 func Example_failingMember() {
 	for _, bad := range []string{"a", "ab"} {
 		t := open().list("a b")
@@ -660,7 +671,8 @@
 	// false true
 }
 
-// No primary is known and nothing names one: members are probed for their role, and the write goes where it is.
+// No primary is known and the list names none: members are probed for their role, and the write goes to the
+// primary found.
 func Example_probedRole() {
 	reports := `"how":"answers","fields":["x0","x1"]`
 	t := open(`"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`).list("a b c").txn(1, 3, 0).printRound()
@@ -673,8 +685,8 @@
 	//  10005 submit 1 to b
 }
 
-// Where answers take a fraction of a millisecond, a gateway that stands still for some milliseconds must not
-// take its members for silent.
+// With sub-millisecond answers, a gateway that pauses for some milliseconds must not consider its members
+// silent.
 func ExampleGateway_quickAnswers() {
 	t := open().list("a")
 	t.hideLog = false
@@ -689,8 +701,8 @@
 	// 10300 submit 1000 to a
 }
 
-// A session's read that came to nothing makes its next one look like a repeat whose SLA time is over. It must not
-// be held unsent until its client leaves: a member that is idle takes it.
+// After a read that was not served, the session's next read looks like a retry whose SLA time is over. It
+// must not be held unsent until its client leaves: an idle member takes it.
 func Example_lateRetryOnIdleMember() {
 	t := open().list("a")
 	t.txn(1, 0, 0).printRound().at(10100).g.ClientGone(1)
@@ -704,17 +716,17 @@
 	//  10620 submit 3 to a
 }
 
-// A txn that no member takes is answered by half of its time, when its client can still ask elsewhere, unless
-// a late answer earns more than holding it costs.
+// A txn that no member can take is answered by half of its time, when its client can still try elsewhere,
+// unless a late answer earns more than holding it costs.
 func Example_unsentTxn() {
 	t := open(`"worth":1,"name":"any"`, `"worth":1,"lateValue":0.2,"name":"any"`).list("a-")
 	t.txn(1, 2, 0).txn(2, 3, 0).run(11000)
 	// Output:
-	//  10490 decline 1
-	//  10850 decline 2
+	//  10490 reject 1
+	//  10850 reject 2
 }
 
-// each hands a round's decisions to a function.
+// each calls f for every decision of a round.
 func (t *trace) each(f func(Decision)) {
 	t.g.BeginRound(Millis(t.clock))
 	for d, ok := t.g.Next(); ok; d, ok = t.g.Next() {
@@ -722,8 +734,8 @@
 	}
 }
 
-// What never reached a suspect costs it nothing: once it answers again it is sent a cold member's share at once,
-// not after as long as it was tried in vain.
+// Submissions that never reached a suspect do not use up its budget: once it answers again it gets a cold
+// member's share at once, not only after the time spent on failed trials.
 func Example_failedTrials() {
 	t := open().list("a b")
 	for id := uint64(1); id <= 300; id++ {
@@ -748,8 +760,8 @@
 	// true
 }
 
-// Clients who leave at once whatever is done do not shorten the time for those who stay, which is seen by
-// answers that come after as long; clients who all leave after a while do.
+// Clients that always leave at once do not shorten the target latency for those that stay, which shows in
+// answers after as long a wait; clients that all leave after a while do.
 func Example_earlyDepartures() {
 	for _, stay := range []float64{30, 90} {
 		t := open().list("a b c")
@@ -761,7 +773,7 @@
 				if i == 0 {
 					t.g.ClientGone(x.id)
 				}
-				if len(x.submissions) > 0 { // the second has waited for longer than the first, where that left soon
+				if len(x.submissions) > 0 { // the second txn has waited longer than the first, if the first client left early
 					r := []Result{Cancelled, Committed}[i]
 					t.g.SubmissionEnded(x.id, 0, x.submissions[0].member.id, r, Millis(60), 2, 0, true, nil)
 				}
@@ -774,7 +786,8 @@
 	// 90
 }
 
-// A part of an answer is a sign of life: who sends long answers, a, is not silent while they come.
+// Part of an answer shows that the member is alive: a, which sends long answers, is not silent while they
+// arrive.
 func Example_longAnswers() {
 	t := open().list("a b").txn(1, 2, 0).txn(2, 2, 0).printRound()
 	t.hideLog = false
@@ -797,12 +810,12 @@
 	//  10200 log: member 98.0.0.0:0 suspect: silent, 4 in flight, quiet for 200 ms
 }
 
-// long makes the reads that any member may answer long ones, with a client who waits for them.
+// long gives eventual reads a long service time and a client that waits for them.
 var long = []string{`"promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"any"`,
 	`"promiseMs":8000,"hardLimitMs":15000,"worth":1,"name":"any"`}
 
-// A long read in flight to a member that is known by short ones alone is no sign of a fault until it has waited for
-// many times of its own: taken for one, it was called off and begun anew elsewhere, again and again.
+// A long read in flight to a member measured by short ones alone is no sign of a fault until it has waited
+// for many times its own service time. Otherwise it was cancelled and restarted elsewhere again and again.
 func Example_longReadIsNotSilent() {
 	t := open(long...).list("a b")
 	t.txn(1, 0, 0).printRound().at(10020).end(1, 0, "a", Committed, 2, 10000).printRound()
@@ -813,18 +826,18 @@
 	//  10020 submit 2 to a
 }
 
-// A replica that holds a long read may apply nothing. Spread by load such reads left no replica current; they go to
-// a quarter of a group, one of four here, however idle the others are.
+// A replica that runs a long read may apply nothing. Spread by load, such reads left no replica current;
+// they go to a quarter of a group, one of four here, however idle the others are.
 func Example_longReadReplicas() {
 	t := open(long...).list("p* a b c")
 	for id := range uint64(3) {
 		_ = t.g.AddTxn(id, 2, 0, 7, Millis(15000), 0, 0, 0)
 	}
 	t.printRound()
-	t.at(14000).end(0, 0, "a", Committed, 2, 10000) // it is behind, and so goes on to be the one
+	t.at(14000).end(0, 0, "a", Committed, 2, 10000) // it lags, and so continues to serve long reads
 	t.g.ReceiveUpdate(MemberUpdate{Server{'b'}, Millis(13990), false})
 	_ = t.g.AddTxn(3, 2, 0, 7, Millis(15000), 0, 0, 0)
-	t.txn(4, 0, 100).printRound() // what must be current keeps off it
+	t.txn(4, 0, 100).printRound() // reads of current data avoid it
 	// Output:
 	// 10000 submit 0 to a
 	//  10000 submit 1 to a
@@ -833,8 +846,8 @@
 	//  14000 submit 3 to a
 }
 
-// A miss at once is no wait: the read is tried on another replica, not sent to the primary with all others. And it
-// tells a lag, which the next reads heed, where answers hold no position.
+// An immediate refusal is not a wait: the read is tried on another replica instead of being sent to the
+// primary with all others. It also shows a lag, which later reads respect where answers carry no position.
 func Example_immediateRefusal() {
 	t := open(`"await"`, `"bounce"`, `"waitMs":20`, `"waitMs":0`, `"answersStamped":true`, `"answersStamped":false`)
 	t.list("p* a b").txn(1, 1, 0).printRound().at(10001).end(1, 0, "a", NotEligible, 2, 0).printRound()
@@ -845,22 +858,23 @@
 	//  10001 submit 2 to b
 }
 
-// A position that another gateway saw is a proof, told once to all; without it a fresh gateway had nothing to go by.
+// A position observed by another gateway is a proof and is sent to all once; without it a new gateway had no
+// proof of any replica.
 func Example_positionUpdates() {
 	t := open("await", "none", `"mayDuplicate"`, `"peers":true,"mayDuplicate"`).list("a* b c")
 	t.txn(1, 0, 50).printRound()
 	t.g.ReceiveUpdate(MemberUpdate{Server{'c'}, Millis(9990), false})
 	t.printRound()
 	t.txn(2, 2, 0).printRound().end(2, 0, "b", Committed, 2, 9995).printRound()
-	t.txn(3, 2, 0).printRound().end(3, 0, "b", Committed, 2, 9998).printRound() // nearly as much was told
+	t.txn(3, 2, 0).printRound().end(3, 0, "b", Committed, 2, 9998).printRound() // nearly the same position was already sent
 	// Output:
 	// 10000 submit 1 to c
 	//  10000 submit 2 to b
-	//  10000 tell b at 9995
+	//  10000 update b at 9995
 	//  10000 submit 3 to b
 }
 
-// News that come late do not make a former primary one again.
+// A late update does not make a former primary the primary again.
 func Example_latePrimaryUpdate() {
 	t := open().list("a b").at(10100)
 	t.txn(1, 3, 0).printRound().end(1, 0, "a", NotEligible, 2, 10090)
@@ -871,7 +885,7 @@
 	//  10100 submit 1 to b
 }
 
-// Where clients are not told when to come back, a decline says nothing of it.
+// Where clients are not told when to retry, a rejection carries no delay.
 func ExampleGateway_noRetryAfter() {
 	for _, allowed := range []string{"true", "false"} {
 		t := open(`"retryAfter":true`, `"maxRetryAfterMs":1000,"retryAfter":`+allowed).list("a-").txn(1, 0, 0)
@@ -889,8 +903,9 @@
 	// 10210 0
 }
 
-// When every member is suspect none is avoided, but one that the list calls newly started is sent no more than it can
-// bear: a successor that had just become primary fell over under all that its group had waited with.
+// When every member is suspect none is avoided, but one that the list reports as newly started gets no more
+// than it can handle: a successor that had just become primary was overloaded by everything that its group
+// had queued.
 func Example_allSuspectOneCold() {
 	t := open().list("a b!")
 	t.txn(1, 2, 0)
@@ -904,38 +919,39 @@
 	// true false
 }
 
-// A connection that falls silent at a member that is well takes nothing from it: what was sent later on another one
-// is answered, so no limit is cut, none of it is taken up, the member is not suspect and a keyed txn is asked again
-// there. Before, each such write kept a primary of one write in flight busy until its client was gone.
+// A connection that goes silent at a healthy member does not count against the member: later submissions on
+// another connection are answered, so no limit is cut or used up, the member is not suspect, and a keyed txn
+// is submitted to it again. Before, each such write kept a primary with a limit of one write busy until the
+// client was gone.
 func Example_silentConnection() {
 	t := open().list("a* b")
 	a := t.g.members[Server{'a'}]
 	for i := range uint64(40) {
 		t.at(10000+20*float64(i)).txn(1+i, 4, 0).g.Next()
-		if a.limit = 2; i != 20 { // what txn 21 was sent on fell silent
+		if a.limit = 2; i != 20 { // the connection of txn 21 went silent
 			t.at(10015+20*float64(i)).end(1+i, 0, "a", Committed, 1, 10000)
 		}
 		if d, ok := t.g.Next(); ok && d.Kind == Cancel {
-			fmt.Println("txn", d.Txn, "called off at", t.clock, "in flight", a.inFlight, "suspect", a.suspect)
+			fmt.Println("txn", d.Txn, "cancelled at", t.clock, "in flight", a.inFlight, "suspect", a.suspect)
 			t.end(21, 0, "a", Cancelled, 0, 0).printRound().end(21, 1, "a", Committed, 1, 10000)
 			break
 		}
 	}
-	t.at(11000).txn(50, 3, 0).printRound().at(11050).txn(51, 3, 0).printRound() // once-only: not to be sent again
+	t.at(11000).txn(50, 3, 0).printRound().at(11050).txn(51, 3, 0).printRound() // once-only: must not be sent again
 	t.at(11100).end(51, 0, "a", Committed, 1, 10000)
 	before := a.limit
 	t.at(11900).end(50, 0, "a", TimedOut, 0, 0)
 	fmt.Println("cut:", a.limit < before)
 	// Output:
-	// txn 21 called off at 10515 in flight 0 suspect false
+	// txn 21 cancelled at 10515 in flight 0 suspect false
 	//  10515 submit 21 to a
 	//  11000 submit 50 to a
 	//  11050 submit 51 to a
 	// cut: false
 }
 
-// The other side: a crowded member answers in the order in which it was sent to. Its answers to what came earlier
-// do not save it, as they would if any answer since did.
+// The opposite case: a crowded member answers in the order of submission. Its answers to earlier submissions
+// do not protect it from a cut, as they would if any answer since the submission counted.
 func Example_crowdedMemberIsCut() {
 	t := open().list("a*").txn(1, 4, 0).printRound().at(10100).txn(2, 4, 0).printRound()
 	a := t.g.members[Server{'a'}]
@@ -949,8 +965,9 @@
 	// cut: true
 }
 
-// A handshake that is lost at a member that answers others meanwhile is no sign that the member is away: to take it
-// for lost called off all that it had in flight, which cost it as many handshakes more.
+// A lost handshake with a member that answers other submissions meanwhile does not mean that the member is
+// unreachable. Treating it so cancelled everything in flight to the member, which cost it as many new
+// handshakes.
 func Example_handshakeLost() {
 	t := open().list("a*").txn(1, 4, 0).txn(2, 4, 0).printRound()
 	a := t.g.members[Server{'a'}]
@@ -966,8 +983,9 @@
 	// true
 }
 
-// What is given up unanswered past its SLA time has taken that long at least. Only answers counted: a replica that
-// served nobody in time kept the first limit of every gateway, and all went on sending to it.
+// A submission that times out past its SLA time has taken at least that long. When only answers counted, a
+// replica that served nothing in time kept the initial limit at every gateway, and all went on sending to
+// it.
 func Example_unansweredCutsLimits() {
 	t := open().list("a").txn(1, 2, 0).printRound()
 	fmt.Println(t.g.members[Server{'a'}].limit)
@@ -978,14 +996,14 @@
 	// Output:
 	// 10000 submit 1 to a
 	// 8
-	//  10250 decline 1
+	//  10250 reject 1
 	//  10250 submit 2 to a
 	// 8
 	// true
 }
 
-// A primary that answers late is cut to one write at a time. A least of three at each of 28 gateways held 84 in flight
-// at four cores, which got the less done for it.
+// A primary that answers late is cut to one write at a time. A minimum of three at each of 28 gateways kept
+// 84 in flight on four cores, which reduced its throughput.
 func Example_crowdedPrimary() {
 	t := open().list("a*")
 	t.txn(1, 3, 0).printRound().end(1, 0, "a", Committed, 1, 10000).printRound()
@@ -999,8 +1017,8 @@
 	// 1
 }
 
-// A txn that is kept to a zone is read there, however crowded it is against others, until no member there is well: then
-// anywhere. Its own SLA time is the shorter one.
+// A txn restricted to a zone is read there, however crowded the zone is compared with others, until no
+// member there is healthy: then anywhere. Its own, shorter SLA time applies.
 func Example_zoneRestriction() {
 	t := open().list("a b c")
 	for _, m := range t.g.members {
--- a/decide/interface.go
+++ b/decide/interface.go
@@ -6,14 +6,14 @@
 	"math"
 )
 
-// Nanos is a time on the host's clock or a span, in whole nanoseconds; in settings it is written in
+// Nanos is a point in time on the host's clock or a duration, in whole nanoseconds. Settings give it in
 // milliseconds.
 type Nanos int64
 
-// Millisecond is the unit of settings.
+// Millisecond is the unit of times in the settings.
 const Millisecond Nanos = 1e6
 
-// Millis converts milliseconds with a fraction; what no clock can hold is cut to the largest span.
+// Millis converts fractional milliseconds; values out of range are limited to a very long duration.
 func Millis(ms float64) Nanos {
 	if ns := ms * 1e6; ns > -math.MaxInt64/2 && ns < math.MaxInt64/2 {
 		return Nanos(math.Round(ns))
@@ -28,27 +28,27 @@
 	return err
 }
 
-// Server is a database server's IPv4 address and port, as the wire gives them: the port's low byte first.
+// Server is a database server's IPv4 address and port in wire order: the port's low byte first.
 type Server [6]byte
 
 func (s Server) String() string {
 	return fmt.Sprintf("%d.%d.%d.%d:%d", s[0], s[1], s[2], s[3], int(s[4])|int(s[5])<<8)
 }
 
-// Result is how a submission or a probe ended.
+// Result is the outcome of a submission or a probe.
 type Result int
 
 const (
 	Committed  Result = iota
 	Failed            // answered with an error: may have had an effect
-	AtCapacity        // turned away unseen
+	AtCapacity        // refused for lack of capacity: never ran
 	TimedOut
 	Unreachable     // no connection: never ran
-	Broken          // the connection failed, or the answer was spoilt: may have run
+	Broken          // the connection failed or the answer was corrupt: may have run
 	Cancelled       // may have run
 	NotSent         // never sent
-	NotEligible     // turned away untouched: not the primary, or too far behind
-	ResetBeforeSend // the connection was made and failed before the txn was out: never ran
+	NotEligible     // refused: not the primary, or too far behind; never ran
+	ResetBeforeSend // the connection failed before the txn was sent: never ran
 )
 
 // resultNames are the labels of results in logs and metrics.
@@ -62,7 +62,7 @@
 	return resultNames[r]
 }
 
-// Role is what an answer says of the member that gave it.
+// Role is the role that a member reports in its answer.
 type Role int
 
 const (
@@ -71,7 +71,7 @@
 	RoleReplica
 )
 
-// Status is what the list says of a member.
+// Status is a member's status in the member list.
 type Status int
 
 const (
@@ -80,7 +80,7 @@
 	Draining
 )
 
-// Scope is how much of the list an announcement brings.
+// Scope is how much of the member list an update covers.
 type Scope int
 
 const (
@@ -89,39 +89,40 @@
 	CachedList
 )
 
-// Kind is what a decision asks of the host.
+// Kind is the action that a decision asks of the host.
 type Kind int
 
 const (
-	Submit        Kind = iota // Txn to Server, sent Before a time if at all, given up at Until
-	Reject                    // Txn, final; a retry does no harm; come back After
-	RollBack                  // Txn, final; nothing is promised
-	Cancel                    // submission No of Txn
+	Submit        Kind = iota // send Txn to Server, before SendBefore if set; times out at Expiry
+	Reject                    // answer Txn finally: a retry is safe, after Delay
+	RollBack                  // answer Txn finally, without a promise that a retry is safe
+	Cancel                    // cancel the submission Attempt of Txn
 	Probe                     // Server
-	CloseIdle                 // close the idle connections to Server
-	SubscribeList             // subscribe to the list's changes
-	FetchList                 // ask for the whole list once
-	Wake                      // a call of Woken After this span
-	SendUpdates               // all other gateways the News
+	CloseIdle                 // close idle connections to Server
+	SubscribeList             // subscribe to changes of the member list
+	FetchList                 // request the full member list once
+	Wake                      // start another round after Delay
+	SendUpdates               // send Updates to all other gateways
 	Log                       // Text
 )
 
-// MemberUpdate is what one gateway tells the others of a member: a position that it was proven to have reached, and that
-// it was primary then. Neither is ever taken back, so that news may come late, twice or not at all.
+// MemberUpdate is what one gateway sends the others about a member: a position that it was proven to have
+// reached, and whether it was primary then. Neither is ever retracted, so updates may arrive late, twice or
+// not at all.
 type MemberUpdate struct {
 	Server   Server
 	Position Nanos
 	Primary  bool
 }
 
-// Decision is one thing for the host to do; which fields count depends on Kind.
+// Decision is one action for the host. Which fields are set depends on Kind.
 type Decision struct {
 	Kind       Kind
 	Txn        uint64
 	Attempt    uint16
 	Server     Server
 	Expiry     Nanos
-	SendBefore Nanos // a submission begun later must not be sent any more; 0 is none
+	SendBefore Nanos // a submission must not be sent after this time; 0 for no limit
 	Delay      Nanos
 	Text       string
 	Updates    []MemberUpdate
--- a/decide/site.go
+++ b/decide/site.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// class is one txn type, as the host's settings give it.
+// txnClass holds the settings of one txn type.
 type txnClass struct {
 	Name          string
 	Worth         float64
@@ -19,7 +19,7 @@
 	DedupWindow   Nanos `json:"windowMs"`
 }
 
-// site holds what the decisions read of the host's settings.
+// settings holds the part of the host's settings that decisions depend on.
 type settings struct {
 	Classes     []txnClass
 	Replication struct {
@@ -61,7 +61,7 @@
 	Tick Nanos `json:"tickMs"`
 }
 
-// readSite decodes the settings and names the first value that is lacking or unknown.
+// parseSettings decodes the settings. The error names the first value that is missing or unknown.
 func parseSettings(text []byte) (*settings, error) {
 	s := new(settings)
 	if err := json.Unmarshal(text, s); err != nil {
--- a/decide/state.go
+++ b/decide/state.go
@@ -28,7 +28,7 @@
 // unit returns a number in [0, 1).
 func (p *pcg) unit() float64 { return float64(p.next()) / (1 << 32) }
 
-// decaying is a sum whose parts fade with time; it is brought up to date when read or added to.
+// decayingSum is an exponentially decaying sum, brought up to date when it is read or added to.
 type decayingSum struct {
 	total     float64
 	updatedAt Nanos
@@ -44,7 +44,7 @@
 
 func (d *decayingSum) add(now, decay Nanos, x float64) { d.total = d.value(now, decay) + x }
 
-// mean is a mean over time.
+// decayingMean is an exponentially weighted mean.
 type decayingMean struct{ sum, count decayingSum }
 
 func (a *decayingMean) add(now, decay Nanos, x float64) {
@@ -52,94 +52,94 @@
 	a.count.add(now, decay, 1)
 }
 
-// lean is the mean, leaning on a guess that weighs as much as some values.
+// valueWithPrior is the mean, combined with a prior that weighs as much as that many samples.
 func (a *decayingMean) valueWithPrior(now, decay Nanos, prior, weight float64) float64 {
 	return (a.sum.value(now, decay) + prior*weight) / (a.count.value(now, decay) + weight)
 }
 
-// member is what this gateway knows of one database server.
+// member is this gateway's state for one database server.
 type member struct {
 	id                           Server
 	zone, kind                   int
 	group                        *group
-	ready, drained, excluded     bool // barred: told that it drains or is gone
-	removed                      bool // as the list says
+	ready, drained, excluded     bool // excluded: it drains or was removed
+	removed                      bool // by the list
 	startedAt                    Nanos
-	position, lastLag            Nanos // proven position; how far behind it was when last heard of
-	lagSeenAt, positionSeenAt    Nanos // when the lag and the position were told
-	sharedPosition               Nanos // position that all gateways were told
-	updatePending                bool  // in the gateway's list of those to tell of
-	unprovenAt, queriedAt        Nanos // when a read last passed it over for want of proof; when it was last asked
+	position, lastLag            Nanos // proven position; lag when last known
+	lagSeenAt, positionSeenAt    Nanos // when the lag and the position were learned
+	sharedPosition               Nanos // position that all gateways know
+	updatePending                bool  // in Gateway.pendingUpdates
+	unprovenAt, queriedAt        Nanos // when a read last skipped it for lack of proof; when it was last queried
 	role                         Role
-	roleAt                       Nanos   // when an answer told the role last
-	listedPrimary                bool    // the list says that it is the primary
-	inFlight                     int     // submissions in flight from here
-	busy                         bool    // in the gateway's list of those with something in flight
-	needsPosition                bool    // in the gateway's list of those that were passed over
-	inFlightRate, weightedSentAt float64 // sums over them of one, and of when they were sent, by their service times
+	roleAt                       Nanos   // when an answer last reported the role
+	listedPrimary                bool    // the list names it as primary
+	inFlight                     int     // submissions in flight from this gateway
+	busy                         bool    // in Gateway.busyList
+	needsPosition                bool    // in Gateway.needingPosition
+	inFlightRate, weightedSentAt float64 // sums over submissions in flight of 1 and of the send time, each divided by the expected service time
 	limit                        float64
-	newestServed                 [2]Nanos     // when the latest of the reads, and of the writes, that it served were sent
-	latency, slowdown, lateness  decayingMean // latency of answers: as it is; in service times; in SLA times
-	errorRate                    decayingMean // share of errors among its answers
-	sentWork                     decayingSum  // service time sent
-	brokenConnections            int          // of connections, since its last answer
-	refusedConnections           int          // of connections, since its last answer
-	checkSentAt                  Nanos        // when a probe went out to tell why; 0 once it is back
-	failingSince, restUntil      Nanos        // the first of them, or of lost connections; when it may be tried again
-	listedStart                  Nanos        // its start, as the list tells it
-	coldCredit                   float64      // service time that a cold member may still be sent
+	newestServed                 [2]Nanos     // send time of the latest read, and of the latest write, that it served
+	latency, slowdown, lateness  decayingMean // latency of answers: absolute; relative to the service time; relative to the SLA time
+	errorRate                    decayingMean // fraction of errors among its answers
+	sentWork                     decayingSum  // service time of what was sent to it
+	brokenConnections            int          // since its last answer
+	refusedConnections           int          // since its last answer
+	checkSentAt                  Nanos        // when a probe was sent to find the cause; 0 once it ended
+	failingSince, restUntil      Nanos        // first refusal or lost connection; when it may be tried again
+	listedStart                  Nanos        // its start time, by the list
+	coldCredit                   float64      // service time that may still be sent to a cold member
 	coldCreditAt                 Nanos
 	silentSince, limitChangedAt  Nanos
-	unansweredWork               float64 // waits, in service times, of submissions that ended without an answer since then
-	suspect, unreachable         bool    // unreached: no connection, or a broken one, since its last answer
+	unansweredWork               float64 // waits, in service times, of submissions that ended without an answer since silentSince
+	suspect, unreachable         bool    // unreachable: no connection, or a broken one, since its last answer
 	nextTrialAt, trialInterval   Nanos
 }
 
-// group is one primary, its replicas and the txns that wait for them.
+// group is a primary, its replicas and the txns queued for them.
 type group struct {
 	id            int
 	members       []*member
-	queues        [][]*txn // by row: for each txn type those in time, those that need no proof, the late
-	queued        int      // entries in those rows, those of ended txns that are not pruned yet too
-	primarySearch *txn     // the write that is trying members in turn
+	queues        [][]*txn // for each txn type: those in time, those that need no proof, the late ones
+	queued        int      // entries in queues, including ended txns that are not pruned yet
+	primarySearch *txn     // the write that is trying members in turn to find the primary
 	loggedPrimary *member  // as last logged
 	answeredAt    Nanos
-	tokens        map[uint64]Nanos // last commits of sessions, where they are kept here
+	tokens        map[uint64]Nanos // last commit positions by session, if kept here
 }
 
-// submission is one try of a txn at a member.
+// submission is one attempt of a txn at a member.
 type submission struct {
 	member       *member
 	sentAt       Nanos
-	rate         float64 // one by the service time that was expected of it
+	rate         float64 // 1 / expected service time
 	ended        bool
 	cancelled    bool
-	responseLost bool // its answer is not to be expected: it no longer counts as in flight
+	responseLost bool // no answer is expected any more: it does not count as in flight
 }
 
-// txn is one request of a client, kept until it is answered and its submissions are over.
+// txn is a client request, kept until it is answered and all its submissions have ended.
 type txn struct {
 	id                                     uint64
 	class                                  int
 	group                                  *group
 	session                                uint64
-	token                                  Nanos // position that a read must see; 0 is none
+	token                                  Nanos // position that a read must see; 0 for none
 	arrivedAt, slaDeadline, expiry, budget Nanos
-	firstArrival                           Nanos // arrival of the client's first try, as far as can be told
+	firstArrival                           Nanos // estimated arrival of the client's first attempt
 	submissions                            []submission
 	inFlight, errorCount                   int
 	waiting, done                          bool
-	firstRunAt                             Nanos   // sending of the first submission that may have run
-	waitOver                               bool    // step 5: the wait is over, only the primary will do
-	randomDraw                             float64 // see luck
+	firstRunAt                             Nanos   // send time of the first submission that may have run
+	waitOver                               bool    // step 5: the wait is over, only the primary may serve it
+	randomDraw                             float64 // see Gateway.randomDraw
 	pausedUntil                            Nanos
-	allowedZones                           uint64 // that its reads are kept to, a bit each; 0 is none
+	allowedZones                           uint64 // bit mask of the zones that its reads are kept to; 0 for any
 }
 
-// Primary is a group's, as far as it is known.
-func (g *Gateway) Primary(group int) (Server, bool) {
+// Primary is the primary of a group, if it is known.
+func (g *Gateway) Primary(groupID int) (Server, bool) {
 	for _, grp := range g.groups {
-		if grp.id == group {
+		if grp.id == groupID {
 			if p := g.primaryOf(grp); p != nil {
 				return p.id, true
 			}
@@ -148,26 +148,27 @@
 	return Server{}, false
 }
 
-// binds tells whether a member is of the zones that a txn is kept to.
+// allowsZoneOf reports whether a member is in one of the txn's zones.
 func (t *txn) allowsZoneOf(m *member) bool { return t.allowedZones>>m.zone&1 == 1 }
 
-// service is what is measured of a txn type: latency and count of what was committed, how many came, and how
-// many left early after what stay.
+// classStats holds the measurements of a txn type: service time and count of committed txns, arrivals, and
+// the clients that left early with how long they had waited.
 type classStats struct {
 	serviceTime                                  decayingMean
 	arrivals, departures, departureWaits, onTime decayingSum
-	longerAnswers                                decayingSum // answers after more than the mean stay of those who left
+	longerAnswers                                decayingSum // answers later than the mean wait of clients that left
 	usualBudget                                  mode
-	demandAbove, demand                          float64 // of the demand: what is worth more, and its own
+	demandAbove, demand                          float64 // demand of higher-valued types, and its own
 }
 
-// mode follows the most frequent value of a series, up to a tolerance, as long as it makes up a third of it.
+// mode tracks the most frequent value of a series, within a tolerance, as long as it makes up a third of the
+// series.
 type mode struct {
 	value Nanos
 	votes int
 }
 
-// counts takes a value and tells whether it is the most frequent one.
+// observe adds a value and reports whether it is the most frequent one.
 func (m *mode) observe(x, tolerance Nanos, maxVotes int) bool {
 	if m.value-tolerance <= x && x <= m.value+tolerance {
 		m.votes = min(m.votes+2, maxVotes)
@@ -181,42 +182,42 @@
 	return true
 }
 
-// unserved is a session and a txn type.
+// sessionClass identifies a session's txns of one type.
 type sessionClass struct {
 	session uint64
 	class   int
 }
 
-// Gateway is one instance of the module.
+// Gateway is one instance of the decision module. It is not safe for concurrent use.
 type Gateway struct {
 	settings           *settings
 	now                Nanos
-	startedAt          Nanos // this instance's first round
+	startedAt          Nanos // time of the first round
 	rng                pcg
 	members            map[Server]*member
 	zoneLatencies      []zoneLatency // by zone
-	servingMembers     int           // members that are not barred
-	refusedConnections decayingSum   // of connections
-	busyMembers        decayingSum   // members that refused and answered within a moment
+	servingMembers     int           // number of members that are not excluded
+	refusedConnections decayingSum   // recent refusals
+	refusalRecoveries  decayingSum   // members that refused connections and answered shortly after
 	connectionsScarce  bool
 	idleToClose        []Server
-	pendingChecks      []Server // members that refused, to be probed
+	pendingChecks      []Server // members to probe after refused or broken connections
 	arrivals           decayingSum
-	demand             decayingSum // service time of the first tries that came
-	busyList           []*member   // with something in flight, or a moment ago
-	pendingUpdates     []*member   // to be told of
-	needingPosition    []*member   // passed over for want of proof and not asked since
+	demand             decayingSum // service time of first attempts
+	busyMembers        []*member   // with submissions in flight now or recently
+	pendingUpdates     []*member   // members whose position is to be sent to other gateways
+	needingPosition    []*member   // members skipped for lack of proof and not queried since
 	groups             []*group
 	txns               map[uint64]*txn
 	openTxns           []*txn
 	stats              []classStats // by txn type
-	queueOrder         []int        // rows of waiting txns, most value for service time first
-	baseLateness       float64      // latency in SLA times when nothing is crowded
-	lateness           decayingMean // of all answers, as for a member
-	errorRate          decayingMean // share of errors among all answers
-	primaryLateness    decayingMean // late, of answers of primaries
+	queueOrder         []int        // queue indexes, highest value per service time first
+	baseLateness       float64      // latency as a fraction of the SLA time when nothing is crowded
+	lateness           decayingMean // of all answers, see member.lateness
+	errorRate          decayingMean // fraction of errors among all answers
+	primaryLateness    decayingMean // lateness of the answers of primaries
 	listedMembers      map[Server]bool
-	unserved           map[sessionClass]Nanos // when the session's first try of its last txn came, if that was not served
+	unserved           map[sessionClass]Nanos // arrival of the first attempt of a session's last txn, if that was not served
 	logLines           []string
 	stage              int
 	cursor             int
@@ -225,17 +226,17 @@
 	subscribed         bool
 	subscribeAt        Nanos
 	subscribeBackoff   Nanos
-	expiredAt          Nanos
+	lastExpiryAt       Nanos
 	reorderAt          Nanos
 	queued             int
 	shedding           bool
-	totalDemand        float64     // service time that came of late
-	worstClass         int         // the class served worst of late
-	arrivedWorth       float64     // worth that came of late
-	abandoned          decayingSum // txns given up unserved
+	totalDemand        float64     // service time that arrived recently
+	worstClass         int         // the txn type with the lowest recent fraction served in time
+	arrivedWorth       float64     // worth of recent arrivals
+	abandoned          decayingSum // txns answered unserved
 }
 
-// New reads the settings and returns an instance that knows nothing else.
+// New parses the settings and returns an instance without any other state.
 func New(seed uint64, settings []byte) (*Gateway, error) {
 	s, err := parseSettings(settings)
 	if err != nil {
@@ -267,7 +268,7 @@
 	g.logLines = append(g.logLines, fmt.Sprintf(format, a...))
 }
 
-// line hands out what was logged.
+// nextLogLine returns the next log line as a decision.
 func (g *Gateway) nextLogLine() (Decision, bool) {
 	if len(g.logLines) == 0 {
 		return Decision{}, false
@@ -277,13 +278,13 @@
 	return Decision{Kind: Log, Text: text}, true
 }
 
-// hangUp hands out the members whose idle connections are to be closed.
+// closeIdle returns the next member whose idle connections are to be closed.
 func (g *Gateway) closeIdle() (Decision, bool) {
 	server, ok := pop(&g.idleToClose)
 	return Decision{Kind: CloseIdle, Server: server}, ok
 }
 
-// way keeps the quickest answer from a zone, of this span and of the one before.
+// zoneLatency tracks the lowest latency of a zone in the current and the previous window.
 type zoneLatency struct{ current, previous, rotatedAt Nanos }
 
 func (w *zoneLatency) add(now, window, elapsed Nanos) {
@@ -293,7 +294,7 @@
 	}
 }
 
-// least is the quickest answer of late, 0 if there was none.
+// minimum is the lowest recent latency, 0 if there was none.
 func (w *zoneLatency) minimum(now, window Nanos) Nanos {
 	if now-w.rotatedAt >= window {
 		if w.previous = w.current; now-w.rotatedAt >= 2*window {
@@ -314,12 +315,12 @@
 	return &g.zoneLatencies[zone]
 }
 
-// tried tells whether the txn was sent to a member at or after a time.
+// sentTo reports whether the txn was sent to a member at or after a time.
 func (t *txn) sentTo(m *member, since Nanos) bool {
 	return slices.ContainsFunc(t.submissions, func(s submission) bool { return s.member == m && s.sentAt >= since })
 }
 
-// mayHaveRun is when the first submission was sent that ran or may run yet; 0 is none.
+// firstPossibleRun is the send time of the first submission that ran or may still run; 0 for none.
 func (t *txn) firstPossibleRun() Nanos {
 	ran := t.firstRunAt
 	for i := range t.submissions {
@@ -330,8 +331,9 @@
 	return ran
 }
 
-// memberOf is a server's entry in a group, made or moved there where needed, and whether it was known before.
-func (g *Gateway) memberOf(server Server, grp int) (*member, bool) {
+// memberOf returns a server's entry in a group, created or moved there if needed, and whether it was known
+// before.
+func (g *Gateway) memberOf(server Server, groupID int) (*member, bool) {
 	m, known := g.members[server]
 	if known && m.removed && m.excluded { // another machine may have its address now
 		g.removeMember(m)
@@ -341,31 +343,31 @@
 		m = &member{id: server}
 		g.members[server] = m
 	}
-	if m.group == nil || m.group.id != grp {
+	if m.group == nil || m.group.id != groupID {
 		if m.group != nil {
 			m.group.members = slices.DeleteFunc(m.group.members, func(x *member) bool { return x == m })
 		}
-		m.group = g.groupOf(grp)
+		m.group = g.groupOf(groupID)
 		m.group.members = append(m.group.members, m)
 		slices.SortFunc(m.group.members, func(a, b *member) int { return bytes.Compare(a.id[:], b.id[:]) })
 	}
 	return m, known
 }
 
-// drop forgets a member that is gone for good: who has its address later is another. What is out to it still
-// ends there.
+// removeMember deletes a removed member: a later server with its address is a different one. Submissions in
+// flight to the old entry still end there.
 func (g *Gateway) removeMember(m *member) {
-	is := func(x *member) bool { return x == m }
+	isMember := func(x *member) bool { return x == m }
 	delete(g.members, m.id)
-	m.group.members = slices.DeleteFunc(m.group.members, is)
-	g.needingPosition = slices.DeleteFunc(g.needingPosition, is)
-	g.pendingUpdates = slices.DeleteFunc(g.pendingUpdates, is)
+	m.group.members = slices.DeleteFunc(m.group.members, isMember)
+	g.needingPosition = slices.DeleteFunc(g.needingPosition, isMember)
+	g.pendingUpdates = slices.DeleteFunc(g.pendingUpdates, isMember)
 }
 
-// opened and closed keep count of what is in flight.
+// submissionStarted and submissionClosed keep track of what is in flight.
 func (g *Gateway) submissionStarted(t *txn, m *member) {
 	if !m.busy {
-		m.busy, g.busyList = true, append(g.busyList, m)
+		m.busy, g.busyMembers = true, append(g.busyMembers, m)
 	}
 	if m.inFlight == 0 {
 		m.silentSince = g.now
@@ -390,7 +392,7 @@
 	if r == Committed {
 		s.member.newestServed[g.workKind(t)] = max(s.member.newestServed[g.workKind(t)], s.sentAt)
 	}
-	if r == NotSent || r == Unreachable || r == ResetBeforeSend { // what never came did not cost it anything
+	if r == NotSent || r == Unreachable || r == ResetBeforeSend { // what never reached the member cost it nothing
 		s.member.coldCredit += g.expectedServiceTime(t.class)
 		s.member.sentWork.add(g.now, classDecay, -g.expectedServiceTime(t.class))
 	}
@@ -399,35 +401,36 @@
 		t.firstRunAt = s.sentAt
 	}
 	if r == Committed || r == Failed {
-		x := 0.0
+		failure := 0.0
 		if r == Failed {
-			x = 1
+			failure = 1
 		}
-		s.member.errorRate.add(g.now, latencyDecay, x)
-		g.errorRate.add(g.now, latencyDecay, x)
+		s.member.errorRate.add(g.now, latencyDecay, failure)
+		g.errorRate.add(g.now, latencyDecay, failure)
 	}
 	if (r == Cancelled || r == TimedOut) && !s.responseLost {
 		s.member.unansweredWork += float64(g.now-max(s.sentAt, s.member.silentSince)) * s.rate
 	}
 }
 
-// leaves takes a submission out of what is in flight to its member.
+// removeInFlight removes a submission from its member's in-flight counts.
 func (s *submission) removeInFlight() {
 	s.member.inFlight--
 	s.member.inFlightRate -= s.rate
 	if s.member.weightedSentAt -= float64(s.sentAt) * s.rate; s.member.inFlight == 0 {
-		s.member.inFlightRate, s.member.weightedSentAt = 0, 0 // what rounding left
+		s.member.inFlightRate, s.member.weightedSentAt = 0, 0 // remove rounding errors
 	}
 }
 
-// strays notes that no answer is to be expected, though the member is well.
+// markResponseLost records that no answer is expected although the member is healthy.
 func (s *submission) markResponseLost() {
 	s.responseLost = true
 	s.removeInFlight()
 }
 
-// detourTo is how much longer the way to a zone takes than the way within this one, by the quickest answers
-// of late, which crowded members hardly change. It is no member's fault and cuts no limit.
+// zoneDelay is how much longer the network path to a zone takes than the path within this zone, by the
+// lowest recent latencies, which crowded members hardly affect. It is not the members' fault and cuts no
+// limit.
 func (g *Gateway) zoneDelay(zone int) Nanos {
 	here, there := g.zoneLatencyOf(g.settings.Zone).minimum(g.now, latencyDecay), g.zoneLatencyOf(zone).minimum(g.now, latencyDecay)
 	if here == 0 || there <= here {
@@ -436,13 +439,14 @@
 	return there - here
 }
 
-// overtaken: its member has served one of its kind that was sent later. Then not the member is crowded or silent,
-// but the way back from it. Writes may wait for a replica, reads for a position: neither tells of the other.
+// overtaken reports whether the member has served a later submission of the same kind. Then the connection
+// or network path is at fault, and the member is neither crowded nor silent. Writes may wait for a replica
+// and reads for a position, so neither says anything about the other.
 func (g *Gateway) overtaken(t *txn, s *submission) bool {
 	return s.sentAt < s.member.newestServed[g.workKind(t)]
 }
 
-// kindOf is 1 for what only a primary takes, which may wait for a replica, else 0.
+// workKind is 1 for writes, which may wait for a replica, otherwise 0.
 func (g *Gateway) workKind(t *txn) int {
 	if g.settings.Replication.Consistency[t.class] == "mutate" {
 		return 1
@@ -450,7 +454,7 @@
 	return 0
 }
 
-// forget drops a txn whose answer is given once its submissions are over.
+// removeIfDone deletes an answered txn once all its submissions have ended.
 func (g *Gateway) removeIfDone(t *txn) {
 	if t.done && t.group.primarySearch == t {
 		t.group.primarySearch = nil
@@ -460,21 +464,22 @@
 	}
 }
 
-// reached raises a proven position; one that was proven holds for good, through changes of role as well.
+// advancePosition raises the proven position. Once proven it holds for good, also across role changes.
 func (m *member) advancePosition(at Nanos) { m.position = max(m.position, at) }
 
-// passed is the position that every replica is known to have reached: a token need not hold then (step 2).
+// minReplicaPosition is the position that every replica is known to have reached: a token up to it needs no
+// check (step 2).
 func (grp *group) minReplicaPosition() Nanos {
-	low := Nanos(1 << 62)
+	lowest := Nanos(1 << 62)
 	for _, m := range grp.members {
 		if !m.excluded && m.role != RolePrimary {
-			low = min(low, m.position)
+			lowest = min(lowest, m.position)
 		}
 	}
-	return low
+	return lowest
 }
 
-// asPrimary names a group's primary for the log.
+// describePrimary describes a group's primary for the log.
 func (m *member) describePrimary() string {
 	switch {
 	case m == nil:
@@ -485,22 +490,22 @@
 	return fmt.Sprintf("primary %v, named by the list alone", m.id)
 }
 
-// cancel calls a submission off.
-func (t *txn) cancelSubmission(no int) Decision {
-	t.submissions[no].cancelled = true
-	return Decision{Kind: Cancel, Txn: t.id, Attempt: uint16(no)}
+// cancelSubmission cancels a submission.
+func (t *txn) cancelSubmission(attempt int) Decision {
+	t.submissions[attempt].cancelled = true
+	return Decision{Kind: Cancel, Txn: t.id, Attempt: uint16(attempt)}
 }
 
-// prune takes ended txns, and those that were sent, out of a row.
-func (g *Gateway) prune(grp *group, row int) {
-	before := len(grp.queues[row])
-	grp.queues[row] = slices.DeleteFunc(grp.queues[row], func(t *txn) bool { return t.done || !t.waiting })
-	gone := before - len(grp.queues[row])
-	grp.queued -= gone
-	g.queued -= gone
+// prune removes ended and submitted txns from a queue.
+func (g *Gateway) prune(grp *group, queue int) {
+	before := len(grp.queues[queue])
+	grp.queues[queue] = slices.DeleteFunc(grp.queues[queue], func(t *txn) bool { return t.done || !t.waiting })
+	pruned := before - len(grp.queues[queue])
+	grp.queued -= pruned
+	g.queued -= pruned
 }
 
-// lacks notes the replicas that a read found no proof of and went elsewhere or waits for.
+// markUnproven records the replicas whose position did not satisfy a read, which went elsewhere or waits.
 func (g *Gateway) markUnproven(grp *group, primary *member, required Nanos) {
 	for _, m := range grp.members {
 		if m == primary || m.position >= required {
@@ -514,13 +519,14 @@
 	}
 }
 
-// told tells, and notes, that a member was heard of since a read last passed it over.
+// positionKnown reports whether a member was queried or its position learned since a read last skipped it,
+// and updates needsPosition.
 func (m *member) positionKnown() bool {
 	m.needsPosition = m.positionSeenAt < m.unprovenAt && m.queriedAt < m.unprovenAt
 	return !m.needsPosition
 }
 
-// BeginRound begins a round.
+// BeginRound starts a round at the given time.
 func (g *Gateway) BeginRound(now Nanos) {
 	if g.startedAt == 0 {
 		g.startedAt = now
@@ -528,14 +534,14 @@
 	g.now, g.stage, g.cursor = now, 0, 0
 }
 
-// ResponseProgress tells that part of an answer came: its member is not silent, though it may be slow.
+// ResponseProgress records that part of an answer arrived: the member is not silent, though it may be slow.
 func (g *Gateway) ResponseProgress(server Server) {
 	if m := g.members[server]; m != nil {
 		m.silentSince, m.group.answeredAt = g.now, g.now
 	}
 }
 
-// ClientGone tells that a txn's client is gone.
+// ClientGone records that a txn's client has disconnected or given up.
 func (g *Gateway) ClientGone(id uint64) {
 	if t := g.txns[id]; t != nil {
 		t.done = true
@@ -546,7 +552,7 @@
 	}
 }
 
-// LimitExpiry tells that a txn must have its answer by a time, as its host ends.
+// LimitExpiry sets a time by which a txn must be answered, because its host shuts down.
 func (g *Gateway) LimitExpiry(id uint64, at Nanos) {
 	if t := g.txns[id]; t != nil && !t.done {
 		t.expiry = min(t.expiry, at)
@@ -554,7 +560,7 @@
 	}
 }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns the next decision of this round, or false if none is left.
 func (g *Gateway) Next() (Decision, bool) {
 	for ; g.stage < len(roundSteps); g.stage, g.cursor = g.stage+1, 0 {
 		if d, ok := roundSteps[g.stage](g); ok {
@@ -564,7 +570,7 @@
 	return Decision{}, false
 }
 
-// notePrimary logs a change of primary.
+// logPrimaryChange logs a change of a group's primary.
 func (g *Gateway) logPrimaryChange(grp *group) {
 	if p := g.primaryOf(grp); p != grp.loggedPrimary {
 		grp.loggedPrimary = p
@@ -572,28 +578,28 @@
 	}
 }
 
-// perSpan is the rate of a sum that began at a time.
+// rate is the rate per nanosecond of a sum that started at a given time.
 func (d *decayingSum) rate(now, since, decay Nanos) float64 {
 	observedFraction := -math.Expm1(-float64(max(now-since, Millisecond)) / float64(decay))
 	return d.value(now, decay) / float64(decay) / observedFraction
 }
 
-// sweep drops tokens that every replica has passed and sessions whose client's time is over.
+// expireState deletes tokens that every replica has reached, and sessions whose client's limit is over.
 func (g *Gateway) expireState(interval Nanos) {
-	if g.now-g.expiredAt <= interval {
+	if g.now-g.lastExpiryAt <= interval {
 		return
 	}
-	g.expiredAt = g.now
+	g.lastExpiryAt = g.now
 	for _, grp := range g.groups {
-		low := grp.minReplicaPosition()
-		maps.DeleteFunc(grp.tokens, func(_ uint64, at Nanos) bool { return at <= low })
+		reached := grp.minReplicaPosition()
+		maps.DeleteFunc(grp.tokens, func(_ uint64, at Nanos) bool { return at <= reached })
 	}
 	maps.DeleteFunc(g.unserved, func(k sessionClass, at Nanos) bool {
 		return g.now-at > g.settings.Classes[k.class].HardLimit
 	})
 }
 
-// pop takes the first of a list.
+// pop removes and returns the first element of a list.
 func pop(list *[]Server) (first Server, ok bool) {
 	if len(*list) > 0 {
 		first, *list = (*list)[0], (*list)[1:]
@@ -602,29 +608,30 @@
 	return first, false
 }
 
-// learnBase follows the latency, in SLA times, when nothing is crowded: the lowest mean seen, which creeps up
-// with each answer so that one lucky moment does not last.
-func (g *Gateway) updateBaseLateness(late float64) {
-	g.lateness.add(g.now, classDecay, late)
+// updateBaseLateness tracks the latency, as a fraction of the SLA time, when nothing is crowded: the lowest
+// mean seen. It rises slowly with each answer so that one low outlier does not last.
+func (g *Gateway) updateBaseLateness(lateness float64) {
+	g.lateness.add(g.now, classDecay, lateness)
 	if g.lateness.count.total > minBaseSamples {
 		mean := min(maxBaseLateness, g.lateness.valueWithPrior(g.now, classDecay, 0, 0))
 		g.baseLateness = min(mean, g.baseLateness+(mean-g.baseLateness)*baseIncrease)
 	}
 }
 
-// waits is how many of their service times a member's work has waited in all since its last answer, by how slow it
-// is of late. What ended without one counts too: a gateway with a txn now and then has little else to go by.
+// silenceScore is how many service times a member's work has waited in total since its last answer,
+// corrected by its recent slowdown. Submissions that ended without an answer count too: a gateway with few
+// txns has little other evidence.
 func (g *Gateway) silenceScore(m *member) float64 {
 	if m.inFlight == 0 && m.unansweredWork == 0 {
 		return 0
 	}
-	// Work that was sent after the last answer has waited for less than the quiet lasts.
+	// Work sent after the last answer has waited for less time than the member has been silent.
 	waited := min(float64(g.now-m.silentSince)*m.inFlightRate, float64(g.now)*m.inFlightRate-m.weightedSentAt) + m.unansweredWork
-	// A service time is a tick at least: a host that stood still must not find quick members silent.
+	// A service time is at least one tick: a host that paused must not consider fast members silent.
 	return waited / max(m.slowdown.valueWithPrior(g.now, latencyDecay, 1, 1), float64(g.settings.Tick)*m.inFlightRate/float64(max(1, m.inFlight)))
 }
 
-// luck is a txn's own chance, drawn once, so that looking at it again does not raise it.
+// randomDraw is a txn's random number, drawn once so that reviewing the txn again does not raise its chance.
 func (g *Gateway) randomDraw(t *txn) float64 {
 	if t.randomDraw == 0 {
 		t.randomDraw = g.rng.unit()
@@ -632,47 +639,47 @@
 	return t.randomDraw
 }
 
-// noteShedding logs when many txns are given up unserved, and when none are any more.
-func (g *Gateway) logShedding(given, threshold float64) {
-	if given > threshold && !g.shedding || given < 1 && g.shedding {
+// logShedding logs when many txns are answered unserved, and when that ends.
+func (g *Gateway) logShedding(abandoned, threshold float64) {
+	if abandoned > threshold && !g.shedding || abandoned < 1 && g.shedding {
 		g.shedding = !g.shedding
-		g.log("giving up unserved txns: %v, %.0f of late", g.shedding, given)
+		g.log("giving up unserved txns: %v, %.0f of late", g.shedding, abandoned)
 	}
 }
 
-// noteScarce logs when connections become scarce, and when they no longer are.
-func (g *Gateway) logScarcity(refused, threshold float64) bool {
-	if scarce := refused > threshold; scarce != g.connectionsScarce {
+// logScarcity logs when connections become scarce, and when that ends.
+func (g *Gateway) logScarcity(refusals, threshold float64) bool {
+	if scarce := refusals > threshold; scarce != g.connectionsScarce {
 		g.connectionsScarce = scarce
-		g.log("connections scarce: %v, %.0f refused of late", scarce, refused)
+		g.log("connections scarce: %v, %.0f refused of late", scarce, refusals)
 	}
 	return g.connectionsScarce
 }
 
-// anyWell tells whether there is a member that is not suspect.
+// anyHealthy reports whether any member is not suspect.
 func (g *Gateway) anyHealthy() bool {
 	return slices.ContainsFunc(g.groups, func(grp *group) bool {
 		return slices.ContainsFunc(grp.members, func(m *member) bool { return !m.excluded && !m.suspect })
 	})
 }
 
-// ReceiveUpdate takes another gateway's word. It may be late: what it proves still holds, and of two members that were
-// primary the later one counts.
-func (g *Gateway) ReceiveUpdate(n MemberUpdate) {
-	m := g.members[n.Server]
-	if m == nil || n.Position > g.now {
+// ReceiveUpdate applies another gateway's update. It may be late: what it proves still holds, and of two
+// members that were primary the later one counts.
+func (g *Gateway) ReceiveUpdate(update MemberUpdate) {
+	m := g.members[update.Server]
+	if m == nil || update.Position > g.now {
 		return
 	}
-	m.sharedPosition = max(m.sharedPosition, n.Position)
-	m.advancePosition(n.Position)
-	m.lastLag, m.lagSeenAt, m.positionSeenAt = max(min(g.estimatedLag(m), g.now-n.Position), g.now-n.Position-maxReportDelay), g.now, g.now
-	if p := g.primaryOf(m.group); n.Primary && n.Position > m.roleAt && (p == nil || n.Position > p.roleAt) {
+	m.sharedPosition = max(m.sharedPosition, update.Position)
+	m.advancePosition(update.Position)
+	m.lastLag, m.lagSeenAt, m.positionSeenAt = max(min(g.estimatedLag(m), g.now-update.Position), g.now-update.Position-maxReportDelay), g.now, g.now
+	if p := g.primaryOf(m.group); update.Primary && update.Position > m.roleAt && (p == nil || update.Position > p.roleAt) {
 		g.recordAnswer(m, RolePrimary, 0)
-		m.roleAt = n.Position
+		m.roleAt = update.Position
 	}
 }
 
-// tell hands out what is to be shared, in one message a round.
+// sendUpdates returns all pending updates as one message per round.
 func (g *Gateway) sendUpdates() (Decision, bool) {
 	if len(g.pendingUpdates) == 0 {
 		return Decision{}, false
@@ -686,12 +693,12 @@
 	return d, true
 }
 
-// heardNote takes an answer's word on role and position.
+// recordAnswer applies the role and position of an answer.
 func (g *Gateway) recordAnswer(m *member, role Role, position Nanos) {
 	if role != RoleUnknown {
 		m.role, m.roleAt = role, g.now
 		for _, o := range m.group.members {
-			// One primary at a time: the newest word wins, whichever way the other's answers are late.
+			// Only one primary at a time: the newest report wins, however late the other's answers are.
 			if role == RolePrimary && o != m && o.role == RolePrimary {
 				o.role = RoleUnknown
 			}
@@ -704,7 +711,8 @@
 	}
 }
 
-// heardReport takes a report's position, which holds though it is old, and its role where no answer is newer.
+// recordReport applies a load report: its position, which holds even if it is old, and its role if no answer
+// is newer.
 func (g *Gateway) recordReport(m *member, report []float64) {
 	fields := g.settings.LoadReport.Fields
 	for i, field := range fields[:min(len(fields), len(report))] {
@@ -728,7 +736,7 @@
 	}
 }
 
-// cold tells whether a member started so lately that it may not be warm.
+// isCold reports whether a member started too recently to be warm.
 func (g *Gateway) isCold(m *member) bool {
 	return m.startedAt > 0 && g.now-m.startedAt < g.settings.Rules.ColdDuration
 }
--- a/decide/told.go
+++ b/decide/told.go
@@ -1,20 +1,21 @@
 package decide
 
-// What a host that speaks with other gateways tells the module beside the list and answers, and asks of it. Hints: a member's
-// own answers go before them, and no rule rests on them.
+// This file holds the optional exchange with a host that communicates with other gateways, in addition to
+// the member list and answers. Its information is a hint: a member's own answers take precedence, and no
+// rule relies on it.
 
-// MemberState is what this gateway knows of a member by itself.
+// MemberState is what this gateway itself has observed of a member.
 type MemberState struct {
 	Known, Suspect, Cold bool
 	Primary              bool
-	Responses            float64 // of late
-	Latency              Nanos   // mean of late, 0 for none
+	Responses            float64 // recent
+	Latency              Nanos   // recent mean, 0 for none
 	InFlight             int
-	NeedsPosition        bool // reads passed it over for want of proof, and it was not heard of since
+	NeedsPosition        bool // reads skipped it for lack of proof, and its position has not been learned since
 	Position             Nanos
 }
 
-// StateOf tells of a member.
+// StateOf returns the state of a member.
 func (g *Gateway) StateOf(server Server) (s MemberState) {
 	m := g.members[server]
 	if m == nil {
@@ -28,25 +29,26 @@
 	return s
 }
 
-// ReportUnhealthy tells that several other gateways find a member silent. One that this gateway has nothing in flight to, nor heard
-// of of late, gets a trial before it gets more: else each gateway would lose a txn to find out what the others know. It may
-// harm where those others share a fault of the way: then the trial, a moment later, shows that the member answers.
+// ReportUnhealthy records that several other gateways find a member silent. If this gateway has nothing in
+// flight to it and no recent answer from it, the member gets a trial before more traffic: otherwise each
+// gateway would lose a txn to learn what the others know. If those gateways share a network fault, this may
+// be wrong, but the trial soon shows that the member answers.
 func (g *Gateway) ReportUnhealthy(server Server) {
 	if m := g.members[server]; m != nil && !m.suspect && !m.excluded && m.inFlight == 0 && m.latency.count.value(g.now, latencyDecay) < 1 {
 		g.markSuspect(m, "other gateways find it silent", false)
 	}
 }
 
-// ReportHealthy tells that another gateway had an answer of a member that is suspect here: it may be tried at once, give or take
-// a part of the first wait, as all hear of it together.
+// ReportHealthy records that another gateway got an answer from a member that is suspect here. It may be
+// tried at once, with jitter of up to the initial backoff, as all gateways learn of it together.
 func (g *Gateway) ReportHealthy(server Server) {
 	if m := g.members[server]; m != nil && m.suspect {
 		m.nextTrialAt = min(m.nextTrialAt, g.now+Nanos(g.rng.unit()*float64(initialBackoff)))
 	}
 }
 
-// RefreshMembers follows entries that the host told between announcements, as it tells the module of other members than before;
-// the list itself has not changed.
+// RefreshMembers completes entries that the host passes between list updates because it changed which
+// members it shows to the module; the list itself has not changed.
 func (g *Gateway) RefreshMembers() {
 	g.servingMembers = 0
 	for _, m := range g.members {
--- a/decide/trace_test.go
+++ b/decide/trace_test.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// trace drives one instance and prints what it decides, a line for each decision.
+// trace drives one instance and prints its decisions, one per line.
 type trace struct {
 	g         *Gateway
 	clock     float64
-	hideLog   bool // no log lines
-	showWakes bool // wake decisions too
+	hideLog   bool // omit log lines
+	showWakes bool // include wake decisions
 }
 
 const traceSettings = `{"classes":[
@@ -30,7 +30,7 @@
   "drainGraceMs":250,"fallMultiple":2,"overloadForMs":1000},
  "tickMs":5}`
 
-// open starts an instance at 10 s under traceSite with old, new pairs replaced.
+// open starts an instance at 10 s with traceSettings, after replacing pairs of old and new text.
 func open(changes ...string) *trace {
 	g, err := New(1, []byte(strings.NewReplacer(changes...).Replace(traceSettings)))
 	if err != nil {
@@ -47,7 +47,7 @@
 	return t
 }
 
-// list tells the whole list: a letter for each member, followed by * for a named primary, - for
+// list applies a full member list: a letter for each member, followed by * for a named primary, - for
 // draining, ! for cold.
 func (t *trace) list(members string) *trace {
 	for _, m := range strings.Fields(members) {
@@ -64,7 +64,7 @@
 	return t
 }
 
-// txn brings a txn with a second of time and a session whose last write is age old.
+// txn adds a txn with a budget of one second and a session whose last write is age ms old.
 func (t *trace) txn(id uint64, class int, age float64) *trace {
 	if err := t.g.AddTxn(id, class, 0, 7, Millis(1000), 0, 0, Millis(age)); err != nil {
 		fmt.Println(err)
@@ -72,14 +72,15 @@
 	return t
 }
 
-// end tells how submission no of a txn ended at a member after 20 ms, with the note's role and position.
+// end reports the result of a txn's submission no at a member after 20 ms, with the role and position in the
+// answer.
 func (t *trace) end(id uint64, no int, m string, r Result, role Role, position float64) *trace {
 	over := r == Committed
 	t.g.SubmissionEnded(id, no, Server{m[0]}, r, Millis(20), role, Millis(position), over, nil)
 	return t
 }
 
-// pull prints the round's decisions.
+// pull prints the decisions of a round.
 func (t *trace) printRound() *trace {
 	line := func(format string, a ...any) { fmt.Printf("%6.0f "+format+"\n", append([]any{t.clock}, a...)...) }
 	t.g.BeginRound(Millis(t.clock))
@@ -88,7 +89,7 @@
 		case Submit:
 			line("submit %d to %c", d.Txn, d.Server[0])
 		case Reject:
-			line("decline %d", d.Txn)
+			line("reject %d", d.Txn)
 		case RollBack:
 			line("roll back %d", d.Txn)
 		case Cancel:
@@ -100,13 +101,13 @@
 				line("wake in %d ms", d.Delay/Millisecond)
 			}
 		case CloseIdle:
-			line("hang up on %c", d.Server[0])
+			line("close idle connections to %c", d.Server[0])
 		case SendUpdates:
 			for _, n := range d.Updates {
-				line("tell %c at %d", n.Server[0], n.Position/Millisecond)
+				line("update %c at %d", n.Server[0], n.Position/Millisecond)
 			}
 		case SubscribeList:
-			line("follow the list")
+			line("subscribe to the list")
 		case Log:
 			if !t.hideLog {
 				line("log: %s", d.Text)
@@ -116,7 +117,7 @@
 	return t
 }
 
-// run lets the time pass in steps of 10 ms and prints what is decided.
+// run advances the time in steps of 10 ms and prints the decisions.
 func (t *trace) run(until float64) *trace {
 	for t.clock < until {
 		t.at(t.clock + 10).printRound()
--- a/internal/benchwire/news.go
+++ b/internal/benchwire/news.go
@@ -7,18 +7,19 @@
 	"magpieglade/decide"
 )
 
-// News go between instances in messages of at most 256 bytes that are paid for by the byte. An entry is 24 bits that
-// stand for the server, 23 of its position in milliseconds, rounded down, and one that is set if it was primary then.
+// Member updates are exchanged between instances in messages of at most 256 bytes, which are paid for by the
+// byte. An entry has 24 bits that identify the server, 23 bits of its position in milliseconds, rounded
+// down, and one bit that is set if it was primary then.
 const (
 	entrySize      = 6
 	maxMessageSize = 256
 	idBits         = 24
-	positionWrap   = 1 << 23 // milliseconds after which positions look alike: over two hours
+	positionWrap   = 1 << 23 // in milliseconds; positions are ambiguous beyond this: over two hours
 	allInstances   = math.MaxUint32
 )
 
-// names are the servers that an instance was told of, by what stands for them in messages. Two with one such name
-// are both left out: nothing is believed of the wrong one.
+// serverIDs maps the short ids used in messages to the servers that an instance knows. If two servers share
+// an id, both are ignored, so that no update is applied to the wrong one.
 type serverIDs map[uint32][]decide.Server
 
 func serverID(s decide.Server) uint32 {
@@ -37,7 +38,8 @@
 	n[id] = append(n[id], s)
 }
 
-// read hands out the entries of a message; what is spoilt or names nobody is left aside.
+// decode calls apply for each entry of a message, and skips entries that are corrupt or match no known
+// server.
 func (n serverIDs) decode(text []byte, now decide.Nanos, apply func(decide.MemberUpdate)) {
 	for ; len(text) >= entrySize; text = text[entrySize:] {
 		servers := n[le.Uint32(text)&(1<<idBits-1)]
@@ -51,7 +53,7 @@
 	}
 }
 
-// tell writes news as messages to all other instances.
+// writeUpdates writes updates as messages to all other instances.
 func (h *host) writeUpdates(updates []decide.MemberUpdate) {
 	for len(updates) > 0 {
 		n := min(len(updates), maxMessageSize/entrySize)
--- a/internal/benchwire/news_test.go
+++ b/internal/benchwire/news_test.go
@@ -6,7 +6,7 @@
 	"magpieglade/decide"
 )
 
-// News come back as they were told, rounded down to a millisecond; 45 of them need two messages.
+// Updates are decoded as they were written, rounded down to a millisecond; 45 of them need two messages.
 func Example_updates() {
 	h, n := &host{}, serverIDs{}
 	var news []decide.MemberUpdate
@@ -33,7 +33,7 @@
 	// 45 read
 }
 
-// What is cut short, names nobody, or could be one of two is left aside.
+// Entries that are truncated, match no server or could match two are skipped.
 func Example_skippedEntries() {
 	h := &host{}
 	a, b := decide.Server{10, 0, 0, 1, 1, 2}, decide.Server{10, 0, 0, 2, 1, 2}
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -1,5 +1,5 @@
-// Package benchwire carries the simulator's frames to instances of the decision module and their
-// decisions back.
+// Package benchwire translates the simulator's frames into calls of decision module instances, and their
+// decisions back into frames.
 package benchwire
 
 import (
@@ -16,7 +16,7 @@
 
 var le = binary.LittleEndian
 
-// results and statuses give the module's word for each of the wire's codes.
+// results, statuses, roles and scopes map the wire's codes to the module's values.
 var (
 	results = map[byte]decide.Result{
 		0: decide.Committed, 13: decide.Failed, 8: decide.AtCapacity, 4: decide.TimedOut, 14: decide.Unreachable,
@@ -27,7 +27,7 @@
 	scopes   = map[byte]decide.Scope{0: decide.Delta, 1: decide.FullList, 2: decide.CachedList}
 )
 
-// frame reads fields in turn; the first read past its end spoils it for good.
+// frame reads consecutive fields. A read past the end marks it malformed permanently.
 type frame struct {
 	rest      []byte
 	malformed bool
@@ -55,8 +55,8 @@
 	return s
 }
 
-// report reads the values of a load report. They are rounded to 24 bits: one step down errs towards an older,
-// stricter position. A 1 is exact, as it stands for yes.
+// report reads the values of a load report. They are rounded to 24 bits: taking the next lower value errs
+// towards an older, stricter position. The value 1 is exact, as it stands for yes.
 func (f *frame) report() []float64 {
 	report := make([]float64, 0, 4)
 	for n := f.u8(); n > 0 && !f.malformed; n-- {
@@ -69,17 +69,17 @@
 	return report
 }
 
-// host keeps the instances of one process and the numbered lists; nothing else is common to them.
+// host holds the instances of one process and the numbered member lists. Instances share nothing else.
 type host struct {
 	instances map[uint32]*decide.Gateway
 	serverIDs map[uint32]serverIDs // by instance
 	pages     map[uint32][]byte
-	active    []uint32 // instances with an event in this batch, in the order of their first
+	active    []uint32 // instances with an event in this batch, in the order of their first event
 	out       []byte
 	records   uint32
 }
 
-// Serve answers batches from in until it ends.
+// Serve answers batches read from in until it ends.
 func Serve(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	h := &host{instances: map[uint32]*decide.Gateway{}, serverIDs: map[uint32]serverIDs{}, pages: map[uint32][]byte{}}
@@ -165,7 +165,7 @@
 			id, class, owner, key := f.u64(), f.u8(), f.u32(), f.u64()
 			left, estimate, group, age, options := f.millis(), f.millis(), f.f32(), f.f32(), f.u8()
 			if !f.malformed {
-				// The age is a rounded figure: one step down errs towards a younger, stricter token.
+				// The age is rounded: the next lower value errs towards a younger, stricter token.
 				young := decide.Millis(float64(math.Nextafter32(age, 0)))
 				if age > 0 && young <= 0 {
 					young = 1
@@ -260,7 +260,7 @@
 	return nil
 }
 
-// act writes an instance's decisions until it has none left.
+// writeDecisions writes an instance's decisions until none is left.
 func (h *host) writeDecisions(id uint32, g *decide.Gateway) {
 	h.startRecord(92)
 	h.out = le.AppendUint32(h.out, id)
--- a/internal/benchwire/serve_test.go
+++ b/internal/benchwire/serve_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// batch frames records, counted by the caller, at clock 0.
+// batch builds a frame of records, whose number the caller gives, at time 0.
 func batch(records uint32, body ...byte) []byte {
 	head := binary.LittleEndian.AppendUint32(nil, records)
 	head = binary.LittleEndian.AppendUint32(head, uint32(8+len(body)))
 	return append(append(head, make([]byte, 8)...), body...)
 }
 
-// Input that is malformed ends the adapter with one plain message, whatever else is in the frame.
+// Malformed input ends the adapter with a single plain message, whatever else the frame contains.
 func ExampleServe_malformed() {
 	forOne := []byte{25, 1, 0, 0, 0}
 	settings := func(text string) []byte {
@@ -51,7 +51,7 @@
 	// batch: 1 bytes after the last of 0 records 0
 }
 
-// FuzzServe looks for frames that end in a panic.
+// FuzzServe checks that no frame causes a panic or a message of more than one line.
 func FuzzServe(f *testing.F) {
 	f.Add(batch(1, 25, 1, 0, 0, 0))
 	f.Fuzz(func(t *testing.T, in []byte) {
