--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink hosts instances of the decision module on the simulator's wire.
+// Command benchlink runs instances of the decision module for the simulator, whose frames it reads from
+// standard input and answers on standard output.
 package main
 
 import (
--- a/decide/coldfleet_test.go
+++ b/decide/coldfleet_test.go
@@ -91,7 +91,7 @@
 func (f *coldFleet) submit(i int, id uint64, to Server) {
 	g, s := f.gateways[i], f.members[to]
 	t := g.txns[id]
-	no, at := len(t.submissions)-1, f.now
+	attempt, at := len(t.submissions)-1, f.now
 	work := f.work
 	if s.cold {
 		f.receivedAt = append(f.receivedAt, f.now)
@@ -100,7 +100,7 @@
 	if s.silent {
 		f.after(t.expiry-f.now, func() {
 			g.BeginRound(f.now)
-			g.SubmissionEnded(id, no, to, TimedOut, f.now-at, RoleUnknown, 0, false, nil)
+			g.SubmissionEnded(id, attempt, to, TimedOut, f.now-at, RoleUnknown, 0, false, nil)
 			f.runRound(i)
 		})
 		return
@@ -122,7 +122,7 @@
 		if s.cold { // it has proven nothing yet
 			position = 0
 		}
-		g.SubmissionEnded(id, no, to, Committed, f.now-at, role, position, true, nil)
+		g.SubmissionEnded(id, attempt, to, Committed, f.now-at, role, position, true, nil)
 		f.runRound(i)
 	})
 }
@@ -131,8 +131,9 @@
 // returns the highest ratio of what the cold member got to what it can handle, and the fraction of its mean
 // capacity that was used.
 func simulateCold(seed uint64, gateways int, work Nanos, load float64, event string) (worst, used float64) {
-	f := &coldFleet{work: float64(work), now: 10000 * ms, endsAt: (10000+6000)*ms + coldDuration, rng: newPCG(seed), members: map[Server]*coldServer{}}
-	site := strings.NewReplacer(`"whenBehind":"await"`, `"whenBehind":"none"`, `"tickMs":5`, `"tickMs":1`,
+	f := &coldFleet{work: float64(work), now: 10000 * ms, endsAt: (10000+6000)*ms + coldDuration,
+		rng: newPCG(seed), members: map[Server]*coldServer{}}
+	settingsText := strings.NewReplacer(`"whenBehind":"await"`, `"whenBehind":"none"`, `"tickMs":5`, `"tickMs":1`,
 		`"fleetSize":2`, fmt.Sprintf(`"fleetSize":%d`, gateways)).Replace(traceSettings)
 	for _, m := range "abcd" {
 		f.members[Server{byte(m)}] = &coldServer{coreFreeAt: make([]Nanos, coldCores)}
@@ -148,7 +149,7 @@
 		g.EndMemberList(FullList)
 	}
 	for i := range gateways {
-		g, err := New(seed<<20+uint64(i), []byte(site))
+		g, err := New(seed<<20+uint64(i), []byte(settingsText))
 		if err != nil {
 			panic(err)
 		}
@@ -219,11 +220,11 @@
 		}
 		worst = max(worst, float64(i-from+1)/f.maxSubmissions(at))
 	}
-	all := 0.0
+	total := 0.0
 	for at := f.started; at < f.now; at += ms {
-		all += 2 * f.capacity(at) * coldCores / f.work * float64(ms)
+		total += 2 * f.capacity(at) * coldCores / f.work * float64(ms)
 	}
-	return worst, float64(len(f.receivedAt)) / all
+	return worst, float64(len(f.receivedAt)) / total
 }
 
 // All gateways together send a cold member no more than it can handle: for any number of gateways, during a
@@ -238,9 +239,9 @@
 					w, u := simulateCold(seed+1, gateways, work, 0.75, event)
 					worst, used = max(worst, w), used+u/2
 				}
-				t.Logf("%3d ms, %3d gateways, %-6s: most %.2f of what it bears, %.2f of N used", work/ms, gateways, event, worst, used)
+				t.Logf("%3d ms, %3d gateways, %-6s: max %.2f of its capacity, %.2f used on average", work/ms, gateways, event, worst, used)
 				if worst > 1 {
-					t.Errorf("%d ms, %d gateways, %s: the cold member got %.2f of what it bears", work/ms, gateways, event, worst)
+					t.Errorf("%d ms, %d gateways, %s: the cold member got %.2f of its capacity", work/ms, gateways, event, worst)
 				}
 			}
 		}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -5,6 +5,8 @@
 // which only update state; then call Next until it reports that no decision is left. A Wake decision asks
 // for another round. interface.go holds the types of this interface, site.go the settings that are read,
 // state.go the state and helpers, and told.go the exchange with other gateways.
+//
+// docs/design.md describes which parts of the design are implemented.
 package decide
 
 import (
@@ -20,7 +22,7 @@
 
 	// Consistency: waiting for and proving positions.
 	tokenWait               = 150 * ms  // step 4: how long a tokened read waits for a position (MAX_WAIT_MS)
-	stalenessMargin         = 0.02      // fraction of a staleness bound kept in reserve: proven positions already err on the safe side
+	stalenessMargin         = 0.02      // fraction of a staleness bound kept in reserve: positions err on the safe side
 	positionProbeInterval   = 200 * ms  // min interval between position probes of a replica: the pause of a session
 	positionProbeLagDivisor = 8         // or its lag divided by this, which it cannot make up sooner
 	maxReportDelay          = 300 * ms  // a report may be this old: only what it lacks beyond this is lag
@@ -92,7 +94,7 @@
 
 	// Cold members.
 	coldBudgetFraction = 0.7 // of the multiple at which a cold member is overloaded: the fraction to plan for
-	coldBudgetWindows  = 2.0 // of the overload window: how long a gateway may save credit for a txn to a cold member; 4 reach its capacity
+	coldBudgetWindows  = 2.0 // overload windows for which credit for a cold member may accrue; 4 reach its capacity
 )
 
 // AddTxn accepts a txn. writeAge is the age of the session's last write, 0 for none or unknown.
@@ -443,7 +445,8 @@
 		return
 	}
 	switch {
-	case m.lateness.valueWithPrior(g.now, latencyDecay, g.lateness.valueWithPrior(g.now, classDecay, 0, 0), peerPriorWeight) > g.latenessLimit(m):
+	case m.lateness.valueWithPrior(g.now, latencyDecay,
+		g.lateness.valueWithPrior(g.now, classDecay, 0, 0), peerPriorWeight) > g.latenessLimit(m):
 		g.reduceLimit(m)
 	case float64(m.inFlight+2) > m.limit: // increase by one; below one in steps of minLimit
 		m.limit, m.limitChangedAt = m.limit+max(minLimit, math.Floor(min(1, m.limit))), g.now
@@ -464,7 +467,8 @@
 // it, or is taken for a client's retry of one, must not be held until its expiry either: it goes to an idle
 // member that is not crowded.
 func (g *Gateway) inTime(t *txn, m *member) bool {
-	lateness := m.lateness.valueWithPrior(g.now, latencyDecay, g.lateness.valueWithPrior(g.now, classDecay, g.baseLateness, 1), peerPriorWeight)
+	lateness := m.lateness.valueWithPrior(g.now, latencyDecay,
+		g.lateness.valueWithPrior(g.now, classDecay, g.baseLateness, 1), peerPriorWeight)
 	idle := m.inFlight == 0 && !g.connectionsScarce && lateness < (g.baseLateness+g.latenessLimit(m))/2
 	return t.slaDeadline <= g.now && idle || g.settings.Classes[t.class].LateValue > 0 || g.now+g.zoneDelay(m.zone) < t.slaDeadline
 }
@@ -486,7 +490,8 @@
 	s, slaTime := &g.stats[class], g.settings.Classes[class].TargetLatency
 	departures, longerAnswers := s.departures.value(g.now, classDecay), s.longerAnswers.value(g.now, classDecay)
 	meanWait := s.departureWaits.value(g.now, classDecay) / max(1, departures)
-	if departures < max(1, departureThreshold*s.arrivals.value(g.now, classDecay), longerAnswers) || meanWait < minServiceTimesLeft*g.expectedServiceTime(class) {
+	if departures < max(1, departureThreshold*s.arrivals.value(g.now, classDecay), longerAnswers) ||
+		meanWait < minServiceTimesLeft*g.expectedServiceTime(class) {
 		return slaTime
 	}
 	return min(slaTime, Nanos(meanWait))
@@ -969,7 +974,8 @@
 		if m == p || m.excluded || m.suspect || queried || !g.withinColdBudget(m) {
 			continue
 		}
-		if best == nil || (m.listedPrimary && !best.listedPrimary) || (m.listedPrimary == best.listedPrimary && m.position > best.position) {
+		if best == nil || (m.listedPrimary && !best.listedPrimary) ||
+			(m.listedPrimary == best.listedPrimary && m.position > best.position) {
 			best = m
 		}
 	}
@@ -994,7 +1000,8 @@
 	var best *member
 	for _, m := range members {
 		lastKnownAt, remote := max(m.positionSeenAt, m.queriedAt), m.zone != g.settings.Zone
-		if m.excluded || m.role == RolePrimary || m.listedPrimary || m.suspect || g.now-lastKnownAt < max(positionProbeInterval, m.lastLag/positionProbeLagDivisor) ||
+		if m.excluded || m.role == RolePrimary || m.listedPrimary || m.suspect ||
+			g.now-lastKnownAt < max(positionProbeInterval, m.lastLag/positionProbeLagDivisor) ||
 			g.now < m.restUntil || remote && g.zoneDelay(m.zone) > queueCheckInterval || !g.withinColdBudget(m) {
 			continue
 		}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -415,7 +415,8 @@
 	//  10040 submit 2 to c
 }
 
-// A probe's answer shows that a process runs, not that it serves: it stays suspect until it answers a txn.
+// A probe's answer shows that a process runs, not that it serves: the member stays suspect until it answers
+// a txn.
 func Example_answersProbesOnly() {
 	reports := `"how":"probe","fields":["x0","x1"]`
 	t := open(`"how":"none","fields":[]`, reports, `"probes":false`, `"probes":true`).list("a b")
@@ -527,10 +528,10 @@
 	t.hideLog = false
 	t.at(10010).end(1, 0, "a", Unreachable, 0, 0).printRound().g.ProbeEnded(Server{'a'}, Unreachable, Millis(2), nil)
 	t.txn(2, 3, 0).txn(3, 3, 0).run(10200)
-	crowd := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`, `"probes":false`, `"probes":true`)
-	crowd.list("a* b").txn(1, 3, 0).printRound()
-	crowd.at(10010).end(1, 0, "a", Unreachable, 0, 0).printRound().g.ProbeEnded(Server{'a'}, Committed, Millis(2), nil)
-	crowd.txn(2, 3, 0).txn(3, 3, 0).run(10200).end(1, 1, "a", Committed, 1, 10190).printRound()
+	overloaded := open(`"cancelling"`, `"connectTimeoutMs":250,"cancelling"`, `"probes":false`, `"probes":true`)
+	overloaded.list("a* b").txn(1, 3, 0).printRound()
+	overloaded.at(10010).end(1, 0, "a", Unreachable, 0, 0).printRound().g.ProbeEnded(Server{'a'}, Committed, Millis(2), nil)
+	overloaded.txn(2, 3, 0).txn(3, 3, 0).run(10200).end(1, 1, "a", Committed, 1, 10190).printRound()
 	// Output:
 	// 10000 submit 1 to a
 	//  10010 probe a
--- a/decide/interface.go
+++ b/decide/interface.go
@@ -13,7 +13,7 @@
 // Millisecond is the unit of times in the settings.
 const Millisecond Nanos = 1e6
 
-// Millis converts fractional milliseconds; values out of range are limited to a very long duration.
+// Millis converts fractional milliseconds; values that the clock cannot hold become a very long duration.
 func Millis(ms float64) Nanos {
 	if ns := ms * 1e6; ns > -math.MaxInt64/2 && ns < math.MaxInt64/2 {
 		return Nanos(math.Round(ns))
@@ -21,6 +21,7 @@
 	return math.MaxInt64 / 4
 }
 
+// UnmarshalJSON decodes a number of milliseconds.
 func (n *Nanos) UnmarshalJSON(text []byte) error {
 	var ms float64
 	err := json.Unmarshal(text, &ms)
@@ -52,7 +53,8 @@
 )
 
 // resultNames are the labels of results in logs and metrics.
-var resultNames = [...]string{Committed: "committed", Failed: "failed", AtCapacity: "full", TimedOut: "timed out", Unreachable: "unreachable",
+var resultNames = [...]string{Committed: "committed", Failed: "failed", AtCapacity: "full",
+	TimedOut: "timed out", Unreachable: "unreachable",
 	Broken: "broken", Cancelled: "cancelled", NotSent: "not sent", NotEligible: "missed", ResetBeforeSend: "reset before sent"}
 
 func (r Result) String() string {
@@ -97,13 +99,13 @@
 	Reject                    // answer Txn finally: a retry is safe, after Delay
 	RollBack                  // answer Txn finally, without a promise that a retry is safe
 	Cancel                    // cancel the submission Attempt of Txn
-	Probe                     // Server
+	Probe                     // probe Server
 	CloseIdle                 // close idle connections to Server
 	SubscribeList             // subscribe to changes of the member list
 	FetchList                 // request the full member list once
 	Wake                      // start another round after Delay
 	SendUpdates               // send Updates to all other gateways
-	Log                       // Text
+	Log                       // write Text to the log
 )
 
 // MemberUpdate is what one gateway sends the others about a member: a position that it was proven to have
--- a/decide/site.go
+++ b/decide/site.go
@@ -111,21 +111,21 @@
 				return nil, err
 			}
 		}
-		need := s.Replication.Consistency[i]
-		err := oneOf("familyInfo.consistency", need, "mutate", "strong", "causal", "lag_bound", "eventual")
+		consistency := s.Replication.Consistency[i]
+		err := oneOf("familyInfo.consistency", consistency, "mutate", "strong", "causal", "lag_bound", "eventual")
 		if err != nil {
 			return nil, err
 		}
 	}
-	for _, k := range []error{
+	for _, err := range []error{
 		oneOf("familyInfo.whenBehind", s.Replication.WhenBehind, "none", "bounce", "await"),
 		oneOf("familyInfo.writeMarks", s.Replication.WriteMarks, "brought", "kept"),
 		oneOf("familyInfo.roleInList", s.Replication.RoleInList, "trailing", "static", "none"),
 		oneOf("loadReport.how", s.LoadReport.How, "answers", "probe", "none"),
 		oneOf("membershipMode", s.MembershipMode, "push", "ask"),
 	} {
-		if k != nil {
-			return nil, k
+		if err != nil {
+			return nil, err
 		}
 	}
 	return s, nil
--- a/decide/state.go
+++ b/decide/state.go
@@ -76,7 +76,7 @@
 	inFlight                     int     // submissions in flight from this gateway
 	busy                         bool    // in Gateway.busyList
 	needsPosition                bool    // in Gateway.needingPosition
-	inFlightRate, weightedSentAt float64 // sums over submissions in flight of 1 and of the send time, each divided by the expected service time
+	inFlightRate, weightedSentAt float64 // sums over submissions in flight of rate and of rate * sentAt
 	limit                        float64
 	newestServed                 [2]Nanos     // send time of the latest read, and of the latest write, that it served
 	latency, slowdown, lateness  decayingMean // latency of answers: absolute; relative to the service time; relative to the SLA time
@@ -628,7 +628,8 @@
 	// Work sent after the last answer has waited for less time than the member has been silent.
 	waited := min(float64(g.now-m.silentSince)*m.inFlightRate, float64(g.now)*m.inFlightRate-m.weightedSentAt) + m.unansweredWork
 	// A service time is at least one tick: a host that paused must not consider fast members silent.
-	return waited / max(m.slowdown.valueWithPrior(g.now, latencyDecay, 1, 1), float64(g.settings.Tick)*m.inFlightRate/float64(max(1, m.inFlight)))
+	return waited / max(m.slowdown.valueWithPrior(g.now, latencyDecay, 1, 1),
+		float64(g.settings.Tick)*m.inFlightRate/float64(max(1, m.inFlight)))
 }
 
 // randomDraw is a txn's random number, drawn once so that reviewing the txn again does not raise its chance.
@@ -672,7 +673,8 @@
 	}
 	m.sharedPosition = max(m.sharedPosition, update.Position)
 	m.advancePosition(update.Position)
-	m.lastLag, m.lagSeenAt, m.positionSeenAt = max(min(g.estimatedLag(m), g.now-update.Position), g.now-update.Position-maxReportDelay), g.now, g.now
+	m.lastLag, m.lagSeenAt, m.positionSeenAt = max(min(g.estimatedLag(m), g.now-update.Position),
+		g.now-update.Position-maxReportDelay), g.now, g.now
 	if p := g.primaryOf(m.group); update.Primary && update.Position > m.roleAt && (p == nil || update.Position > p.roleAt) {
 		g.recordAnswer(m, RolePrimary, 0)
 		m.roleAt = update.Position
--- a/decide/told.go
+++ b/decide/told.go
@@ -21,8 +21,10 @@
 	if m == nil {
 		return s
 	}
-	s = MemberState{Known: true, Suspect: m.suspect, Cold: g.isCold(m), Primary: g.primaryOf(m.group) == m, Responses: m.latency.count.value(g.now, latencyDecay), InFlight: m.inFlight,
-		NeedsPosition: m.unprovenAt > 0 && m.positionSeenAt < m.unprovenAt && g.now-m.unprovenAt < latencyDecay, Position: m.position}
+	s = MemberState{Known: true, Suspect: m.suspect, Cold: g.isCold(m), Primary: g.primaryOf(m.group) == m,
+		Responses: m.latency.count.value(g.now, latencyDecay), InFlight: m.inFlight,
+		NeedsPosition: m.unprovenAt > 0 && m.positionSeenAt < m.unprovenAt && g.now-m.unprovenAt < latencyDecay,
+		Position:      m.position}
 	if s.Responses > 0 {
 		s.Latency = Nanos(m.latency.valueWithPrior(g.now, latencyDecay, 0, 0))
 	}
@@ -34,7 +36,8 @@
 // gateway would lose a txn to learn what the others know. If those gateways share a network fault, this may
 // be wrong, but the trial soon shows that the member answers.
 func (g *Gateway) ReportUnhealthy(server Server) {
-	if m := g.members[server]; m != nil && !m.suspect && !m.excluded && m.inFlight == 0 && m.latency.count.value(g.now, latencyDecay) < 1 {
+	if m := g.members[server]; m != nil && !m.suspect && !m.excluded && m.inFlight == 0 &&
+		m.latency.count.value(g.now, latencyDecay) < 1 {
 		g.markSuspect(m, "other gateways find it silent", false)
 	}
 }
--- a/decide/trace_test.go
+++ b/decide/trace_test.go
@@ -51,14 +51,14 @@
 // draining, ! for cold.
 func (t *trace) list(members string) *trace {
 	for _, m := range strings.Fields(members) {
-		st, start := Ready, Nanos(0)
+		status, start := Ready, Nanos(0)
 		if strings.Contains(m, "-") {
-			st = Draining
+			status = Draining
 		}
 		if strings.Contains(m, "!") {
 			start = Millis(t.clock)
 		}
-		t.g.UpdateMember(Server{m[0]}, 0, strings.Contains(m, "*"), st, 0, 1, 0, start)
+		t.g.UpdateMember(Server{m[0]}, 0, strings.Contains(m, "*"), status, 0, 1, 0, start)
 	}
 	t.g.EndMemberList(FullList)
 	return t
@@ -72,15 +72,15 @@
 	return t
 }
 
-// end reports the result of a txn's submission no at a member after 20 ms, with the role and position in the
+// end reports the result of a txn's submission attempt at a member after 20 ms, with the role and position in the
 // answer.
-func (t *trace) end(id uint64, no int, m string, r Result, role Role, position float64) *trace {
-	over := r == Committed
-	t.g.SubmissionEnded(id, no, Server{m[0]}, r, Millis(20), role, Millis(position), over, nil)
+func (t *trace) end(id uint64, attempt int, m string, r Result, role Role, position float64) *trace {
+	final := r == Committed
+	t.g.SubmissionEnded(id, attempt, Server{m[0]}, r, Millis(20), role, Millis(position), final, nil)
 	return t
 }
 
-// pull prints the decisions of a round.
+// printRound prints the decisions of a round.
 func (t *trace) printRound() *trace {
 	line := func(format string, a ...any) { fmt.Printf("%6.0f "+format+"\n", append([]any{t.clock}, a...)...) }
 	t.g.BeginRound(Millis(t.clock))
@@ -103,8 +103,8 @@
 		case CloseIdle:
 			line("close idle connections to %c", d.Server[0])
 		case SendUpdates:
-			for _, n := range d.Updates {
-				line("update %c at %d", n.Server[0], n.Position/Millisecond)
+			for _, update := range d.Updates {
+				line("update %c at %d", update.Server[0], update.Position/Millisecond)
 			}
 		case SubscribeList:
 			line("subscribe to the list")
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -163,28 +163,28 @@
 			err = h.applyList(instance, f.u8(), f.u32(), f.u32())
 		case 24: // KNOCK
 			id, class, owner, key := f.u64(), f.u8(), f.u32(), f.u64()
-			left, estimate, group, age, options := f.millis(), f.millis(), f.f32(), f.f32(), f.u8()
+			budget, estimatedWork, group, age, options := f.millis(), f.millis(), f.f32(), f.f32(), f.u8()
 			if !f.malformed {
 				// The age is rounded: the next lower value errs towards a younger, stricter token.
-				young := decide.Millis(float64(math.Nextafter32(age, 0)))
-				if age > 0 && young <= 0 {
-					young = 1
+				writeAge := decide.Millis(float64(math.Nextafter32(age, 0)))
+				if age > 0 && writeAge <= 0 {
+					writeAge = 1
 				}
 				if options&1 == 0 {
-					estimate = 0
+					estimatedWork = 0
 				}
-				err = g.AddTxn(id, int(class), int(owner), key, left, estimate, int(group), young)
+				err = g.AddTxn(id, int(class), int(owner), key, budget, estimatedWork, int(group), writeAge)
 			}
 		case 23: // RESPONSE
-			id, no, server, verdict := f.u64(), f.u16(), f.server(), f.u8()
-			elapsed, note, over, report := f.millis(), f.u32(), f.u8(), f.report()
+			id, attempt, server, verdict := f.u64(), f.u16(), f.server(), f.u8()
+			elapsed, roleAndPosition, final, report := f.millis(), f.u32(), f.u8(), f.report()
 			result, ok := results[verdict]
 			if !f.malformed && !ok {
 				return fmt.Errorf("record %d: RESPONSE has the unknown verdict %d", i, verdict)
 			}
 			if !f.malformed {
-				position := decide.Nanos(note>>2) * decide.Millisecond
-				g.SubmissionEnded(id, int(no), server, result, elapsed, roles[note&3], position, over != 0, report)
+				position := decide.Nanos(roleAndPosition>>2) * decide.Millisecond
+				g.SubmissionEnded(id, int(attempt), server, result, elapsed, roles[roleAndPosition&3], position, final != 0, report)
 			}
 		case 16: // DUE
 			f.u64()
@@ -247,14 +247,14 @@
 		return errors.New("ANNOUNCE names a PAGE that was never sent")
 	}
 	for f := (&frame{rest: entries}); len(f.rest) > 0; {
-		started, cluster, writer, code := f.millis(), f.u16(), f.f32(), f.u8()
+		started, group, primary, code := f.millis(), f.u16(), f.f32(), f.u8()
 		zone, share, server := f.u16(), f.f32(), f.server()
 		status, ok := statuses[code]
 		if !ok {
 			return fmt.Errorf("PAGE entry has the unknown status %d", code)
 		}
 		h.serverIDs[instance].add(server)
-		g.UpdateMember(server, int(cluster), writer == 1, status, int(zone), float64(share), int(f.u8()), started)
+		g.UpdateMember(server, int(group), primary == 1, status, int(zone), float64(share), int(f.u8()), started)
 	}
 	g.EndMemberList(listScope)
 	return nil
