--- a/decide/decide.go
+++ b/decide/decide.go
@@ -21,7 +21,7 @@
 	ms = Millisecond
 
 	// Consistency: waiting for and proving positions.
-	tokenWait               = 150 * ms  // step 4: how long a tokened read waits for a position (MAX_WAIT_MS)
+	tokenWait               = 150 * ms  // step 4: how long a tokened read waits for a position (MAX_WAIT_MS in the original post)
 	stalenessMargin         = 0.02      // fraction of a staleness bound kept in reserve: positions err on the safe side
 	positionProbeInterval   = 200 * ms  // min interval between position probes of a replica: the pause of a session
 	positionProbeLagDivisor = 8         // or its lag divided by this, which it cannot make up sooner
@@ -84,7 +84,7 @@
 	errorPenalty         = 20.0      // one that answers only errors must be less loaded by this factor to be preferred
 	longReadWaits        = 2.0       // in units of tokenWait: reads that take longer hold up their replica
 	lagEquivalence       = 1000 * ms // replicas that lag less than this count as equal
-	longReadDivisor      = 3         // 1/3 of a group serves such reads; 1/3 of their time they wait for it
+	longReadDivisor      = 3         // 1/3 of a group serves such reads, which wait for it for up to 1/3 of their target latency
 	primarySearchDivisor = 20        // a write without a primary waits 1/20 of its time between rounds of refusals
 
 	// Position updates to other gateways.
@@ -540,6 +540,7 @@
 	return Decision{Kind: SubscribeList}, true
 }
 
+// scheduleWake requests the next round while txns are open or the list is not subscribed.
 func (g *Gateway) scheduleWake() (Decision, bool) {
 	interval := inFlightCheckInterval // nothing is queued: only silent members remain to be detected
 	if g.queued > 0 {
@@ -779,6 +780,7 @@
 	return Decision{}, false
 }
 
+// submit sends a txn to a member; for a suspect this is a trial, which doubles the interval until the next.
 func (g *Gateway) submit(t *txn, m *member) Decision {
 	if m.suspect {
 		m.trialInterval = min(m.trialInterval*2, maxTrialInterval)
--- a/decide/state.go
+++ b/decide/state.go
@@ -252,6 +252,7 @@
 	return g, nil
 }
 
+// groupOf returns a group, created if needed. Groups are kept in order of their ids.
 func (g *Gateway) groupOf(id int) *group {
 	for _, grp := range g.groups {
 		if grp.id == id {
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -111,6 +111,7 @@
 	}
 }
 
+// processBatch applies the events of a frame, then writes the decisions of every instance that had one.
 func (h *host) processBatch(records uint32, f *frame) error {
 	now := f.millis()
 	var instance uint32
@@ -232,6 +233,7 @@
 	return nil
 }
 
+// applyList passes a member list update, or the failure of one, to an instance.
 func (h *host) applyList(instance uint32, scope byte, version, page uint32) error {
 	g := h.instances[instance]
 	if scope == 3 {
@@ -307,6 +309,7 @@
 	}
 }
 
+// startRecord writes a record's code and counts the record.
 func (h *host) startRecord(code byte) {
 	h.out = append(h.out, code)
 	h.records++
