--- a/decide/trace_test.go
+++ b/decide/trace_test.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// trace drives one instance and prints what it decides, a line for each decision.
+// trace drives one instance and prints its decisions, one per line.
 type trace struct {
-	g     *Gateway
-	clock float64
-	quiet bool // no log lines
-	wakes bool // wake decisions too
+	g         *Gateway
+	clock     float64
+	hideLog   bool // omit log lines
+	showWakes bool // include wake decisions
 }
 
-const traceSite = `{"classes":[
+const traceSettings = `{"classes":[
  {"effect":"repeatable","promiseMs":300,"hardLimitMs":1000,"worth":2,"name":"session"},
  {"effect":"repeatable","promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"bounded"},
  {"effect":"repeatable","promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"any"},
@@ -30,85 +30,86 @@
   "drainGraceMs":250,"fallMultiple":2,"overloadForMs":1000},
  "tickMs":5}`
 
-// open starts an instance at 10 s under traceSite with old, new pairs replaced.
+// open starts an instance at 10 s with traceSettings, after replacing pairs of old and new text.
 func open(changes ...string) *trace {
-	g, err := New(1, []byte(strings.NewReplacer(changes...).Replace(traceSite)))
+	g, err := New(1, []byte(strings.NewReplacer(changes...).Replace(traceSettings)))
 	if err != nil {
 		panic(err)
 	}
-	t := &trace{g: g, quiet: true}
+	t := &trace{g: g, hideLog: true}
 	t.at(10000)
 	return t
 }
 
 func (t *trace) at(ms float64) *trace {
 	t.clock = ms
-	t.g.Clock(Millis(ms))
+	t.g.BeginRound(Millis(ms))
 	return t
 }
 
-// list tells the whole list: a letter for each member, followed by * for a named primary, - for
+// list applies a full member list: a letter for each member, followed by * for a named primary, - for
 // draining, ! for cold.
 func (t *trace) list(members string) *trace {
 	for _, m := range strings.Fields(members) {
-		st, start := Ready, Nanos(0)
+		status, start := Ready, Nanos(0)
 		if strings.Contains(m, "-") {
-			st = Draining
+			status = Draining
 		}
 		if strings.Contains(m, "!") {
 			start = Millis(t.clock)
 		}
-		t.g.Listed(Server{m[0]}, 0, strings.Contains(m, "*"), st, 0, 1, 0, start)
+		t.g.UpdateMember(Server{m[0]}, 0, strings.Contains(m, "*"), status, 0, 1, 0, start)
 	}
-	t.g.ListEnds(FullList)
+	t.g.EndMemberList(FullList)
 	return t
 }
 
-// txn brings a txn with a second of time and a session whose last write is age old.
+// txn adds a txn with a budget of one second and a session whose last write is age ms old.
 func (t *trace) txn(id uint64, class int, age float64) *trace {
-	if err := t.g.Arrived(id, class, 0, 7, Millis(1000), 0, 0, Millis(age)); err != nil {
+	if err := t.g.AddTxn(id, class, 0, 7, Millis(1000), 0, 0, Millis(age)); err != nil {
 		fmt.Println(err)
 	}
 	return t
 }
 
-// end tells how submission no of a txn ended at a member after 20 ms, with the note's role and position.
-func (t *trace) end(id uint64, no int, m string, r Result, role Role, position float64) *trace {
-	over := r == Committed
-	t.g.Ended(id, no, Server{m[0]}, r, Millis(20), role, Millis(position), over, nil)
+// end reports the result of a txn's submission attempt at a member after 20 ms, with the role and position in the
+// answer.
+func (t *trace) end(id uint64, attempt int, m string, r Result, role Role, position float64) *trace {
+	final := r == Committed
+	t.g.SubmissionEnded(id, attempt, Server{m[0]}, r, Millis(20), role, Millis(position), final, nil)
 	return t
 }
 
-// pull prints the round's decisions.
-func (t *trace) pull() *trace {
+// printRound prints the decisions of a round.
+func (t *trace) printRound() *trace {
 	line := func(format string, a ...any) { fmt.Printf("%6.0f "+format+"\n", append([]any{t.clock}, a...)...) }
-	t.g.Clock(Millis(t.clock))
+	t.g.BeginRound(Millis(t.clock))
 	for d, ok := t.g.Next(); ok; d, ok = t.g.Next() {
 		switch d.Kind {
 		case Submit:
 			line("submit %d to %c", d.Txn, d.Server[0])
-		case Decline:
-			line("decline %d", d.Txn)
+		case Reject:
+			line("reject %d", d.Txn)
 		case RollBack:
 			line("roll back %d", d.Txn)
 		case Cancel:
-			line("cancel %d/%d", d.Txn, d.No)
+			line("cancel %d/%d", d.Txn, d.Attempt)
 		case Probe:
 			line("probe %c", d.Server[0])
 		case Wake:
-			if t.wakes {
-				line("wake in %d ms", d.After/Millisecond)
+			if t.showWakes {
+				line("wake in %d ms", d.Delay/Millisecond)
 			}
-		case HangUp:
-			line("hang up on %c", d.Server[0])
-		case Tell:
-			for _, n := range d.News {
-				line("tell %c at %d", n.Server[0], n.Position/Millisecond)
+		case CloseIdle:
+			line("close idle connections to %c", d.Server[0])
+		case SendUpdates:
+			for _, update := range d.Updates {
+				line("update %c at %d", update.Server[0], update.Position/Millisecond)
 			}
-		case Follow:
-			line("follow the list")
+		case SubscribeList:
+			line("subscribe to the list")
 		case Log:
-			if !t.quiet {
+			if !t.hideLog {
 				line("log: %s", d.Text)
 			}
 		}
@@ -116,10 +117,10 @@
 	return t
 }
 
-// run lets the time pass in steps of 10 ms and prints what is decided.
+// run advances the time in steps of 10 ms and prints the decisions.
 func (t *trace) run(until float64) *trace {
 	for t.clock < until {
-		t.at(t.clock + 10).pull()
+		t.at(t.clock + 10).printRound()
 	}
 	return t
 }
