--- a/agreement/fleet_test.go
+++ b/agreement/fleet_test.go
@@ -18,7 +18,7 @@
 type world struct {
 	t   testing.TB
 	rng *rand.Rand
-	agenda.Agenda
+	agenda.Scheduler
 	nodes   []*process
 	byID    map[ID]*process
 	cut     func(from, to *process) bool
@@ -65,7 +65,7 @@
 
 func newWorld(t testing.TB, seed uint64, gateways int) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ID]*process{}, books: map[uint64]string{}, agreed: map[string]int64{},
-		clashes: map[string]bool{}, lists: map[uint64]map[ID]bool{}, cut: func(_, _ *process) bool { return false }, Agenda: agenda.Agenda{Now: second}}
+		clashes: map[string]bool{}, lists: map[uint64]map[ID]bool{}, cut: func(_, _ *process) bool { return false }, Scheduler: agenda.Scheduler{Now: second}}
 	for i := range gateways {
 		p := &process{w: w, name: fmt.Sprintf("g%d", i+1), rate: 1 + (w.rng.Float64()-0.5)*0.02}
 		w.nodes = append(w.nodes, p)
--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -68,17 +68,17 @@
 }
 
 // openDisk gives what a former run left.
-func openDisk(folder string, files store.Files, log func(string, error), wanted func()) (*disk, [][]byte, error) {
+func openDisk(folder string, files store.FileSystem, log func(string, error), wanted func()) (*disk, [][]byte, error) {
 	if folder == "" {
 		return &disk{}, nil, nil
 	}
-	s, r, err := store.Open(filepath.Join(folder, "log"), store.Options{Files: files, SyncAll: true, Log: log, Wanted: wanted})
+	s, r, err := store.Open(filepath.Join(folder, "log"), store.Options{FileSystem: files, SyncOnAppend: true, Log: log, SnapshotNeeded: wanted})
 	if err != nil {
 		return nil, nil, err
 	}
-	if r.Spoilt > 0 {
+	if r.Corrupt > 0 {
 		_ = s.Close()
-		return nil, nil, fmt.Errorf("the log in %s is damaged in %d places: move the folder away, and this gateway joins as another one", folder, r.Spoilt)
+		return nil, nil, fmt.Errorf("the log in %s is damaged in %d places: move the folder away, and this gateway joins as another one", folder, r.Corrupt)
 	}
 	if err := s.Start(r.Records, true); err != nil {
 		return nil, nil, err
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -34,7 +34,7 @@
 	Address netip.AddrPort   // at which others reach it: Listen, where nothing stands between
 	Ask     []netip.AddrPort // gateways that vote, or did when this was written
 	Folder  string           // where a gateway that votes keeps the log; without one it never votes
-	Disk    store.Files      // nil is the operating system's
+	Disk    store.FileSystem // nil is the operating system's
 	Keys    peerwire.Keys
 	Share   float64 // of the gateways that get a version before all do, if it does not contradict its predecessor; 0 is all at once
 	Serve   bool    // txns that no tenant's setting speaks of, while this gateway can't renew: served, not declined
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -13,7 +13,7 @@
 
 // Peers words what sessions tell other gateways, by their numbers, and sends it. It belongs to the event loop.
 type Peers struct {
-	Wire         *peerwire.Wire
+	Wire         *peerwire.Codec
 	link         *Datagrams
 	to           map[int]*unix.SockaddrInet4
 	numbers      []int // of the others, in order
@@ -24,13 +24,13 @@
 }
 
 // NewPeers sends and reads by one wire. List tells whom it may send to.
-func NewPeers(wire *peerwire.Wire, link *Datagrams, log *slog.Logger) *Peers {
+func NewPeers(wire *peerwire.Codec, link *Datagrams, log *slog.Logger) *Peers {
 	return &Peers{Wire: wire, link: link, log: log, causes: map[error]int{}, next: map[error]int{}}
 }
 
 // List is this gateway's number and the addresses of the others, by theirs.
 func (p *Peers) List(self int, others map[int]netip.AddrPort) {
-	p.Wire.As(self)
+	p.Wire.SetSender(self)
 	p.to = map[int]*unix.SockaddrInet4{}
 	for n, a := range others {
 		p.to[n] = &unix.SockaddrInet4{Port: int(a.Port()), Addr: a.Addr().As4()}
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -128,5 +128,5 @@
 	for _, g := range p.Gateways {
 		all = append(all, g.String())
 	}
-	return peerwire.Fleet(all)
+	return peerwire.FleetHash(all)
 }
--- a/fleet/sessions.go
+++ b/fleet/sessions.go
@@ -37,7 +37,7 @@
 	Module *session.Sessions
 	host   SessionHost
 	peers  *Peers // nil where there are none
-	tokens *peerwire.Wire
+	tokens *peerwire.Codec
 	marks  *marks // nil where nothing is kept
 	agreed *Fleet // whose list and lease it goes by, nil where there is one list for good
 	turns  int    // members asked in turn while there is no primary
@@ -65,7 +65,7 @@
 	if s.Plan.Alone() && s.Plan.Tokens != TokensSigned {
 		return nil
 	}
-	if s.tokens, err = peerwire.New(s.Plan.Terms.Self, s.Plan.fleet(), run, s.Plan.keys()); err != nil {
+	if s.tokens, err = peerwire.NewCodec(s.Plan.Terms.Self, s.Plan.fleet(), run, s.Plan.keys()); err != nil {
 		s.Close()
 		return err
 	}
@@ -125,9 +125,9 @@
 	}
 	s.Clock()
 	switch m.Type {
-	case peerwire.Ask:
-		s.Module.Asked(m.From, m.No, m.Epoch, m.Last)
-	case peerwire.Positions:
+	case peerwire.TypeRequest:
+		s.Module.Asked(m.From, m.RequestNumber, m.Epoch, m.Last)
+	case peerwire.TypePositions:
 		s.host.News(m.Entries)
 	default:
 		page := session.Page{Epoch: m.Epoch, Last: m.Last, First: m.First}
@@ -135,7 +135,7 @@
 			page.Entries = append(page.Entries, session.Entry{Kind: session.EntryKind(e.Kind), Group: int(e.Group), Key: e.Key,
 				Position: session.Position(e.Position), Age: int64(e.Age) * 1000})
 		}
-		s.Module.Told(m.From, m.No, page)
+		s.Module.Told(m.From, m.RequestNumber, page)
 	}
 }
 
@@ -224,13 +224,13 @@
 }
 
 func (s *Sessions) send(d *session.Decision) {
-	m := peerwire.Message{Type: peerwire.Ask, No: d.No, Epoch: d.Page.Epoch, Last: d.Page.Last, First: d.Page.First}
+	m := peerwire.Message{Type: peerwire.TypeRequest, RequestNumber: d.No, Epoch: d.Page.Epoch, Last: d.Page.Last, First: d.Page.First}
 	if d.Kind == session.Tell {
-		m.Type = peerwire.Tell
+		m.Type = peerwire.TypeReport
 	}
 	for _, e := range d.Page.Entries {
 		m.Entries = append(m.Entries, peerwire.Entry{Kind: uint8(e.Kind), Group: uint16(e.Group), Key: e.Key,
-			Position: int64(e.Position), Age: peerwire.Micros(e.Age)})
+			Position: int64(e.Position), Age: peerwire.AgeMicros(e.Age)})
 	}
 	s.peers.Send(d.Peer, &m)
 }
@@ -238,8 +238,8 @@
 // TellNews tells all other gateways of members.
 func (s *Sessions) TellNews(entries []peerwire.Entry) {
 	for len(entries) > 0 {
-		n := min(len(entries), peerwire.MostEntries)
-		m := peerwire.Message{Type: peerwire.Positions, Entries: entries[:n]}
+		n := min(len(entries), peerwire.MaxEntries)
+		m := peerwire.Message{Type: peerwire.TypePositions, Entries: entries[:n]}
 		for _, to := range s.peers.Others() {
 			s.peers.Send(to, &m)
 		}
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -39,7 +39,7 @@
 	began := time.Now()
 	c.Elapsed = func() time.Duration { return time.Duration(float64(time.Since(began)) * rate) }
 	if slow > 0 {
-		c.Agreement.Disk = &slowDisk{Files: store.System(), most: slow}
+		c.Agreement.Disk = &slowDisk{FileSystem: store.System(), most: slow}
 	}
 	g, err := gateway.New(c)
 	must(err)
@@ -52,7 +52,7 @@
 
 // slowDisk is the operating system's, but what is to be on it takes up to a time by chance.
 type slowDisk struct {
-	store.Files
+	store.FileSystem
 	most time.Duration
 }
 
@@ -62,7 +62,7 @@
 }
 
 func (d *slowDisk) Create(path string) (store.File, error) {
-	f, err := d.Files.Create(path)
+	f, err := d.FileSystem.Create(path)
 	return slowFile{f, d}, err
 }
 
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -193,7 +193,7 @@
 }
 
 func (cs *clients) leaveStage(c *client) {
-	cs.g.deadlines.Drop(c.due)
+	cs.g.deadlines.Remove(c.due)
 	c.due = nil
 	if c.row != nil {
 		cs.silent[0].Remove(c.row) // it is in one of them
@@ -258,7 +258,7 @@
 	if cs.keys[c.key.Process] == ref {
 		delete(cs.keys, c.key.Process)
 	}
-	cs.open.Free(ref)
+	cs.open.Remove(ref)
 	cs.g.emptied()
 }
 
@@ -336,7 +336,7 @@
 	case c.stage == begun:
 		cs.refuse(ref, "08P01", "the message does not end")
 	case c.stage == quiet && !cs.quietTooLong(c):
-		cs.g.deadlines.Drop(c.due)
+		cs.g.deadlines.Remove(c.due)
 		c.due = cs.g.deadlines.Add(int64(cs.g.clock.now()+leastQuiet), due{kind: dueClient, ref: ref})
 	case c.stage == fresh || c.stage == quiet:
 		cs.sendAway(c, closedIdle)
@@ -452,12 +452,12 @@
 			cs.enter(ref, c, c.silence())
 			return
 		}
-		buf, err := c.conn.Peek(min(waiting, pgwire.HeadSize))
-		if err == nil && c.admitted && waiting > pgwire.HeadSize {
+		buf, err := c.conn.Peek(min(waiting, pgwire.HeaderSize))
+		if err == nil && c.admitted && waiting > pgwire.HeaderSize {
 			// No more than one message: a ring that wraps is copied.
-			buf, err = c.conn.Peek(min(waiting, pgwire.Size(buf)))
+			buf, err = c.conn.Peek(min(waiting, pgwire.MessageSize(buf)))
 		} else if err == nil && !c.admitted {
-			buf, err = c.conn.Peek(min(waiting, pgwire.MostOpening))
+			buf, err = c.conn.Peek(min(waiting, pgwire.MaxStartupPacketSize))
 		}
 		if err != nil {
 			return
@@ -499,14 +499,14 @@
 
 // readOpening takes one message before a session; 0 is none.
 func (cs *clients) readOpening(ref slots.Ref, c *client, buf []byte) int {
-	kind, size, err := pgwire.Open(buf)
+	kind, size, err := pgwire.ReadStartupPacket(buf)
 	switch {
 	case err != nil:
 		cs.refuse(ref, "08P01", "no startup message of protocol version 3")
 		return 0
-	case kind == pgwire.Encryption:
+	case kind == pgwire.EncryptionRequest:
 		cs.writeClient(c, append(cs.g.scratch[:0], 'N'))
-	case kind == pgwire.CancelQuery:
+	case kind == pgwire.CancelRequest:
 		if key, ok := pgwire.ReadCancelKey(buf[:size]); ok {
 			cs.cancel(key)
 		}
@@ -529,14 +529,14 @@
 		}
 		c.admitted = true
 		cs.giveKey(ref, c)
-		cs.writeClient(c, pgwire.AppendWelcome(cs.g.scratch[:0], c.key))
+		cs.writeClient(c, pgwire.AppendAuthenticationOK(cs.g.scratch[:0], c.key))
 	}
 	return size
 }
 
 // readMessage takes one message of a session; 0 is none, or one that stays in the buffer.
 func (cs *clients) readMessage(ref slots.Ref, c *client, buf []byte) int {
-	kind, body, size, err := pgwire.Message(buf, mostMessage)
+	kind, body, size, err := pgwire.ReadMessage(buf, mostMessage)
 	if err != nil {
 		cs.refuse(ref, "08P01", "malformed message")
 		return 0
@@ -552,13 +552,13 @@
 		return 0
 	case 'S': // Sync
 		c.skipping = false
-		cs.writeClient(c, pgwire.AppendReady(cs.g.scratch[:0]))
+		cs.writeClient(c, pgwire.AppendReadyForQuery(cs.g.scratch[:0]))
 	case 'P', 'B', 'D', 'E', 'C', 'H', 'F': // the extended protocol and function calls
 		if !c.skipping {
 			c.skipping = kind != 'F'
 			out := pgwire.AppendError(cs.g.scratch[:0], "ERROR", "0A000", "only simple queries are served", "")
 			if kind == 'F' {
-				out = pgwire.AppendReady(out)
+				out = pgwire.AppendReadyForQuery(out)
 			}
 			cs.writeClient(c, out)
 		}
@@ -571,7 +571,7 @@
 
 // readQuery takes a query. That of a txn stays in the buffer, where each submission reads it, until answered.
 func (cs *clients) readQuery(ref slots.Ref, c *client, body []byte, size int) int {
-	text, ok := pgwire.Text(body)
+	text, ok := pgwire.ReadString(body)
 	if !ok {
 		cs.refuse(ref, "08P01", "malformed query")
 		return 0
@@ -581,7 +581,7 @@
 			cs.again(ref, c)
 			return 0
 		}
-		cs.writeClient(c, pgwire.AppendReady(pgwire.AppendEmpty(cs.g.scratch[:0])))
+		cs.writeClient(c, pgwire.AppendReadyForQuery(pgwire.AppendEmptyQueryResponse(cs.g.scratch[:0])))
 		return size
 	}
 	if cs.stillWaits(c) {
@@ -604,7 +604,7 @@
 		return 0
 	}
 	out := pgwire.AppendError(cs.g.scratch[:0], "ERROR", "42601", problem, "")
-	cs.writeClient(c, pgwire.AppendReady(out))
+	cs.writeClient(c, pgwire.AppendReadyForQuery(out))
 	return size
 }
 
--- a/gateway/dial.go
+++ b/gateway/dial.go
@@ -72,7 +72,7 @@
 	}
 	g.budget.give(2)
 	if o.kind == ownerMember {
-		if m := g.members.conns.Get(o.ref); m != nil && neterr.IsReply(err) {
+		if m := g.members.conns.Get(o.ref); m != nil && neterr.IsRemote(err) {
 			m.delayed = false
 			if errors.Is(err, syscall.ECONNRESET) {
 				m.phase = starting
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -132,7 +132,7 @@
 
 // hangUpCall is the one place where a connection to discovery is given back.
 func (ds *discovery) hangUpCall(c *call) {
-	ds.g.deadlines.Drop(c.due)
+	ds.g.deadlines.Remove(c.due)
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
@@ -150,7 +150,7 @@
 	}
 	if (c.asked || late) && conn != nil && inOrder {
 		if buf, err := conn.Peek(-1); err == nil {
-			if a, _, err := httpwire.Read(buf, mostList); err == nil && a.ToEnd {
+			if a, _, err := httpwire.ReadResponse(buf, mostList); err == nil && a.UntilEOF {
 				ds.whole(conn, c, late, a)
 				return
 			}
@@ -192,7 +192,7 @@
 
 // answeredLate takes an answer to a call that was given up: as the answer to the next one, while that is not under way, else
 // what is new in it.
-func (ds *discovery) answeredLate(conn gnet.Conn, c *call, a httpwire.Answer) {
+func (ds *discovery) answeredLate(conn gnet.Conn, c *call, a httpwire.Response) {
 	if !c.asked && !c.dialled && a.Status == 200 {
 		ds.hangUpCall(c)
 		c.conn, c.asked = conn, true
@@ -252,7 +252,7 @@
 		ds.callFailed(c, "an answer that nobody asked for")
 		return
 	}
-	a, ok, err := httpwire.Read(buf, mostList)
+	a, ok, err := httpwire.ReadResponse(buf, mostList)
 	switch {
 	case err != nil && late:
 		ds.hangUpLate(c)
@@ -264,7 +264,7 @@
 }
 
 // whole takes a whole answer, to the call that is under way or to the one before.
-func (ds *discovery) whole(conn gnet.Conn, c *call, late bool, a httpwire.Answer) {
+func (ds *discovery) whole(conn gnet.Conn, c *call, late bool, a httpwire.Response) {
 	if late {
 		ds.answeredLate(conn, c, a)
 	} else {
@@ -273,7 +273,7 @@
 }
 
 // answered takes the answer to the call that is under way.
-func (ds *discovery) answered(conn gnet.Conn, c *call, a httpwire.Answer) {
+func (ds *discovery) answered(conn gnet.Conn, c *call, a httpwire.Response) {
 	if a.Status != 200 {
 		ds.callFailed(c, fmt.Sprintf("status %d", a.Status))
 		return
@@ -284,7 +284,7 @@
 		return
 	}
 	_, _ = conn.Discard(a.Size)
-	ds.g.deadlines.Drop(c.due)
+	ds.g.deadlines.Remove(c.due)
 	c.asked, c.failing = false, ""
 	if ds.g.coordinated != nil {
 		ds.g.coordinated.called(decide.Committed)
@@ -294,7 +294,7 @@
 	if overtaken := c.after <= l.Seq && l.Seq < ds.list.seq; !overtaken {
 		ds.news(l)
 	}
-	if a.Last {
+	if a.Close {
 		ds.hangUpCall(c)
 	}
 	if c.kind == callWatch { // it goes on if the next call comes soon
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -233,7 +233,7 @@
 func (g *Gateway) timesOut(kind callKind) {
 	g.hold(func() {
 		c := &g.discovery.calls[kind]
-		g.deadlines.Drop(c.due)
+		g.deadlines.Remove(c.due)
 		c.due = g.deadlines.Add(int64(g.clock.now()), due{kind: dueCall, call: c})
 		g.onTimer()
 	})
@@ -286,7 +286,7 @@
 		c := &g.discovery.calls[callWatch]
 		call.list(5, m.host("m", "active"))
 		awaitUnread(t, c.conn.Fd())
-		g.deadlines.Drop(c.due) // its time is up now
+		g.deadlines.Remove(c.due) // its time is up now
 		c.due = g.deadlines.Add(int64(g.clock.now()), due{kind: dueCall, call: c})
 		g.onTimer()
 	})
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -25,7 +25,7 @@
 
 // heldDisk is the operating system's, but its writes wait while it is held, or fail.
 type heldDisk struct {
-	store.Files
+	store.FileSystem
 	mu   sync.Mutex
 	held chan struct{}
 	full bool
@@ -37,7 +37,7 @@
 }
 
 func (d *heldDisk) Create(path string) (store.File, error) {
-	f, err := d.Files.Create(path)
+	f, err := d.FileSystem.Create(path)
 	return heldFile{f, d}, err
 }
 
@@ -138,7 +138,7 @@
 func TestSlowAndFullDisk(t *testing.T) {
 	log, lines := logLines()
 	_, members := group(0, 1)
-	d := &heldDisk{Files: store.System()}
+	d := &heldDisk{FileSystem: store.System()}
 	plan := &hosted.SessionPlan{Terms: session.Defaults(), Ledger: hosted.LedgerPlan{Folder: t.TempDir(),
 		BeforeAnswer: hosted.DurableProcess, AtMost: int64(50 * time.Millisecond)}}
 	plan.Ledger.Disk = d
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -276,7 +276,7 @@
 	}
 	g.timerAt = 0
 	for {
-		d, ok := g.deadlines.Due(int64(g.clock.now()))
+		d, ok := g.deadlines.PopDue(int64(g.clock.now()))
 		if !ok {
 			return
 		}
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -73,7 +73,7 @@
 	parts            [][2]int
 	rows, columns    int
 	complete         bool
-	problem          pgwire.Problem // an ErrorResponse
+	problem          pgwire.ErrorResponse // an ErrorResponse
 	role             decide.Role
 	position         float64
 	report           []float64
@@ -104,7 +104,7 @@
 func (ms *members) connect(server decide.Server, j job) slots.Ref {
 	if ref, ok := ms.rested(server); ok {
 		m := ms.conns.Get(ref)
-		ms.g.deadlines.Drop(m.patience)
+		ms.g.deadlines.Remove(m.patience)
 		ms.assign(ref, m, j)
 		ms.begin(ref)
 		return ref
@@ -114,7 +114,7 @@
 	wait := decide.Millis(ms.g.names.Limits.ConnectTimeoutMs)
 	for !ms.g.dial(server.String(), wait, &owner{kind: ownerMember, ref: ref}) {
 		if !ms.closeLongestIdle() {
-			ms.conns.Free(ref)
+			ms.conns.Remove(ref)
 			ms.noteEnd(j, server, decide.Moot, nil)
 			return slots.Ref{}
 		}
@@ -239,8 +239,8 @@
 	if m == nil {
 		return
 	}
-	ms.g.deadlines.Drop(m.connect)
-	ms.g.deadlines.Drop(m.patience)
+	ms.g.deadlines.Remove(m.connect)
+	ms.g.deadlines.Remove(m.patience)
 	ms.answering -= m.held
 	p := ms.poolOf(m.server)
 	if m.phase == idle {
@@ -252,7 +252,7 @@
 	if m.conn != nil {
 		_ = m.conn.Close()
 	}
-	ms.conns.Free(ref)
+	ms.conns.Remove(ref)
 }
 
 // memberClosed comes when a connection broke or could not be had. flushed says that nothing is left that was
@@ -375,7 +375,7 @@
 func (ms *members) finish(ref slots.Ref, r decide.Result, told bool) {
 	m := ms.conns.Get(ref)
 	m.working = false
-	ms.g.deadlines.Drop(m.patience)
+	ms.g.deadlines.Remove(m.patience)
 	m.patience = nil
 	var a *answer
 	if told {
@@ -437,15 +437,15 @@
 			return
 		}
 		a := &m.answer
-		kind, body, size, err := pgwire.Message(buf[a.read:], mostAnswer)
-		if err != nil || len(buf) > mostAnswer || !pgwire.MayBegin(buf[a.read:], mostAnswer) {
+		kind, body, size, err := pgwire.ReadMessage(buf[a.read:], mostAnswer)
+		if err != nil || len(buf) > mostAnswer || !pgwire.MayBeResponse(buf[a.read:], mostAnswer) {
 			ms.memberRefused(ref)
 			return
 		}
 		m.needs = 0
 		if size == 0 {
-			if rest := buf[a.read:]; len(rest) >= pgwire.HeadSize+pgwire.ColumnHead {
-				m.needs = a.read + pgwire.Size(rest)
+			if rest := buf[a.read:]; len(rest) >= pgwire.HeaderSize+pgwire.ColumnHeaderSize {
+				m.needs = a.read + pgwire.MessageSize(rest)
 			}
 			ms.part(ref, m, here)
 			return
@@ -469,22 +469,22 @@
 			ok = bytes.Equal(body, []byte{0, 0, 0, 0})
 		case m.phase == starting && kind == 'K':
 		case kind == 'E' && (answering || m.phase == starting):
-			a.problem = pgwire.ReadProblem(body)
+			a.problem = pgwire.ReadErrorResponse(body)
 			// Before its first query a member that is full has no connection to give.
 			ok = m.phase == busy && a.problem.Code != ""
 		case answering && kind == 'T' && a.columns == 0:
-			a.columns = pgwire.Columns(body)
+			a.columns = pgwire.CountColumns(body)
 			a.take(from, size)
 			ok = a.columns == 1
 		case answering && kind == 'D' && a.columns == 1 && a.rows == 0:
 			var value []byte
-			value, ok = pgwire.Column(body)
+			value, ok = pgwire.ReadColumn(body)
 			a.rows++
 			a.value = len(value)
 			a.valueFrom = from + size - len(value)
 			a.take(from, size)
 		case answering && kind == 'C' && a.rows == 1:
-			_, ok = pgwire.Text(body)
+			_, ok = pgwire.ReadString(body)
 			a.complete = true
 			a.take(from, size)
 		default:
@@ -518,7 +518,7 @@
 
 // awaitRest sets until when the next part of an answer has to come.
 func (ms *members) awaitRest(ref slots.Ref, m *memberConn) {
-	ms.g.deadlines.Drop(m.patience)
+	ms.g.deadlines.Remove(m.patience)
 	m.patience = ms.g.deadlines.Add(int64(min(m.job.until, m.heardAt+mostStill)), due{kind: dueSubmission, ref: ref})
 }
 
@@ -546,7 +546,7 @@
 
 // parameter takes what a member tells of itself.
 func (ms *members) parameter(a *answer, body []byte) bool {
-	name, value, ok := pgwire.Parameter(body)
+	name, value, ok := pgwire.ReadParameterStatus(body)
 	if !ok {
 		return false
 	}
@@ -559,7 +559,7 @@
 			a.role = decide.RoleReplica
 		}
 	case "wal_time":
-		a.position, _ = pgwire.Number(value)
+		a.position, _ = pgwire.ParseNumber(value)
 	case "stats":
 		a.report = ms.reportOf(value)
 	}
@@ -577,7 +577,7 @@
 		var part []byte
 		part, text, _ = bytes.Cut(text, []byte{','})
 		name, value, _ := bytes.Cut(part, []byte{'='})
-		x, ok := pgwire.Number(value)
+		x, ok := pgwire.ParseNumber(value)
 		if !ok {
 			return nil
 		}
@@ -605,7 +605,7 @@
 	a := &m.answer
 	switch m.phase {
 	case starting:
-		ms.g.deadlines.Drop(m.connect)
+		ms.g.deadlines.Remove(m.connect)
 		m.connect = nil
 		_, _ = m.conn.Discard(a.read)
 		a.read = 0
@@ -645,7 +645,7 @@
 				parts = append(parts, token)
 			}
 		}
-		parts = append(parts, pgwire.AppendReady(nil))
+		parts = append(parts, pgwire.AppendReadyForQuery(nil))
 		if ms.g.waitsForMark(m.job.txn) {
 			ms.g.answerLater(m.job.txn, parts...)
 			ms.g.sessions.Keep(m.job.txn)
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -54,7 +54,7 @@
 		p = g.position(at)
 	}
 	if token := g.sessions.Committed(t.comment.Group, t.session, p); token != nil {
-		return pgwire.AppendParameter(nil, "session_token", string(token))
+		return pgwire.AppendParameterStatus(nil, "session_token", string(token))
 	}
 	return nil
 }
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -83,7 +83,7 @@
 	}
 	t.class = int(t.route.Type)
 	kind := &g.names.Classes[t.class]
-	if kind.Effect == "by_key" && comment.Key == nil {
+	if kind.Effect == "by_key" && comment.IdempotencyKey == nil {
 		return "the comment lacks k, which this txn type needs"
 	}
 	// The client's time runs while its query waits here: behind another, for a slow reader, for a part of a bound.
@@ -98,8 +98,8 @@
 	if need == "causal" || t.writes {
 		t.session = sessionOf(comment.Session)
 	}
-	if comment.Key != nil {
-		t.key = keyOf(comment.Key)
+	if comment.IdempotencyKey != nil {
+		t.key = keyOf(comment.IdempotencyKey)
 	}
 	if g.sessions != nil && why == routes.Free && t.writes && t.session != 0 && !g.sessions.Module.Notes() {
 		why, after = routes.Unagreed, g.sessions.Plan.Terms.RetryAfter // others do not know that it is to be asked
@@ -154,7 +154,7 @@
 	x := &g.lookup
 	*x = routes.Txn{Type: class}
 	if g.generations.inForce.table != nil {
-		x.User, x.Database, x.Table = c.user, c.database, string(pgwire.Table(text))
+		x.User, x.Database, x.Table = c.user, c.database, string(pgwire.TableName(text))
 		if a, ok := c.conn.RemoteAddr().(*net.TCPAddr); ok {
 			x.Client = a.AddrPort().Addr()
 		}
@@ -164,7 +164,7 @@
 
 // forgetBuffer drops what is part of a buffer that moves on.
 func (g *Gateway) forgetBuffer(t *txn) {
-	t.comment.Class, t.comment.Key, t.comment.Session, t.comment.Token = nil, nil, nil, nil
+	t.comment.Class, t.comment.IdempotencyKey, t.comment.Session, t.comment.Token = nil, nil, nil, nil
 }
 
 // sessionOf is a session's number: its key where that is one, else a hash of it.
@@ -187,7 +187,7 @@
 	if t.answered && t.out == 0 && !t.early {
 		delete(g.byID, t.id)
 		g.generations.end(t)
-		g.txns.Free(ref)
+		g.txns.Remove(ref)
 	}
 }
 
@@ -255,7 +255,7 @@
 		t.failed = true
 	}
 	out := pgwire.AppendError(g.scratch[:0], "ERROR", code, message, detail)
-	out = pgwire.AppendReady(out)
+	out = pgwire.AppendReadyForQuery(out)
 	g.scratch = out[:0]
 	g.answer(ref, out)
 	g.settled(ref, true)
@@ -284,7 +284,7 @@
 	}
 	t.failed, t.ending = true, endLeft
 	out := pgwire.AppendError(g.scratch[:0], "ERROR", "57014", "cancelled by its client, it may have had its effect", "")
-	g.scratch = pgwire.AppendReady(out)
+	g.scratch = pgwire.AppendReadyForQuery(out)
 	g.answer(ref, g.scratch)
 	g.tellWithdrawn(ref)
 }
@@ -357,16 +357,16 @@
 	}
 	left := max(1, int64((until-g.clock.now())/decide.Millisecond))
 	if t.floor > 0 { // members that check reads are told what this one must see
-		text := t.comment.Raise(g.raised[:0], buf[5:], left, g.clock.unixMs(t.floor))
+		text := t.comment.AppendWithAfter(g.raised[:0], buf[5:], left, g.clock.unixMs(t.floor))
 		g.raised = text
-		head := pgwire.AppendQueryHead(g.scratch[:0], len(text)-1)
+		head := pgwire.AppendQueryHeader(g.scratch[:0], len(text)-1)
 		g.scratch = head
 		return append(slices.Grow(g.parts[:0], 2), head, text), true
 	}
-	before, behind := t.comment.Around(buf[5:])
+	before, behind := t.comment.SplitAtBudget(buf[5:])
 	var digits [20]byte
 	d := strconv.AppendInt(digits[:0], left, 10)
-	head := pgwire.AppendQueryHead(g.scratch[:0], len(before)+len(d)+len(behind)-1)
+	head := pgwire.AppendQueryHeader(g.scratch[:0], len(before)+len(d)+len(behind)-1)
 	g.scratch = append(append(head, before...), d...)
 	return append(slices.Grow(g.parts[:0], 2), g.scratch, behind), true
 }
--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -1,69 +1,70 @@
-// Package agenda is a virtual clock: what is to happen, in the order of its times. It keeps no time of its own.
+// Package agenda is the event queue and virtual clock of a discrete-event simulation. Time advances only when events run.
 package agenda
 
-// Agenda holds what is to happen. Of several things at one time the one that was planned first comes first. The zero value
-// is empty, at time 0.
-type Agenda struct {
-	Now  int64 // nanoseconds
-	turn uint64
-	all  []happening // a heap, by hand: it is most of what a simulated day does
+// Scheduler runs callbacks at their scheduled virtual times. Events with equal times run in the order in which they were
+// scheduled. The zero value is empty, at time 0.
+type Scheduler struct {
+	Now          int64 // nanoseconds
+	lastSequence uint64
+	events       []event // a binary heap, written out by hand because most of a simulation's time is spent in it
 }
 
-type happening struct {
-	at   int64
-	turn uint64
-	do   func()
+type event struct {
+	at       int64
+	sequence uint64
+	run      func()
 }
 
-func (a *Agenda) before(i, j int) bool {
-	x, y := &a.all[i], &a.all[j]
-	return x.at < y.at || x.at == y.at && x.turn < y.turn
+// less reports whether event i runs before event j.
+func (s *Scheduler) less(i, j int) bool {
+	x, y := &s.events[i], &s.events[j]
+	return x.at < y.at || x.at == y.at && x.sequence < y.sequence
 }
 
-// After plans something for a span from now; one below 0 is none.
-func (a *Agenda) After(span int64, do func()) {
-	a.turn++
-	a.all = append(a.all, happening{a.Now + max(0, span), a.turn, do})
-	for i := len(a.all) - 1; i > 0; {
-		up := (i - 1) / 2
-		if !a.before(i, up) {
+// After schedules a callback to run after a delay in nanoseconds; a negative delay counts as 0.
+func (s *Scheduler) After(delay int64, run func()) {
+	s.lastSequence++
+	s.events = append(s.events, event{s.Now + max(0, delay), s.lastSequence, run})
+	for i := len(s.events) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if !s.less(i, parent) {
 			break
 		}
-		a.all[i], a.all[up] = a.all[up], a.all[i]
-		i = up
+		s.events[i], s.events[parent] = s.events[parent], s.events[i]
+		i = parent
 	}
 }
 
-// Step has the first thing happen that is planned for a time up to an end, and moves the clock to it; ok is false where
-// there is none.
-func (a *Agenda) Step(end int64) (ok bool) {
-	if len(a.all) == 0 || a.all[0].at > end {
+// Step advances the clock to the earliest event that is due by the given time and runs it. It returns false if there is
+// no such event.
+func (s *Scheduler) Step(until int64) (ok bool) {
+	if len(s.events) == 0 || s.events[0].at > until {
 		return false
 	}
-	top, last := a.all[0], len(a.all)-1
-	a.all[0], a.all[last] = a.all[last], happening{}
-	a.all = a.all[:last]
+	earliest, last := s.events[0], len(s.events)-1
+	s.events[0], s.events[last] = s.events[last], event{}
+	s.events = s.events[:last]
 	for i := 0; ; {
-		least := i
-		for k := 2*i + 1; k <= 2*i+2 && k < last; k++ {
-			if a.before(k, least) {
-				least = k
+		smallest := i
+		for child := 2*i + 1; child <= 2*i+2 && child < last; child++ {
+			if s.less(child, smallest) {
+				smallest = child
 			}
 		}
-		if least == i {
+		if smallest == i {
 			break
 		}
-		a.all[i], a.all[least] = a.all[least], a.all[i]
-		i = least
+		s.events[i], s.events[smallest] = s.events[smallest], s.events[i]
+		i = smallest
 	}
-	a.Now = top.at
-	top.do()
+	s.Now = earliest.at
+	earliest.run()
 	return true
 }
 
-// Run has all happen up to a time, at which the clock then stands.
-func (a *Agenda) Run(end int64) {
-	for a.Step(end) {
+// Run runs all events that are due by the given time and leaves the clock at that time.
+func (s *Scheduler) Run(until int64) {
+	for s.Step(until) {
 	}
-	a.Now = max(a.Now, end)
+	s.Now = max(s.Now, until)
 }
--- a/internal/agenda/agenda_test.go
+++ b/internal/agenda/agenda_test.go
@@ -8,36 +8,37 @@
 	"pgregory.net/rapid"
 )
 
-// What is planned happens in the order of times, and of planning within one, whatever is planned while it happens.
+// Events run in the order of their times, and those of one time in the order of scheduling, also when a running event
+// schedules further ones.
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type planned struct{ at, no int64 }
-		var a Agenda
-		var all, came []planned
-		plan := func(span int64) {
-			p := planned{a.Now + span, int64(len(all))}
-			all = append(all, p)
-			a.After(span, func() {
-				if a.Now != p.at {
-					t.Fatalf("at %d, planned for %d", a.Now, p.at)
+		type scheduled struct{ at, no int64 }
+		var s Scheduler
+		var all, executed []scheduled
+		schedule := func(delay int64) {
+			e := scheduled{s.Now + delay, int64(len(all))}
+			all = append(all, e)
+			s.After(delay, func() {
+				if s.Now != e.at {
+					t.Fatalf("ran at %d, scheduled for %d", s.Now, e.at)
 				}
-				came = append(came, p)
+				executed = append(executed, e)
 			})
 		}
-		for range rapid.IntRange(1, 30).Draw(t, "planned") {
-			plan(rapid.Int64Range(0, 9).Draw(t, "span"))
-			if rapid.Bool().Draw(t, "again") {
-				a.After(rapid.Int64Range(0, 9).Draw(t, "in"), func() { plan(rapid.Int64Range(0, 3).Draw(t, "then")) })
+		for range rapid.IntRange(1, 30).Draw(t, "events") {
+			schedule(rapid.Int64Range(0, 9).Draw(t, "delay"))
+			if rapid.Bool().Draw(t, "nested") {
+				s.After(rapid.Int64Range(0, 9).Draw(t, "outer delay"), func() { schedule(rapid.Int64Range(0, 3).Draw(t, "inner delay")) })
 			}
 		}
-		a.Run(100)
-		slices.SortFunc(all, func(x, y planned) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.no, y.no)) })
-		if len(came) != len(all) || a.Now != 100 {
-			t.Fatalf("%d of %d, at %d", len(came), len(all), a.Now)
+		s.Run(100)
+		slices.SortFunc(all, func(x, y scheduled) int { return cmp.Or(cmp.Compare(x.at, y.at), cmp.Compare(x.no, y.no)) })
+		if len(executed) != len(all) || s.Now != 100 {
+			t.Fatalf("%d of %d events ran, clock at %d", len(executed), len(all), s.Now)
 		}
-		for i := 1; i < len(came); i++ {
-			if came[i].at < came[i-1].at {
-				t.Fatalf("%v after %v", came[i], came[i-1])
+		for i := 1; i < len(executed); i++ {
+			if executed[i].at < executed[i-1].at {
+				t.Fatalf("%v ran after %v", executed[i], executed[i-1])
 			}
 		}
 	})
--- a/internal/contractfile/contractfile.go
+++ b/internal/contractfile/contractfile.go
@@ -33,13 +33,13 @@
 
 // Parse reads a text.
 func Parse(text []byte, path string) (*File, error) {
-	body, err := hclfile.Body(text, path)
+	body, err := hclfile.Parse(text, path)
 	if err != nil {
 		return nil, err
 	}
 	r := &hclfile.File{Labels: map[string]string{"contract": "name", "group": "number"}}
 	f := new(File)
-	top := r.Part(body, hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}, "", "contract", "capacity")
+	top := r.Content(body, hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}, "", "contract", "capacity")
 	for _, b := range top.Blocks {
 		if b.Type == "contract" {
 			f.contract(r, b)
@@ -51,83 +51,83 @@
 }
 
 func (f *File) contract(r *hclfile.File, b *hcl.Block) {
-	p := r.Part(b.Body, b.DefRange, "tenant types groups reads writes in_flight fan_out fan_zones ramp cool aim promised beyond ceiling loss rank price credit", "window")
+	p := r.Content(b.Body, b.DefRange, "tenant types groups reads writes in_flight fan_out fan_zones ramp cool aim promised beyond ceiling loss rank price credit", "window")
 	t := contracts.Terms{Name: b.Labels[0], Ramp: int64(5 * time.Minute), Cool: int64(time.Minute), Promised: 0.99, Beyond: contracts.Effort, Loss: contracts.MemberLoss}
-	p.Needs("tenant", "in_flight")
+	p.Require("tenant", "in_flight")
 	p.Decode("tenant", &t.Tenant)
-	t.Types = p.Words("types")
+	t.Types = p.Strings("types")
 	p.Decode("groups", &t.Groups)
-	p.Number("reads", &t.Reads, 0, 1e9)
-	p.Number("writes", &t.Writes, 0, 1e9)
-	p.Whole("in_flight", &t.InFlight, 1, 1_000_000)
-	p.Whole("fan_out", &t.FanOut, 0, 1000)
-	p.Whole("fan_zones", &t.FanZones, 0, 1000)
-	p.Span("ramp", &t.Ramp, 0)
-	p.Span("cool", &t.Cool, 0)
-	p.Span("aim", &t.Aim, time.Millisecond)
-	p.Number("promised", &t.Promised, 0, 1)
+	p.Float("reads", &t.Reads, 0, 1e9)
+	p.Float("writes", &t.Writes, 0, 1e9)
+	p.Int("in_flight", &t.InFlight, 1, 1_000_000)
+	p.Int("fan_out", &t.FanOut, 0, 1000)
+	p.Int("fan_zones", &t.FanZones, 0, 1000)
+	p.Duration("ramp", &t.Ramp, 0)
+	p.Duration("cool", &t.Cool, 0)
+	p.Duration("aim", &t.Aim, time.Millisecond)
+	p.Float("promised", &t.Promised, 0, 1)
 	p.OneOf("beyond", &t.Beyond, contracts.Refuse, contracts.Effort, contracts.Paid)
-	p.Number("ceiling", &t.Ceiling, 1, 1e6)
+	p.Float("ceiling", &t.Ceiling, 1, 1e6)
 	p.OneOf("loss", &t.Loss, contracts.NoLoss, contracts.MemberLoss, contracts.ZoneLoss)
-	p.Whole("rank", &t.Rank, -1000, 1000)
+	p.Int("rank", &t.Rank, -1000, 1000)
 	amount(p, "price", &t.Price)
 	amount(p, "credit", &t.Credit)
 	for _, w := range p.Blocks {
-		in := r.Part(w.Body, w.DefRange, "zone start length every until except")
-		in.Needs("zone", "start", "length")
+		in := r.Content(w.Body, w.DefRange, "zone start length every until except")
+		in.Require("zone", "start", "length")
 		x := contracts.Window{}
 		in.Decode("zone", &x.Zone)
 		in.Decode("start", &x.Start)
-		in.Span("length", &x.Length, time.Minute)
+		in.Duration("length", &x.Length, time.Minute)
 		in.OneOf("every", &x.Every, "day", "week")
 		in.Decode("until", &x.Until)
-		x.Except = in.Words("except")
+		x.Except = in.Strings("except")
 		if in.Attrs["zone"] != nil && in.Attrs["start"] != nil && in.Attrs["length"] != nil && x.Length > 0 {
 			if err := x.Check(); err != nil {
-				r.Wrong(w.DefRange, "the window can't be", err.Error()+".")
+				r.AddError(w.DefRange, "the window can't be", err.Error()+".")
 			}
 		}
 		t.Windows = append(t.Windows, x)
 	}
 	if r.Err() == nil {
 		if err := t.Check(); err != nil {
-			r.Wrong(b.DefRange, "the contract can't be", err.Error()+".")
+			r.AddError(b.DefRange, "the contract can't be", err.Error()+".")
 		}
 	}
 	f.Contracts = append(f.Contracts, t)
 }
 
-func amount(p *hclfile.Part, name string, to *decimal.Decimal) {
+func amount(p *hclfile.Content, name string, to *decimal.Decimal) {
 	text := ""
 	if !p.Decode(name, &text) {
 		return
 	}
 	d, err := decimal.NewFromString(text)
 	if err != nil {
-		p.File.Wrong(p.RangeOf(name), name+" is no amount", `Write it as "120.50".`)
+		p.File.AddError(p.RangeOf(name), name+" is no amount", `Write it as "120.50".`)
 	}
 	*to = d
 }
 
 func (f *File) capacity(r *hclfile.File, b *hcl.Block) {
-	p := r.Part(b.Body, b.DefRange, "floor", "group")
+	p := r.Content(b.Body, b.DefRange, "floor", "group")
 	floor := 0.0
 	if p.Decode("floor", &floor) {
 		if floor < 0 || floor >= 1 {
-			r.Wrong(p.RangeOf("floor"), "floor is out of range", "It is a share from 0 to below 1.")
+			r.AddError(p.RangeOf("floor"), "floor is out of range", "It is a share from 0 to below 1.")
 		}
 		f.Floor = &floor
 	}
 	for _, g := range p.Blocks {
-		in := r.Part(g.Body, g.DefRange, "reads writes")
-		in.Needs("reads", "writes")
+		in := r.Content(g.Body, g.DefRange, "reads writes")
+		in.Require("reads", "writes")
 		no, err := strconv.Atoi(strings.TrimSpace(g.Labels[0]))
 		if err != nil || no < 0 {
-			r.Wrong(g.LabelRanges[0], "a group is a number", `As in group "0".`)
+			r.AddError(g.LabelRanges[0], "a group is a number", `As in group "0".`)
 		}
 		s := contracts.MemberSize{Group: no}
-		in.Number("reads", &s.Reads, 0, 1e9)
-		in.Number("writes", &s.Writes, 0, 1e9)
+		in.Float("reads", &s.Reads, 0, 1e9)
+		in.Float("writes", &s.Writes, 0, 1e9)
 		f.Sizes = append(f.Sizes, s)
 	}
 }
--- a/internal/deadlines/deadlines_test.go
+++ b/internal/deadlines/deadlines_test.go
@@ -2,20 +2,21 @@
 
 import "fmt"
 
-// Equals are due in the order in which they were added; dropping twice, or late, does nothing.
+// Entries with equal deadlines are due in the order in which they were added; removing one twice, or after it was due,
+// has no effect.
 func Example() {
 	var q Queue[string]
-	for i, s := range []string{"d", "a", "b", "dropped", "e", "c"} {
+	for i, s := range []string{"d", "a", "b", "removed", "e", "c"} {
 		e := q.Add([]int64{40, 10, 20, 15, 50, 20}[i], s)
-		if s == "dropped" {
-			q.Drop(e)
-			q.Drop(e)
+		if s == "removed" {
+			q.Remove(e)
+			q.Remove(e)
 		}
 	}
-	q.Drop(nil)
+	q.Remove(nil)
 	fmt.Println(q.Next())
 	for at := int64(0); at <= 40; at += 20 {
-		for v, ok := q.Due(at); ok; v, ok = q.Due(at) {
+		for v, ok := q.PopDue(at); ok; v, ok = q.PopDue(at) {
 			fmt.Println(at, v)
 		}
 	}
--- a/internal/hclfile/hclfile.go
+++ b/internal/hclfile/hclfile.go
@@ -1,5 +1,5 @@
-// Package hclfile takes files in HCL apart and gathers what is wrong with them, so that all of it is told at once, each with
-// file, line and column.
+// Package hclfile decodes HCL files and collects all errors, so that they are reported together, each with file, line and
+// column.
 package hclfile
 
 import (
@@ -14,155 +14,156 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// File is a file that is being read.
+// File is a file that is being decoded.
 type File struct {
-	Labels map[string]string // blocks that have a label, with what it is
+	Labels map[string]string // label name by type of block, for blocks that have a label
 	diags  hcl.Diagnostics
 }
 
-// Part is what a block holds, or the file itself.
-type Part struct {
+// Content holds the attributes and nested blocks of a block, or of the file itself.
+type Content struct {
 	File   *File
-	At     hcl.Range
+	Range  hcl.Range
 	Attrs  hcl.Attributes
 	Blocks hcl.Blocks
 }
 
-// Body is a text's, or what is wrong with its form.
-func Body(text []byte, path string) (hcl.Body, error) {
+// Parse parses a text and returns its body, or all syntax errors.
+func Parse(text []byte, path string) (hcl.Body, error) {
 	parsed, diags := hclsyntax.ParseConfig(text, path, hcl.InitialPos)
 	if diags.HasErrors() {
-		return nil, Problems(diags)
+		return nil, JoinErrors(diags)
 	}
 	return parsed.Body, nil
 }
 
-// Err is all that was found wrong, nil for nothing.
+// Err returns all errors found so far, nil if there are none.
 func (f *File) Err() error {
 	if !f.diags.HasErrors() {
 		return nil
 	}
-	return Problems(f.diags)
+	return JoinErrors(f.diags)
 }
 
-// Wrong notes something that is wrong, and the way out.
-func (f *File) Wrong(at hcl.Range, what, way string) {
-	f.diags = append(f.diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: what, Detail: way, Subject: &at})
+// AddError records an error and how to correct it.
+func (f *File) AddError(at hcl.Range, summary, remedy string) {
+	f.diags = append(f.diags, &hcl.Diagnostic{Severity: hcl.DiagError, Summary: summary, Detail: remedy, Subject: &at})
 }
 
-// Part takes a body of these attributes, in one text with blanks between them, and blocks.
-func (f *File) Part(body hcl.Body, at hcl.Range, attrs string, blocks ...string) *Part {
+// Content decodes a body that may have the given attributes (names separated by spaces) and blocks.
+func (f *File) Content(body hcl.Body, at hcl.Range, attrs string, blocks ...string) *Content {
 	var schema hcl.BodySchema
 	for _, name := range strings.Fields(attrs) {
 		schema.Attributes = append(schema.Attributes, hcl.AttributeSchema{Name: name})
 	}
 	for _, name := range blocks {
-		b := hcl.BlockHeaderSchema{Type: name}
+		header := hcl.BlockHeaderSchema{Type: name}
 		if label := f.Labels[name]; label != "" {
-			b.LabelNames = []string{label}
+			header.LabelNames = []string{label}
 		}
-		schema.Blocks = append(schema.Blocks, b)
+		schema.Blocks = append(schema.Blocks, header)
 	}
 	c, diags := body.Content(&schema)
 	f.diags = append(f.diags, diags...)
-	return &Part{f, at, c.Attributes, c.Blocks}
+	return &Content{f, at, c.Attributes, c.Blocks}
 }
 
-// Decode is an attribute's value in a variable of Go's; false where it has none, or another kind of value.
-func (p *Part) Decode(name string, to any) bool {
-	a := p.Attrs[name]
+// Decode decodes an attribute's value into a Go variable. It returns false if the attribute is absent or its value has
+// another type.
+func (c *Content) Decode(name string, to any) bool {
+	a := c.Attrs[name]
 	if a == nil {
 		return false
 	}
 	diags := gohcl.DecodeExpression(a.Expr, nil, to)
-	p.File.diags = append(p.File.diags, diags...)
+	c.File.diags = append(c.File.diags, diags...)
 	return !diags.HasErrors()
 }
 
-// RangeOf is where an attribute's value stands, or else the block.
-func (p *Part) RangeOf(name string) hcl.Range {
-	if a := p.Attrs[name]; a != nil {
+// RangeOf returns the source range of an attribute's value, or that of the block if the attribute is absent.
+func (c *Content) RangeOf(name string) hcl.Range {
+	if a := c.Attrs[name]; a != nil {
 		return a.Expr.Range()
 	}
-	return p.At
+	return c.Range
 }
 
-// OneOf takes one of some words.
-func (p *Part) OneOf(name string, to *string, values ...string) {
+// OneOf decodes a string that must be one of the given values.
+func (c *Content) OneOf(name string, to *string, values ...string) {
 	var text string
-	if !p.Decode(name, &text) {
+	if !c.Decode(name, &text) {
 		return
 	}
 	if !slices.Contains(values, text) {
-		p.File.Wrong(p.RangeOf(name), fmt.Sprintf("%s has the unknown value %q", name, text), "It is one of "+strings.Join(values, ", ")+".")
+		c.File.AddError(c.RangeOf(name), fmt.Sprintf("%s has the unknown value %q", name, text), "It is one of "+strings.Join(values, ", ")+".")
 		return
 	}
 	*to = text
 }
 
-// Span takes a span of at least so much, as in "20ms", in nanoseconds.
-func (p *Part) Span(name string, to *int64, least time.Duration) {
+// Duration decodes a duration such as "20ms" of at least the minimum, in nanoseconds.
+func (c *Content) Duration(name string, to *int64, minimum time.Duration) {
 	var text string
-	if !p.Decode(name, &text) {
+	if !c.Decode(name, &text) {
 		return
 	}
 	d, err := time.ParseDuration(text)
-	if err != nil || d < least {
-		p.File.Wrong(p.RangeOf(name), fmt.Sprintf("%s is no span of at least %v", name, least), `Write it as "20ms" or "10s".`)
+	if err != nil || d < minimum {
+		c.File.AddError(c.RangeOf(name), fmt.Sprintf("%s is no span of at least %v", name, minimum), `Write it as "20ms" or "10s".`)
 		return
 	}
 	*to = int64(d)
 }
 
-// Whole takes a whole number within bounds.
-func (p *Part) Whole(name string, to *int, least, most int) {
-	if n := 0; p.Decode(name, &n) {
-		if n < least || n > most {
-			p.File.Wrong(p.RangeOf(name), name+" is out of range", fmt.Sprintf("It is from %d to %d.", least, most))
+// Int decodes an integer between minimum and maximum, inclusive.
+func (c *Content) Int(name string, to *int, minimum, maximum int) {
+	if n := 0; c.Decode(name, &n) {
+		if n < minimum || n > maximum {
+			c.File.AddError(c.RangeOf(name), name+" is out of range", fmt.Sprintf("It is from %d to %d.", minimum, maximum))
 			return
 		}
 		*to = n
 	}
 }
 
-// Number takes a number within bounds.
-func (p *Part) Number(name string, to *float64, least, most float64) {
-	if x := 0.0; p.Decode(name, &x) {
-		if x < least || x > most {
-			p.File.Wrong(p.RangeOf(name), name+" is out of range", fmt.Sprintf("It is from %v to %v.", least, most))
+// Float decodes a number between minimum and maximum, inclusive.
+func (c *Content) Float(name string, to *float64, minimum, maximum float64) {
+	if x := 0.0; c.Decode(name, &x) {
+		if x < minimum || x > maximum {
+			c.File.AddError(c.RangeOf(name), name+" is out of range", fmt.Sprintf("It is from %v to %v.", minimum, maximum))
 			return
 		}
 		*to = x
 	}
 }
 
-// Words takes a list of texts.
-func (p *Part) Words(name string) (all []string) {
-	p.Decode(name, &all)
+// Strings decodes a list of strings.
+func (c *Content) Strings(name string) (all []string) {
+	c.Decode(name, &all)
 	return all
 }
 
-// Needs tells of attributes that are lacking.
-func (p *Part) Needs(names ...string) {
-	for _, n := range names {
-		if p.Attrs[n] == nil {
-			p.File.Wrong(p.At, n+" is lacking", "Say it.")
+// Require records an error for each of the given attributes that is absent.
+func (c *Content) Require(names ...string) {
+	for _, name := range names {
+		if c.Attrs[name] == nil {
+			c.File.AddError(c.Range, name+" is lacking", "Say it.")
 		}
 	}
 }
 
-// Problems words all that is wrong, a line for each.
-func Problems(diags hcl.Diagnostics) error {
+// JoinErrors formats the errors among the diagnostics, one per line.
+func JoinErrors(diags hcl.Diagnostics) error {
 	var all []error
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError {
 			continue
 		}
-		at := "?"
+		position := "?"
 		if d.Subject != nil {
-			at = fmt.Sprintf("%s:%d:%d", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column)
+			position = fmt.Sprintf("%s:%d:%d", d.Subject.Filename, d.Subject.Start.Line, d.Subject.Start.Column)
 		}
-		all = append(all, fmt.Errorf("%s: %s: %s", at, strings.TrimSuffix(d.Summary, "."), d.Detail))
+		all = append(all, fmt.Errorf("%s: %s: %s", position, strings.TrimSuffix(d.Summary, "."), d.Detail))
 	}
 	return errors.Join(all...)
 }
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,4 +1,5 @@
-// Package httpwire writes requests to discovery and reads its answers and lists. It knows no sockets.
+// Package httpwire formats HTTP requests to the discovery service and parses its responses and host lists. It does no
+// network I/O.
 package httpwire
 
 import (
@@ -9,42 +10,42 @@
 	"strconv"
 )
 
-// ErrMalformed is what cannot be an answer, whatever follows.
-var ErrMalformed = errors.New("malformed answer")
+// ErrMalformed reports input that cannot become a valid response, whatever follows.
+var ErrMalformed = errors.New("malformed response")
 
-const mostHead = 16 << 10 // bytes of status line and header fields
+const maxHeaderBytes = 16 << 10 // of status line and header fields
 
-// AppendGet is a request on a connection that stays open.
+// AppendGet appends a GET request that keeps the connection open.
 func AppendGet(dst []byte, host, target string) []byte {
 	return fmt.Appendf(dst, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", target, host)
 }
 
-// Answer is one whole answer.
-type Answer struct {
-	Status int
-	Body   []byte
-	Size   int  // of all of it, in the buffer
-	Last   bool // the connection ends with it
-	ToEnd  bool // it has no length: it is whole when the connection ends in order
+// Response is one complete response.
+type Response struct {
+	Status   int
+	Body     []byte
+	Size     int  // bytes that the whole response takes in the buffer
+	Close    bool // the server closes the connection after it
+	UntilEOF bool // it has no length: it is complete when the server closes the connection cleanly
 }
 
-// Read reads an answer of at most so many bytes; ok is false while it is not whole.
-func Read(buf []byte, most int) (a Answer, ok bool, err error) {
-	head, rest, whole := bytes.Cut(buf, []byte("\r\n\r\n"))
-	if !whole {
-		if len(buf) > mostHead {
-			return a, false, ErrMalformed
+// ReadResponse parses a response with a body of at most maxBody bytes; ok is false while it is incomplete.
+func ReadResponse(buf []byte, maxBody int) (r Response, ok bool, err error) {
+	header, rest, complete := bytes.Cut(buf, []byte("\r\n\r\n"))
+	if !complete {
+		if len(buf) > maxHeaderBytes {
+			return r, false, ErrMalformed
 		}
-		return a, false, nil
+		return r, false, nil
 	}
-	line, fields, _ := bytes.Cut(head, []byte("\r\n"))
-	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || len(head) > mostHead {
-		return a, false, ErrMalformed
+	statusLine, fields, _ := bytes.Cut(header, []byte("\r\n"))
+	if len(statusLine) < 12 || !bytes.HasPrefix(statusLine, []byte("HTTP/1.")) || len(header) > maxHeaderBytes {
+		return r, false, ErrMalformed
 	}
-	if a.Status, err = strconv.Atoi(string(line[9:12])); err != nil || a.Status < 200 {
-		return a, false, ErrMalformed
+	if r.Status, err = strconv.Atoi(string(statusLine[9:12])); err != nil || r.Status < 200 {
+		return r, false, ErrMalformed
 	}
-	a.Last = line[7] == '0'
+	r.Close = statusLine[7] == '0'
 	length, chunked := -1, false
 	for len(fields) > 0 {
 		var field []byte
@@ -53,79 +54,79 @@
 		value = bytes.TrimSpace(value)
 		switch {
 		case !found:
-			return a, false, ErrMalformed
+			return r, false, ErrMalformed
 		case bytes.EqualFold(name, []byte("Content-Length")):
-			if length, err = strconv.Atoi(string(value)); err != nil || length < 0 || length > most {
-				return a, false, ErrMalformed
+			if length, err = strconv.Atoi(string(value)); err != nil || length < 0 || length > maxBody {
+				return r, false, ErrMalformed
 			}
 		case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 			chunked = bytes.EqualFold(value, []byte("chunked"))
 		case bytes.EqualFold(name, []byte("Connection")):
-			a.Last = a.Last || bytes.EqualFold(value, []byte("close"))
+			r.Close = r.Close || bytes.EqualFold(value, []byte("close"))
 		}
 	}
-	from := len(buf) - len(rest)
+	bodyStart := len(buf) - len(rest)
 	switch {
 	case chunked:
 		n := 0
-		if a.Body, n, err = chunks(rest, most); n == 0 || err != nil {
-			return a, false, err
+		if r.Body, n, err = readChunked(rest, maxBody); n == 0 || err != nil {
+			return r, false, err
 		}
-		a.Size = from + n
-	case length >= 0 || a.Status == 204 || a.Status == 304:
+		r.Size = bodyStart + n
+	case length >= 0 || r.Status == 204 || r.Status == 304:
 		length = max(length, 0)
 		if len(rest) < length {
-			return a, false, nil
+			return r, false, nil
 		}
-		a.Body, a.Size = rest[:length], from+length
+		r.Body, r.Size = rest[:length], bodyStart+length
 	default:
-		if len(rest) > most {
-			return a, false, ErrMalformed
+		if len(rest) > maxBody {
+			return r, false, ErrMalformed
 		}
-		a.Body, a.Size, a.Last, a.ToEnd = rest, len(buf), true, true
-		return a, false, nil
+		r.Body, r.Size, r.Close, r.UntilEOF = rest, len(buf), true, true
+		return r, false, nil
 	}
-	return a, true, nil
+	return r, true, nil
 }
 
-// chunks joins a chunked body; n, its length as sent, is 0 while it is not whole.
-func chunks(buf []byte, most int) (body []byte, n int, err error) {
+// readChunked decodes a chunked body; n is its encoded length, 0 while it is incomplete.
+func readChunked(buf []byte, maxBody int) (body []byte, n int, err error) {
 	for rest := buf; ; {
-		line, behind, whole := bytes.Cut(rest, []byte("\r\n"))
-		if !whole {
-			if len(rest) > mostHead {
+		line, remainder, complete := bytes.Cut(rest, []byte("\r\n"))
+		if !complete {
+			if len(rest) > maxHeaderBytes {
 				return nil, 0, ErrMalformed
 			}
 			return nil, 0, nil
 		}
 		digits, _, _ := bytes.Cut(line, []byte{';'})
 		size, err := strconv.ParseUint(string(bytes.TrimSpace(digits)), 16, 31)
-		if err != nil || int(size) > most || len(body)+int(size) > most {
+		if err != nil || int(size) > maxBody || len(body)+int(size) > maxBody {
 			return nil, 0, ErrMalformed
 		}
-		if size == 0 { // what may follow are trailers, up to an empty line
+		if size == 0 { // optional trailers follow, up to an empty line
 			for {
-				line, behind, whole = bytes.Cut(behind, []byte("\r\n"))
-				if !whole {
+				line, remainder, complete = bytes.Cut(remainder, []byte("\r\n"))
+				if !complete {
 					return nil, 0, nil
 				}
 				if len(line) == 0 {
-					return body, len(buf) - len(behind), nil
+					return body, len(buf) - len(remainder), nil
 				}
 			}
 		}
-		if len(behind) < int(size)+2 {
+		if len(remainder) < int(size)+2 {
 			return nil, 0, nil
 		}
-		if behind[size] != '\r' || behind[size+1] != '\n' {
+		if remainder[size] != '\r' || remainder[size+1] != '\n' {
 			return nil, 0, ErrMalformed
 		}
-		body = append(body, behind[:size]...)
-		rest = behind[size+2:]
+		body = append(body, remainder[:size]...)
+		rest = remainder[size+2:]
 	}
 }
 
-// Host is one entry of a list, as discovery words it.
+// Host is one entry of a list, in the format of the discovery service.
 type Host struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -138,15 +139,15 @@
 	Mode   string  `json:"mode"`
 }
 
-// List is the whole list, or what changed of it.
+// List is the full list of hosts, or only the entries that changed.
 type List struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
 	Hosts []Host `json:"hosts"`
 }
 
-// ReadList reads a list of at most so many entries.
-func ReadList(body []byte, most int) (*List, error) {
+// ReadList parses a list of at most maxHosts entries.
+func ReadList(body []byte, maxHosts int) (*List, error) {
 	var l struct {
 		List
 		Seq   *int64  `json:"seq"`
@@ -155,7 +156,7 @@
 	if err := json.Unmarshal(body, &l); err != nil {
 		return nil, err
 	}
-	if l.Seq == nil || l.Hosts == nil || len(*l.Hosts) > most {
+	if l.Seq == nil || l.Hosts == nil || len(*l.Hosts) > maxHosts {
 		return nil, ErrMalformed
 	}
 	return &List{*l.Seq, l.Whole, *l.Hosts}, nil
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -15,33 +15,33 @@
 		50, list[:50], len(list)-50, list[50:])
 )
 
-// Answers are whole with their last byte, not before, however they are cut; what cannot be an answer is told
-// at once.
-func ExampleRead() {
+// A response is complete with its last byte, not before, however it is split; input that cannot become a response is
+// rejected at once.
+func ExampleReadResponse() {
 	for _, in := range []string{
 		plain, chunked,
 		"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nConnection: close\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + list, "HTTP/1.1 200 OK\r\nContent-Length: 9999999\r\n\r\n", "SMTP\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", strings.Repeat("x", 20000),
 	} {
-		var a Answer
+		var r Response
 		var ok bool
 		var err error
 		n := 0
 		for ; n <= len(in) && !ok && err == nil; n++ {
-			a, ok, err = Read([]byte(in[:n]), 1<<20)
+			r, ok, err = ReadResponse([]byte(in[:n]), 1<<20)
 		}
-		fmt.Println(a.Status, len(a.Body), a.Last, ok, a.ToEnd, a.Size == n-1 && n-1 == len(in), err)
+		fmt.Println(r.Status, len(r.Body), r.Close, ok, r.UntilEOF, r.Size == n-1 && n-1 == len(in), err)
 	}
 	// Output:
 	// 200 157 false true false true <nil>
 	// 200 157 false true false true <nil>
 	// 503 0 true true false true <nil>
 	// 200 157 true false true true <nil>
-	// 200 0 false false false false malformed answer
-	// 0 0 false false false false malformed answer
-	// 200 0 false false false false malformed answer
-	// 0 0 false false false false malformed answer
+	// 200 0 false false false false malformed response
+	// 0 0 false false false false malformed response
+	// 200 0 false false false false malformed response
+	// 0 0 false false false false malformed response
 }
 
 func ExampleReadList() {
@@ -67,21 +67,21 @@
 	// true true
 }
 
-// FuzzRead looks for input that ends in a panic or in an answer beyond what there is.
+// FuzzRead searches for input that causes a panic or a response longer than the input.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(plain))
 	f.Add([]byte(chunked))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		a, ok, err := Read(in, 1<<16)
-		if ok && (err != nil || a.Size <= 0 || a.Size > len(in) || len(a.Body) > a.Size) {
-			t.Error("answer of", a.Size, "bytes", err)
+		r, ok, err := ReadResponse(in, 1<<16)
+		if ok && (err != nil || r.Size <= 0 || r.Size > len(in) || len(r.Body) > r.Size) {
+			t.Error("response of", r.Size, "bytes", err)
 		}
 		if ok {
-			again, ok, _ := Read(in[:a.Size], 1<<16)
-			if !ok || !bytes.Equal(again.Body, a.Body) {
-				t.Error("another outcome without what follows")
+			again, ok, _ := ReadResponse(in[:r.Size], 1<<16)
+			if !ok || !bytes.Equal(again.Body, r.Body) {
+				t.Error("different result without the bytes that follow the response")
 			}
-			_, _ = ReadList(a.Body, 100)
+			_, _ = ReadList(r.Body, 100)
 		}
 	})
 }
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -1,4 +1,5 @@
-// Package neterr tells what errors of system calls say of this machine and of others, and paces what is tried again.
+// Package neterr classifies errors of system calls by whether they come from this machine or from the peer, and retries
+// calls that fail for local reasons.
 package neterr
 
 import (
@@ -10,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrNotRegistered is that the kernel did not take a connection into the loop's epoll set.
+// ErrNotRegistered reports that the kernel refused to add a connection to the event loop's epoll set.
 var ErrNotRegistered = errors.New("the event loop could not register the connection")
 
-// localErrors are errors of socket, bind, connect, dup, epoll_ctl, open and read that tell of this machine alone: it lacks
+// localErrors are errors of socket, bind, connect, dup, epoll_ctl, open and read whose cause is on this machine: it lacks
 // descriptors, memory, ports or a route, its disk fails, or it forbids the call. They may pass at any moment.
 var localErrors = []error{
 	ErrNotRegistered,
@@ -24,7 +25,7 @@
 	syscall.EINTR, syscall.EIO,
 }
 
-// IsLocal tells whether an error says nothing of the other side of a connection.
+// IsLocal reports whether an error has a cause on this machine and says nothing about the peer.
 func IsLocal(err error) bool {
 	for _, local := range localErrors {
 		if errors.Is(err, local) {
@@ -34,19 +35,19 @@
 	return false
 }
 
-// IsReply tells whether an error of connect is the other side's own word.
-func IsReply(err error) bool {
+// IsRemote reports whether an error of connect was caused by a response of the peer.
+func IsRemote(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET)
 }
 
-// Label is an error's label in metrics: the name of its number where it has one.
+// Label returns an error's label in metrics: the name of its errno if it has one.
 func Label(err error) string {
-	var number syscall.Errno
-	var timeout net.Error
+	var errno syscall.Errno
+	var netError net.Error
 	switch {
-	case errors.As(err, &number):
-		return unix.ErrnoName(number)
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &errno):
+		return unix.ErrnoName(errno)
+	case errors.As(err, &netError) && netError.Timeout():
 		return "timeout"
 	case errors.Is(err, ErrNotRegistered):
 		return "not registered"
@@ -54,35 +55,35 @@
 	return "other"
 }
 
-// Pauses between attempts of a system call that fails for want of something of this machine.
+// Delays between attempts of a system call that fails for lack of a local resource.
 const (
-	leastPause = time.Millisecond
-	mostPause  = 20 * time.Millisecond // short, as clients and requests wait meanwhile
+	minBackoff = time.Millisecond
+	maxBackoff = 20 * time.Millisecond // short, as clients and requests wait meanwhile
 )
 
-// Backoff paces attempts: the pause doubles with each failure in a row.
-type Backoff struct{ pause time.Duration }
+// Backoff computes the delays between attempts: they double with each consecutive failure.
+type Backoff struct{ delay time.Duration }
 
-// Next is the pause before the next attempt.
+// Next returns the delay before the next attempt.
 func (b *Backoff) Next() time.Duration {
-	b.pause = min(max(2*b.pause, leastPause), mostPause)
-	return b.pause
+	b.delay = min(max(2*b.delay, minBackoff), maxBackoff)
+	return b.delay
 }
 
-// Reset begins anew, behind an attempt that did not fail.
-func (b *Backoff) Reset() { b.pause = 0 }
+// Reset starts over after a successful attempt.
+func (b *Backoff) Reset() { b.delay = 0 }
 
-// Retry calls a function again while it fails for want of something of this machine, until the patience is over. What
-// is forbidden stays so.
-func Retry(patience time.Duration, call func() error) error {
-	began := time.Now()
-	var pause Backoff
+// Retry calls a function again while it fails with a local error, until the timeout has passed. Permission errors are
+// not retried, as they do not pass by themselves.
+func Retry(timeout time.Duration, call func() error) error {
+	start := time.Now()
+	var backoff Backoff
 	for {
 		err := call()
 		forbidden := errors.Is(err, syscall.EPERM) || errors.Is(err, syscall.EACCES)
-		if err == nil || forbidden || !IsLocal(err) || time.Since(began) > patience {
+		if err == nil || forbidden || !IsLocal(err) || time.Since(start) > timeout {
 			return err
 		}
-		time.Sleep(pause.Next())
+		time.Sleep(backoff.Next())
 	}
 }
--- a/internal/operator/agreement.go
+++ b/internal/operator/agreement.go
@@ -21,14 +21,14 @@
 	p := &fleet.Plan{Terms: agreement.UsualTerms()}
 	in.address("listen", &p.Listen)
 	if !p.Listen.IsValid() && in.Attrs["listen"] == nil {
-		r.Wrong(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway: listen = \"10.0.0.4:7946\".")
+		r.AddError(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway: listen = \"10.0.0.4:7946\".")
 	}
 	p.Address = p.Listen
 	in.address("address", &p.Address)
-	for _, text := range in.Words("ask") {
+	for _, text := range in.Strings("ask") {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || !a.Addr().Is4() || a.Port() == 0 {
-			r.Wrong(in.Attrs["ask"].Expr.Range(), fmt.Sprintf("%q is no IPv4 address with a port", text), "Write it as 10.0.0.4:7946.")
+			r.AddError(in.Attrs["ask"].Expr.Range(), fmt.Sprintf("%q is no IPv4 address with a port", text), "Write it as 10.0.0.4:7946.")
 			continue
 		}
 		p.Ask = append(p.Ask, a)
@@ -38,13 +38,13 @@
 		p.Folder = filepath.Join(r.folder, p.Folder)
 	}
 	if p.Folder == "" && len(p.Ask) == 0 {
-		r.Wrong(b.DefRange, "there is neither a folder, to vote, nor anybody to ask", "Give folder = \"/var/lib/magpieglade/agreement\", or ask = [\"10.0.0.4:7946\"].")
+		r.AddError(b.DefRange, "there is neither a folder, to vote, nor anybody to ask", "Give folder = \"/var/lib/magpieglade/agreement\", or ask = [\"10.0.0.4:7946\"].")
 	}
 	in.Decode("zone", &p.Zone)
-	in.Span("lease", &p.Terms.Lease, 100*time.Millisecond)
-	in.Span("clock_error", &p.Terms.ClockError, time.Millisecond)
-	in.Span("turn", &p.Terms.Turn, time.Millisecond)
-	in.Number("share", &p.Share, 0, 1)
+	in.Duration("lease", &p.Terms.Lease, 100*time.Millisecond)
+	in.Duration("clock_error", &p.Terms.ClockError, time.Millisecond)
+	in.Duration("turn", &p.Terms.Turn, time.Millisecond)
+	in.Float("share", &p.Share, 0, 1)
 	without := routes.Decline
 	in.OneOf("without_agreement", &without, routes.Decline, routes.Serve)
 	p.Serve = without == routes.Serve
@@ -53,7 +53,7 @@
 		r.key(k, &keys)
 	}
 	if len(in.Blocks) == 0 {
-		r.Wrong(b.DefRange, "a key is lacking", "Gateways believe one another by a key that they share: key \"1\" { file = \"...\" }.")
+		r.AddError(b.DefRange, "a key is lacking", "Gateways believe one another by a key that they share: key \"1\" { file = \"...\" }.")
 	}
 	for _, k := range keys {
 		p.Keys = append(p.Keys, peerwire.Key{ID: k.ID, Secret: k.Secret})
@@ -64,13 +64,13 @@
 // besides names what of a file the agreement takes the place of.
 func (r *reader) besides(top *content, f *File) {
 	if f.Changes != "" {
-		r.Wrong(top.RangeOf("changes"), "changes outlive the process by the agreement", "Take changes away: the log of those that vote keeps them.")
+		r.AddError(top.RangeOf("changes"), "changes outlive the process by the agreement", "Take changes away: the log of those that vote keeps them.")
 	}
 	if s := f.Sessions; s != nil && len(s.Gateways) > 0 {
-		r.Wrong(r.gateways, "the fleet agrees on its list of gateways", "Take gateways away: who joins is asked by all, and nobody restarts for it.")
+		r.AddError(r.gateways, "the fleet agrees on its list of gateways", "Take gateways away: who joins is asked by all, and nobody restarts for it.")
 	}
 	if s := f.Sessions; s != nil && s.Listen.IsValid() && f.Agreement.Listen.IsValid() && s.Listen != f.Agreement.Listen {
-		r.Wrong(top.Blocks[0].DefRange, fmt.Sprintf("sessions listen at %v and the agreement at %v", s.Listen, f.Agreement.Listen), "Both use one address.")
+		r.AddError(top.Blocks[0].DefRange, fmt.Sprintf("sessions listen at %v and the agreement at %v", s.Listen, f.Agreement.Listen), "Both use one address.")
 	}
 }
 
--- a/internal/operator/coordination.go
+++ b/internal/operator/coordination.go
@@ -16,23 +16,23 @@
 	r.coordinated = b.DefRange
 	p := &fleet.CoordinationPlan{Signals: true, Wait: turns.UsualWait}
 	t := subset.UsualTerms()
-	in.Whole("subset", &t.Least, 0, 1000)
-	in.Whole("connections", &t.Connections, 1, 10000)
-	in.Whole("away", &t.Away, 0, 999)
+	in.Int("subset", &t.Least, 0, 1000)
+	in.Int("connections", &t.Connections, 1, 10000)
+	in.Int("away", &t.Away, 0, 999)
 	in.Decode("signals", &p.Signals)
 	p.Turns = p.Signals
 	in.Decode("turns", &p.Turns)
-	in.Span("wait", &p.Wait, time.Millisecond)
+	in.Duration("wait", &p.Wait, time.Millisecond)
 	if in.Attrs["subset"] != nil && t.Least > 0 {
 		if p.Subset = &t; t.Check() != nil {
-			r.Wrong(in.RangeOf("subset"), t.Check().Error(), "Two members of each group at the least, more than away; 0 is all of them.")
+			r.AddError(in.RangeOf("subset"), t.Check().Error(), "Two members of each group at the least, more than away; 0 is all of them.")
 			p.Subset = nil
 		}
 	} else if in.Attrs["connections"] != nil || in.Attrs["away"] != nil {
-		r.Wrong(b.DefRange, "connections and away are of subsets", "Give subset = 4.")
+		r.AddError(b.DefRange, "connections and away are of subsets", "Give subset = 4.")
 	}
 	if p.Turns && !p.Signals {
-		r.Wrong(in.RangeOf("turns"), "turns need signals", "Their words go by these: signals = true.")
+		r.AddError(in.RangeOf("turns"), "turns need signals", "Their words go by these: signals = true.")
 	}
 	return p
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -70,42 +70,42 @@
 
 // Parse reads the text of a file; paths in it count from the file's folder.
 func Parse(text []byte, path string) (*File, error) {
-	body, err := hclfile.Body(text, path)
+	body, err := hclfile.Parse(text, path)
 	if err != nil {
 		return nil, err
 	}
 	r := newReader(filepath.Dir(path))
 	f := &File{Watch: time.Duration(rollout.UsualWatch), Digest: digest(text), Text: text}
 	top := r.top(body)
-	top.Span("clock_error", (*int64)(&f.ClockError), 0)
-	top.Span("watch", (*int64)(&f.Watch), 0)
+	top.Duration("clock_error", (*int64)(&f.ClockError), 0)
+	top.Duration("watch", (*int64)(&f.Watch), 0)
 	top.Decode("control", &f.Control)
 	top.Decode("changes", &f.Changes)
 	for _, b := range top.Blocks {
 		switch {
 		case b.Type == "sessions" && f.Sessions != nil:
-			r.Wrong(b.DefRange, "a second block of sessions", "There may be one.")
+			r.AddError(b.DefRange, "a second block of sessions", "There may be one.")
 		case b.Type == "sessions":
 			f.Sessions = r.sessions(b)
 		case b.Type == "agreement" && f.Agreement != nil:
-			r.Wrong(b.DefRange, "a second block of agreement", "There may be one.")
+			r.AddError(b.DefRange, "a second block of agreement", "There may be one.")
 		case b.Type == "agreement":
 			f.Agreement = r.agreement(b)
 		case b.Type == "coordination" && f.Coordination != nil:
-			r.Wrong(b.DefRange, "a second block of coordination", "There may be one.")
+			r.AddError(b.DefRange, "a second block of coordination", "There may be one.")
 		case b.Type == "coordination":
 			f.Coordination = r.coordination(b)
 		case b.Type == "spread":
-			r.Wrong(b.DefRange, "changes go to all gateways by the agreement", "Take the block spread away and give a block agreement (docs/agreement.md): what is applied at one gateway is agreed on by all.")
+			r.AddError(b.DefRange, "changes go to all gateways by the agreement", "Take the block spread away and give a block agreement (docs/agreement.md): what is applied at one gateway is agreed on by all.")
 		}
 	}
 	if f.Coordination != nil && f.Agreement == nil {
-		r.Wrong(r.coordinated, "gateways that choose together agree on their list", "Give a block agreement (docs/agreement.md).")
+		r.AddError(r.coordinated, "gateways that choose together agree on their list", "Give a block agreement (docs/agreement.md).")
 	}
 	if f.Agreement != nil {
 		r.besides(top, f)
 	} else if r.lonely != (hcl.Range{}) {
-		r.Wrong(r.lonely, "positions need other gateways to be told to", "Name them in gateways.")
+		r.AddError(r.lonely, "positions need other gateways to be told to", "Name them in gateways.")
 	}
 	f.Document = r.document(top)
 	if r.Err() != nil {
@@ -116,7 +116,7 @@
 
 // top is what the file itself may hold.
 func (r *reader) top(body hcl.Body) *content {
-	return &content{r.Part(body, hcl.Range{}, "clock_error control changes watch log in_flight exclude drain", "sessions", "spread", "agreement", "coordination", "tenant", "route")}
+	return &content{r.Content(body, hcl.Range{}, "clock_error control changes watch log in_flight exclude drain", "sessions", "spread", "agreement", "coordination", "tenant", "route")}
 }
 
 func (r *reader) sessions(b *hcl.Block) *fleet.SessionPlan {
@@ -127,15 +127,15 @@
 	in.OneOf("source", &source, string(session.Covered), string(session.Fenced), string(session.Own))
 	in.OneOf("tokens", &tokens, string(fleet.TokensHints), string(fleet.TokensComplete), string(fleet.TokensSigned))
 	t.Source, p.Tokens = session.Source(source), fleet.TokenUse(tokens)
-	in.Span("span", &t.Span, time.Second)
-	in.Span("key_span", &t.KeySpan, time.Millisecond)
-	in.Whole("most_marks", &t.MostMarks, 1, 10_000_000)
-	in.Span("fence_wait", &t.FenceWait, time.Millisecond)
-	in.Span("retry_after", &t.RetryAfter, 0)
+	in.Duration("span", &t.Span, time.Second)
+	in.Duration("key_span", &t.KeySpan, time.Millisecond)
+	in.Int("most_marks", &t.MostMarks, 1, 10_000_000)
+	in.Duration("fence_wait", &t.FenceWait, time.Millisecond)
+	in.Duration("retry_after", &t.RetryAfter, 0)
 	seen := map[string]bool{}
 	for _, b := range in.Blocks {
 		if seen[b.Type] {
-			r.Wrong(b.DefRange, "a second block of "+b.Type, "There may be one.")
+			r.AddError(b.DefRange, "a second block of "+b.Type, "There may be one.")
 			continue
 		}
 		seen[b.Type] = true
@@ -147,7 +147,7 @@
 		}
 	}
 	if p.Tokens == fleet.TokensSigned && len(p.Keys) == 0 {
-		r.Wrong(in.RangeOf("tokens"), "signed tokens need a key", "Give the block peers with a block key.")
+		r.AddError(in.RangeOf("tokens"), "signed tokens need a key", "Give the block peers with a block key.")
 	}
 	return p
 }
@@ -163,23 +163,23 @@
 			address, err := netip.ParseAddrPort(text)
 			switch {
 			case err != nil || !address.Addr().Is4() || address.Port() == 0:
-				r.Wrong(a.Expr.Range(), fmt.Sprintf("%q is no IPv4 address with a port", text), "Write it as 10.0.0.4:7946.")
+				r.AddError(a.Expr.Range(), fmt.Sprintf("%q is no IPv4 address with a port", text), "Write it as 10.0.0.4:7946.")
 			case slices.Contains(p.Gateways, address):
-				r.Wrong(a.Expr.Range(), fmt.Sprintf("%q stands twice", text), "Each gateway stands once, in the same order at all.")
+				r.AddError(a.Expr.Range(), fmt.Sprintf("%q stands twice", text), "Each gateway stands once, in the same order at all.")
 			default:
 				p.Gateways = append(p.Gateways, address)
 			}
 		}
 		if p.Listen.IsValid() && len(p.Gateways) == len(all) && !slices.Contains(p.Gateways, p.Listen) {
-			r.Wrong(a.Expr.Range(), fmt.Sprintf("the list lacks %v, at which this gateway listens", p.Listen), "Name all gateways, this one among them.")
+			r.AddError(a.Expr.Range(), fmt.Sprintf("the list lacks %v, at which this gateway listens", p.Listen), "Name all gateways, this one among them.")
 		}
 	}
 	if len(p.Gateways) > 1 && !p.Listen.IsValid() {
-		r.Wrong(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway.")
+		r.AddError(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway.")
 	}
-	in.Number("messages_per_txn", &p.Terms.MessagesPerTxn, 0, 1000)
-	in.Span("peer_wait", &p.Terms.PeerWait, time.Millisecond)
-	in.Span("keepalive", &p.Terms.Keepalive, 10*time.Millisecond)
+	in.Float("messages_per_txn", &p.Terms.MessagesPerTxn, 0, 1000)
+	in.Duration("peer_wait", &p.Terms.PeerWait, time.Millisecond)
+	in.Duration("keepalive", &p.Terms.Keepalive, 10*time.Millisecond)
 	in.Decode("positions", &p.Positions)
 	if p.Positions && len(p.Gateways) < 2 {
 		r.lonely = in.RangeOf("positions")
@@ -188,7 +188,7 @@
 		r.key(k, &p.Keys)
 	}
 	if len(p.Gateways) > 1 && len(p.Keys) == 0 {
-		r.Wrong(b.DefRange, "a key is lacking", "Gateways believe one another by a key that they share: key \"1\" { file = \"...\" }.")
+		r.AddError(b.DefRange, "a key is lacking", "Gateways believe one another by a key that they share: key \"1\" { file = \"...\" }.")
 	}
 }
 
@@ -197,7 +197,7 @@
 	in := r.block(b, []string{"file", "variable"})
 	var id uint8
 	if _, err := fmt.Sscanf(b.Labels[0], "%d", &id); err != nil || fmt.Sprint(id) != b.Labels[0] {
-		r.Wrong(b.LabelRanges[0], "the name of a key is a number from 0 to 255", "As in key \"1\".")
+		r.AddError(b.LabelRanges[0], "the name of a key is a number from 0 to 255", "As in key \"1\".")
 		return
 	}
 	var file, variable, text string
@@ -205,7 +205,7 @@
 	in.Decode("variable", &variable)
 	switch {
 	case (file == "") == (variable == ""):
-		r.Wrong(b.DefRange, "a key has either a file or a variable", "Give one of them.")
+		r.AddError(b.DefRange, "a key has either a file or a variable", "Give one of them.")
 		return
 	case file != "":
 		if !filepath.IsAbs(file) {
@@ -213,7 +213,7 @@
 		}
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			r.Wrong(in.RangeOf("file"), "the key can't be read", err.Error())
+			r.AddError(in.RangeOf("file"), "the key can't be read", err.Error())
 			return
 		}
 		text = string(raw)
@@ -227,11 +227,11 @@
 	secret, err := hex.DecodeString(strings.TrimSpace(text))
 	switch {
 	case err != nil || len(secret) < 16:
-		r.Wrong(where, "the key is not at least 16 bytes in hexadecimal", "Make one with: openssl rand -hex 32.")
+		r.AddError(where, "the key is not at least 16 bytes in hexadecimal", "Make one with: openssl rand -hex 32.")
 	case len(*keys) == 2:
-		r.Wrong(b.DefRange, "a third key", "Two are valid at once: the first signs.")
+		r.AddError(b.DefRange, "a third key", "Two are valid at once: the first signs.")
 	case len(*keys) == 1 && (*keys)[0].ID == id:
-		r.Wrong(b.LabelRanges[0], "the key stands twice", "A new key needs a new number.")
+		r.AddError(b.LabelRanges[0], "the key stands twice", "A new key needs a new number.")
 	default:
 		*keys = append(*keys, fleet.PeerKey{ID: id, Secret: secret})
 	}
@@ -242,9 +242,9 @@
 	before := string(fleet.DurableNone)
 	in.Decode("folder", &p.Ledger.Folder)
 	if p.Ledger.Folder == "" {
-		r.Wrong(in.RangeOf("folder"), "folder is lacking", "Name a folder that outlives the process.")
+		r.AddError(in.RangeOf("folder"), "folder is lacking", "Name a folder that outlives the process.")
 	}
 	in.OneOf("before_answer", &before, string(fleet.DurableNone), string(fleet.DurableProcess))
 	p.Ledger.BeforeAnswer, p.Ledger.AtMost = fleet.Durability(before), ledger.UsualWait
-	in.Span("at_most", &p.Ledger.AtMost, time.Millisecond)
+	in.Duration("at_most", &p.Ledger.AtMost, time.Millisecond)
 }
--- a/internal/operator/reader.go
+++ b/internal/operator/reader.go
@@ -20,7 +20,7 @@
 }
 
 // content is what a block holds.
-type content struct{ *hclfile.Part }
+type content struct{ *hclfile.Content }
 
 func newReader(folder string) *reader {
 	return &reader{File: hclfile.File{Labels: map[string]string{"key": "number", "tenant": "name", "route": "name"}}, folder: folder}
@@ -28,7 +28,7 @@
 
 // block takes a body of these attributes and blocks.
 func (r *reader) block(b *hcl.Block, attrs []string, blocks ...string) *content {
-	return &content{r.Part(b.Body, b.DefRange, strings.Join(attrs, " "), blocks...)}
+	return &content{r.Content(b.Body, b.DefRange, strings.Join(attrs, " "), blocks...)}
 }
 
 // address takes an IPv4 address with a port.
@@ -39,7 +39,7 @@
 	}
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || !a.Addr().Is4() || a.Port() == 0 {
-		c.File.Wrong(c.RangeOf(name), fmt.Sprintf("%s is no IPv4 address with a port", name), "Write it as 10.0.0.4:7946.")
+		c.File.AddError(c.RangeOf(name), fmt.Sprintf("%s is no IPv4 address with a port", name), "Write it as 10.0.0.4:7946.")
 		return
 	}
 	*to = a
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -19,7 +19,7 @@
 // document takes what of a file can be changed while a gateway runs; nil where it says nothing of that.
 func (r *reader) document(top *content) *routes.Document {
 	d := new(routes.Document)
-	top.Whole("in_flight", &d.InFlight, 1, 1_000_000)
+	top.Int("in_flight", &d.InFlight, 1, 1_000_000)
 	top.OneOf("log", &d.Log, "info", "warn", "error")
 	d.Excluded = r.members(top, "exclude")
 	d.Drained = r.members(top, "drain")
@@ -38,7 +38,7 @@
 }
 
 func (r *reader) members(top *content, name string) (all []routes.Member) {
-	for _, m := range top.Words(name) {
+	for _, m := range top.Strings(name) {
 		all = append(all, routes.Member{Name: m, At: place(top.Attrs[name].Expr.Range())})
 	}
 	return all
@@ -47,15 +47,15 @@
 func (r *reader) tenant(b *hcl.Block) routes.Tenant {
 	in := r.block(b, []string{"weight", "in_flight", "bytes", "rate", "burst", "connections", "fleet", "without_agreement"})
 	t := routes.Tenant{Name: b.Labels[0], At: place(b.DefRange), Weight: 1}
-	in.Number("weight", &t.Weight, 0, 1e6)
-	in.Whole("in_flight", &t.InFlight, 1, 1_000_000)
+	in.Float("weight", &t.Weight, 0, 1e6)
+	in.Int("in_flight", &t.InFlight, 1, 1_000_000)
 	bytes := 0
-	in.Whole("bytes", &bytes, 1, 1<<40)
+	in.Int("bytes", &bytes, 1, 1<<40)
 	t.Bytes = int64(bytes)
-	in.Whole("connections", &t.Clients, 1, 1_000_000)
-	in.Number("rate", &t.Rate, 0, 1e9)
+	in.Int("connections", &t.Clients, 1, 1_000_000)
+	in.Float("rate", &t.Rate, 0, 1e9)
 	t.Burst = routes.UsualBurst(t.Rate)
-	in.Number("burst", &t.Burst, 1, 1e9)
+	in.Float("burst", &t.Burst, 1, 1e9)
 	in.Decode("fleet", &t.Fleet)
 	in.OneOf("without_agreement", &t.Without, routes.Decline, routes.Serve)
 	return t
@@ -64,31 +64,31 @@
 func (r *reader) route(b *hcl.Block) routes.Route {
 	in := r.block(b, []string{"types", "users", "databases", "tables", "networks", "type", "tenant", "expiry", "retries", "aim", "zones", "groups"})
 	t := routes.Route{Name: b.Labels[0], At: place(b.DefRange), Retries: -1}
-	t.Types, t.Users, t.Databases, t.Tables = in.Words("types"), in.Words("users"), in.Words("databases"), in.Words("tables")
-	for _, text := range in.Words("networks") {
+	t.Types, t.Users, t.Databases, t.Tables = in.Strings("types"), in.Strings("users"), in.Strings("databases"), in.Strings("tables")
+	for _, text := range in.Strings("networks") {
 		n, err := netip.ParsePrefix(text)
 		if err != nil {
-			r.Wrong(in.Attrs["networks"].Expr.Range(), fmt.Sprintf("%q is no IPv4 network", text), "Write it as 10.0.0.0/8.")
+			r.AddError(in.Attrs["networks"].Expr.Range(), fmt.Sprintf("%q is no IPv4 network", text), "Write it as 10.0.0.0/8.")
 			continue
 		}
 		t.Networks = append(t.Networks, n)
 	}
 	in.Decode("type", &t.Type)
 	in.Decode("tenant", &t.Tenant)
-	in.Span("expiry", &t.Expiry, 1e6)
-	in.Span("aim", &t.Aim, 1e6)
-	t.Zones = in.Words("zones")
+	in.Duration("expiry", &t.Expiry, 1e6)
+	in.Duration("aim", &t.Aim, 1e6)
+	t.Zones = in.Strings("zones")
 	if a := in.Attrs["groups"]; a != nil {
 		in.Decode("groups", &t.Groups)
 	}
-	in.Number("retries", &t.Retries, 0, 10)
+	in.Float("retries", &t.Retries, 0, 10)
 	return t
 }
 
 // Document reads what of a file can be changed while a gateway runs. The rest of it is not looked at: keys and folders
 // may be another gateway's, or of another folder than this process's.
 func Document(text []byte, path string) (*routes.Document, error) {
-	body, err := hclfile.Body(text, path)
+	body, err := hclfile.Parse(text, path)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/peerwire/peerwire.go
+++ b/internal/peerwire/peerwire.go
@@ -1,5 +1,5 @@
-// Package peerwire words what gateways tell one another: one datagram of at most 256 bytes each, authenticated by an
-// HMAC-SHA-256 (RFC 2104) that is cut to 128 bits. It knows no sockets, and nothing of what the messages mean.
+// Package peerwire encodes and decodes messages between gateways: one datagram of at most 256 bytes each, authenticated by
+// an HMAC-SHA-256 (RFC 2104) truncated to 128 bits. It does no network I/O and doesn't interpret the messages.
 package peerwire
 
 import (
@@ -13,33 +13,33 @@
 	"math"
 )
 
-// Sizes in bytes.
+// Sizes in bytes, and the number of entries of a message.
 const (
-	MostMessage = 256
-	MostEntries = 8
-	macSize     = 16
-	leastKey    = 16
+	MaxMessageSize = 256
+	MaxEntries     = 8
+	macSize        = 16
+	minKeySize     = 16
 )
 
-// version is of the format; another one is refused, so that fleets change it by first accepting both.
+// version is that of the message format. Other versions are rejected, so a fleet upgrades by first accepting both.
 const version = 1
 
-// Type is what a message is.
+// Type is the type of a message.
 type Type uint8
 
 const (
-	Ask       Type = 1
-	Tell      Type = 2
-	Positions Type = 3 // of members; a build that does not know it refuses it as malformed
+	TypeRequest   Type = 1 // asks for the entries after number Last of Epoch
+	TypeReport    Type = 2 // carries entries, in response to a request or unsolicited
+	TypePositions Type = 3 // positions of members; a build that does not know this type rejects it as malformed
 )
 
-// Entry is one thing that a gateway noted.
+// Entry is one event that a gateway recorded.
 type Entry struct {
 	Kind     uint8
 	Group    uint16
 	Key      uint64
 	Position int64  // nanoseconds of Unix time
-	Age      uint32 // microseconds; what is older is of the oldest age
+	Age      uint32 // microseconds; higher ages are clamped to the maximum
 }
 
 // Message is one datagram.
@@ -47,52 +47,52 @@
 	Type               Type
 	From               int // the sender's number in the fleet
 	Fleet              uint32
-	No                 uint64
+	RequestNumber      uint64 // of the request, or of the one that is answered; 0 for an unsolicited report
 	Epoch, Last, First uint64
 	Entries            []Entry
 }
 
-// head is what every message begins with, in this order and big-endian.
-type head struct {
+// header precedes the entries of every message, in this field order and big-endian.
+type header struct {
 	Magic              [2]byte
 	Version, Type, Key uint8
 	From               uint16
 	Fleet              uint32
-	Run                uint32
+	Incarnation        uint32
 	Counter            uint64
-	No                 uint64
+	RequestNumber      uint64
 	Epoch, Last, First uint64
-	N                  uint8
+	EntryCount         uint8
 }
 
 var (
-	magic    = [2]byte{'m', 'g'}
-	headSize = binary.Size(head{})
-	oneEntry = binary.Size(Entry{})
-	be       = binary.BigEndian
+	magic      = [2]byte{'m', 'g'}
+	headerSize = binary.Size(header{})
+	entrySize  = binary.Size(Entry{})
+	be         = binary.BigEndian
 )
 
-// What is wrong with a message. None of them is the sender's word: nothing of the message is to be believed.
+// Reasons for rejecting a message. Nothing in a rejected message can be trusted, not even the sender's number.
 var (
 	ErrMalformed = errors.New("malformed message")
 	ErrVersion   = errors.New("unknown version")
 	ErrKey       = errors.New("unknown key")
 	ErrForged    = errors.New("bad authenticator")
 	ErrReplayed  = errors.New("replayed message")
-	ErrFleet     = errors.New("another list of gateways")
+	ErrFleet     = errors.New("different list of gateways")
 )
 
-// Key authenticates messages and tokens. Keys change without a break: each gateway gets the new one as its second,
-// then as its first, then the old one is taken away.
+// Key authenticates messages and tokens. Keys are rotated without interruption: each gateway gets the new key as its
+// second, then as its first, then the old key is removed.
 type Key struct {
 	ID     uint8
 	Secret []byte
 }
 
-// Keys are those that are valid; the first signs.
+// Keys are the valid keys; the first one signs.
 type Keys []Key
 
-// Check names what is wrong with the keys.
+// Check returns an error if the keys are unusable.
 func (k Keys) Check() error {
 	if len(k) == 0 {
 		return errors.New("no key")
@@ -101,18 +101,18 @@
 		return errors.New("more than two keys")
 	}
 	for i, key := range k {
-		if len(key.Secret) < leastKey {
-			return fmt.Errorf("key %d is shorter than %d bytes", key.ID, leastKey)
+		if len(key.Secret) < minKeySize {
+			return fmt.Errorf("key %d is shorter than %d bytes", key.ID, minKeySize)
 		}
 		if i > 0 && k[0].ID == key.ID {
-			return fmt.Errorf("key %d stands twice", key.ID)
+			return fmt.Errorf("duplicate key %d", key.ID)
 		}
 	}
 	return nil
 }
 
-// Fleet is a mark of a list of gateways, which all of them must have alike.
-func Fleet(addresses []string) uint32 {
+// FleetHash returns a hash of the list of gateways, by which gateways with different lists reject each other's messages.
+func FleetHash(addresses []string) uint32 {
 	h := fnv.New32a()
 	for _, a := range addresses {
 		_, _ = h.Write(append([]byte(a), 0))
@@ -120,11 +120,11 @@
 	return h.Sum32()
 }
 
-// signer makes authenticators by one key; it is not for several goroutines at once.
+// signer computes authenticators with one key; it is not safe for concurrent use.
 type signer struct {
-	id   uint8
-	mac  hash.Hash
-	text [sha256.Size]byte
+	id     uint8
+	mac    hash.Hash
+	buffer [sha256.Size]byte
 }
 
 func (s *signer) sum(parts ...[]byte) []byte {
@@ -132,83 +132,83 @@
 	for _, p := range parts {
 		_, _ = s.mac.Write(p)
 	}
-	return s.mac.Sum(s.text[:0])[:macSize]
+	return s.mac.Sum(s.buffer[:0])[:macSize]
 }
 
-// Wire writes and reads the messages of one gateway. It is not for several goroutines at once.
-type Wire struct {
-	from    int
-	fleet   uint32
-	run     uint32
-	counter uint64
-	keys    []*signer
-	peers   map[int]*senders
-	Counts  Counts
+// Codec encodes and decodes the messages of one gateway. It is not safe for concurrent use.
+type Codec struct {
+	from        int
+	fleet       uint32
+	incarnation uint32
+	counter     uint64
+	keys        []*signer
+	peers       map[int]*replayFilter
+	Counts      Counts
 }
 
-// Counts are of messages that were refused, by cause, and of those that were read.
+// Counts are the numbers of messages that were accepted (Read) and rejected, by reason.
 type Counts struct{ Read, Malformed, Version, Key, Forged, Replayed, Fleet uint64 }
 
-// New makes the wire of a gateway. run is to be another at each start.
-func New(from int, fleet uint32, run uint32, keys Keys) (*Wire, error) {
+// NewCodec returns the codec of a gateway. The incarnation must differ at each start of the process.
+func NewCodec(from int, fleet uint32, incarnation uint32, keys Keys) (*Codec, error) {
 	if err := keys.Check(); err != nil {
 		return nil, err
 	}
-	w := &Wire{from: from, fleet: fleet, run: run, peers: map[int]*senders{}}
+	c := &Codec{from: from, fleet: fleet, incarnation: incarnation, peers: map[int]*replayFilter{}}
 	for _, k := range keys {
-		w.keys = append(w.keys, &signer{id: k.ID, mac: hmac.New(sha256.New, k.Secret)})
+		c.keys = append(c.keys, &signer{id: k.ID, mac: hmac.New(sha256.New, k.Secret)})
 	}
-	return w, nil
+	return c, nil
 }
 
-// As changes the number of this gateway, by which its messages go.
-func (w *Wire) As(from int) { w.from = from }
+// SetSender changes the number of this gateway, which its messages carry.
+func (c *Codec) SetSender(from int) { c.from = from }
 
-// Append words a message of this gateway.
-func (w *Wire) Append(dst []byte, m *Message) ([]byte, error) {
-	if len(m.Entries) > MostEntries || m.Type < Ask || m.Type > Positions {
+// Append encodes a message of this gateway.
+func (c *Codec) Append(dst []byte, m *Message) ([]byte, error) {
+	if len(m.Entries) > MaxEntries || m.Type < TypeRequest || m.Type > TypePositions {
 		return dst, ErrMalformed
 	}
-	w.counter++
-	from := len(dst)
-	h := head{Magic: magic, Version: version, Type: uint8(m.Type), Key: w.keys[0].id, From: uint16(w.from),
-		Fleet: w.fleet, Run: w.run, Counter: w.counter, No: m.No, Epoch: m.Epoch, Last: m.Last, First: m.First,
-		N: uint8(len(m.Entries))}
+	c.counter++
+	start := len(dst)
+	h := header{Magic: magic, Version: version, Type: uint8(m.Type), Key: c.keys[0].id, From: uint16(c.from),
+		Fleet: c.fleet, Incarnation: c.incarnation, Counter: c.counter, RequestNumber: m.RequestNumber, Epoch: m.Epoch, Last: m.Last,
+		First: m.First, EntryCount: uint8(len(m.Entries))}
 	dst, err := binary.Append(dst, be, &h)
 	if err == nil {
 		dst, err = binary.Append(dst, be, m.Entries)
 	}
 	if err != nil {
-		return dst[:from], err
+		return dst[:start], err
 	}
-	return append(dst, w.keys[0].sum(dst[from:])...), nil
+	return append(dst, c.keys[0].sum(dst[start:])...), nil
 }
 
-// Read reads a message of another gateway and counts it.
-func (w *Wire) Read(text []byte) (m Message, err error) {
-	m, err = w.read(text)
-	count := &w.Counts.Read
+// Read decodes a message of another gateway and counts the outcome.
+func (c *Codec) Read(text []byte) (m Message, err error) {
+	m, err = c.read(text)
+	count := &c.Counts.Read
 	switch err {
 	case ErrMalformed:
-		count = &w.Counts.Malformed
+		count = &c.Counts.Malformed
 	case ErrVersion:
-		count = &w.Counts.Version
+		count = &c.Counts.Version
 	case ErrKey:
-		count = &w.Counts.Key
+		count = &c.Counts.Key
 	case ErrForged:
-		count = &w.Counts.Forged
+		count = &c.Counts.Forged
 	case ErrReplayed:
-		count = &w.Counts.Replayed
+		count = &c.Counts.Replayed
 	case ErrFleet:
-		count = &w.Counts.Fleet
+		count = &c.Counts.Fleet
 	}
 	*count++
 	return m, err
 }
 
-func (w *Wire) read(text []byte) (m Message, err error) {
-	var h head
-	if len(text) > MostMessage || len(text) < headSize+macSize || [2]byte(text) != magic {
+func (c *Codec) read(text []byte) (m Message, err error) {
+	var h header
+	if len(text) > MaxMessageSize || len(text) < headerSize+macSize || [2]byte(text) != magic {
 		return m, ErrMalformed
 	}
 	if _, err := binary.Decode(text, be, &h); err != nil {
@@ -218,36 +218,38 @@
 	switch {
 	case h.Version != version:
 		return m, ErrVersion
-	case h.Type < uint8(Ask) || h.Type > uint8(Positions):
+	case h.Type < uint8(TypeRequest) || h.Type > uint8(TypePositions):
 		return m, ErrMalformed
-	case h.N > MostEntries || len(body) != headSize+int(h.N)*oneEntry:
+	case h.EntryCount > MaxEntries || len(body) != headerSize+int(h.EntryCount)*entrySize:
 		return m, ErrMalformed
 	}
-	s := w.signer(h.Key)
+	s := c.signer(h.Key)
 	if s == nil {
 		return m, ErrKey
 	}
 	if !hmac.Equal(s.sum(body), text[len(body):]) {
 		return m, ErrForged
 	}
-	if h.Fleet != w.fleet {
+	if h.Fleet != c.fleet {
 		return m, ErrFleet
 	}
-	if int(h.From) == w.from || !w.fresh(int(h.From), h.Run, h.Counter) {
+	if int(h.From) == c.from || !c.accept(int(h.From), h.Incarnation, h.Counter) {
 		return m, ErrReplayed
 	}
-	m = Message{Type: Type(h.Type), From: int(h.From), Fleet: h.Fleet, No: h.No, Epoch: h.Epoch, Last: h.Last, First: h.First}
-	if h.N > 0 {
-		m.Entries = make([]Entry, h.N)
-		if _, err := binary.Decode(body[headSize:], be, m.Entries); err != nil {
+	m = Message{Type: Type(h.Type), From: int(h.From), Fleet: h.Fleet, RequestNumber: h.RequestNumber, Epoch: h.Epoch, Last: h.Last,
+		First: h.First}
+	if h.EntryCount > 0 {
+		m.Entries = make([]Entry, h.EntryCount)
+		if _, err := binary.Decode(body[headerSize:], be, m.Entries); err != nil {
 			return m, ErrMalformed
 		}
 	}
 	return m, nil
 }
 
-func (w *Wire) signer(id uint8) *signer {
-	for _, s := range w.keys {
+// signer returns the signer with a key ID, nil if there is none.
+func (c *Codec) signer(id uint8) *signer {
+	for _, s := range c.keys {
 		if s.id == id {
 			return s
 		}
@@ -255,56 +257,57 @@
 	return nil
 }
 
-// Micros is an age as entries hold it.
-func Micros(ns int64) uint32 { return uint32(min(max(ns/1000, 0), math.MaxUint32)) }
+// AgeMicros converts an age in nanoseconds to the microseconds of an entry.
+func AgeMicros(ns int64) uint32 { return uint32(min(max(ns/1000, 0), math.MaxUint32)) }
 
-// senders are the latest runs of one gateway that were heard of, the latest first.
-type senders struct {
-	runs [4]window
-	n    int
+// replayFilter rejects repeated messages of one gateway. It holds the windows of its most recent incarnations, latest first.
+type replayFilter struct {
+	windows [4]replayWindow
+	n       int
 }
 
-// window remembers which of the latest 64 counters of a run have come.
-type window struct {
-	run  uint32
-	top  uint64
-	seen uint64 // bit i is top-i
+// replayWindow records which of the latest 64 counters of an incarnation were received.
+type replayWindow struct {
+	incarnation uint32
+	highest     uint64
+	seen        uint64 // bit i stands for counter highest-i
 }
 
-// fresh takes a counter of a gateway once.
-func (w *Wire) fresh(from int, run uint32, counter uint64) bool {
-	s := w.peers[from]
-	if s == nil {
-		s = new(senders)
-		w.peers[from] = s
+// accept reports whether a counter of a gateway is received for the first time, and records it.
+func (c *Codec) accept(from int, incarnation uint32, counter uint64) bool {
+	f := c.peers[from]
+	if f == nil {
+		f = new(replayFilter)
+		c.peers[from] = f
 	}
-	return s.fresh(run, counter)
+	return f.accept(incarnation, counter)
 }
 
-// fresh takes a counter once. Messages overtake one another, so a late one is fresh up to 64 behind.
-func (s *senders) fresh(run uint32, counter uint64) bool {
-	for i := range s.n {
-		if s.runs[i].run == run {
-			return s.runs[i].take(counter)
+// accept reports whether a counter is received for the first time, and records it. Messages may be reordered, so a late
+// counter is accepted while it is less than 64 behind the highest.
+func (f *replayFilter) accept(incarnation uint32, counter uint64) bool {
+	for i := range f.n {
+		if f.windows[i].incarnation == incarnation {
+			return f.windows[i].accept(counter)
 		}
 	}
-	copy(s.runs[1:], s.runs[:])
-	s.runs[0] = window{run: run, top: counter, seen: 1}
-	s.n = min(s.n+1, len(s.runs))
+	copy(f.windows[1:], f.windows[:])
+	f.windows[0] = replayWindow{incarnation: incarnation, highest: counter, seen: 1}
+	f.n = min(f.n+1, len(f.windows))
 	return true
 }
 
-func (w *window) take(counter uint64) bool {
-	if counter > w.top {
-		if by := counter - w.top; by < 64 {
-			w.seen = w.seen<<by | 1
+func (w *replayWindow) accept(counter uint64) bool {
+	if counter > w.highest {
+		if advance := counter - w.highest; advance < 64 {
+			w.seen = w.seen<<advance | 1
 		} else {
 			w.seen = 1
 		}
-		w.top = counter
+		w.highest = counter
 		return true
 	}
-	behind := w.top - counter
+	behind := w.highest - counter
 	if behind >= 64 || w.seen>>behind&1 == 1 {
 		return false
 	}
--- a/internal/peerwire/peerwire_test.go
+++ b/internal/peerwire/peerwire_test.go
@@ -15,49 +15,50 @@
 	newKey = Key{2, bytes.Repeat([]byte("n"), 32)}
 )
 
-func wire(from int, keys ...Key) *Wire {
-	w, err := New(from, Fleet([]string{"a", "b"}), uint32(from)+7, keys)
+func newCodec(from int, keys ...Key) *Codec {
+	c, err := NewCodec(from, FleetHash([]string{"a", "b"}), uint32(from)+7, keys)
 	if err != nil {
 		panic(err)
 	}
-	return w
+	return c
 }
 
-// What is written is read as it was, within 256 bytes; no bit of it can be changed.
+// A message is read as it was written, fits into 256 bytes, and is rejected if any bit of it changes.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Message{Type: rapid.SampledFrom([]Type{Ask, Tell, Positions}).Draw(t, "type"), From: 0, Fleet: Fleet([]string{"a", "b"}),
-			No: rapid.Uint64().Draw(t, "no"), Epoch: rapid.Uint64().Draw(t, "epoch"),
+		m := Message{Type: rapid.SampledFrom([]Type{TypeRequest, TypeReport, TypePositions}).Draw(t, "type"), From: 0, Fleet: FleetHash([]string{"a", "b"}),
+			RequestNumber: rapid.Uint64().Draw(t, "no"), Epoch: rapid.Uint64().Draw(t, "epoch"),
 			Last: rapid.Uint64().Draw(t, "last"), First: rapid.Uint64().Draw(t, "first")}
-		for range rapid.IntRange(0, MostEntries).Draw(t, "entries") {
+		for range rapid.IntRange(0, MaxEntries).Draw(t, "entries") {
 			m.Entries = append(m.Entries, Entry{rapid.Uint8().Draw(t, "kind"), rapid.Uint16().Draw(t, "group"),
 				rapid.Uint64().Draw(t, "key"), rapid.Int64().Draw(t, "position"), rapid.Uint32().Draw(t, "age")})
 		}
-		text, err := wire(0, oldKey).Append(nil, &m)
-		if err != nil || len(text) > MostMessage {
+		text, err := newCodec(0, oldKey).Append(nil, &m)
+		if err != nil || len(text) > MaxMessageSize {
 			t.Fatal(len(text), err)
 		}
-		got, err := wire(1, oldKey).Read(text)
+		got, err := newCodec(1, oldKey).Read(text)
 		if err != nil || !reflect.DeepEqual(got, m) {
 			t.Fatalf("%+v %+v %v", m, got, err)
 		}
 		bit := rapid.IntRange(0, 8*len(text)-1).Draw(t, "bit")
 		text[bit/8] ^= 1 << (bit % 8)
-		if _, err := wire(1, oldKey).Read(text); err == nil {
-			t.Fatal("a changed bit was not seen")
+		if _, err := newCodec(1, oldKey).Read(text); err == nil {
+			t.Fatal("a changed bit was not detected")
 		}
 	})
 }
 
-// Keys change without a break: first all know the new one, then all sign by it, then the old one goes.
-func Example_keyChange() {
+// Keys are rotated without interruption: first all gateways accept the new key, then all sign with it, then the old one is
+// removed. Gateways that are one stage apart understand each other.
+func Example_keyRotation() {
 	stages := []Keys{{oldKey}, {oldKey, newKey}, {newKey, oldKey}, {newKey}}
 	for i, from := range stages {
 		for j, to := range stages {
-			text, _ := wire(0, from...).Append(nil, &Message{Type: Ask})
-			_, err := wire(1, to...).Read(text)
-			token := wire(0, from...).AppendToken(nil, 3, 7, 99)
-			_, ok := wire(1, to...).ReadToken(token, 3, 7)
+			text, _ := newCodec(0, from...).Append(nil, &Message{Type: TypeRequest})
+			_, err := newCodec(1, to...).Read(text)
+			token := newCodec(0, from...).AppendToken(nil, 3, 7, 99)
+			_, ok := newCodec(1, to...).ReadToken(token, 3, 7)
 			if i-j <= 1 && j-i <= 1 && (err != nil || !ok) || ok != (err == nil) {
 				fmt.Println(i, j, err, ok)
 			}
@@ -66,39 +67,40 @@
 	// Output:
 }
 
-// What comes twice, from oneself, from another fleet, by another version or forged is told apart and counted.
-func Example_refused() {
-	a, b := wire(0, oldKey), wire(1, oldKey)
+// Messages that are replayed, the gateway's own, from another fleet, of another version or forged are rejected, each with its
+// reason, and counted.
+func Example_rejected() {
+	a, b := newCodec(0, oldKey), newCodec(1, oldKey)
 	var texts [][]byte
 	for range 70 {
-		text, _ := a.Append(nil, &Message{Type: Tell, Entries: []Entry{{Key: 1}}})
+		text, _ := a.Append(nil, &Message{Type: TypeReport, Entries: []Entry{{Key: 1}}})
 		texts = append(texts, text)
 	}
 	read := func(text []byte) { _, err := b.Read(text); fmt.Println(err) }
 	read(texts[1])
 	read(texts[1])
-	read(texts[0]) // overtaken
+	read(texts[0]) // reordered
 	read(texts[0])
 	read(texts[69])
-	read(texts[5]) // too far behind to tell
+	read(texts[5]) // too far behind for the replay window
 	read(texts[50])
-	own, _ := b.Append(nil, &Message{Type: Ask})
+	own, _ := b.Append(nil, &Message{Type: TypeRequest})
 	read(own)
-	b2 := wire(1, oldKey)
+	b2 := newCodec(1, oldKey)
 	b2.fleet++
-	other, _ := b2.Append(nil, &Message{Type: Ask})
+	other, _ := b2.Append(nil, &Message{Type: TypeRequest})
 	read(other)
-	forged, _ := wire(0, Key{1, bytes.Repeat([]byte("x"), 32)}).Append(nil, &Message{Type: Ask})
+	forged, _ := newCodec(0, Key{1, bytes.Repeat([]byte("x"), 32)}).Append(nil, &Message{Type: TypeRequest})
 	read(forged)
-	unknown, _ := wire(0, newKey).Append(nil, &Message{Type: Ask})
+	unknown, _ := newCodec(0, newKey).Append(nil, &Message{Type: TypeRequest})
 	read(unknown)
 	later := bytes.Clone(texts[60])
 	later[2] = 9
 	read(later)
 	read([]byte("mg"))
 	read(bytes.Repeat([]byte("mg"), 200))
-	restarted, _ := New(0, b.fleet, 99, Keys{oldKey}) // a new run counts anew
-	again, _ := restarted.Append(nil, &Message{Type: Ask})
+	restarted, _ := NewCodec(0, b.fleet, 99, Keys{oldKey}) // a new incarnation counts from the start
+	again, _ := restarted.Append(nil, &Message{Type: TypeRequest})
 	read(again)
 	fmt.Printf("%+v\n", b.Counts)
 	// Output:
@@ -110,7 +112,7 @@
 	// replayed message
 	// <nil>
 	// replayed message
-	// another list of gateways
+	// different list of gateways
 	// bad authenticator
 	// unknown key
 	// unknown version
@@ -120,18 +122,18 @@
 	// {Read:5 Malformed:2 Version:1 Key:1 Forged:1 Replayed:4 Fleet:1}
 }
 
-// A token is good for its own session and group alone.
+// A token is valid only for its own session and group.
 func Example_token() {
-	w := wire(0, oldKey)
-	token := w.AppendToken(nil, 3, 7, 1767225600123e6)
+	c := newCodec(0, oldKey)
+	token := c.AppendToken(nil, 3, 7, 1767225600123e6)
 	fmt.Println(len(token) == TokenSize)
-	fmt.Println(wire(1, newKey, oldKey).ReadToken(token, 3, 7))
+	fmt.Println(newCodec(1, newKey, oldKey).ReadToken(token, 3, 7))
 	for _, bad := range []string{"", "zz", string(token[:len(token)-1]), strings.Replace(string(token), string(token[10:12]), "ff", 1)} {
-		_, ok := w.ReadToken([]byte(bad), 3, 7)
+		_, ok := c.ReadToken([]byte(bad), 3, 7)
 		fmt.Print(ok, " ")
 	}
-	_, other := w.ReadToken(token, 3, 8)
-	_, group := w.ReadToken(token, 2, 7)
+	_, other := c.ReadToken(token, 3, 8)
+	_, group := c.ReadToken(token, 2, 7)
 	fmt.Println(other, group)
 	// Output:
 	// true
@@ -146,34 +148,34 @@
 	// Output:
 	// no key
 	// more than two keys
-	// key 1 stands twice
+	// duplicate key 1
 	// key 1 is shorter than 16 bytes
 	// <nil>
 }
 
-// Whatever comes, reading it ends, and only what was signed is read.
+// Reading terminates for any input, and never accepts more entries than allowed or a message in the gateway's own name.
 func FuzzRead(f *testing.F) {
-	text, _ := wire(0, oldKey).Append(nil, &Message{Type: Tell, Entries: []Entry{{Key: 1}}})
+	text, _ := newCodec(0, oldKey).Append(nil, &Message{Type: TypeReport, Entries: []Entry{{Key: 1}}})
 	f.Add(text)
 	f.Add(text[:40])
 	f.Fuzz(func(t *testing.T, in []byte) {
-		w := wire(1, oldKey)
-		m, err := w.Read(in)
-		if err == nil && (len(m.Entries) > MostEntries || m.From == 1) {
+		c := newCodec(1, oldKey)
+		m, err := c.Read(in)
+		if err == nil && (len(m.Entries) > MaxEntries || m.From == 1) {
 			t.Fatal(m)
 		}
-		w.ReadToken(in, 1, 2)
+		c.ReadToken(in, 1, 2)
 	})
 }
 
 func BenchmarkAppendAndRead(b *testing.B) {
-	a, r := wire(0, oldKey), wire(1, oldKey)
-	m := Message{Type: Tell, Entries: make([]Entry, MostEntries)}
+	sender, receiver := newCodec(0, oldKey), newCodec(1, oldKey)
+	m := Message{Type: TypeReport, Entries: make([]Entry, MaxEntries)}
 	var buf []byte
 	b.ReportAllocs()
 	for b.Loop() {
-		buf, _ = a.Append(buf[:0], &m)
-		if _, err := r.Read(buf); err != nil {
+		buf, _ = sender.Append(buf[:0], &m)
+		if _, err := receiver.Read(buf); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/peerwire/sealed_test.go
+++ b/internal/peerwire/sealed_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-// What is sealed is opened once, by who has the key; nothing else is believed.
+// A sealed message is opened once, by a gateway with the key; altered, forged and replayed messages are rejected.
 func ExampleSealer() {
 	keys := Keys{{ID: 1, Secret: []byte("0123456789abcdef")}}
 	a, _ := NewSealer(7, 1, keys)
 	b, _ := NewSealer(8, 1, keys)
 	other, _ := NewSealer(9, 1, Keys{{ID: 1, Secret: []byte("fedcba9876543210")}})
-	text, _ := a.Seal(nil, []byte("a beat"))
+	text, _ := a.Seal(nil, []byte("a heartbeat"))
 	from, body, err := b.Open(text)
 	fmt.Println(from, string(body), err)
 	_, _, err = b.Open(text)
@@ -22,14 +22,14 @@
 	text[len(text)/2] ^= 1
 	_, _, err = b.Open(text)
 	fmt.Println(err)
-	_, err = a.Seal(nil, make([]byte, MostSealed))
+	_, err = a.Seal(nil, make([]byte, MaxSealedSize))
 	fmt.Println(err)
-	again, _ := NewSealer(7, 2, keys) // a new start begins to count anew
+	again, _ := NewSealer(7, 2, keys) // a new incarnation counts from the start
 	text, _ = again.Seal(nil, nil)
 	from, _, err = b.Open(text)
 	fmt.Println(from, err)
 	// Output:
-	// 7 a beat <nil>
+	// 7 a heartbeat <nil>
 	// replayed message
 	// bad authenticator
 	// bad authenticator
@@ -46,7 +46,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		b, _ := NewSealer(8, 1, keys)
 		if from, _, err := b.Open(text); err == nil && from != 7 {
-			t.Fatal("a message that nobody sealed")
+			t.Fatal("accepted a message from a gateway that sealed none")
 		}
 	})
 }
--- a/internal/peerwire/seed_test.go
+++ b/internal/peerwire/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same histories every time, unless the command line says otherwise.
+// Property tests use the same random seed in every run, unless a flag overrides it.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/internal/pgwire/comment.go
+++ b/internal/pgwire/comment.go
@@ -6,66 +6,68 @@
 	"strconv"
 )
 
-// Comment is what the comment in front of a statement says of a txn. Class, Key and Session are parts of the
+// Comment holds the attributes of a txn from the comment in front of a statement. Its byte slices are parts of the
 // statement.
 type Comment struct {
-	ID           uint64
-	Class        []byte
-	Key          []byte  // the mark against repeats
-	Session      []byte  // the first quoted text behind the comment
-	Budget       float64 // how long the client will wait, in milliseconds
-	After        float64 // the position that a read must see, in Unix milliseconds; 0 is none
-	Group        int
-	Retry        bool
-	Token        []byte // a signed position, in hexadecimal
-	dFrom, dUpto int    // where the digits of Budget stand
-	aFrom, aUpto int    // where After and the comma before it stand; nothing is behind an end of 0
-	end          int    // where the comment's last mark begins
+	ID             uint64
+	Class          []byte
+	IdempotencyKey []byte  // identifies repeated submissions
+	Session        []byte  // the first quoted string after the comment
+	Budget         float64 // how long the client will wait, in milliseconds
+	After          float64 // the minimum position that a read must see, in Unix milliseconds; 0 is none
+	Group          int
+	Retry          bool
+	Token          []byte // a signed position, in hexadecimal
+
+	// Offsets in the statement.
+	budgetStart, budgetEnd int // of the digits of Budget
+	afterStart, afterEnd   int // of the attribute after without its commas; an end of 0 means that it is absent
+	commentEnd             int // of the mark that closes the comment
 }
 
-var open, shut = []byte("/*"), []byte("*/")
+var commentOpen, commentClose = []byte("/*"), []byte("*/")
 
-// ReadComment reads the comment of a statement and names what is wrong with it.
+// ReadComment parses the comment of a statement and returns the first error in it.
 func ReadComment(text []byte) (c Comment, err error) {
-	rest, ok := bytes.CutPrefix(text, open)
+	rest, ok := bytes.CutPrefix(text, commentOpen)
 	if !ok {
 		return c, fmt.Errorf("the statement does not begin with a comment")
 	}
-	length := bytes.Index(rest, shut)
+	length := bytes.Index(rest, commentClose)
 	if length < 0 {
 		return c, fmt.Errorf("the comment does not end")
 	}
-	c.Group, c.end = -1, len(open)+length
-	for from, upto := len(open), len(open)+length; from < upto; {
-		end := upto
-		if i := bytes.IndexByte(text[from:upto], ','); i >= 0 {
-			end = from + i
+	c.Group, c.commentEnd = -1, len(commentOpen)+length
+	for start, limit := len(commentOpen), len(commentOpen)+length; start < limit; {
+		end := limit
+		if i := bytes.IndexByte(text[start:limit], ','); i >= 0 {
+			end = start + i
 		}
-		name, value, ok := bytes.Cut(text[from:end], []byte{'='})
+		name, value, ok := bytes.Cut(text[start:end], []byte{'='})
 		name, trimmed := bytes.TrimLeft(name, " "), bytes.TrimRight(value, " ")
 		if !ok || len(trimmed) == 0 {
 			return c, fmt.Errorf("the comment has a part without name or value")
 		}
-		at := end - len(value)
+		offset := end - len(value)
 		if string(name) == "after" {
-			c.aFrom, c.aUpto = from, end
+			c.afterStart, c.afterEnd = start, end
 		}
-		if err := c.set(name, trimmed, at); err != nil {
+		if err := c.set(name, trimmed, offset); err != nil {
 			return c, err
 		}
-		from = end + 1
+		start = end + 1
 	}
 	switch {
 	case c.ID == 0:
 		return c, fmt.Errorf("the comment lacks id")
 	case c.Class == nil:
 		return c, fmt.Errorf("the comment lacks c")
-	case c.dUpto == 0:
+	case c.budgetEnd == 0:
 		return c, fmt.Errorf("the comment lacks d")
 	case c.Group < 0:
 		return c, fmt.Errorf("the comment lacks cluster")
 	}
-	rest = rest[length+len(shut):]
+	rest = rest[length+len(commentClose):]
 	if i := bytes.IndexByte(rest, '\''); i >= 0 {
 		if j := bytes.IndexByte(rest[i+1:], '\''); j >= 0 {
 			c.Session = rest[i+1 : i+1+j]
@@ -74,8 +76,8 @@
 	return c, nil
 }
 
-// set takes one name and its value, which stands at a place of the statement.
-func (c *Comment) set(name, value []byte, at int) error {
+// set sets the attribute with a name; offset is that of its value in the statement.
+func (c *Comment) set(name, value []byte, offset int) error {
 	ok := true
 	switch string(name) {
 	case "id":
@@ -85,11 +87,11 @@
 	case "c":
 		c.Class = value
 	case "d":
-		c.Budget, ok = Number(value)
+		c.Budget, ok = ParseNumber(value)
 		ok = ok && c.Budget > 0
-		c.dFrom, c.dUpto = at, at+len(value)
+		c.budgetStart, c.budgetEnd = offset, offset+len(value)
 	case "k":
-		c.Key = value
+		c.IdempotencyKey = value
 	case "r":
 		c.Retry = len(value) == 1 && value[0] == '1'
 	case "cluster":
@@ -98,7 +100,7 @@
 	case "at":
 		c.Token = value
 	case "after":
-		c.After, ok = Number(value)
+		c.After, ok = ParseNumber(value)
 	}
 	if !ok {
 		return fmt.Errorf("the comment has a bad value for %s", name)
@@ -106,11 +108,11 @@
 	return nil
 }
 
-// Table is the table that a statement names first, behind FROM, INTO or UPDATE; nil where there is none. Quotes and a
-// schema before it are left out.
-func Table(text []byte) []byte {
-	if _, behind, ok := bytes.Cut(text, shut); ok && bytes.HasPrefix(text, open) {
-		text = behind
+// TableName returns the table that a statement names first, after FROM, INTO or UPDATE, without quotes and schema. It
+// returns nil if there is none.
+func TableName(text []byte) []byte {
+	if _, statement, ok := bytes.Cut(text, commentClose); ok && bytes.HasPrefix(text, commentOpen) {
+		text = statement
 	}
 	for rest := text; ; {
 		i := bytes.IndexAny(rest, " \t\n\r")
@@ -132,31 +134,32 @@
 	}
 }
 
-// Raise gives a statement whose comment says that the read must see another position, in Unix milliseconds, and this
-// Budget; it is appended to dst.
-func (c *Comment) Raise(dst, text []byte, budget int64, after float64) []byte {
-	from, upto := c.aFrom, c.aUpto
-	if upto == 0 {
-		from, upto = c.end, c.end
+// AppendWithAfter appends the statement to dst with another After, in Unix milliseconds, and another Budget in its comment.
+func (c *Comment) AppendWithAfter(dst, text []byte, budget int64, after float64) []byte {
+	afterStart, afterEnd := c.afterStart, c.afterEnd
+	if afterEnd == 0 {
+		afterStart, afterEnd = c.commentEnd, c.commentEnd
 	}
-	word := append([]byte(",after="), strconv.AppendFloat(nil, after, 'f', -1, 64)...)
-	if from == len(open) || text[from-1] == ',' {
-		word = word[1:]
+	attribute := append([]byte(",after="), strconv.AppendFloat(nil, after, 'f', -1, 64)...)
+	if afterStart == len(commentOpen) || text[afterStart-1] == ',' {
+		attribute = attribute[1:]
 	}
-	parts := [...]struct {
-		from, upto int
-		word       []byte
-	}{{c.dFrom, c.dUpto, strconv.AppendInt(nil, budget, 10)}, {from, upto, word}}
-	if parts[0].from > parts[1].from {
-		parts[0], parts[1] = parts[1], parts[0]
+	replacements := [...]struct {
+		start, end int
+		text       []byte
+	}{{c.budgetStart, c.budgetEnd, strconv.AppendInt(nil, budget, 10)}, {afterStart, afterEnd, attribute}}
+	if replacements[0].start > replacements[1].start {
+		replacements[0], replacements[1] = replacements[1], replacements[0]
 	}
-	at := 0
-	for _, p := range parts {
-		dst = append(append(dst, text[at:p.from]...), p.word...)
-		at = p.upto
+	copied := 0
+	for _, r := range replacements {
+		dst = append(append(dst, text[copied:r.start]...), r.text...)
+		copied = r.end
 	}
-	return append(dst, text[at:]...)
+	return append(dst, text[copied:]...)
 }
 
-// Around gives what stands before and behind the digits of Budget.
-func (c *Comment) Around(text []byte) (before, behind []byte) { return text[:c.dFrom], text[c.dUpto:] }
+// SplitAtBudget returns the text before and after the digits of Budget.
+func (c *Comment) SplitAtBudget(text []byte) (before, after []byte) {
+	return text[:c.budgetStart], text[c.budgetEnd:]
+}
--- a/internal/pgwire/messages.go
+++ b/internal/pgwire/messages.go
@@ -1,6 +1,6 @@
-// Package pgwire reads and writes messages of version 3 of PostgreSQL's protocol, as far as simple queries
-// need them, and reads the comment in front of a statement. It knows no sockets: what it is given is what a
-// connection's buffer holds, and what it finds there are parts of that buffer.
+// Package pgwire encodes and decodes messages of version 3 of the PostgreSQL protocol, as far as simple queries need them,
+// and parses the comment in front of a statement. It does no network I/O: its input is the content of a connection's
+// buffer, and its results are slices of that buffer.
 package pgwire
 
 import (
@@ -12,30 +12,30 @@
 
 var be = binary.BigEndian
 
-// ErrMalformed is what cannot be a message, whatever follows.
+// ErrMalformed reports input that cannot become a valid message, whatever follows.
 var ErrMalformed = errors.New("malformed message")
 
-// Opening is what a connection begins with.
-type Opening int
+// StartupPacketKind is the kind of the first message on a connection.
+type StartupPacketKind int
 
 const (
-	Incomplete  Opening = iota
-	Startup             // version 3
-	Encryption          // SSLRequest or GSSENCRequest
-	CancelQuery         // CancelRequest
+	Incomplete        StartupPacketKind = iota
+	Startup                             // StartupMessage of version 3
+	EncryptionRequest                   // SSLRequest or GSSENCRequest
+	CancelRequest
 )
 
-// HeadSize is what Size needs of a message, ColumnHead what stands before the value in the body of a row of one column; MostOpening is the longest that a connection may begin with, as in
-// PostgreSQL's own server.
+// Sizes in bytes.
 const (
-	HeadSize    = 5
-	ColumnHead  = 6
-	MostOpening = 10000
+	HeaderSize           = 5     // type and length of a message
+	ColumnHeaderSize     = 6     // column count and length before the value in the body of a DataRow of one column
+	MaxStartupPacketSize = 10000 // as in PostgreSQL's own server
 )
 
-// mostOther is the longest message of a server but for rows; they are a few words.
-const mostOther = 16 << 10
+// maxNonRowSize is the maximum size of a server's messages other than DataRow; they are short.
+const maxNonRowSize = 16 << 10
 
+// Protocol version and request codes of startup packets.
 const (
 	version3   = 3 << 16
 	codeCancel = 1234<<16 | 5678
@@ -43,24 +43,24 @@
 	codeGSS    = 1234<<16 | 5680
 )
 
-// Open reads the message that a connection begins with and tells its size.
-func Open(buf []byte) (Opening, int, error) {
+// ReadStartupPacket decodes the first message on a connection and returns its kind and size.
+func ReadStartupPacket(buf []byte) (StartupPacketKind, int, error) {
 	if len(buf) < 4 {
 		return Incomplete, 0, nil
 	}
 	size := int(be.Uint32(buf))
-	if size < 8 || size > MostOpening {
+	if size < 8 || size > MaxStartupPacketSize {
 		return Incomplete, 0, ErrMalformed
 	}
 	if len(buf) < 8 {
 		return Incomplete, 0, nil
 	}
-	var kind Opening
+	var kind StartupPacketKind
 	switch code := be.Uint32(buf[4:]); code {
 	case codeSSL, codeGSS:
-		kind = Encryption
+		kind = EncryptionRequest
 	case codeCancel:
-		kind = CancelQuery
+		kind = CancelRequest
 	default:
 		if code&^0xffff != version3 {
 			return Incomplete, 0, ErrMalformed
@@ -73,27 +73,27 @@
 	return kind, size, nil
 }
 
-// mostName is the longest name of a user or a database that is kept, as PostgreSQL's own.
-const mostName = 63
+// maxNameLength is the maximum length of a user or database name, as in PostgreSQL.
+const maxNameLength = 63
 
-// StartupNames are the user and the database that a whole startup message names; the database is the user's where
-// it names none. Longer names than PostgreSQL's are cut, as its own server does.
+// StartupNames returns the user and the database of a complete startup message; the database defaults to the user's name.
+// Longer names than PostgreSQL's are truncated, as its own server does.
 func StartupNames(message []byte) (user, database string) {
 	rest := message[8:]
 	for len(rest) > 1 {
-		name, behind, ok := bytes.Cut(rest, []byte{0})
-		value, behind2, ok2 := bytes.Cut(behind, []byte{0})
+		name, afterName, ok := bytes.Cut(rest, []byte{0})
+		value, afterValue, ok2 := bytes.Cut(afterName, []byte{0})
 		if !ok || !ok2 || len(name) == 0 {
 			break
 		}
-		kept := string(value[:min(len(value), mostName)])
+		truncated := string(value[:min(len(value), maxNameLength)])
 		switch string(name) {
 		case "user":
-			user = kept
+			user = truncated
 		case "database":
-			database = kept
+			database = truncated
 		}
-		rest = behind2
+		rest = afterValue
 	}
 	if database == "" {
 		database = user
@@ -101,11 +101,11 @@
 	return user, database
 }
 
-// Size is the size of a message by its head, never under that of the head.
-func Size(head []byte) int { return 1 + max(HeadSize-1, int(be.Uint32(head[1:]))) }
+// MessageSize returns the size of a message from its header, at least that of the header.
+func MessageSize(header []byte) int { return 1 + max(HeaderSize-1, int(be.Uint32(header[1:]))) }
 
-// Message reads one message of at most so many bytes; size is 0 while it is not whole.
-func Message(buf []byte, most int) (kind byte, body []byte, size int, err error) {
+// ReadMessage decodes one message of at most maxSize bytes; size is 0 while it is incomplete.
+func ReadMessage(buf []byte, maxSize int) (kind byte, body []byte, size int, err error) {
 	if len(buf) == 0 {
 		return 0, nil, 0, nil
 	}
@@ -116,7 +116,7 @@
 		return kind, nil, 0, nil
 	}
 	n := int(be.Uint32(buf[1:]))
-	if n < 4 || n >= most {
+	if n < 4 || n >= maxSize {
 		return kind, nil, 0, ErrMalformed
 	}
 	if len(buf) < 1+n {
@@ -125,8 +125,8 @@
 	return kind, buf[5 : 1+n], 1 + n, nil
 }
 
-// Text is the text of a message that holds one string, as Query does.
-func Text(body []byte) ([]byte, bool) {
+// ReadString decodes the body of a message that holds one string, such as Query.
+func ReadString(body []byte) ([]byte, bool) {
 	end := len(body) - 1
 	if end < 0 || bytes.IndexByte(body, 0) != end {
 		return nil, false
@@ -134,26 +134,26 @@
 	return body[:end], true
 }
 
-// Parameter reads a ParameterStatus.
-func Parameter(body []byte) (name, value []byte, ok bool) {
+// ReadParameterStatus decodes the body of a ParameterStatus.
+func ReadParameterStatus(body []byte) (name, value []byte, ok bool) {
 	name, rest, ok := bytes.Cut(body, []byte{0})
 	if !ok {
 		return nil, nil, false
 	}
-	value, ok = Text(rest)
+	value, ok = ReadString(rest)
 	return name, value, ok
 }
 
-// Column is the value of a DataRow of one column.
-func Column(body []byte) ([]byte, bool) {
+// ReadColumn returns the value of a DataRow of one column.
+func ReadColumn(body []byte) ([]byte, bool) {
 	if len(body) < 6 || be.Uint16(body) != 1 || int(int32(be.Uint32(body[2:]))) != len(body)-6 {
 		return nil, false
 	}
 	return body[6:], true
 }
 
-// Columns counts what a RowDescription announces, 0 where it is none.
-func Columns(body []byte) int {
+// CountColumns returns the number of columns of a RowDescription, 0 if it is malformed.
+func CountColumns(body []byte) int {
 	if len(body) < 2 {
 		return 0
 	}
@@ -171,86 +171,87 @@
 	return n
 }
 
-// Problem is what an ErrorResponse says.
-type Problem struct {
-	Code  string // SQLSTATE, empty where it is no ErrorResponse
-	Fatal bool   // the connection ends with it
+// ErrorResponse holds the fields of an ErrorResponse.
+type ErrorResponse struct {
+	Code  string // SQLSTATE, empty if the message is malformed
+	Fatal bool   // the server closes the connection after it
 }
 
-// ReadProblem reads an ErrorResponse; one that is not whole in itself says nothing.
-func ReadProblem(body []byte) (p Problem) {
+// ReadErrorResponse decodes the body of an ErrorResponse; for a malformed one it returns the zero value.
+func ReadErrorResponse(body []byte) (e ErrorResponse) {
 	for len(body) > 1 {
 		field := body[0]
 		value, rest, ok := bytes.Cut(body[1:], []byte{0})
 		if !ok {
-			return Problem{}
+			return ErrorResponse{}
 		}
 		switch field {
 		case 'C':
-			if p.Code != "" || len(value) != 5 {
-				return Problem{}
+			if e.Code != "" || len(value) != 5 {
+				return ErrorResponse{}
 			}
-			p.Code = string(value)
+			e.Code = string(value)
 		case 'S', 'V':
-			p.Fatal = p.Fatal || string(value) == "FATAL" || string(value) == "PANIC"
+			e.Fatal = e.Fatal || string(value) == "FATAL" || string(value) == "PANIC"
 		}
 		body = rest
 	}
 	if len(body) != 1 || body[0] != 0 {
-		return Problem{}
+		return ErrorResponse{}
 	}
-	return p
+	return e
 }
 
-// MayBegin tells of a message that may not be whole yet whether it can be one of a server's answer: a length
-// that is none, or that is not that of the value within, is seen before what it promises has come.
-func MayBegin(buf []byte, most int) bool {
+// MayBeResponse reports whether a message, which may be incomplete, can belong to a server's response. An invalid length,
+// or one that contradicts the length of the value within, is detected before the announced bytes arrive.
+func MayBeResponse(buf []byte, maxSize int) bool {
 	if len(buf) == 0 {
 		return true
 	}
 	switch buf[0] {
 	case 'Z':
-		most = 5
+		maxSize = 5
 	case 'S', 'N', 'E', 'T', 'C', 'R', 'K':
-		most = min(most, mostOther)
+		maxSize = min(maxSize, maxNonRowSize)
 	case 'D':
 	default:
 		return false
 	}
-	if len(buf) < HeadSize {
+	if len(buf) < HeaderSize {
 		return true
 	}
 	n := int(be.Uint32(buf[1:]))
-	if n < 4 || n > most {
+	if n < 4 || n > maxSize {
 		return false
 	}
 	return buf[0] != 'D' || len(buf) < 11 || n >= 10 && be.Uint16(buf[5:]) == 1 && int(be.Uint32(buf[7:])) == n-10
 }
 
-// begin and end frame a message that is appended between them.
-func begin(dst []byte, kind byte) ([]byte, int) {
+// beginMessage appends a message's type and space for its length, whose offset it returns. endMessage sets the length once
+// the body was appended.
+func beginMessage(dst []byte, kind byte) ([]byte, int) {
 	return append(dst, kind, 0, 0, 0, 0), len(dst) + 1
 }
 
-func end(dst []byte, at int) []byte {
-	be.PutUint32(dst[at:], uint32(len(dst)-at))
+func endMessage(dst []byte, lengthOffset int) []byte {
+	be.PutUint32(dst[lengthOffset:], uint32(len(dst)-lengthOffset))
 	return dst
 }
 
-// AppendStartup asks a server for a session.
+// AppendStartup appends a StartupMessage.
 func AppendStartup(dst []byte, user, database string) []byte {
-	at := len(dst)
+	lengthOffset := len(dst)
 	dst = append(dst, 0, 0, 0, 0, 0, 3, 0, 0)
 	for _, s := range [...]string{"user", user, "database", database} {
 		dst = append(append(dst, s...), 0)
 	}
-	return end(append(dst, 0), at)
+	return endMessage(append(dst, 0), lengthOffset)
 }
 
-// CancelKey is what a CancelRequest names a connection by: the number and the secret of its BackendKeyData.
+// CancelKey identifies a connection in a CancelRequest: the process number and the secret of its BackendKeyData.
 type CancelKey struct{ Process, Secret uint32 }
 
-// ReadCancelKey is that of a whole CancelRequest.
+// ReadCancelKey returns the key of a complete CancelRequest.
 func ReadCancelKey(message []byte) (k CancelKey, ok bool) {
 	if len(message) != 16 {
 		return k, false
@@ -258,49 +259,50 @@
 	return CancelKey{be.Uint32(message[8:]), be.Uint32(message[12:])}, true
 }
 
-// AppendWelcome admits a client, which may cancel its queries by the key.
-func AppendWelcome(dst []byte, key CancelKey) []byte {
+// AppendAuthenticationOK appends the messages that admit a client: AuthenticationOk, the parameters, the key by which it
+// may cancel its queries, and ReadyForQuery.
+func AppendAuthenticationOK(dst []byte, key CancelKey) []byte {
 	dst = append(dst, 'R', 0, 0, 0, 8, 0, 0, 0, 0)
 	for _, s := range [...][2]string{
 		{"server_version", "15.0 (magpieglade)"}, {"server_encoding", "UTF8"}, {"client_encoding", "UTF8"},
 		{"standard_conforming_strings", "on"}, {"integer_datetimes", "on"},
 	} {
-		var at int
-		dst, at = begin(dst, 'S')
+		var lengthOffset int
+		dst, lengthOffset = beginMessage(dst, 'S')
 		dst = append(append(append(append(dst, s[0]...), 0), s[1]...), 0)
-		dst = end(dst, at)
+		dst = endMessage(dst, lengthOffset)
 	}
-	dst, at := begin(dst, 'K')
+	dst, lengthOffset := beginMessage(dst, 'K')
 	dst = be.AppendUint32(be.AppendUint32(dst, key.Process), key.Secret)
-	return AppendReady(end(dst, at))
+	return AppendReadyForQuery(endMessage(dst, lengthOffset))
 }
 
-// AppendReady is ReadyForQuery, outside a transaction.
-func AppendReady(dst []byte) []byte { return append(dst, 'Z', 0, 0, 0, 5, 'I') }
+// AppendReadyForQuery appends a ReadyForQuery, outside a transaction.
+func AppendReadyForQuery(dst []byte) []byte { return append(dst, 'Z', 0, 0, 0, 5, 'I') }
 
-// AppendEmpty answers the empty query.
-func AppendEmpty(dst []byte) []byte { return append(dst, 'I', 0, 0, 0, 4) }
+// AppendEmptyQueryResponse appends an EmptyQueryResponse.
+func AppendEmptyQueryResponse(dst []byte) []byte { return append(dst, 'I', 0, 0, 0, 4) }
 
-// AppendParameter is a ParameterStatus.
-func AppendParameter(dst []byte, name, value string) []byte {
-	dst, at := begin(dst, 'S')
-	return end(append(append(append(append(dst, name...), 0), value...), 0), at)
+// AppendParameterStatus appends a ParameterStatus.
+func AppendParameterStatus(dst []byte, name, value string) []byte {
+	dst, lengthOffset := beginMessage(dst, 'S')
+	return endMessage(append(append(append(append(dst, name...), 0), value...), 0), lengthOffset)
 }
 
-// AppendQuery is a simple query.
+// AppendQuery appends a simple Query.
 func AppendQuery(dst []byte, sql string) []byte {
-	dst, at := begin(dst, 'Q')
-	return end(append(append(dst, sql...), 0), at)
+	dst, lengthOffset := beginMessage(dst, 'Q')
+	return endMessage(append(append(dst, sql...), 0), lengthOffset)
 }
 
-// AppendQueryHead is what stands in front of the text of a simple query of so many bytes.
-func AppendQueryHead(dst []byte, text int) []byte {
-	return be.AppendUint32(append(dst, 'Q'), uint32(4+text+1))
+// AppendQueryHeader appends the header of a simple Query whose text has textSize bytes.
+func AppendQueryHeader(dst []byte, textSize int) []byte {
+	return be.AppendUint32(append(dst, 'Q'), uint32(4+textSize+1))
 }
 
-// AppendError is an ErrorResponse; detail may be empty.
+// AppendError appends an ErrorResponse; detail may be empty.
 func AppendError(dst []byte, severity, code, message, detail string) []byte {
-	dst, at := begin(dst, 'E')
+	dst, lengthOffset := beginMessage(dst, 'E')
 	for _, f := range [...]struct {
 		field byte
 		value string
@@ -309,11 +311,11 @@
 			dst = append(append(append(dst, f.field), f.value...), 0)
 		}
 	}
-	return end(append(dst, 0), at)
+	return endMessage(append(dst, 0), lengthOffset)
 }
 
-// Number reads a number of a comment, a parameter or a detail.
-func Number(text []byte) (float64, bool) {
+// ParseNumber parses a non-negative number of a comment, a parameter or an error detail.
+func ParseNumber(text []byte) (float64, bool) {
 	if len(text) == 0 || len(text) > 32 {
 		return 0, false
 	}
--- a/internal/pgwire/pgwire_test.go
+++ b/internal/pgwire/pgwire_test.go
@@ -11,8 +11,8 @@
 
 func ExampleReadComment() {
 	c, err := ReadComment([]byte(statement))
-	before, behind := c.Around([]byte(statement))
-	fmt.Printf("%x %s %v %d %.0f %s %v\n%s|%.20s\n", c.ID, c.Class, c.Budget, c.Group, c.After, c.Session, err, before, behind)
+	before, after := c.SplitAtBudget([]byte(statement))
+	fmt.Printf("%x %s %v %d %.0f %s %v\n%s|%.20s\n", c.ID, c.Class, c.Budget, c.Group, c.After, c.Session, err, before, after)
 	for _, text := range []string{
 		"SELECT 1", "/* id=1", "/* */", "/* id=1,c=a,cluster=0 */", "/* id=1,c=a,d=x,cluster=0 */",
 		"/* id=xyz,c=a,d=5,cluster=0 */", "/* c=a,d=5,cluster=0 */", "/* id=1,c=a,d=5 */", "/* id=1,d=5,cluster=0 */",
@@ -40,13 +40,14 @@
 	// /* id=1 , c=a ,d= 5,cluster=0 */ -> the comment has a bad value for d
 }
 
-// The position that a read must see is put in, or put in place of another, wherever it stands; all else stays.
-func ExampleComment_Raise() {
+// The attribute after is inserted or replaced, wherever it stands, and the budget is replaced; the rest of the statement is
+// unchanged.
+func ExampleComment_AppendWithAfter() {
 	for _, text := range []string{statement, "/* id=1,c=a,d=5,cluster=0 */ SELECT 'after=1'", "/* after=7,id=1,c=a,d=5,cluster=0*/ x",
 		"/* id=1,c=a,cluster=0,after=3,d=5 */"} {
 		c, err := ReadComment([]byte(text))
-		fmt.Printf("%s %v\n", c.Raise(nil, []byte(text), 77, 1767225600999.5), err)
-		again, err := ReadComment(c.Raise(nil, []byte(text), 77, 1767225600999.5))
+		fmt.Printf("%s %v\n", c.AppendWithAfter(nil, []byte(text), 77, 1767225600999.5), err)
+		again, err := ReadComment(c.AppendWithAfter(nil, []byte(text), 77, 1767225600999.5))
 		fmt.Println(again.After, again.Budget, err)
 	}
 	// Output:
@@ -60,9 +61,9 @@
 	// 1.7672256009995e+12 77 <nil>
 }
 
-func ExampleTable() {
+func ExampleTableName() {
 	for _, text := range []string{statement, "/* from x */ INSERT INTO \"Crm\".\"Facts\"(a) VALUES (1)", "update t set a = 1", "SELECT 1", "SELECT a FROM"} {
-		fmt.Printf("%q\n", Table([]byte(text)))
+		fmt.Printf("%q\n", TableName([]byte(text)))
 	}
 	fmt.Println(StartupNames(AppendStartup(nil, "portal", "crm")))
 	fmt.Println(StartupNames([]byte("\x00\x00\x00\x10\x00\x03\x00\x00user\x00me\x00\x00")))
@@ -77,23 +78,23 @@
 	// me me
 }
 
-// What a client or a member sends byte by byte is read as in one piece, and bad lengths and types are told
-// at once: nothing is waited for that cannot come.
-func ExampleMessage() {
-	all := AppendReady(AppendError(AppendQuery(nil, "SELECT 1"), "ERROR", "53300", "full", "250"))
+// A message that arrives byte by byte is read like one that arrives in one piece. Invalid lengths and types are rejected at
+// once, so that nothing waits for bytes that cannot arrive.
+func ExampleReadMessage() {
+	all := AppendReadyForQuery(AppendError(AppendQuery(nil, "SELECT 1"), "ERROR", "53300", "full", "250"))
 	for len(all) > 0 {
 		for n := range len(all) + 1 {
-			kind, body, size, err := Message(all[:n], 1000)
+			kind, body, size, err := ReadMessage(all[:n], 1000)
 			if size > 0 {
-				text, _ := Text(body)
-				fmt.Printf("%c %d bytes %q %v %v\n", kind, size, text, ReadProblem(body), err)
+				text, _ := ReadString(body)
+				fmt.Printf("%c %d bytes %q %v %v\n", kind, size, text, ReadErrorResponse(body), err)
 				all = all[size:]
 				break
 			}
 		}
 	}
 	for _, in := range []string{"\x00\x00\x00\x00\x04", "Q\x00\x00\x00\x03", "Q\x7f\x00\x00\x00", "Q\x00\x00\x03\xe8"} {
-		_, _, size, err := Message([]byte(in), 1000)
+		_, _, size, err := ReadMessage([]byte(in), 1000)
 		fmt.Println(size, err)
 	}
 	// Output:
@@ -106,13 +107,13 @@
 	// 0 malformed message
 }
 
-func ExampleOpen() {
+func ExampleReadStartupPacket() {
 	startup := AppendStartup(nil, "portal", "crm")
 	for _, in := range [][]byte{
 		startup, startup[:20], {0, 0, 0, 8, 4, 210, 22, 47}, {0, 0, 0, 8, 4, 210, 22, 48},
 		{0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2}, {0, 0, 0, 8, 0, 2, 0, 0}, {0, 0, 0, 4}, {1, 0, 0, 0},
 	} {
-		fmt.Println(Open(in))
+		fmt.Println(ReadStartupPacket(in))
 	}
 	// Output:
 	// 1 34 <nil>
@@ -125,14 +126,14 @@
 	// 0 0 malformed message
 }
 
-func ExampleColumn() {
+func ExampleReadColumn() {
 	for _, body := range []string{"\x00\x01\x00\x00\x00\x02hi", "\x00\x01\xff\xff\xff\xff", "\x00\x01\x00\x00\x00\x03hi", "\x00\x02\x00\x00\x00\x02hi", ""} {
-		value, ok := Column([]byte(body))
+		value, ok := ReadColumn([]byte(body))
 		fmt.Printf("%q %v\n", value, ok)
 	}
-	name, value, ok := Parameter([]byte("mode\x00read-only\x00"))
+	name, value, ok := ReadParameterStatus([]byte("mode\x00read-only\x00"))
 	fmt.Printf("%s %s %v\n", name, value, ok)
-	_, _, ok = Parameter([]byte("mode\x00read"))
+	_, _, ok = ReadParameterStatus([]byte("mode\x00read"))
 	fmt.Println(ok)
 	// Output:
 	// "hi" true
@@ -144,17 +145,18 @@
 	// false
 }
 
-// What cannot belong to an answer is known by its first bytes; an error that is not whole says nothing.
-func ExampleMayBegin() {
+// Messages that cannot belong to a response are detected by their first bytes; a malformed ErrorResponse gives the zero
+// value.
+func ExampleMayBeResponse() {
 	for _, in := range []string{"", "D", "D\x00\x00\x00\x0c\x00\x01\x00\x00\x00\x02", "D\x00\x00\x00\x0c\x00\x01\x00\x00\x00\x03",
 		"D\x00\x00\x00\x0c\x00\x02", "D\x00\x00\x00\x0c\x00\x02\x00\x00\x00\x02", "D\xb2\xd0\x5e\x00", "Z\x00\x00\x00\x06", "T\x00\x00\x4e\x20", "\x00", "x"} {
-		fmt.Println(MayBegin([]byte(in), 1<<17))
+		fmt.Println(MayBeResponse([]byte(in), 1<<17))
 	}
 	for _, in := range []string{"SFATAL\x00C57P01\x00Mbye\x00\x00", "C53300\x00Mfull\x00", "C53300\x00Mfull", "C533\x00\x00", "C53300\x00\x00x"} {
-		fmt.Print(ReadProblem([]byte(in)), " ")
+		fmt.Print(ReadErrorResponse([]byte(in)), " ")
 	}
 	column := "data\x00" + strings.Repeat("\x00", 18)
-	fmt.Println(Columns([]byte("\x00\x01"+column)), Columns([]byte("\x00\x02"+column)), Columns([]byte("\x00\x01"+column+"x")))
+	fmt.Println(CountColumns([]byte("\x00\x01"+column)), CountColumns([]byte("\x00\x02"+column)), CountColumns([]byte("\x00\x01"+column+"x")))
 	// Output:
 	// true
 	// true
@@ -170,41 +172,41 @@
 	// {57P01 true} { false} { false} { false} { false} 1 0 0
 }
 
-// FuzzMessages looks for input that ends in a panic, in a size beyond what there is, or in another outcome when
-// only a part of it is there yet.
+// FuzzMessages searches for input that causes a panic, a size beyond the input, or a different result when only a part of
+// the input has arrived.
 func FuzzMessages(f *testing.F) {
 	f.Add(AppendQuery(AppendStartup(nil, "portal", "crm"), statement), 9)
 	f.Add(AppendError(nil, "ERROR", "53300", "full", "250"), 3)
 	f.Fuzz(func(t *testing.T, in []byte, part int) {
-		kind, size, err := Open(in)
+		kind, size, err := ReadStartupPacket(in)
 		if size > len(in) || err != nil && kind != Incomplete {
-			t.Error("opening of", size, "bytes")
+			t.Error("startup packet of", size, "bytes")
 		}
-		mk, body, msize, err := Message(in, 1<<16)
-		if msize > len(in) || err != nil && msize > 0 {
-			t.Error("message of", msize, "bytes")
+		messageKind, body, messageSize, err := ReadMessage(in, 1<<16)
+		if messageSize > len(in) || err != nil && messageSize > 0 {
+			t.Error("message of", messageSize, "bytes")
 		}
 		if part >= 0 && part < len(in) {
-			pk, pbody, psize, perr := Message(in[:part], 1<<16)
-			if psize > 0 && (pk != mk || psize != msize || !bytes.Equal(pbody, body)) || perr != nil && err == nil {
-				t.Error("another outcome from a part")
+			partKind, partBody, partSize, partErr := ReadMessage(in[:part], 1<<16)
+			if partSize > 0 && (partKind != messageKind || partSize != messageSize || !bytes.Equal(partBody, body)) || partErr != nil && err == nil {
+				t.Error("different result from a part of the input")
 			}
 		}
-		if size := msize; size > 0 && MayBegin(in, 1<<16) {
-			for n := range size { // what may be an answer as a whole is so from its first byte on
-				if !MayBegin(in[:n], 1<<16) {
-					t.Error("another view from a part")
+		if size := messageSize; size > 0 && MayBeResponse(in, 1<<16) {
+			for n := range size { // what may be a response when complete may be one from its first byte on
+				if !MayBeResponse(in[:n], 1<<16) {
+					t.Error("a part of a possible response is rejected")
 				}
 			}
 		}
-		_, _, _ = Parameter(body)
-		_, _ = Column(body)
-		_, _ = Columns(body), ReadProblem(body)
-		if text, ok := Text(in); ok {
+		_, _, _ = ReadParameterStatus(body)
+		_, _ = ReadColumn(body)
+		_, _ = CountColumns(body), ReadErrorResponse(body)
+		if text, ok := ReadString(in); ok {
 			if c, err := ReadComment(text); err == nil {
-				before, behind := c.Around(text)
-				if n, ok := Number(text[len(before) : len(text)-len(behind)]); !ok || n != c.Budget {
-					t.Error("the digits of d are elsewhere")
+				before, after := c.SplitAtBudget(text)
+				if n, ok := ParseNumber(text[len(before) : len(text)-len(after)]); !ok || n != c.Budget {
+					t.Error("the digits of d are at another place")
 				}
 			}
 		}
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -1,8 +1,8 @@
-// Package slots keeps things in numbered slots. A reference names a slot and its generation, so that one
-// which outlives its thing finds nothing, even when the slot is in use again.
+// Package slots is a slot map: it stores values in numbered slots that are reused. A reference holds a slot's index and
+// generation, so that a stale reference finds nothing, even after the slot was reused.
 package slots
 
-// Ref names a thing in a table; the zero Ref names none.
+// Ref refers to a value in a table; the zero Ref refers to none.
 type Ref struct{ index, generation uint32 }
 
 type slot[T any] struct {
@@ -16,7 +16,7 @@
 	free  []uint32
 }
 
-// Add puts a thing into a free slot. The pointer that Get gives for it stays good until Free.
+// Add stores a value in a free slot. The pointer that Get returns for it stays valid until Remove.
 func (t *Table[T]) Add(value T) Ref {
 	if len(t.free) == 0 {
 		t.slots = append(t.slots, new(slot[T]))
@@ -30,7 +30,7 @@
 	return Ref{i, s.generation}
 }
 
-// Get finds a thing, nil where it is gone.
+// Get returns the referenced value, nil if it was removed.
 func (t *Table[T]) Get(r Ref) *T {
 	if r.generation&1 == 0 || int(r.index) >= len(t.slots) || t.slots[r.index].generation != r.generation {
 		return nil
@@ -38,22 +38,22 @@
 	return &t.slots[r.index].value
 }
 
-// Free gives a slot back; for a thing that is gone it does nothing.
-func (t *Table[T]) Free(r Ref) {
+// Remove frees the slot of a value; a stale reference is ignored.
+func (t *Table[T]) Remove(r Ref) {
 	if t.Get(r) == nil {
 		return
 	}
 	s := t.slots[r.index]
 	s.generation++
-	var none T
-	s.value = none
+	var zero T
+	s.value = zero
 	t.free = append(t.free, r.index)
 }
 
-// Len counts the things.
+// Len returns the number of values in the table.
 func (t *Table[T]) Len() int { return len(t.slots) - len(t.free) }
 
-// Refs lists what is there now, by slot; the list is good even if things are freed meanwhile.
+// Refs returns references to all current values in slot order. Values may be removed while the caller iterates.
 func (t *Table[T]) Refs() []Ref {
 	refs := make([]Ref, 0, t.Len())
 	for i, s := range t.slots {
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Files is what a store needs of a file system.
-type Files interface {
+// FileSystem has the file operations that a store needs.
+type FileSystem interface {
 	MkdirAll(path string) error
 	Create(path string) (File, error) // a new file to append to
 	Open(path string) (io.ReadCloser, error)
-	List(folder string) ([]string, error)
+	List(dir string) ([]string, error)
 	Remove(path string) error
-	SyncFolder(path string) error
-	Lock(path string) (File, error) // ErrInUse where another process holds it
+	SyncDir(path string) error
+	Lock(path string) (File, error) // ErrInUse if another process holds it
 	Map(path string, size int) ([]byte, func() error, error)
 }
 
@@ -27,10 +27,10 @@
 	Close() error
 }
 
-// System is the operating system's file system.
-func System() Files { return systemFiles{} }
+// System returns the operating system's file system.
+func System() FileSystem { return systemFiles{} }
 
-// systemFiles are the operating system's.
+// systemFiles implements FileSystem with the operating system's files.
 type systemFiles struct{}
 
 func (systemFiles) MkdirAll(path string) error { return os.MkdirAll(path, 0o700) }
@@ -41,8 +41,8 @@
 
 func (systemFiles) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
 
-func (systemFiles) List(folder string) (names []string, err error) {
-	entries, err := os.ReadDir(folder)
+func (systemFiles) List(dir string) (names []string, err error) {
+	entries, err := os.ReadDir(dir)
 	for _, e := range entries {
 		names = append(names, e.Name())
 	}
@@ -51,7 +51,7 @@
 
 func (systemFiles) Remove(path string) error { return os.Remove(path) }
 
-func (systemFiles) SyncFolder(path string) error {
+func (systemFiles) SyncDir(path string) error {
 	d, err := os.Open(path)
 	if err != nil {
 		return err
@@ -75,19 +75,20 @@
 	return f, nil
 }
 
-// Map maps a file of a fixed size, all of it on the disk already, so that a store to it needs no space.
+// Map maps a file of a fixed size into memory. All of its blocks are allocated and synced first, so that writing to the
+// page needs no disk space.
 func (systemFiles) Map(path string, size int) ([]byte, func() error, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, nil, err
 	}
 	defer f.Close()
-	now, err := io.ReadAll(io.LimitReader(f, int64(size)))
+	existing, err := io.ReadAll(io.LimitReader(f, int64(size)))
 	if err != nil {
 		return nil, nil, err
 	}
-	if len(now) < size {
-		if _, err := f.WriteAt(make([]byte, size-len(now)), int64(len(now))); err != nil {
+	if len(existing) < size {
+		if _, err := f.WriteAt(make([]byte, size-len(existing)), int64(len(existing))); err != nil {
 			return nil, nil, err
 		}
 		if err := f.Sync(); err != nil {
@@ -107,11 +108,14 @@
 	}, nil
 }
 
-// bootID tells this run of the machine from others; where the kernel does not, no two runs are the same.
+// unknownBoot is the boot ID if the kernel provides none. It matches no boot, not even itself.
+const unknownBoot = "unknown"
+
+// bootID returns the kernel's ID of the current boot of the machine.
 func bootID() string {
 	text, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
-		return "unknown"
+		return unknownBoot
 	}
 	return strings.TrimSpace(string(text))
 }
--- a/internal/store/flags.go
+++ b/internal/store/flags.go
@@ -6,32 +6,33 @@
 	"sync"
 )
 
-// flags are what is known of a run without asking the disk: a page that is mapped, and so outlives the process, though
-// not the machine.
+// flags record the state of a run without disk I/O, in a memory-mapped page. The page survives the process, but not a crash
+// of the machine.
 type flags struct {
 	mu    sync.Mutex
 	page  []byte
 	unmap func() error
 }
 
-// The page: a checksum of the rest, which of the states below, whether it is behind, and the boot that it is of. The
-// checksum is written last; a page that it does not fit says nothing.
+// Layout of the page, as offsets and sizes in bytes: a CRC-32C of the rest, one of the states below, the reasons for which
+// the run is incomplete, and the ID of the boot. The checksum is written last; a page with a wrong checksum is ignored.
 const (
-	flagsSize  = 4096
-	flagsState = 4
-	flagBehind = 5
-	flagBoot   = 8
-	bootSize   = 64
+	flagsSize        = 4096
+	stateOffset      = 4
+	incompleteOffset = 5
+	bootOffset       = 8
+	bootSize         = 64
 )
 
+// States of a run.
 const (
-	stateNone  = iota // never begun, or of another form
-	stateOpen         // runs, and answers before it has written
-	stateKeeps        // runs, and answers nothing that is not written, unless it is behind
-	stateEnded        // ended in order
+	stateNone        = iota // never started, or another format
+	stateWriteBehind        // running; responses are sent before their records are written
+	stateWriteAhead         // running; no response is sent before its records are written, unless the run is incomplete
+	stateEnded              // shut down cleanly
 )
 
-func openFlags(path string, files Files) (*flags, error) {
+func openFlags(path string, files FileSystem) (*flags, error) {
 	page, unmap, err := files.Map(path, flagsSize)
 	if err != nil {
 		return nil, err
@@ -46,39 +47,40 @@
 		return
 	}
 	change(f.page)
-	le.PutUint32(f.page, crc32.Checksum(f.page[flagsState:flagBoot+bootSize], castagnoli))
+	le.PutUint32(f.page, crc32.Checksum(f.page[stateOffset:bootOffset+bootSize], castagnoli))
 }
 
-func (f *flags) begin(boot string, keeps bool) {
+func (f *flags) begin(boot string, writeAhead bool) {
 	f.set(func(p []byte) {
-		p[flagsState], p[flagBehind] = stateOpen, 0
-		if keeps {
-			p[flagsState] = stateKeeps
+		p[stateOffset], p[incompleteOffset] = stateWriteBehind, 0
+		if writeAhead {
+			p[stateOffset] = stateWriteAhead
 		}
-		clear(p[flagBoot : flagBoot+bootSize])
-		copy(p[flagBoot:flagBoot+bootSize], boot)
+		clear(p[bootOffset : bootOffset+bootSize])
+		copy(p[bootOffset:bootOffset+bootSize], boot)
 	})
 }
 
-// Why a run is behind: who answers said so, or the disk did not take something. Each is taken back by itself.
+// Reasons for which a run is incomplete: the caller sent responses before their records were written, or the disk failed
+// to take records. Each is cleared separately.
 const (
-	behindAnswers = 1 << iota
-	behindDisk
+	incompleteResponses = 1 << iota
+	incompleteWrites
 )
 
-func (f *flags) setBehind(why byte, on bool) {
+func (f *flags) setIncomplete(reason byte, on bool) {
 	f.set(func(p []byte) {
-		p[flagBehind] &^= why
+		p[incompleteOffset] &^= reason
 		if on {
-			p[flagBehind] |= why
+			p[incompleteOffset] |= reason
 		}
 	})
 }
 
 func (f *flags) end() {
 	f.set(func(p []byte) {
-		if p[flagBehind] == 0 {
-			p[flagsState] = stateEnded
+		if p[incompleteOffset] == 0 {
+			p[stateOffset] = stateEnded
 		}
 	})
 }
@@ -93,17 +95,17 @@
 	return f.unmap()
 }
 
-// judge tells of a page whether the run that wrote it left nothing out.
-func judge(page []byte, boot string) (clean, complete bool) {
-	if len(page) < flagsSize || le.Uint32(page) != crc32.Checksum(page[flagsState:flagBoot+bootSize], castagnoli) {
+// lastRun evaluates the page of the last run: clean if it was shut down, complete if it lost nothing.
+func lastRun(page []byte, boot string) (clean, complete bool) {
+	if len(page) < flagsSize || le.Uint32(page) != crc32.Checksum(page[stateOffset:bootOffset+bootSize], castagnoli) {
 		return false, false
 	}
-	of := string(bytes.TrimRight(page[flagBoot:flagBoot+bootSize], "\x00"))
+	pageBoot := string(bytes.TrimRight(page[bootOffset:bootOffset+bootSize], "\x00"))
 	switch {
-	case page[flagsState] == stateEnded:
-		return true, page[flagBehind] == 0
-	case page[flagsState] == stateKeeps:
-		return false, page[flagBehind] == 0 && of == boot && boot != "unknown"
+	case page[stateOffset] == stateEnded:
+		return true, page[incompleteOffset] == 0
+	case page[stateOffset] == stateWriteAhead:
+		return false, page[incompleteOffset] == 0 && pageBoot == boot && boot != unknownBoot
 	}
 	return false, false
 }
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -19,70 +19,70 @@
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Every record in a segment begins with what it is.
+// The first byte of every record in a segment is its type.
 const (
-	recordHead = 'h' // the form's version and the segment's number; the first
-	recordSnap = 's' // part of the snapshot
-	recordEnd  = 'e' // the snapshot is whole
-	recordLate = 'r' // appended since
+	recordHeader      = 'h' // the format version and the segment's number; the first record
+	recordSnapshot    = 's' // a record of the snapshot
+	recordSnapshotEnd = 'e' // the snapshot is complete
+	recordAppended    = 'r' // appended after the snapshot
 )
 
-const form = 1
+const formatVersion = 1
 
-// Recovered is what a folder holds.
+// Recovered holds the contents of a directory.
 type Recovered struct {
-	Records  [][]byte // the latest whole snapshot and what was appended since, in order
-	Snapshot int      // how many of them are the snapshot's
-	Clean    bool     // the last run ended in order
-	Complete bool     // nothing that the last run answered is lacking
-	Torn     int64    // bytes at the end of the latest segment that were not written whole
-	Spoilt   int      // places before that which cannot be read
-	Segments []Segment
-	last     uint64
+	Records     [][]byte // the latest complete snapshot and the records appended after it, in order
+	Snapshot    int      // how many of the records belong to the snapshot
+	Clean       bool     // the last run was shut down cleanly
+	Complete    bool     // no record is missing for which the last run sent a response
+	Torn        int64    // bytes of a partial write at the end of the latest segment
+	Corrupt     int      // unreadable places before that
+	Segments    []Segment
+	lastSegment uint64
 }
 
-// Segment is one file of the folder.
+// Segment is one file of the directory.
 type Segment struct {
 	Name          string
 	Number        uint64
 	Records       int
 	Bytes         int64
-	Whole         bool // its snapshot is whole
+	Whole         bool // its snapshot is complete
 	Torn          int64
-	Spoilt        int
+	Corrupt       int
 	records       [][]byte
 	snapshot      int
-	late          int
-	unknownForm   bool
-	headIsLacking bool
+	appended      int
+	unknownFormat bool
+	wrongNumber   bool // its header has another number than its name
 }
 
-// ErrForm says that a folder is of another version of this program.
-var ErrForm = errors.New("unknown form of the folder")
+// ErrUnknownFormat reports that another version of this program wrote the directory.
+var ErrUnknownFormat = errors.New("unknown format version")
 
 func segmentName(n uint64) string { return fmt.Sprintf("segment-%016x", n) }
 
-// Read reads a folder and changes nothing. Of one that a process has, segments may go while it reads: it begins anew
-// then.
-func Read(folder string, files Files, boot string) (r *Recovered, err error) {
-	for range readTries {
-		if r, err = readOnce(folder, files, boot); !errors.Is(err, fs.ErrNotExist) {
+// Read reads a directory and changes nothing. Another process that has the directory open may remove segments meanwhile;
+// reading then starts over.
+func Read(dir string, files FileSystem, boot string) (r *Recovered, err error) {
+	for range maxReadAttempts {
+		if r, err = readOnce(dir, files, boot); !errors.Is(err, fs.ErrNotExist) {
 			break
 		}
 	}
 	return r, err
 }
 
-const readTries = 10
+const maxReadAttempts = 10
 
-func readOnce(folder string, files Files, boot string) (*Recovered, error) {
+func readOnce(dir string, files FileSystem, boot string) (*Recovered, error) {
 	if files == nil {
 		files = systemFiles{}
 	}
 	if boot == "" {
 		boot = bootID()
 	}
-	names, err := files.List(folder)
+	names, err := files.List(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -93,44 +93,45 @@
 		if _, err := fmt.Sscanf(name, "segment-%016x", &n); err != nil || name != segmentName(n) {
 			continue
 		}
-		s, err := readSegment(folder, name, n, files)
+		s, err := readSegment(dir, name, n, files)
 		if err != nil {
 			return nil, err
 		}
-		if s.unknownForm {
-			return nil, fmt.Errorf("%s: %w", name, ErrForm)
+		if s.unknownFormat {
+			return nil, fmt.Errorf("%s: %w", name, ErrUnknownFormat)
 		}
 		r.Segments = append(r.Segments, s)
-		r.last = n
+		r.lastSegment = n
 	}
 	found := false
 	for _, s := range slices.Backward(r.Segments) {
-		if s.Whole { // one without a whole snapshot was begun when the last run ended; what it was to replace stands
+		// The last run ended while it wrote a segment without a complete snapshot; the segment before it is still valid.
+		if s.Whole {
 			r.Records, r.Snapshot, r.Torn = s.records, s.snapshot, s.Torn
-			r.Spoilt += s.Spoilt
+			r.Corrupt += s.Corrupt
 			found = true
 			break
 		}
-		r.Spoilt += s.Spoilt + s.late
+		r.Corrupt += s.Corrupt + s.appended
 	}
-	if f, err := files.Open(filepath.Join(folder, "flags")); err == nil {
+	if f, err := files.Open(filepath.Join(dir, "flags")); err == nil {
 		page, err := io.ReadAll(io.LimitReader(f, flagsSize))
 		_ = f.Close()
 		if err == nil {
-			r.Clean, r.Complete = judge(page, boot)
+			r.Clean, r.Complete = lastRun(page, boot)
 		}
 	}
-	r.Complete = r.Complete && r.Spoilt == 0 && found && (!r.Clean || r.Torn == 0)
+	r.Complete = r.Complete && r.Corrupt == 0 && found && (!r.Clean || r.Torn == 0)
 	return r, nil
 }
 
-// dropped counts what the journal's reader passes over.
-type dropped struct {
+// dropCounter counts what the journal's reader skips.
+type dropCounter struct {
 	bytes int64
 	n     int
 }
 
-func (d *dropped) Drop(err error) {
+func (d *dropCounter) Drop(err error) {
 	d.n++
 	var c *journal.ErrCorrupted
 	if errors.As(err, &c) {
@@ -138,72 +139,71 @@
 	}
 }
 
-// counter counts what is read.
-type counter struct {
+// countingReader counts the bytes read.
+type countingReader struct {
 	r io.Reader
 	n int64
 }
 
-func (c *counter) Read(p []byte) (int, error) {
+func (c *countingReader) Read(p []byte) (int, error) {
 	n, err := c.r.Read(p)
 	c.n += int64(n)
 	return n, err
 }
 
-func readSegment(folder, name string, number uint64, files Files) (s Segment, err error) {
+func readSegment(dir, name string, number uint64, files FileSystem) (s Segment, err error) {
 	s = Segment{Name: name, Number: number}
-	f, err := files.Open(filepath.Join(folder, name))
+	f, err := files.Open(filepath.Join(dir, name))
 	if err != nil {
 		return s, err
 	}
 	defer f.Close()
-	in, drops := &counter{r: f}, &dropped{}
+	in, drops := &countingReader{r: f}, &dropCounter{}
 	j := journal.NewReader(in, drops, false, true)
-	spoiltAt, whole, cut := 0, 0, false // places dropped before the latest record; records that are whole
+	reportedDrops, truncated := 0, false // drops before the latest complete record; a partial record since then
 	for {
-		one, err := j.Next()
+		record, err := j.Next()
 		if err == io.EOF {
 			break
 		}
 		var text []byte
 		if err == nil {
-			text, err = io.ReadAll(one)
+			text, err = io.ReadAll(record)
 		}
-		if err != nil { // its rest is lacking
+		if err != nil { // the rest of the record is missing
 			if !errors.Is(err, io.ErrUnexpectedEOF) && !isCorrupted(err) {
 				return s, err
 			}
-			cut = true
+			truncated = true
 			continue
 		}
 		if len(text) == 0 {
 			drops.n++
 			continue
 		}
-		whole++
-		if cut || drops.n > spoiltAt {
-			s.Spoilt += max(1, drops.n-spoiltAt)
-			spoiltAt, cut = drops.n, false
+		if truncated || drops.n > reportedDrops {
+			s.Corrupt += max(1, drops.n-reportedDrops)
+			reportedDrops, truncated = drops.n, false
 		}
 		switch text[0] {
-		case recordHead:
-			if len(text) != 10 || text[1] != form {
-				s.unknownForm = true
+		case recordHeader:
+			if len(text) != 10 || text[1] != formatVersion {
+				s.unknownFormat = true
 				return s, nil
 			}
-			s.headIsLacking = le.Uint64(text[2:]) != number
-		case recordSnap:
+			s.wrongNumber = le.Uint64(text[2:]) != number
+		case recordSnapshot:
 			s.records = append(s.records, text[1:])
 			s.snapshot++
-		case recordEnd:
-			s.Whole = s.Spoilt == 0 && !s.headIsLacking && len(text) == 9 && le.Uint64(text[1:]) == uint64(s.snapshot)
-		case recordLate:
-			s.late++
+		case recordSnapshotEnd:
+			s.Whole = s.Corrupt == 0 && !s.wrongNumber && len(text) == 9 && le.Uint64(text[1:]) == uint64(s.snapshot)
+		case recordAppended:
+			s.appended++
 			s.records = append(s.records, text[1:])
 		}
 	}
 	s.Bytes, s.Records = in.n, len(s.records)
-	if cut || drops.n > spoiltAt { // nothing whole comes behind it
+	if truncated || drops.n > reportedDrops { // no complete record follows
 		s.Torn = max(1, drops.bytes)
 	}
 	return s, nil
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,10 +1,10 @@
-// Package store keeps records in a folder so that they outlive the process and, up to the latest sync, the machine's
-// power. Records are appended to a segment in LevelDB's log format (goleveldb's journal: each chunk has a CRC-32C); a
-// new segment begins with a snapshot that takes the place of all before it. Whoever appends never waits: one goroutine
-// writes, another syncs, a third snapshots, and they call back.
+// Package store is an append-only log in a directory. Its records survive the process and, up to the last sync, a power
+// failure. Records are appended to a segment in LevelDB's log format (goleveldb's journal: each chunk has a CRC-32C); a new
+// segment begins with a snapshot that supersedes all earlier segments. Appending never blocks: one goroutine writes,
+// another syncs, a third writes snapshots, and completion is reported by callback.
 //
-// store.go has the folder, writer.go appending and snapshots, recover.go reading, flags.go what is known of the last
-// run, files.go the file system, which tests replace.
+// store.go has the API, writer.go appending and snapshots, recover.go reading, flags.go how the last run ended, files.go
+// the file system, which tests replace.
 package store
 
 import (
@@ -16,99 +16,98 @@
 	"time"
 )
 
-// Options are how a store is kept.
+// Options configure a store.
 type Options struct {
-	SyncEvery   time.Duration // how long what is appended may be without being synced
-	SyncAll     bool          // what is appended is on the disk, not with the kernel alone, when done is called
-	MostSegment int64         // bytes appended after which a snapshot is wanted
-	Files       Files         // nil is the operating system's
-	Boot        string        // what tells one run of the machine from another; empty asks the kernel
-	Wanted      func()        // called, from some goroutine, when a snapshot is wanted
-	Log         func(text string, err error)
+	SyncInterval    time.Duration // maximum time before appended records are synced
+	SyncOnAppend    bool          // records are on the disk, not only in the kernel's cache, when done is called
+	MaxSegmentBytes int64         // bytes appended after which a snapshot is needed
+	FileSystem      FileSystem    // nil is the operating system's
+	BootID          string        // identifies the boot of the machine; empty asks the kernel
+	SnapshotNeeded  func()        // called, from some goroutine, when a snapshot is needed
+	Log             func(text string, err error)
 }
 
-// Store is an open folder.
+// Store is an open directory.
 type Store struct {
-	folder string
-	o      Options
-	files  Files
-	lock   File
-	flags  *flags
-
-	mu      sync.Mutex
-	wake    *sync.Cond
-	queue   []job
-	started bool
-	closing bool
-	ended   chan struct{}
-
-	// Of the writer.
-	seg      *segment
-	nextSeq  uint64
-	since    [][]byte // appended while a snapshot is written
-	snapping bool
-	failed   error
-	asked    bool // a snapshot was asked for and has not come
-	unsynced atomic.Bool
-	syncMu   sync.Mutex // held while a segment is synced or left
-	cleaning sync.WaitGroup
-	stats    Stats
+	dir     string
+	options Options
+	files   FileSystem
+	lock    File
+	flags   *flags
+
+	mu         sync.Mutex
+	wake       *sync.Cond
+	queue      []job
+	started    bool
+	closing    bool
+	writerDone chan struct{}
+
+	// Owned by the writer.
+	current           *segment
+	nextSegment       uint64
+	sinceSnapshot     [][]byte // records appended while a snapshot is written
+	snapshotRunning   bool
+	writeErr          error
+	snapshotRequested bool // a snapshot was requested and has not arrived
+	unsynced          atomic.Bool
+	syncMu            sync.Mutex // held while a segment is synced or replaced
+	removals          sync.WaitGroup
+	stats             Stats
 }
 
-// Stats count what was done.
+// Stats counts operations.
 type Stats struct {
 	Appended, Dropped, Writes, Syncs, Snapshots uint64
-	Bytes                                       int64 // of the present segment
+	Bytes                                       int64 // of the current segment
 }
 
-// job is records to append, or a snapshot to take their place.
+// job is a list of records to append, or a snapshot that replaces them.
 type job struct {
 	records  [][]byte
 	snapshot bool
 	done     func(error)
 }
 
-// ErrInUse says that another process has the folder.
-var ErrInUse = errors.New("the folder is in use by another process")
+// ErrInUse reports that another process has locked the directory.
+var ErrInUse = errors.New("the directory is in use by another process")
 
-// ErrUnwritten says that records were not kept: the disk is full or fails.
-var ErrUnwritten = errors.New("not written")
+// ErrNotWritten reports that records were not stored: the disk is full or fails.
+var ErrNotWritten = errors.New("not written")
 
-// Open takes a folder, makes it if needed, and reads what it holds. The store takes nothing before Start has given it
-// a first snapshot.
-func Open(folder string, o Options) (*Store, *Recovered, error) {
-	if o.Files == nil {
-		o.Files = systemFiles{}
+// Open locks a directory, creates it if needed, and reads its records. The store accepts no records before Start.
+func Open(dir string, o Options) (*Store, *Recovered, error) {
+	if o.FileSystem == nil {
+		o.FileSystem = systemFiles{}
 	}
-	if o.SyncEvery <= 0 {
-		o.SyncEvery = 100 * time.Millisecond
+	if o.SyncInterval <= 0 {
+		o.SyncInterval = 100 * time.Millisecond
 	}
-	if o.MostSegment <= 0 {
-		o.MostSegment = 4 << 20
+	if o.MaxSegmentBytes <= 0 {
+		o.MaxSegmentBytes = 4 << 20
 	}
-	if o.Boot == "" {
-		o.Boot = bootID()
+	if o.BootID == "" {
+		o.BootID = bootID()
 	}
 	if o.Log == nil {
 		o.Log = func(string, error) {}
 	}
-	if o.Wanted == nil {
-		o.Wanted = func() {}
+	if o.SnapshotNeeded == nil {
+		o.SnapshotNeeded = func() {}
 	}
-	fail := func(err error) (*Store, *Recovered, error) { return nil, nil, fmt.Errorf("%s: %w", folder, err) }
-	if err := o.Files.MkdirAll(folder); err != nil {
+	fail := func(err error) (*Store, *Recovered, error) { return nil, nil, fmt.Errorf("%s: %w", dir, err) }
+	if err := o.FileSystem.MkdirAll(dir); err != nil {
 		return fail(err)
 	}
-	lock, err := o.Files.Lock(filepath.Join(folder, "lock"))
+	lock, err := o.FileSystem.Lock(filepath.Join(dir, "lock"))
 	if err != nil {
 		return fail(err)
 	}
-	r, err := Read(folder, o.Files, o.Boot)
+	r, err := Read(dir, o.FileSystem, o.BootID)
 	if err == nil {
 		var f *flags
-		if f, err = openFlags(filepath.Join(folder, "flags"), o.Files); err == nil {
-			s := &Store{folder: folder, o: o, files: o.Files, lock: lock, flags: f, nextSeq: r.last + 1,
-				ended: make(chan struct{})}
+		if f, err = openFlags(filepath.Join(dir, "flags"), o.FileSystem); err == nil {
+			s := &Store{dir: dir, options: o, files: o.FileSystem, lock: lock, flags: f, nextSegment: r.lastSegment + 1,
+				writerDone: make(chan struct{})}
 			s.wake = sync.NewCond(&s.mu)
 			return s, r, nil
 		}
@@ -117,26 +116,26 @@
 	return fail(err)
 }
 
-// Start writes the first snapshot and begins to take records. It waits for the disk, so it belongs to a start. keeps
-// says that whoever appends answers nothing before it is written, or says Behind.
-func (s *Store) Start(snapshot [][]byte, keeps bool) error {
+// Start writes the first snapshot and starts accepting records. It waits for the disk, so it should be called at startup.
+// writeAhead promises that the caller sends no response before its records are written, or calls MarkIncomplete first.
+func (s *Store) Start(snapshot [][]byte, writeAhead bool) error {
 	if err := s.rotate(snapshot, nil); err != nil {
-		return fmt.Errorf("%s: %w", s.folder, err)
+		return fmt.Errorf("%s: %w", s.dir, err)
 	}
-	s.flags.begin(s.o.Boot, keeps)
+	s.flags.begin(s.options.BootID, writeAhead)
 	s.started = true
 	go s.write()
 	go s.syncLoop()
 	return nil
 }
 
-// Append queues records. done is called from the writer's goroutine once they are with the kernel, or on the disk where
-// Options.SyncAll says so, or with why they are not.
+// Append queues records. done is called from the writer's goroutine once they are in the kernel's cache, or on the disk
+// with Options.SyncOnAppend, or with the error that prevented it.
 func (s *Store) Append(records [][]byte, done func(error)) {
 	s.enqueue(job{records: records, done: done})
 }
 
-// Snapshot queues records that take the place of all that were appended before.
+// Snapshot queues records that replace all records appended before.
 func (s *Store) Snapshot(records [][]byte) { s.enqueue(job{records: records, snapshot: true}) }
 
 func (s *Store) enqueue(j job) {
@@ -144,7 +143,7 @@
 	defer s.mu.Unlock()
 	if s.closing {
 		if j.done != nil {
-			go j.done(ErrUnwritten)
+			go j.done(ErrNotWritten)
 		}
 		return
 	}
@@ -152,21 +151,21 @@
 	s.wake.Signal()
 }
 
-// Behind says at once, without the disk, that something was answered that is not written: should the process end
-// before Caught is called, its folder is not complete.
-func (s *Store) Behind() { s.flags.setBehind(behindAnswers, true) }
+// MarkIncomplete records at once, without disk I/O, that a response was sent whose records are not written: if the process
+// ends before ClearIncomplete is called, the directory is not complete.
+func (s *Store) MarkIncomplete() { s.flags.setIncomplete(incompleteResponses, true) }
 
-// Caught takes Behind back.
-func (s *Store) Caught() { s.flags.setBehind(behindAnswers, false) }
+// ClearIncomplete undoes MarkIncomplete.
+func (s *Store) ClearIncomplete() { s.flags.setIncomplete(incompleteResponses, false) }
 
-// Counts gives what was done so far.
+// Counts returns the statistics since Open.
 func (s *Store) Counts() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// Close writes what is queued and ends in order: the folder is complete if nothing was lost on the way.
+// Close writes the queued records and shuts down cleanly: the directory is complete if no record was lost before.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	if s.closing {
@@ -180,11 +179,11 @@
 	}
 	s.wake.Signal()
 	s.mu.Unlock()
-	<-s.ended
-	s.cleaning.Wait()
-	err := s.failed
+	<-s.writerDone
+	s.removals.Wait()
+	err := s.writeErr
 	if err == nil {
-		err = s.seg.close()
+		err = s.current.close()
 	}
 	if err == nil {
 		s.flags.end()
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -9,7 +9,13 @@
 	"github.com/syndtr/goleveldb/leveldb/journal"
 )
 
-// segment is the file that is appended to.
+// snapshotRetryDelay is the delay before a snapshot is requested again after a failed write or snapshot.
+const snapshotRetryDelay = time.Second
+
+// recordOverhead is added to the size of a record's text as an estimate of its size on the disk, in bytes.
+const recordOverhead = 8
+
+// segment is a file that is appended to.
 type segment struct {
 	name   string
 	number uint64
@@ -18,24 +24,24 @@
 	bytes  int64
 }
 
-// newSegment begins a segment with a snapshot that is on the disk when it returns.
+// newSegment creates a segment with a snapshot, which is synced to the disk when newSegment returns.
 func (s *Store) newSegment(number uint64, snapshot [][]byte) (*segment, error) {
-	g := &segment{name: filepath.Join(s.folder, segmentName(number)), number: number}
+	g := &segment{name: filepath.Join(s.dir, segmentName(number)), number: number}
 	var err error
 	if g.file, err = s.files.Create(g.name); err != nil {
 		return nil, err
 	}
 	g.out = journal.NewWriter(g.file)
-	put := func(kind byte, text []byte) {
+	write := func(kind byte, text []byte) {
 		if err == nil {
-			err = g.put(kind, text)
+			err = g.appendRecord(kind, text)
 		}
 	}
-	put(recordHead, le.AppendUint64([]byte{form}, number))
+	write(recordHeader, le.AppendUint64([]byte{formatVersion}, number))
 	for _, r := range snapshot {
-		put(recordSnap, r)
+		write(recordSnapshot, r)
 	}
-	put(recordEnd, le.AppendUint64(nil, uint64(len(snapshot))))
+	write(recordSnapshotEnd, le.AppendUint64(nil, uint64(len(snapshot))))
 	if err == nil {
 		err = g.out.Flush()
 	}
@@ -43,7 +49,7 @@
 		err = g.file.Sync()
 	}
 	if err == nil {
-		err = s.files.SyncFolder(s.folder)
+		err = s.files.SyncDir(s.dir)
 	}
 	if err != nil {
 		_ = g.file.Close()
@@ -54,7 +60,7 @@
 	return g, nil
 }
 
-func (g *segment) put(kind byte, text []byte) error {
+func (g *segment) appendRecord(kind byte, text []byte) error {
 	w, err := g.out.Next()
 	if err != nil {
 		return err
@@ -62,7 +68,7 @@
 	if _, err = w.Write([]byte{kind}); err == nil {
 		_, err = w.Write(text)
 	}
-	g.bytes += int64(len(text)) + 8
+	g.bytes += int64(len(text)) + recordOverhead
 	return err
 }
 
@@ -70,20 +76,20 @@
 	return errors.Join(g.out.Close(), g.file.Sync(), g.file.Close())
 }
 
-// rotate puts a new segment in the place of the present one; late is what was appended since its snapshot was made.
-func (s *Store) rotate(snapshot, late [][]byte) error {
-	g, err := s.newSegment(s.nextSeq, snapshot)
-	s.nextSeq++
+// rotate replaces the current segment with a new one; sinceSnapshot holds the records appended after its snapshot was taken.
+func (s *Store) rotate(snapshot, sinceSnapshot [][]byte) error {
+	g, err := s.newSegment(s.nextSegment, snapshot)
+	s.nextSegment++
 	if err != nil {
 		return err
 	}
-	return s.changeTo(g, late)
+	return s.switchTo(g, sinceSnapshot)
 }
 
-// changeTo goes on in a segment and removes those before it.
-func (s *Store) changeTo(g *segment, late [][]byte) error {
-	for _, r := range late {
-		if err := g.put(recordLate, r); err != nil {
+// switchTo makes a segment the current one and removes earlier segments.
+func (s *Store) switchTo(g *segment, sinceSnapshot [][]byte) error {
+	for _, r := range sinceSnapshot {
+		if err := g.appendRecord(recordAppended, r); err != nil {
 			return err
 		}
 	}
@@ -91,94 +97,94 @@
 		return err
 	}
 	s.syncMu.Lock()
-	old := s.seg
-	s.seg = g
+	old := s.current
+	s.current = g
 	s.syncMu.Unlock()
 	if old != nil {
 		_ = old.file.Close()
 	}
-	// Those before it go once all of it is on the disk, for which nobody waits.
-	s.cleaning.Add(1)
+	// Earlier segments are removed once the new one is synced. This happens in the background, as nothing waits for it.
+	s.removals.Add(1)
 	go func() {
-		defer s.cleaning.Done()
+		defer s.removals.Done()
 		err := g.file.Sync()
 		if err == nil {
 			err = s.removeBefore(g.number)
 		}
 		if err != nil && !errors.Is(err, os.ErrClosed) {
-			s.o.Log("former segments stay", err)
+			s.options.Log("cannot remove old segments", err)
 		}
 	}()
 	return nil
 }
 
 func (s *Store) removeBefore(number uint64) error {
-	names, err := s.files.List(s.folder)
+	names, err := s.files.List(s.dir)
 	for _, name := range names {
 		if len(name) == len(segmentName(0)) && name[:8] == "segment-" && name < segmentName(number) {
-			err = errors.Join(err, s.files.Remove(filepath.Join(s.folder, name)))
+			err = errors.Join(err, s.files.Remove(filepath.Join(s.dir, name)))
 		}
 	}
 	return err
 }
 
-// write is the writer: it takes what is queued, all at once, until the store is closed.
+// write is the writer's loop: it processes all queued jobs at once, until the store is closed.
 func (s *Store) write() {
-	defer close(s.ended)
-	snapped := make(chan snapped, 1)
+	defer close(s.writerDone)
+	results := make(chan snapshotResult, 1)
 	for {
 		s.mu.Lock()
-		for len(s.queue) == 0 && !s.closing && len(snapped) == 0 {
+		for len(s.queue) == 0 && !s.closing && len(results) == 0 {
 			s.wake.Wait()
 		}
 		jobs, closing := s.queue, s.closing
 		s.queue = nil
 		s.mu.Unlock()
 		select {
-		case n := <-snapped:
-			s.takeSnapshot(n)
+		case r := <-results:
+			s.finishSnapshot(r)
 		default:
 		}
-		s.carryOut(jobs, snapped, closing)
+		s.process(jobs, results, closing)
 		if closing && len(jobs) == 0 {
-			if s.snapping {
-				s.takeSnapshot(<-snapped)
+			if s.snapshotRunning {
+				s.finishSnapshot(<-results)
 			}
 			return
 		}
 	}
 }
 
-// carryOut appends records and begins snapshots in the order in which they came: what comes behind a snapshot belongs
-// to both segments.
-func (s *Store) carryOut(jobs []job, to chan<- snapped, closing bool) {
+// process appends records and starts snapshots in the order of the queue. Records that follow a snapshot are written to
+// both the current segment and the new one.
+func (s *Store) process(jobs []job, results chan<- snapshotResult, closing bool) {
 	wrote, n := false, uint64(0)
 	for _, j := range jobs {
-		if j.snapshot && !s.snapping && !closing {
-			s.beginSnapshot(j.records, to)
+		if j.snapshot && !s.snapshotRunning && !closing {
+			s.startSnapshot(j.records, results)
 		}
 		if j.snapshot {
 			continue
 		}
 		for _, r := range j.records {
-			if s.snapping {
-				s.since = append(s.since, r)
+			if s.snapshotRunning {
+				s.sinceSnapshot = append(s.sinceSnapshot, r)
 			}
-			if s.failed == nil {
-				s.failed = s.seg.put(recordLate, r)
+			if s.writeErr == nil {
+				s.writeErr = s.current.appendRecord(recordAppended, r)
 				wrote = true
 			}
 			n++
 		}
 	}
-	if wrote && s.failed == nil {
-		if s.failed = s.seg.out.Flush(); s.failed == nil && s.o.SyncAll {
-			s.failed = s.seg.file.Sync()
+	if wrote && s.writeErr == nil {
+		if s.writeErr = s.current.out.Flush(); s.writeErr == nil && s.options.SyncOnAppend {
+			s.writeErr = s.current.file.Sync()
 		}
-		s.unsynced.Store(!s.o.SyncAll)
+		s.unsynced.Store(!s.options.SyncOnAppend)
 	}
 	s.mu.Lock()
-	if s.failed != nil {
+	if s.writeErr != nil {
 		s.stats.Dropped += n
 	} else {
 		s.stats.Appended += n
@@ -186,14 +192,14 @@
 	if wrote {
 		s.stats.Writes++
 	}
-	s.stats.Bytes = s.seg.bytes
+	s.stats.Bytes = s.current.bytes
 	s.mu.Unlock()
 	var err error
-	if s.failed != nil {
-		s.flags.setBehind(behindDisk, true) // before anybody hears of it
-		err = errors.Join(ErrUnwritten, s.failed)
+	if s.writeErr != nil {
+		s.flags.setIncomplete(incompleteWrites, true) // before any caller is notified
+		err = errors.Join(ErrNotWritten, s.writeErr)
 		if wrote {
-			s.o.Log("records are not kept", s.failed)
+			s.options.Log("records are not kept", s.writeErr)
 		}
 	}
 	for _, j := range jobs {
@@ -201,78 +207,78 @@
 			j.done(err)
 		}
 	}
-	if (s.seg.bytes > s.o.MostSegment || s.failed != nil) && !s.snapping && !s.asked {
-		s.asked = true
-		if s.failed != nil {
-			time.AfterFunc(time.Second, s.o.Wanted) // a full disk may have room again
+	if (s.current.bytes > s.options.MaxSegmentBytes || s.writeErr != nil) && !s.snapshotRunning && !s.snapshotRequested {
+		s.snapshotRequested = true
+		if s.writeErr != nil {
+			time.AfterFunc(snapshotRetryDelay, s.options.SnapshotNeeded) // a full disk may have space again by then
 		} else {
-			s.o.Wanted()
+			s.options.SnapshotNeeded()
 		}
 	}
 }
 
-// snapped is a segment that was begun beside the present one.
-type snapped struct {
-	g   *segment
-	err error
+// snapshotResult is a segment that was created while the current one was written to.
+type snapshotResult struct {
+	segment *segment
+	err     error
 }
 
-func (s *Store) beginSnapshot(records [][]byte, to chan<- snapped) {
-	s.snapping, s.asked = true, false
-	number := s.nextSeq
-	s.nextSeq++
+func (s *Store) startSnapshot(records [][]byte, results chan<- snapshotResult) {
+	s.snapshotRunning, s.snapshotRequested = true, false
+	number := s.nextSegment
+	s.nextSegment++
 	go func() {
 		g, err := s.newSegment(number, records)
-		to <- snapped{g, err}
+		results <- snapshotResult{g, err}
 		s.mu.Lock()
 		s.wake.Signal()
 		s.mu.Unlock()
 	}()
 }
 
-func (s *Store) takeSnapshot(n snapped) {
-	late := s.since
-	s.snapping, s.since = false, nil
-	err := n.err
+func (s *Store) finishSnapshot(r snapshotResult) {
+	sinceSnapshot := s.sinceSnapshot
+	s.snapshotRunning, s.sinceSnapshot = false, nil
+	err := r.err
 	if err == nil {
-		err = s.changeTo(n.g, late)
+		err = s.switchTo(r.segment, sinceSnapshot)
 	}
 	if err != nil {
-		s.o.Log("no snapshot", err)
-		if !s.asked {
-			s.asked = true
-			time.AfterFunc(time.Second, s.o.Wanted)
+		s.options.Log("snapshot failed", err)
+		if !s.snapshotRequested {
+			s.snapshotRequested = true
+			time.AfterFunc(snapshotRetryDelay, s.options.SnapshotNeeded)
 		}
 		return
 	}
-	if s.failed != nil {
-		s.failed = nil
-		s.flags.setBehind(behindDisk, false) // the snapshot has all that was dropped
-		s.o.Log("records are kept again", nil)
+	if s.writeErr != nil {
+		s.writeErr = nil
+		s.flags.setIncomplete(incompleteWrites, false) // the snapshot includes all dropped records
+		s.options.Log("records are kept again", nil)
 	}
 	s.mu.Lock()
 	s.stats.Snapshots++
 	s.mu.Unlock()
 }
 
-// syncLoop brings what was written to the disk from time to time.
+// syncLoop syncs written records to the disk at the sync interval.
 func (s *Store) syncLoop() {
-	t := time.NewTicker(s.o.SyncEvery)
+	t := time.NewTicker(s.options.SyncInterval)
 	defer t.Stop()
 	for {
 		select {
-		case <-s.ended:
+		case <-s.writerDone:
 			return
 		case <-t.C:
 		}
 		s.syncMu.Lock()
 		if s.unsynced.Swap(false) {
-			err := s.seg.file.Sync()
+			err := s.current.file.Sync()
 			s.mu.Lock()
 			s.stats.Syncs++
 			s.mu.Unlock()
 			if err != nil {
-				s.o.Log("not synced", err)
+				s.options.Log("sync failed", err)
 			}
 		}
 		s.syncMu.Unlock()
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -45,12 +45,12 @@
 const UsualWait = int64(20e6)
 
 // Disk is the file system that a ledger is on.
-type Disk = store.Files
+type Disk = store.FileSystem
 
 // Open takes a folder on a disk, nil for the operating system's, and reads what it holds. wanted is called, from some goroutine, when a snapshot is wanted; log
 // with what goes wrong, and with no error when it goes right again.
 func Open(folder string, on Disk, wanted func(), log func(string, error)) (*Ledger, *Found, error) {
-	s, r, err := store.Open(folder, store.Options{Files: on, Wanted: wanted, Log: log})
+	s, r, err := store.Open(folder, store.Options{FileSystem: on, SnapshotNeeded: wanted, Log: log})
 	if err != nil {
 		return nil, nil, fmt.Errorf("ledger: %w", err)
 	}
@@ -68,7 +68,7 @@
 }
 
 func found(r *store.Recovered, now clocks) *Found {
-	f := &Found{Complete: r.Complete, Clean: r.Clean, Torn: r.Torn, Spoilt: r.Spoilt, Segments: r.Segments}
+	f := &Found{Complete: r.Complete, Clean: r.Clean, Torn: r.Torn, Spoilt: r.Corrupt, Segments: r.Segments}
 	day, machine := now()
 	for _, text := range r.Records {
 		changes, err := read(text, day, machine)
@@ -97,10 +97,10 @@
 func (l *Ledger) Snapshot(state []session.Change) { l.store.Snapshot(l.word(state)) }
 
 // Behind says at once that something was answered that is not written; Caught takes it back.
-func (l *Ledger) Behind() { l.store.Behind() }
+func (l *Ledger) Behind() { l.store.MarkIncomplete() }
 
 // Caught takes Behind back.
-func (l *Ledger) Caught() { l.store.Caught() }
+func (l *Ledger) Caught() { l.store.ClearIncomplete() }
 
 // Close ends in order.
 func (l *Ledger) Close() error { return l.store.Close() }
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -19,7 +19,7 @@
 type world struct {
 	t   testing.TB
 	rng *rand.Rand
-	agenda.Agenda
+	agenda.Scheduler
 	nodes   []*node
 	bounds  []Bound
 	cut     func(from, to *node) bool
@@ -59,7 +59,7 @@
 var terms = Terms{Lease: 2 * second, ClockError: second / 20, Turn: second / 100, Linger: second / 2}
 
 func newWorld(t testing.TB, seed uint64, n int, bounds ...Bound) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 5)), bounds: bounds, Agenda: agenda.Agenda{Now: second}, cut: func(_, _ *node) bool { return false },
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 5)), bounds: bounds, Scheduler: agenda.Scheduler{Now: second}, cut: func(_, _ *node) bool { return false },
 		busy: map[uint64]int64{}, tokens: map[uint64]float64{}, filled: map[uint64]int64{}, begun: map[uint64]int64{}, tried: map[uint64]int64{},
 		trace: func(string, ...any) {}}
 	for i := range w.bounds {
--- a/rehearse/experiment/read.go
+++ b/rehearse/experiment/read.go
@@ -44,7 +44,7 @@
 	if err := hclsimple.Decode(path, body, nil, &t); err != nil {
 		var diags hcl.Diagnostics
 		if errors.As(err, &diags) {
-			return nil, hclfile.Problems(diags)
+			return nil, hclfile.JoinErrors(diags)
 		}
 		return nil, err
 	}
--- a/rehearse/sessions.go
+++ b/rehearse/sessions.go
@@ -80,7 +80,7 @@
 type sessionWorld struct {
 	day SessionDay
 	rng *rand.Rand
-	agenda.Agenda
+	agenda.Scheduler
 	gateways []*sessionGateway
 	epoch    uint64
 	last     int64              // the latest commit's position
@@ -119,7 +119,7 @@
 	if d.Gateways < 1 || d.Rate <= 0 || d.Sessions < 1 || d.Length <= 0 {
 		return SessionResult{}, fmt.Errorf("a day needs gateways, sessions, a rate and a length")
 	}
-	w := &sessionWorld{day: d, rng: rand.New(rand.NewPCG(d.Seed, 77)), Agenda: agenda.Agenda{Now: 1e9}, answered: map[uint64]int64{},
+	w := &sessionWorld{day: d, rng: rand.New(rand.NewPCG(d.Seed, 77)), Scheduler: agenda.Scheduler{Now: 1e9}, answered: map[uint64]int64{},
 		reads: map[uint64]*reading{}, added: hdrhistogram.New(1, 60_000_000, 3)}
 	for i := range d.Gateways {
 		g := &sessionGateway{no: i, skew: w.rng.Int64N(4e9)}
--- a/rehearse/world.go
+++ b/rehearse/world.go
@@ -32,7 +32,7 @@
 type world struct {
 	s   *Scenario
 	rng *rand.Rand
-	agenda.Agenda
+	agenda.Scheduler
 	events    int
 	epochs    uint64 // of sessions' notes, another for each process
 	log       audit.Log
@@ -109,7 +109,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{s: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), Agenda: agenda.Agenda{Now: begin}, cut: map[int]bool{}, parted: map[*Fault]bool{}, watch: watch, divisions: map[string]*subset.Division{}}
+	w := &world{s: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), Scheduler: agenda.Scheduler{Now: begin}, cut: map[int]bool{}, parted: map[*Fault]bool{}, watch: watch, divisions: map[string]*subset.Division{}}
 	for i, p := range s.Groups {
 		w.groups = append(w.groups, newCluster(w, i, p))
 	}
--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -12,7 +12,7 @@
 
 // world is a fleet on a virtual clock, whose gateways hear of members by one another and sometimes by themselves.
 type world struct {
-	agenda.Agenda
+	agenda.Scheduler
 	t     testing.TB
 	rng   *rand.Rand
 	nodes []*node
@@ -33,7 +33,7 @@
 }
 
 func newWorld(t testing.TB, n int, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 4)), cut: func(_, _ int) bool { return false }, Agenda: agenda.Agenda{Now: second}}
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 4)), cut: func(_, _ int) bool { return false }, Scheduler: agenda.Scheduler{Now: second}}
 	for i := range n {
 		w.nodes = append(w.nodes, &node{w: w, no: uint32(i)})
 	}
--- a/turns/turns_test.go
+++ b/turns/turns_test.go
@@ -15,7 +15,7 @@
 
 // world is a fleet whose gateways all want the same done at about the same time, on a virtual clock.
 type world struct {
-	agenda.Agenda
+	agenda.Scheduler
 	t     testing.TB
 	rng   *rand.Rand
 	all   []*Turns
@@ -32,7 +32,7 @@
 
 func newWorld(t testing.TB, n int, seed uint64) *world {
 	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 2)), cut: func(_, _ int) bool { return false }, dead: map[int]bool{}, lag: 100e6, takes: 20e6,
-		Agenda: agenda.Agenda{Now: second}}
+		Scheduler: agenda.Scheduler{Now: second}}
 	for i := range n {
 		x, err := New(Terms{Self: uint32(i), Wait: UsualWait})
 		if err != nil {
