--- a/cli/ledger.go
+++ b/cli/ledger.go
@@ -51,7 +51,7 @@
 	all := verdict{Complete: f.Complete, Clean: f.Clean, Changes: len(f.Changes), Torn: f.Torn, Spoilt: f.Spoilt,
 		Unread: f.Unread, Verdict: verdictOf(f), Segments: []part{}}
 	for _, s := range f.Segments {
-		all.Segments = append(all.Segments, part{s.Name, s.Bytes, s.Records, s.Whole, s.Torn, s.Corrupt})
+		all.Segments = append(all.Segments, part{s.Name, s.Bytes, s.Records, s.SnapshotComplete, s.Torn, s.Corrupt})
 	}
 	if v.JSON {
 		err = json.NewEncoder(out).Encode(all)
--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -31,30 +31,30 @@
 
 // Recovered holds the contents of a directory.
 type Recovered struct {
-	Records     [][]byte // the latest complete snapshot and the records appended after it, in order
-	Snapshot    int      // how many of the records belong to the snapshot
-	Clean       bool     // the last run was shut down cleanly
-	Complete    bool     // no record is missing for which the last run sent a response
-	Torn        int64    // bytes of a partial write at the end of the latest segment
-	Corrupt     int      // unreadable places before that
-	Segments    []Segment
-	lastSegment uint64
+	Records         [][]byte // the latest complete snapshot and the records appended after it, in order
+	SnapshotRecords int      // how many of the records belong to the snapshot
+	Clean           bool     // the last run was shut down cleanly
+	Complete        bool     // no record is missing for which the last run sent a response
+	Torn            int64    // bytes of a partial write at the end of the latest segment
+	Corrupt         int      // unreadable places before that
+	Segments        []Segment
+	lastSegment     uint64
 }
 
 // Segment is one file of the directory.
 type Segment struct {
-	Name          string
-	Number        uint64
-	Records       int
-	Bytes         int64
-	Whole         bool // its snapshot is complete
-	Torn          int64
-	Corrupt       int
-	records       [][]byte
-	snapshot      int
-	appended      int
-	unknownFormat bool
-	wrongNumber   bool // its header has another number than its name
+	Name             string
+	Number           uint64
+	Records          int
+	Bytes            int64
+	SnapshotComplete bool
+	Torn             int64 // bytes of a partial write at its end
+	Corrupt          int   // unreadable places before that
+	records          [][]byte
+	snapshotRecords  int
+	appendedRecords  int
+	unknownFormat    bool
+	wrongNumber      bool // its header has another number than its name
 }
 
 // ErrUnknownFormat reports that another version of this program wrote the directory.
@@ -106,13 +106,13 @@
 	found := false
 	for _, s := range slices.Backward(r.Segments) {
 		// The last run ended while it wrote a segment without a complete snapshot; the segment before it is still valid.
-		if s.Whole {
-			r.Records, r.Snapshot, r.Torn = s.records, s.snapshot, s.Torn
+		if s.SnapshotComplete {
+			r.Records, r.SnapshotRecords, r.Torn = s.records, s.snapshotRecords, s.Torn
 			r.Corrupt += s.Corrupt
 			found = true
 			break
 		}
-		r.Corrupt += s.Corrupt + s.appended
+		r.Corrupt += s.Corrupt + s.appendedRecords
 	}
 	if f, err := files.Open(filepath.Join(dir, "flags")); err == nil {
 		page, err := io.ReadAll(io.LimitReader(f, flagsSize))
@@ -194,11 +194,11 @@
 			s.wrongNumber = le.Uint64(text[2:]) != number
 		case recordSnapshot:
 			s.records = append(s.records, text[1:])
-			s.snapshot++
+			s.snapshotRecords++
 		case recordSnapshotEnd:
-			s.Whole = s.Corrupt == 0 && !s.wrongNumber && len(text) == 9 && le.Uint64(text[1:]) == uint64(s.snapshot)
+			s.SnapshotComplete = s.Corrupt == 0 && !s.wrongNumber && len(text) == 9 && le.Uint64(text[1:]) == uint64(s.snapshotRecords)
 		case recordAppended:
-			s.appended++
+			s.appendedRecords++
 			s.records = append(s.records, text[1:])
 		}
 	}
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -158,8 +158,8 @@
 // ClearIncomplete undoes MarkIncomplete.
 func (s *Store) ClearIncomplete() { s.flags.setIncomplete(incompleteResponses, false) }
 
-// Counts returns the statistics since Open.
-func (s *Store) Counts() Stats {
+// Stats returns the statistics since Open.
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
--- a/internal/store/writer.go
+++ b/internal/store/writer.go
@@ -12,7 +12,7 @@
 // snapshotRetryDelay is the delay before a snapshot is requested again after a failed write or snapshot.
 const snapshotRetryDelay = time.Second
 
-// recordOverhead is added to the size of a record's text as an estimate of its size on the disk, in bytes.
+// recordOverhead is the size of a record's type byte and of a journal chunk's header, in bytes.
 const recordOverhead = 8
 
 // segment is a file that is appended to.
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -106,7 +106,7 @@
 func (l *Ledger) Close() error { return l.store.Close() }
 
 // Counts gives what was done so far.
-func (l *Ledger) Counts() store.Stats { return l.store.Counts() }
+func (l *Ledger) Counts() store.Stats { return l.store.Stats() }
 
 // one is a change as it is written, little-endian. Ages are written as the times that they count from.
 type one struct {
