--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -105,7 +105,7 @@
 	}
 	found := false
 	for _, s := range slices.Backward(r.Segments) {
-		// The last run ended while it wrote a segment without a complete snapshot; the segment before it is still valid.
+		// The last run ended before it finished a segment without a complete snapshot; the segment before that is still valid.
 		if s.SnapshotComplete {
 			r.Records, r.SnapshotRecords, r.Torn = s.records, s.snapshotRecords, s.Torn
 			r.Corrupt += s.Corrupt
