--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -20,7 +20,7 @@
 type simulation struct {
 	t   testing.TB
 	rng *rand.Rand
-	agenda.Agenda
+	agenda.Scheduler
 	nodes         []*node
 	limits        []Limit
 	cut           func(from, to *node) bool
@@ -60,7 +60,7 @@
 var testConfig = Config{LeaseDuration: 2 * second, ClockError: second / 20, MaxEffectDelay: second / 100, MaxTxnDuration: second / 2}
 
 func newSimulation(tb testing.TB, seed uint64, gateways int, limits ...Limit) *simulation {
-	sim := &simulation{t: tb, rng: rand.New(rand.NewPCG(seed, 5)), limits: limits, Agenda: agenda.Agenda{Now: second}, cut: func(_, _ *node) bool { return false },
+	sim := &simulation{t: tb, rng: rand.New(rand.NewPCG(seed, 5)), limits: limits, Scheduler: agenda.Scheduler{Now: second}, cut: func(_, _ *node) bool { return false },
 		inUse: map[uint64]int64{}, tokens: map[uint64]float64{}, refilledAt: map[uint64]int64{}, begunUnits: map[uint64]int64{}, tried: map[uint64]int64{},
 		trace: func(string, ...any) {}}
 	for i := range sim.limits {
