--- a/cli/ledger.go
+++ b/cli/ledger.go
@@ -132,9 +132,9 @@
 
 func lineOf(c *session.Change) line {
 	kinds := [...]string{"began", "noted", "heard", "caught up", "floor", "lost"}
-	l := line{Kind: kinds[c.Kind], Peer: c.Peer, No: c.No, Group: c.Entry.Group, Position: float64(c.Entry.Position) / 1e6}
-	if c.Kind == session.Noted || c.Kind == session.Heard {
-		l.Entry = [...]string{"mark", "sent"}[min(c.Entry.Kind, session.Sent)]
+	l := line{Kind: kinds[c.Kind], Peer: c.Peer, No: c.Sequence, Group: c.Entry.Group, Position: float64(c.Entry.Position) / 1e6}
+	if c.Kind == session.EntryRecorded || c.Kind == session.EntryReceived {
+		l.Entry = [...]string{"mark", "sent"}[min(c.Entry.Kind, session.KeyedWriteEntry)]
 		l.Key = fmt.Sprintf("%016x", c.Entry.Key)
 		l.Age = time.Duration(c.Entry.Age).Round(time.Millisecond).String()
 	}
--- a/fleet/marks.go
+++ b/fleet/marks.go
@@ -36,12 +36,12 @@
 	if found.Complete {
 		s.Module.Restore(found.Changes)
 	} else {
-		s.Module.RestoreKeys(found.Changes)
+		s.Module.RestoreKeyedWrites(found.Changes)
 	}
-	s.Module.Keep()
+	s.Module.TrackChanges()
 	h.Logger().Info("ledger read", "folder", plan.Folder, "changes", len(found.Changes), "complete", found.Complete,
 		"clean", found.Clean, "torn_bytes", found.Torn, "spoilt", found.Spoilt)
-	if err := m.ledger.Began(s.Module.Dump(), m.waits); err != nil {
+	if err := m.ledger.Began(s.Module.Snapshot(), m.waits); err != nil {
 		_ = m.ledger.Close()
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 
 // keep hands over what has changed. An answer that waits for it is given once it is written.
 func (m *marks) keep(answer slots.Ref) {
-	changes := m.s.Module.Changes()
+	changes := m.s.Module.TakeChanges()
 	if answer == (slots.Ref{}) {
 		if len(changes) > 0 {
 			m.ledger.Append(changes, nil)
@@ -96,7 +96,7 @@
 	}
 }
 
-func (m *marks) snapshot() { m.ledger.Snapshot(m.s.Module.Dump()) }
+func (m *marks) snapshot() { m.ledger.Snapshot(m.s.Module.Snapshot()) }
 
 func (m *marks) told(text string, err error) {
 	if (err != nil) != m.failing {
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -14,7 +14,7 @@
 // SessionPlan is what the operator says of the guarantee of sessions. Without one a gateway covers what clients
 // bring and, where the settings say `kept`, what it answered itself.
 type SessionPlan struct {
-	Terms    session.Terms // Self and Fleet are set by Gateways, or where the fleet agrees on its list by that
+	Terms    session.Config // Self and Fleet are set by Gateways, or where the fleet agrees on its list by that
 	Tokens   TokenUse
 	Listen   netip.AddrPort   // for other gateways; not valid where there are none
 	Gateways []netip.AddrPort // of the whole fleet, this one among them, in the same order everywhere
@@ -68,10 +68,10 @@
 	default:
 		return wrong("tokens has the unknown value %q", p.Tokens)
 	}
-	if p.Terms.Agreed && len(p.Gateways) > 0 {
+	if p.Terms.DynamicMembership && len(p.Gateways) > 0 {
 		return wrong("the fleet agrees on its list of gateways")
 	}
-	p.Terms.Fleet, p.Terms.Self = max(1, len(p.Gateways)), 0
+	p.Terms.FleetSize, p.Terms.Self = max(1, len(p.Gateways)), 0
 	if len(p.Gateways) > 1 {
 		if p.Terms.Self = slices.Index(p.Gateways, p.Listen); p.Terms.Self < 0 {
 			return wrong("gateways does not name %v, where this one listens for them", p.Listen)
@@ -98,11 +98,11 @@
 	if !reports {
 		return errors.New("sessions: members must answer probes with their position (settings: limits.probes, loadReport)")
 	}
-	return p.Terms.Check()
+	return p.Terms.Validate()
 }
 
 // Alone tells that there are no other gateways.
-func (p *SessionPlan) Alone() bool { return len(p.Gateways) < 2 && !p.Terms.Agreed }
+func (p *SessionPlan) Alone() bool { return len(p.Gateways) < 2 && !p.Terms.DynamicMembership }
 
 // others are the addresses of the other gateways, by their places in the list.
 func (p *SessionPlan) others() map[int]netip.AddrPort {
--- a/fleet/sessions.go
+++ b/fleet/sessions.go
@@ -78,15 +78,15 @@
 
 // Listed takes the fleet's list, before this gateway says that it holds it.
 func (s *Sessions) Listed(m *agreement.Manifest) {
-	l := session.List{Self: -1, Ended: m.Ended}
+	l := session.Membership{Self: -1, EndedVersion: m.Ended}
 	others := map[int]netip.AddrPort{}
 	for _, all := range [][]agreement.Gateway{m.Gateways, m.Ghosts} {
 		for _, g := range all {
 			if g.ID == s.agreed.Self() {
-				l.Self, l.Seated = g.Place, g.Seated // a ghost is not
+				l.Self, l.KnownToAll = g.Place, g.Seated // a ghost is not
 				continue
 			}
-			l.Others = append(l.Others, g.Place)
+			l.Peers = append(l.Peers, g.Place)
 			if a, err := netip.ParseAddrPort(g.Address); err == nil {
 				others[g.Place] = a
 			}
@@ -94,12 +94,12 @@
 	}
 	s.peers.List(max(0, l.Self), others)
 	s.Clock()
-	s.Module.Listed(l)
+	s.Module.SetMembership(l)
 }
 
 // Started tells that the loop runs.
 func (s *Sessions) Started() {
-	s.host.Logger().Info("sessions are covered", "source", s.Plan.Terms.Source, "gateways", s.Plan.Terms.Fleet, "tokens", s.Plan.Tokens)
+	s.host.Logger().Info("sessions are covered", "source", s.Plan.Terms.Source, "gateways", s.Plan.Terms.FleetSize, "tokens", s.Plan.Tokens)
 }
 
 // Close ends them.
@@ -112,7 +112,7 @@
 }
 
 // Clock has the module know the time: what comes is told at its time.
-func (s *Sessions) Clock() { s.Module.Clock(s.host.Now()) }
+func (s *Sessions) Clock() { s.Module.SetTime(s.host.Now()) }
 
 // Talks tells whether there are other gateways to hear.
 func (s *Sessions) Talks() bool { return s.peers != nil }
@@ -126,7 +126,7 @@
 	s.Clock()
 	switch m.Type {
 	case peerwire.Ask:
-		s.Module.Asked(m.From, m.No, m.Epoch, m.Last)
+		s.Module.HandleRequest(m.From, m.No, m.Epoch, m.Last)
 	case peerwire.Positions:
 		s.host.News(m.Entries)
 	default:
@@ -135,7 +135,7 @@
 			page.Entries = append(page.Entries, session.Entry{Kind: session.EntryKind(e.Kind), Group: int(e.Group), Key: e.Key,
 				Position: session.Position(e.Position), Age: int64(e.Age) * 1000})
 		}
-		s.Module.Told(m.From, m.No, page)
+		s.Module.HandlePage(m.From, m.No, page)
 	}
 }
 
@@ -152,7 +152,7 @@
 			brought, complete = session.Position(p), true
 		}
 	}
-	s.Module.Read(id, group, of, brought, complete, until)
+	s.Module.AddRead(id, group, of, brought, complete, until)
 }
 
 // Committed notes a session's write before it is answered, and gives the token that its client is to carry, if any.
@@ -160,7 +160,7 @@
 	if of == 0 {
 		return nil
 	}
-	s.Module.Committed(group, of, p)
+	s.Module.RecordCommit(group, of, p)
 	if s.Plan.Tokens != TokensSigned || p == 0 {
 		return nil
 	}
@@ -180,12 +180,12 @@
 // answer.
 func (s *Sessions) Fenced(group int, no uint64, at session.Position, primary bool) {
 	if primary && at > 0 {
-		s.Module.Fenced(group, no, at)
+		s.Module.FenceCompleted(group, no, at)
 		return
 	}
 	s.turns++
 	if at > 0 {
-		s.Module.Seen(group, at)
+		s.Module.RecordMemberPosition(group, at)
 	}
 	s.Module.FenceFailed(group, no)
 }
@@ -194,7 +194,7 @@
 func (s *Sessions) Turn() {
 	s.Clock()
 	if s.agreed != nil {
-		s.Module.Until(s.agreed.Leased())
+		s.Module.SetLeaseExpiry(s.agreed.Leased())
 	}
 	for {
 		d, ok := s.Module.Next()
@@ -206,17 +206,17 @@
 		}
 		switch d.Kind {
 		case session.Serve:
-			s.host.Serve(d.Read, d.Floor)
+			s.host.Serve(d.ReadID, d.Floor)
 		case session.Refuse:
-			s.host.Refuse(d.Read, d.After)
+			s.host.Refuse(d.ReadID, d.Delay)
 		case session.Fence:
-			if !s.host.Fence(d.Group, d.No, s.turns, s.Plan.Terms.FenceWait) {
-				s.Module.FenceFailed(d.Group, d.No)
+			if !s.host.Fence(d.Group, d.RequestID, s.turns, s.Plan.Terms.FenceTimeout) {
+				s.Module.FenceFailed(d.Group, d.RequestID)
 			}
-		case session.Ask, session.Tell:
+		case session.RequestEntries, session.SendEntries:
 			s.send(&d)
 		case session.Wake:
-			s.host.WakeAfter(d.After)
+			s.host.WakeAfter(d.Delay)
 		case session.Log:
 			s.host.Logger().Info(d.Text)
 		}
@@ -224,8 +224,8 @@
 }
 
 func (s *Sessions) send(d *session.Decision) {
-	m := peerwire.Message{Type: peerwire.Ask, No: d.No, Epoch: d.Page.Epoch, Last: d.Page.Last, First: d.Page.First}
-	if d.Kind == session.Tell {
+	m := peerwire.Message{Type: peerwire.Ask, No: d.RequestID, Epoch: d.Page.Epoch, Last: d.Page.Last, First: d.Page.First}
+	if d.Kind == session.SendEntries {
 		m.Type = peerwire.Tell
 	}
 	for _, e := range d.Page.Entries {
--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -290,7 +290,7 @@
 
 // ready tells whether clients may come: not before it knows what holds, or has asked for it long enough.
 func (a *agreed) ready() bool {
-	known := a.held && (a.g.sessions == nil || a.g.sessions.Module.Notes())
+	known := a.held && (a.g.sessions == nil || a.g.sessions.Module.AcceptsSessionWrites())
 	return known || a.f.Plan().Serve || a.g.clock.passed() > time.Duration(a.f.Plan().Terms.Settling())
 }
 
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -168,7 +168,7 @@
 		return lacking("clock_error")
 	}
 	if c.Sessions != nil {
-		if c.Sessions.Terms.Agreed = c.Agreement != nil; c.Agreement != nil {
+		if c.Sessions.Terms.DynamicMembership = c.Agreement != nil; c.Agreement != nil {
 			c.Sessions.Keys = nil // one address, one set of keys
 			for _, k := range c.Agreement.Keys {
 				c.Sessions.Keys = append(c.Sessions.Keys, fleet.PeerKey{ID: k.ID, Secret: k.Secret})
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -139,7 +139,7 @@
 	log, lines := logLines()
 	_, members := group(0, 1)
 	d := &heldDisk{Files: store.System()}
-	plan := &hosted.SessionPlan{Terms: session.Defaults(), Ledger: hosted.LedgerPlan{Folder: t.TempDir(),
+	plan := &hosted.SessionPlan{Terms: session.DefaultConfig(), Ledger: hosted.LedgerPlan{Folder: t.TempDir(),
 		BeforeAnswer: hosted.DurableProcess, AtMost: int64(50 * time.Millisecond)}}
 	plan.Ledger.Disk = d
 	address := embedded(t, log, plan, members...)
@@ -206,7 +206,7 @@
 	must(json.Unmarshal([]byte(`{"name":"e","listen":"127.0.0.4:1","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":192,"sockets":256}}`), &c))
 	c.Settings = json.RawMessage(settings)
 	c.Listen = netip.MustParseAddrPort(freePort("tcp4", "127.0.0.4"))
-	c.Sessions = &hosted.SessionPlan{Terms: session.Defaults(), Ledger: hosted.LedgerPlan{Folder: folder}}
+	c.Sessions = &hosted.SessionPlan{Terms: session.DefaultConfig(), Ledger: hosted.LedgerPlan{Folder: folder}}
 	g, err := gateway.New(c)
 	must(err)
 	if err := g.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "in use by another process") {
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -67,7 +67,7 @@
 
 // mayRepeatKey tells how long a keyed write may be sent; ok is false where that is over.
 func (g *Gateway) mayRepeatKey(t *txn, window, budget decide.Nanos) (left decide.Nanos, ok bool) {
-	until, ok := g.sessions.Module.Repeat(t.comment.Group, t.key, int64(window))
+	until, ok := g.sessions.Module.RetryDeadline(t.comment.Group, t.key, int64(window))
 	if until > 0 {
 		budget = min(budget, decide.Nanos(until)-g.clock.now())
 	}
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -101,7 +101,7 @@
 	if comment.Key != nil {
 		t.key = keyOf(comment.Key)
 	}
-	if g.sessions != nil && why == routes.Free && t.writes && t.session != 0 && !g.sessions.Module.Notes() {
+	if g.sessions != nil && why == routes.Free && t.writes && t.session != 0 && !g.sessions.Module.AcceptsSessionWrites() {
 		why, after = routes.Unagreed, g.sessions.Plan.Terms.RetryAfter // others do not know that it is to be asked
 	}
 	repeats := true
@@ -268,7 +268,7 @@
 			g.reserved.count(t, false)
 		}
 		if t.held {
-			g.sessions.Module.Withdrawn(t.id)
+			g.sessions.Module.CancelRead(t.id)
 		} else {
 			g.module.Withdrawn(t.id)
 		}
@@ -298,7 +298,7 @@
 		return
 	}
 	if g.sessions != nil && t.key != 0 && !t.answered {
-		g.sessions.Module.Sent(t.comment.Group, t.key)
+		g.sessions.Module.RecordKeyedWrite(t.comment.Group, t.key)
 	}
 	no := len(t.subs)
 	t.out++
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -120,17 +120,17 @@
 }
 
 func (r *reader) sessions(b *hcl.Block) *fleet.SessionPlan {
-	p := &fleet.SessionPlan{Terms: session.Defaults(), Tokens: fleet.TokensHints}
+	p := &fleet.SessionPlan{Terms: session.DefaultConfig(), Tokens: fleet.TokensHints}
 	t := &p.Terms
 	in := r.block(b, []string{"source", "tokens", "span", "key_span", "most_marks", "fence_wait", "retry_after"}, "peers", "ledger")
 	source, tokens := string(t.Source), string(p.Tokens)
-	in.OneOf("source", &source, string(session.Covered), string(session.Fenced), string(session.Own))
+	in.OneOf("source", &source, string(session.SourceEntries), string(session.SourcePrimary), string(session.SourceLocal))
 	in.OneOf("tokens", &tokens, string(fleet.TokensHints), string(fleet.TokensComplete), string(fleet.TokensSigned))
-	t.Source, p.Tokens = session.Source(source), fleet.TokenUse(tokens)
-	in.Span("span", &t.Span, time.Second)
-	in.Span("key_span", &t.KeySpan, time.Millisecond)
-	in.Whole("most_marks", &t.MostMarks, 1, 10_000_000)
-	in.Span("fence_wait", &t.FenceWait, time.Millisecond)
+	t.Source, p.Tokens = session.FloorSource(source), fleet.TokenUse(tokens)
+	in.Span("span", &t.WatermarkExpiry, time.Second)
+	in.Span("key_span", &t.KeyedWriteExpiry, time.Millisecond)
+	in.Whole("most_marks", &t.MaxWatermarks, 1, 10_000_000)
+	in.Span("fence_wait", &t.FenceTimeout, time.Millisecond)
 	in.Span("retry_after", &t.RetryAfter, 0)
 	seen := map[string]bool{}
 	for _, b := range in.Blocks {
@@ -178,8 +178,8 @@
 		r.Wrong(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway.")
 	}
 	in.Number("messages_per_txn", &p.Terms.MessagesPerTxn, 0, 1000)
-	in.Span("peer_wait", &p.Terms.PeerWait, time.Millisecond)
-	in.Span("keepalive", &p.Terms.Keepalive, 10*time.Millisecond)
+	in.Span("peer_wait", &p.Terms.PeerTimeout, time.Millisecond)
+	in.Span("keepalive", &p.Terms.KeepaliveInterval, 10*time.Millisecond)
 	in.Decode("positions", &p.Positions)
 	if p.Positions && len(p.Gateways) < 2 {
 		r.lonely = in.RangeOf("positions")
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -131,7 +131,7 @@
 		for i := range changes[:n] {
 			c := &changes[i]
 			text, _ = binary.Append(text, binary.LittleEndian, &one{Kind: uint8(c.Kind), Entry: uint8(c.Entry.Kind),
-				Peer: uint16(c.Peer), Group: uint16(c.Entry.Group), No: c.No, Epoch: c.Epoch, Key: c.Entry.Key,
+				Peer: uint16(c.Peer), Group: uint16(c.Entry.Group), No: c.Sequence, Epoch: c.Epoch, Key: c.Entry.Key,
 				Position: int64(c.Entry.Position), Day: day - c.Entry.Age, Machine: machine - c.Entry.Age})
 		}
 		records = append(records, text)
@@ -148,7 +148,7 @@
 	}
 	for ; len(text) > 0; text = text[oneSize:] {
 		var o one
-		if _, err := binary.Decode(text, binary.LittleEndian, &o); err != nil || o.Kind > uint8(session.Ended) {
+		if _, err := binary.Decode(text, binary.LittleEndian, &o); err != nil || o.Kind > uint8(session.GatewayEnded) {
 			return changes, errUnread
 		}
 		// The machine's clock began anew with another boot, and the day's may have been set: whichever says longer.
@@ -156,7 +156,7 @@
 		if o.Machine <= machine {
 			age = max(age, machine-o.Machine)
 		}
-		changes = append(changes, session.Change{Kind: session.ChangeKind(o.Kind), Peer: int(o.Peer), No: o.No, Epoch: o.Epoch,
+		changes = append(changes, session.Change{Kind: session.ChangeKind(o.Kind), Peer: int(o.Peer), Sequence: o.No, Epoch: o.Epoch,
 			Entry: session.Entry{Kind: session.EntryKind(o.Entry), Group: int(o.Group), Key: o.Key,
 				Position: session.Position(o.Position), Age: age}})
 	}
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -24,9 +24,9 @@
 		l := &Ledger{now: func() (int64, int64) { return day, machine }}
 		var all []session.Change
 		for range rapid.IntRange(0, 1200).Draw(t, "changes") {
-			all = append(all, session.Change{Kind: session.ChangeKind(rapid.IntRange(0, int(session.Lost)).Draw(t, "kind")),
-				Peer: rapid.IntRange(0, 4095).Draw(t, "peer"), No: rapid.Uint64().Draw(t, "no"), Epoch: rapid.Uint64().Draw(t, "epoch"),
-				Entry: session.Entry{Kind: session.Sent, Group: rapid.IntRange(0, 1<<16-1).Draw(t, "group"), Key: rapid.Uint64().Draw(t, "key"),
+			all = append(all, session.Change{Kind: session.ChangeKind(rapid.IntRange(0, int(session.EntriesLost)).Draw(t, "kind")),
+				Peer: rapid.IntRange(0, 4095).Draw(t, "peer"), Sequence: rapid.Uint64().Draw(t, "no"), Epoch: rapid.Uint64().Draw(t, "epoch"),
+				Entry: session.Entry{Kind: session.KeyedWriteEntry, Group: rapid.IntRange(0, 1<<16-1).Draw(t, "group"), Key: rapid.Uint64().Draw(t, "key"),
 					Position: session.Position(rapid.Int64().Draw(t, "position")), Age: rapid.Int64Range(0, 1e11).Draw(t, "age")}})
 		}
 		var got []session.Change
@@ -50,7 +50,7 @@
 // taken for younger than it is; where both happened, its age is lost.
 func Example_ages() {
 	l := &Ledger{now: func() (int64, int64) { return 1000e9, 500e9 }}
-	text := l.word([]session.Change{{Kind: session.Heard}})[0]
+	text := l.word([]session.Change{{Kind: session.EntryReceived}})[0]
 	for _, now := range [][2]int64{{1010e9, 510e9}, {900e9, 510e9}, {1010e9, 3e9}, {900e9, 3e9}} {
 		c, _ := read(text, now[0], now[1])
 		fmt.Println(c[0].Entry.Age / 1e9)
@@ -72,21 +72,21 @@
 	if err != nil || f.Complete {
 		t.Fatal(f, err)
 	}
-	s, _ := session.New(session.Defaults(), 1, 7)
-	s.Keep()
-	s.Clock(1e9)
-	if err := l.Began(s.Dump(), true); err != nil {
+	s, _ := session.New(session.DefaultConfig(), 1, 7)
+	s.TrackChanges()
+	s.SetTime(1e9)
+	if err := l.Began(s.Snapshot(), true); err != nil {
 		t.Fatal(err)
 	}
-	s.Read(1, 0, 5, 0, false, 2e9)
+	s.AddRead(1, 0, 5, 0, false, 2e9)
 	for d, ok := s.Next(); ok; d, ok = s.Next() {
 		if d.Kind == session.Fence {
-			s.Fenced(0, d.No, 100)
+			s.FenceCompleted(0, d.RequestID, 100)
 		}
 	}
-	s.Committed(0, 5, 300)
+	s.RecordCommit(0, 5, 300)
 	done := make(chan error)
-	l.Append(s.Changes(), func(err error) { done <- err })
+	l.Append(s.TakeChanges(), func(err error) { done <- err })
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -100,10 +100,10 @@
 		if err != nil || !f.Complete || f.Clean != (where == folder) {
 			t.Fatalf("%+v %v", f, err)
 		}
-		again, _ := session.New(session.Defaults(), 2, 8)
-		again.Clock(50e9)
+		again, _ := session.New(session.DefaultConfig(), 2, 8)
+		again.SetTime(50e9)
 		again.Restore(f.Changes)
-		again.Read(2, 0, 5, 0, false, 60e9)
+		again.AddRead(2, 0, 5, 0, false, 60e9)
 		if d, ok := again.Next(); !ok || d.Kind != session.Serve || d.Floor != 300 {
 			t.Fatalf("%+v", d)
 		}
@@ -119,7 +119,7 @@
 	}
 	all := make([]session.Change, 1_000_000)
 	for i := range all {
-		all[i] = session.Change{Kind: session.Heard, Entry: session.Entry{Key: uint64(i), Position: session.Position(i + 1)}}
+		all[i] = session.Change{Kind: session.EntryReceived, Entry: session.Entry{Key: uint64(i), Position: session.Position(i + 1)}}
 	}
 	if err := l.Began(all, true); err != nil {
 		b.Fatal(err)
--- a/rehearse/covered.go
+++ b/rehearse/covered.go
@@ -26,21 +26,21 @@
 	if w.s.Sessions == Brought || w.s.Policy != ByModule {
 		return nil, nil
 	}
-	t := session.Defaults()
-	t.Self, t.Fleet, t.Source = n.no, len(w.nodes), session.Source(w.s.Sessions)
+	t := session.DefaultConfig()
+	t.Self, t.FleetSize, t.Source = n.no, len(w.nodes), session.FloorSource(w.s.Sessions)
 	w.epochs++
 	m, err := session.New(t, w.s.Seed+uint64(n.no), w.epochs)
 	if err != nil {
 		return nil, err
 	}
 	h := &sessionHost{n: n, module: m}
-	m.Clock(w.Now)
+	m.SetTime(w.Now)
 	return h, nil
 }
 
 // tell gives the module an input and carries out what it decides.
 func (h *sessionHost) tell(input func()) {
-	h.module.Clock(h.n.w.Now)
+	h.module.SetTime(h.n.w.Now)
 	input()
 	if h.busy {
 		return
@@ -62,20 +62,20 @@
 	alive := func(n *node, run int) bool { return n.up && n.run == run }
 	switch d.Kind {
 	case session.Serve:
-		if t := n.open[d.Read]; t != nil {
+		if t := n.open[d.ReadID]; t != nil {
 			t.floor = int64(d.Floor)
 			n.route(t)
 		}
 	case session.Refuse:
-		n.answer(n.open[d.Read], audit.Declined, 0, 0, d.After)
+		n.answer(n.open[d.ReadID], audit.Declined, 0, 0, d.Delay)
 	case session.Fence:
 		server, ok := n.module.Standing(d.Group, h.turns)
 		if !ok {
-			h.module.FenceFailed(d.Group, d.No)
+			h.module.FenceFailed(d.Group, d.RequestID)
 			return
 		}
 		over := false
-		group, no := d.Group, d.No
+		group, no := d.Group, d.RequestID
 		end := func(report []float64) {
 			if over || !alive(n, run) {
 				return
@@ -83,20 +83,20 @@
 			over = true
 			h.tell(func() {
 				if len(report) > 1 && report[1] == 1 {
-					h.module.Fenced(group, no, session.Position(report[0]*1e9))
+					h.module.FenceCompleted(group, no, session.Position(report[0]*1e9))
 					return
 				}
 				h.turns++
 				if len(report) > 1 {
-					h.module.Seen(group, session.Position(report[0]*1e9))
+					h.module.RecordMemberPosition(group, session.Position(report[0]*1e9))
 				}
 				h.module.FenceFailed(group, no)
 			})
 		}
-		w.After(session.Defaults().FenceWait, func() { end(nil) })
+		w.After(session.DefaultConfig().FenceTimeout, func() { end(nil) })
 		n.ask(w.baseOf(server), func(_ decide.Result, report []float64) { end(report) })
-	case session.Ask, session.Tell:
-		to, page, no, ask := w.nodes[d.Peer], d.Page, d.No, d.Kind == session.Ask
+	case session.RequestEntries, session.SendEntries:
+		to, page, no, ask := w.nodes[d.Peer], d.Page, d.RequestID, d.Kind == session.RequestEntries
 		if w.parts(n.no, to.no) {
 			return
 		}
@@ -106,14 +106,14 @@
 			}
 			to.sessions.tell(func() {
 				if ask {
-					to.sessions.module.Asked(n.no, no, page.Epoch, page.Last)
+					to.sessions.module.HandleRequest(n.no, no, page.Epoch, page.Last)
 				} else {
-					to.sessions.module.Told(n.no, no, page)
+					to.sessions.module.HandlePage(n.no, no, page)
 				}
 			})
 		})
 	case session.Wake:
-		w.After(max(1, d.After), func() {
+		w.After(max(1, d.Delay), func() {
 			if alive(n, run) {
 				h.tell(func() {})
 			}
--- a/rehearse/nodes.go
+++ b/rehearse/nodes.go
@@ -295,7 +295,7 @@
 	}
 	kind := &n.w.s.Types[t.kind]
 	if n.sessions != nil && kind.Effect == "by_key" {
-		until, ok := n.sessions.module.Repeat(n.groupOf(t), t.key, kind.Window)
+		until, ok := n.sessions.module.RetryDeadline(n.groupOf(t), t.key, kind.Window)
 		if !ok {
 			n.answer(t, audit.RolledBack, 0, 0, 0)
 			return
@@ -305,7 +305,7 @@
 		}
 	}
 	if n.sessions != nil && kind.Need == "causal" {
-		n.sessions.tell(func() { n.sessions.module.Read(t.id, n.groupOf(t), t.session, 0, false, n.w.Now+t.budget) })
+		n.sessions.tell(func() { n.sessions.module.AddRead(t.id, n.groupOf(t), t.session, 0, false, n.w.Now+t.budget) })
 		return
 	}
 	n.route(t)
@@ -367,7 +367,7 @@
 	t.subs = append(t.subs, s)
 	t.out++
 	if n.sessions != nil && t.key != 0 && !t.done {
-		n.sessions.tell(func() { n.sessions.module.Sent(n.groupOf(t), t.key) })
+		n.sessions.tell(func() { n.sessions.module.RecordKeyedWrite(n.groupOf(t), t.key) })
 	}
 	if t.done {
 		w.After(0, func() { n.ended(t, no, reply{result: moot}) })
@@ -484,7 +484,7 @@
 		}
 	}
 	if r.result == committed && !t.done && n.sessions != nil && n.w.s.Types[t.kind].Need == "mutate" {
-		n.sessions.tell(func() { n.sessions.module.Committed(n.groupOf(t), t.session, session.Position(r.position)) })
+		n.sessions.tell(func() { n.sessions.module.RecordCommit(n.groupOf(t), t.session, session.Position(r.position)) })
 	}
 	if r.result == committed {
 		n.answer(t, audit.Served, r.version, r.position, 0)
--- a/rehearse/sessions.go
+++ b/rehearse/sessions.go
@@ -152,8 +152,8 @@
 	if !w.uses() {
 		return nil
 	}
-	t := session.Defaults()
-	t.Self, t.Fleet, t.Source = g.no, w.day.Gateways, session.Source(w.day.Policy)
+	t := session.DefaultConfig()
+	t.Self, t.FleetSize, t.Source = g.no, w.day.Gateways, session.FloorSource(w.day.Policy)
 	if w.day.Budget > 0 {
 		t.MessagesPerTxn = w.day.Budget
 	}
@@ -162,7 +162,7 @@
 		return err
 	}
 	if g.module != nil {
-		g.before = plus(g.before, g.module.Counts())
+		g.before = plus(g.before, g.module.Stats())
 	}
 	g.module = m
 	w.pull(g)
@@ -206,7 +206,7 @@
 				return // never answered
 			}
 			if w.uses() {
-				w.tell(g, func() { g.module.Committed(0, s, session.Position(p)) })
+				w.tell(g, func() { g.module.RecordCommit(0, s, session.Position(p)) })
 			}
 			w.saw[g.no][s] = w.Now
 			w.answered[s] = max(w.answered[s], p)
@@ -229,14 +229,14 @@
 		}
 		w.place(id, floor)
 	default:
-		w.tell(g, func() { g.module.Read(id, 0, s, 0, false, w.Now+g.skew+1e9) })
+		w.tell(g, func() { g.module.AddRead(id, 0, s, 0, false, w.Now+g.skew+1e9) })
 	}
 }
 
 // tell gives a gateway's module an input and carries out what it decides.
 func (w *sessionWorld) tell(g *sessionGateway, input func()) {
 	began := time.Now()
-	g.module.Clock(w.Now + g.skew)
+	g.module.SetTime(w.Now + g.skew)
 	input()
 	w.spent += time.Since(began)
 	w.pull(g)
@@ -245,7 +245,7 @@
 func (w *sessionWorld) pull(g *sessionGateway) {
 	for {
 		began := time.Now()
-		g.module.Clock(w.Now + g.skew)
+		g.module.SetTime(w.Now + g.skew)
 		d, ok := g.module.Next()
 		w.spent += time.Since(began)
 		if !ok {
@@ -259,12 +259,12 @@
 	run := g.run
 	switch d.Kind {
 	case session.Serve:
-		w.place(d.Read, int64(d.Floor))
+		w.place(d.ReadID, int64(d.Floor))
 	case session.Refuse:
 		w.result.Refused++
-		delete(w.reads, d.Read)
+		delete(w.reads, d.ReadID)
 	case session.Wake:
-		w.After(max(1, d.After), func() {
+		w.After(max(1, d.Delay), func() {
 			if g.run == run {
 				w.pull(g)
 			}
@@ -274,11 +274,11 @@
 			p := session.Position(max(w.last, w.Now))
 			w.After(w.way(), func() {
 				if g.run == run {
-					w.tell(g, func() { g.module.Fenced(d.Group, d.No, p) })
+					w.tell(g, func() { g.module.FenceCompleted(d.Group, d.RequestID, p) })
 				}
 			})
 		})
-	case session.Ask, session.Tell:
+	case session.RequestEntries, session.SendEntries:
 		w.messages++
 		w.bytes += messageBytes + entryBytes*len(d.Page.Entries)
 		if w.rng.Float64() < w.day.Loss {
@@ -287,10 +287,10 @@
 		to := w.gateways[d.Peer]
 		w.After(w.way(), func() {
 			w.tell(to, func() {
-				if d.Kind == session.Ask {
-					to.module.Asked(g.no, d.No, d.Page.Epoch, d.Page.Last)
+				if d.Kind == session.RequestEntries {
+					to.module.HandleRequest(g.no, d.RequestID, d.Page.Epoch, d.Page.Last)
 				} else {
-					to.module.Told(g.no, d.No, d.Page)
+					to.module.HandlePage(g.no, d.RequestID, d.Page)
 				}
 			})
 		})
@@ -328,7 +328,7 @@
 }
 
 func plus(a, b session.Stats) session.Stats {
-	a.Asks, a.Tells, a.Fences, a.Fenced, a.Covered = a.Asks+b.Asks, a.Tells+b.Tells, a.Fences+b.Fences, a.Fenced+b.Fenced, a.Covered+b.Covered
+	a.EntryRequests, a.PagesSent, a.FenceRequests, a.Fenced, a.Covered = a.EntryRequests+b.EntryRequests, a.PagesSent+b.PagesSent, a.FenceRequests+b.FenceRequests, a.Fenced+b.Fenced, a.Covered+b.Covered
 	return a
 }
 
@@ -339,11 +339,11 @@
 	for _, g := range w.gateways {
 		all = plus(all, g.before)
 		if g.module != nil {
-			all = plus(all, g.module.Counts())
+			all = plus(all, g.module.Stats())
 		}
 	}
 	reads, txns := float64(max(1, r.Reads)), float64(max(1, r.Txns))
-	r.Fenced, r.Fences = float64(all.Fenced)/reads, float64(all.Fences)/reads
+	r.Fenced, r.Fences = float64(all.Fenced)/reads, float64(all.FenceRequests)/reads
 	r.Primary, r.Held = float64(w.onMain)/reads, float64(w.held)/reads
 	r.P50 = time.Duration(w.added.ValueAtQuantile(50)) * time.Microsecond
 	r.P99 = time.Duration(w.added.ValueAtQuantile(99)) * time.Microsecond
--- a/session/fences.go
+++ b/session/fences.go
@@ -63,10 +63,10 @@
 	return g
 }
 
-// Read takes a session read. brought is the position that its client says the session has reached, 0 for none;
+// AddRead takes a session read. brought is the position that its client says the session has reached, 0 for none;
 // complete says that this covers all that the session wrote, 0 that it wrote nothing. What has no floor by a part of
 // its time before until is refused.
-func (s *Sessions) Read(id uint64, grp int, session uint64, brought Position, complete bool, until int64) {
+func (s *Sessions) AddRead(id uint64, grp int, session uint64, brought Position, complete bool, until int64) {
 	s.earn(s.terms.MessagesPerTxn)
 	s.stats.Reads++
 	s.order++
@@ -77,11 +77,11 @@
 	case session == 0 && brought == 0:
 		s.serve(r, 0)
 		return
-	case s.terms.Source == Own:
+	case s.terms.Source == SourceLocal:
 		floor, _ := s.floorOf(g, session)
 		s.serve(r, max(floor, brought))
 		return
-	case complete && s.terms.Source == Covered && s.believed(r):
+	case complete && s.terms.Source == SourceEntries && s.believed(r):
 		s.stats.Trusted++
 		s.serve(r, brought)
 		return
@@ -97,8 +97,8 @@
 	return r.brought <= max(known, r.group.top, r.group.seen)
 }
 
-// Withdrawn takes back a read whose client is gone.
-func (s *Sessions) Withdrawn(id uint64) {
+// CancelRead takes back a read whose client is gone.
+func (s *Sessions) CancelRead(id uint64) {
 	if r := s.reads[id]; r != nil {
 		s.drop(r)
 	}
@@ -110,8 +110,8 @@
 }
 
 func (s *Sessions) serve(r *read, floor Position) {
-	s.stats.Waited += s.now - r.arrived
-	s.out = append(s.out, Decision{Kind: Serve, Read: r.id, Group: r.group.id, Floor: floor})
+	s.stats.WaitTime += s.now - r.arrived
+	s.out = append(s.out, Decision{Kind: Serve, ReadID: r.id, Group: r.group.id, Floor: floor})
 }
 
 // release serves all waiting reads of a group that something answers.
@@ -129,9 +129,9 @@
 	return n
 }
 
-// Fenced takes a primary's word on its position, as the answer to a question. The member must have said in the same
+// FenceCompleted takes a primary's word on its position, as the answer to a question. The member must have said in the same
 // answer that it is the primary.
-func (s *Sessions) Fenced(grp int, no uint64, p Position) {
+func (s *Sessions) FenceCompleted(grp int, no uint64, p Position) {
 	g := s.groupOf(grp)
 	i := slices.IndexFunc(g.fences, func(q question) bool { return q.no == no })
 	if i < 0 || p <= 0 {
@@ -156,7 +156,7 @@
 			g.floor, g.floorAt = p, s.now
 		}
 		if g.fenced == s.loss {
-			s.changed(Change{Kind: Floored, Entry: Entry{Group: g.id, Position: g.floor}})
+			s.changed(Change{Kind: FloorSet, Entry: Entry{Group: g.id, Position: g.floor}})
 		}
 	}
 	s.stats.Fenced += uint64(s.release(g, func(r *read) (Position, bool) {
@@ -170,12 +170,12 @@
 	}))
 }
 
-// Seen takes the position of a member that is not the primary, or does not say so. It bounds no read, as the primary
+// RecordMemberPosition takes the position of a member that is not the primary, or does not say so. It bounds no read, as the primary
 // may be further; but the group's log stood there, so a floor or a client's position from before that is in reach and
 // needs no primary. Without it a gateway that came back while its primary hangs refuses, from a second on, every read
 // of the sessions that it has notes of. It may harm where a member tells positions that its group never had: what
 // clients bring is then believed up to there.
-func (s *Sessions) Seen(grp int, p Position) {
+func (s *Sessions) RecordMemberPosition(grp int, p Position) {
 	g := s.groupOf(grp)
 	if p <= g.seen {
 		return
@@ -184,7 +184,7 @@
 	s.release(g, func(r *read) (Position, bool) {
 		floor, _ := s.floorOf(g, r.session)
 		switch {
-		case r.complete && s.terms.Source == Covered && s.believed(r):
+		case r.complete && s.terms.Source == SourceEntries && s.believed(r):
 			s.stats.Trusted++
 			return r.brought, true
 		case r.noted && s.believed(r):
@@ -225,9 +225,9 @@
 			}
 			s.drop(r)
 			s.stats.Refused++
-			s.out = append(s.out, Decision{Kind: Refuse, Read: r.id, Group: g.id, After: s.terms.RetryAfter})
+			s.out = append(s.out, Decision{Kind: Refuse, ReadID: r.id, Group: g.id, Delay: s.terms.RetryAfter})
 		}
-		if len(s.others) == 0 && s.current() && s.terms.Source == Covered && g.fenced == s.loss {
+		if len(s.others) == 0 && s.current() && s.terms.Source == SourceEntries && g.fenced == s.loss {
 			s.covered(g, s.order)
 		}
 		if len(g.waiting) == 0 {
@@ -292,16 +292,16 @@
 func (s *Sessions) fence(g *group) {
 	n := len(g.fences)
 	// One at a time: the next begins when this one ends, or takes too long.
-	if s.now < g.fenceAt || n > 0 && s.now-g.fences[n-1].at < s.terms.FenceWait {
+	if s.now < g.fenceAt || n > 0 && s.now-g.fences[n-1].at < s.terms.FenceTimeout {
 		return
 	}
 	if len(g.fences) >= questions {
 		g.fences = slices.Delete(g.fences, 0, 1)
 	}
 	s.nonce++
-	s.stats.Fences++
+	s.stats.FenceRequests++
 	g.fences = append(g.fences, question{no: s.nonce, at: s.now, loss: s.loss, covers: s.order})
-	s.out = append(s.out, Decision{Kind: Fence, Group: g.id, No: s.nonce})
+	s.out = append(s.out, Decision{Kind: Fence, Group: g.id, RequestID: s.nonce})
 }
 
 // beginRound asks all other gateways what they noted.
@@ -319,7 +319,7 @@
 
 func (s *Sessions) repeatRound() {
 	r := &s.round
-	if r.began == 0 || r.tries >= roundTries || s.now < r.repeatAt(s.terms.PeerWait) || s.now-r.began >= s.terms.PeerWait {
+	if r.began == 0 || r.tries >= roundTries || s.now < r.repeatAt(s.terms.PeerTimeout) || s.now-r.began >= s.terms.PeerTimeout {
 		return
 	}
 	r.tries++
@@ -351,14 +351,14 @@
 // roundOverdue gives up a round that takes too long: who has said nothing is silent from now on, until it answers.
 // One that lost a page on the way is not; the reads are fenced all the same.
 func (s *Sessions) roundOverdue() {
-	if s.round.began == 0 || s.now-s.round.began < s.terms.PeerWait {
+	if s.round.began == 0 || s.now-s.round.began < s.terms.PeerTimeout {
 		return
 	}
 	began := s.round.began
 	s.round.began = 0
 	for i, lacks := range s.round.lacks {
 		if p := &s.peers[i]; lacks && !p.silent && p.heardAt < began {
-			p.silent, p.silentAt, p.retry = true, s.now, s.terms.PeerWait
+			p.silent, p.silentAt, p.retry = true, s.now, s.terms.PeerTimeout
 			s.log("gateway %d does not answer, reads are fenced, notes held to %d", i, p.upto)
 		}
 	}
@@ -378,14 +378,14 @@
 		}
 		if len(g.waiting) > 0 {
 			if n := len(g.fences); n > 0 {
-				by(max(g.fenceAt, g.fences[n-1].at+s.terms.FenceWait))
+				by(max(g.fenceAt, g.fences[n-1].at+s.terms.FenceTimeout))
 			} else if g.fenceAt > s.now {
 				by(g.fenceAt)
 			}
 		}
 	}
 	if s.round.began > 0 {
-		by(min(s.round.repeatAt(s.terms.PeerWait), s.round.began+s.terms.PeerWait))
+		by(min(s.round.repeatAt(s.terms.PeerTimeout), s.round.began+s.terms.PeerTimeout))
 	}
 	if len(s.others) > 0 {
 		for _, i := range s.others {
--- a/session/fleet_test.go
+++ b/session/fleet_test.go
@@ -15,7 +15,7 @@
 	clock    int64
 	skew     []int64 // of each gateway's clock
 	gateways []*Sessions
-	terms    Terms
+	terms    Config
 	epochs   uint64
 	tops     map[int]Position       // each group's primary
 	answered map[sessionOf]Position // highest position that any gateway answered
@@ -44,10 +44,10 @@
 	top      Position
 }
 
-func newFleet(n int, terms Terms, skew []int64) *fleet {
+func newFleet(n int, terms Config, skew []int64) *fleet {
 	f := &fleet{clock: 1e12, skew: skew, tops: map[int]Position{}, answered: map[sessionOf]Position{},
 		owed: map[uint64]owed{}, terms: terms, kept: make([][]Change, n)}
-	f.terms.Fleet = n
+	f.terms.FleetSize = n
 	for i := range n {
 		f.gateways = append(f.gateways, nil)
 		f.start(i)
@@ -68,23 +68,23 @@
 		panic(err)
 	}
 	f.gateways[i], f.kept[i] = s, nil
-	s.Keep()
-	f.kept[i] = []Change{{Kind: Began, Epoch: epoch}}
+	s.TrackChanges()
+	f.kept[i] = []Change{{Kind: EpochStarted, Epoch: epoch}}
 	for id, o := range f.owed {
 		if o.gateway == i {
 			delete(f.owed, id)
 		}
 	}
 	f.mail = slices.DeleteFunc(f.mail, func(m mail) bool { return m.d.Kind == Fence && m.from == i })
-	s.Clock(f.now(i))
+	s.SetTime(f.now(i))
 }
 
 // restore starts a gateway from what a ledger that lacks nothing would hold: a dump, or an older one and the changes
 // since.
 func (f *fleet) restore(i int, dumped bool) {
-	kept := append(f.kept[i], f.gateways[i].Changes()...)
+	kept := append(f.kept[i], f.gateways[i].TakeChanges()...)
 	if dumped {
-		kept = f.gateways[i].Dump()
+		kept = f.gateways[i].Snapshot()
 	}
 	f.start(i)
 	f.gateways[i].Restore(kept)
@@ -94,8 +94,8 @@
 func (f *fleet) commit(i, grp int, session uint64) {
 	f.tops[grp]++
 	p := f.tops[grp] + 1000
-	f.gateways[i].Clock(f.now(i))
-	f.gateways[i].Committed(grp, session, p)
+	f.gateways[i].SetTime(f.now(i))
+	f.gateways[i].RecordCommit(grp, session, p)
 	of := sessionOf{grp, session}
 	f.answered[of] = max(f.answered[of], p)
 	f.pull(i)
@@ -105,17 +105,17 @@
 	f.ids++
 	of := sessionOf{grp, session}
 	f.owed[f.ids] = owed{i, of, f.answered[of]}
-	f.gateways[i].Clock(f.now(i))
-	f.gateways[i].Read(f.ids, grp, session, 0, false, f.now(i)+1e9)
+	f.gateways[i].SetTime(f.now(i))
+	f.gateways[i].AddRead(f.ids, grp, session, 0, false, f.now(i)+1e9)
 	f.pull(i)
 }
 
 func (f *fleet) pull(i int) {
 	s := f.gateways[i]
-	s.Clock(f.now(i))
+	s.SetTime(f.now(i))
 	for n := 0; ; n++ {
 		d, ok := s.Next()
-		f.kept[i] = append(f.kept[i], s.Changes()...)
+		f.kept[i] = append(f.kept[i], s.TakeChanges()...)
 		if !ok {
 			return
 		}
@@ -125,21 +125,21 @@
 		}
 		switch d.Kind {
 		case Serve:
-			o, ok := f.owed[d.Read]
+			o, ok := f.owed[d.ReadID]
 			if !ok {
-				f.broken = fmt.Sprintf("read %d answered twice", d.Read)
+				f.broken = fmt.Sprintf("read %d answered twice", d.ReadID)
 			}
 			if d.Floor < o.floor {
 				f.broken = fmt.Sprintf("gateway %d serves %v from %d, %d was answered", i, o.of, d.Floor, o.floor)
 			}
-			delete(f.owed, d.Read)
+			delete(f.owed, d.ReadID)
 			f.served++
 		case Refuse:
-			delete(f.owed, d.Read)
+			delete(f.owed, d.ReadID)
 			f.refused++
 		case Fence:
 			f.mail = append(f.mail, mail{from: i, d: d})
-		case Ask, Tell:
+		case RequestEntries, SendEntries:
 			f.mail = append(f.mail, mail{from: i, to: d.Peer, place: f.placeOf(i), d: d})
 		}
 	}
@@ -155,18 +155,18 @@
 	case m.d.Kind == Fence && !m.answer: // the primary answers; its answer is on its way
 		f.mail = append(f.mail, mail{from: m.from, d: m.d, answer: true, top: f.tops[m.d.Group] + 1000})
 	case m.d.Kind == Fence:
-		f.gateways[m.from].Clock(f.now(m.from))
-		f.gateways[m.from].Fenced(m.d.Group, m.d.No, m.top)
+		f.gateways[m.from].SetTime(f.now(m.from))
+		f.gateways[m.from].FenceCompleted(m.d.Group, m.d.RequestID, m.top)
 		f.pull(m.from)
-	case m.d.Kind == Ask:
+	case m.d.Kind == RequestEntries:
 		to := f.ownerOf(m.to)
-		f.gateways[to].Clock(f.now(to))
-		f.gateways[to].Asked(m.place, m.d.No, m.d.Page.Epoch, m.d.Page.Last)
+		f.gateways[to].SetTime(f.now(to))
+		f.gateways[to].HandleRequest(m.place, m.d.RequestID, m.d.Page.Epoch, m.d.Page.Last)
 		f.pull(to)
-	case m.d.Kind == Tell:
+	case m.d.Kind == SendEntries:
 		to := f.ownerOf(m.to)
-		f.gateways[to].Clock(f.now(to))
-		f.gateways[to].Told(m.place, m.d.No, m.d.Page)
+		f.gateways[to].SetTime(f.now(to))
+		f.gateways[to].HandlePage(m.place, m.d.RequestID, m.d.Page)
 		f.pull(to)
 	}
 }
@@ -189,7 +189,7 @@
 }
 
 // play draws a history.
-func play(t *rapid.T, terms Terms) *fleet {
+func play(t *rapid.T, terms Config) *fleet {
 	n := rapid.IntRange(1, 3).Draw(t, "gateways")
 	f := newFleet(n, terms, rapid.SliceOfN(rapid.Int64Range(-5e9, 5e9), n, n).Draw(t, "skew"))
 	gateway, group := rapid.IntRange(0, n-1), rapid.IntRange(0, 1)
@@ -232,16 +232,16 @@
 	return f
 }
 
-func smallTerms() Terms {
-	t := Defaults()
-	t.Span, t.MostMarks, t.MessagesPerTxn = 1e9, 3, 20
+func smallTerms() Config {
+	t := DefaultConfig()
+	t.WatermarkExpiry, t.MaxWatermarks, t.MessagesPerTxn = 1e9, 3, 20
 	return t
 }
 
 // The statement: whatever is lost, late, doubled or reordered, whichever gateways die or restart, whatever was
 // forgotten, with clocks that are seconds apart, a read's floor is at or above all that its session was answered.
 func TestFloorCoversAllThatWasAnswered(t *testing.T) {
-	for _, source := range []Source{Covered, Fenced} {
+	for _, source := range []FloorSource{SourceEntries, SourcePrimary} {
 		t.Run(string(source), rapid.MakeCheck(func(t *rapid.T) {
 			terms := smallTerms()
 			terms.Source = source
@@ -255,7 +255,7 @@
 // The check can fail: a gateway that knows its own writes alone serves stale floors under the same histories.
 func TestOwnMarksAloneAreStale(t *testing.T) {
 	terms := smallTerms()
-	terms.Source = Own
+	terms.Source = SourceLocal
 	rng, stale := rand.New(rand.NewPCG(1, 2)), 0
 	for range 100 {
 		f := newFleet(2, terms, []int64{0, 0})
@@ -274,21 +274,21 @@
 
 // In the usual case rounds serve: no fence but the first of each group, and the floor is the session's own mark.
 func TestUsualCaseNeedsNoFence(t *testing.T) {
-	f := newFleet(3, Defaults(), []int64{0, 3e9, -2e9})
+	f := newFleet(3, DefaultConfig(), []int64{0, 3e9, -2e9})
 	f.settle()
 	for i := range 3 {
 		f.read(i, 0, 9)
 		f.settle()
 	}
-	before := f.gateways[1].Counts()
+	before := f.gateways[1].Stats()
 	for range 20 {
 		f.clock += 30e6
 		f.commit(0, 0, 1)
 		f.read(1, 0, 1)
 		f.settle()
 	}
-	c := f.gateways[1].Counts()
-	if f.broken != "" || c.Fences != before.Fences || c.Covered-before.Covered != 20 {
+	c := f.gateways[1].Stats()
+	if f.broken != "" || c.FenceRequests != before.FenceRequests || c.Covered-before.Covered != 20 {
 		t.Fatalf("%q %+v", f.broken, c)
 	}
 }
@@ -297,15 +297,15 @@
 // a little for each second.
 func TestBudgetOfMessages(t *testing.T) {
 	for _, n := range []int{2, 5, 40} {
-		terms := Defaults()
+		terms := DefaultConfig()
 		terms.MessagesPerTxn = 1
 		f := newFleet(n, terms, make([]int64, n))
 		f.settle()
 		var before, after uint64
 		count := func() (sum uint64) {
 			for _, g := range f.gateways {
-				c := g.Counts()
-				sum += c.Asks + c.Tells
+				c := g.Stats()
+				sum += c.EntryRequests + c.PagesSent
 			}
 			return sum
 		}
--- a/session/listed_test.go
+++ b/session/listed_test.go
@@ -41,8 +41,8 @@
 	return f.lists.owner[place]
 }
 
-func newListed(n int, terms Terms, skew []int64) *fleet {
-	terms.Agreed = true
+func newListed(n int, terms Config, skew []int64) *fleet {
+	terms.DynamicMembership = true
 	f := newFleet(n, terms, skew)
 	f.lists = &lists{all: []agreedList{{seated: map[int]bool{}}}, owner: map[int]int{}, held: make([]int, n), leased: make([]bool, n), places: make([]int, n)}
 	for i := range n {
@@ -109,26 +109,26 @@
 	}
 	l.held[i] = which
 	x := l.all[which]
-	list := List{Self: -1, Ended: x.ended}
+	list := Membership{Self: -1, EndedVersion: x.ended}
 	for place, seated := range x.seated {
 		if place == l.places[i] {
-			list.Self, list.Seated = place, seated || l.blind
+			list.Self, list.KnownToAll = place, seated || l.blind
 		} else {
-			list.Others = append(list.Others, place)
+			list.Peers = append(list.Peers, place)
 		}
 	}
 	for _, place := range x.ghosts {
 		if place != l.places[i] {
-			list.Others = append(list.Others, place)
+			list.Peers = append(list.Peers, place)
 		}
 	}
 	s := f.gateways[i]
-	s.Clock(f.now(i))
-	s.Listed(list)
+	s.SetTime(f.now(i))
+	s.SetMembership(list)
 	if l.leased[i] = which == len(l.all)-1 && list.Self >= 0; l.leased[i] {
-		s.Until(1 << 62)
+		s.SetLeaseExpiry(1 << 62)
 	} else {
-		s.Until(0)
+		s.SetLeaseExpiry(0)
 	}
 	// Who is out says so once it answers no write any more.
 	if at := slices.Index(x.ghosts, l.places[i]); at >= 0 {
@@ -143,13 +143,13 @@
 
 func (f *fleet) expire(i int) {
 	f.lists.leased[i] = false
-	f.gateways[i].Clock(f.now(i))
-	f.gateways[i].Until(0)
+	f.gateways[i].SetTime(f.now(i))
+	f.gateways[i].SetLeaseExpiry(0)
 	f.pull(i)
 }
 
 // playListed draws a history in which gateways join, are seated, are taken out, end and come back beside all else.
-func playListed(t *rapid.T, terms Terms, blind bool) *fleet {
+func playListed(t *rapid.T, terms Config, blind bool) *fleet {
 	n := rapid.IntRange(2, 4).Draw(t, "gateways")
 	f := newListed(n, terms, rapid.SliceOfN(rapid.Int64Range(-5e9, 5e9), n, n).Draw(t, "skew"))
 	f.lists.blind = blind
@@ -158,7 +158,7 @@
 		i := gateway.Draw(t, "gateway")
 		switch kind := rapid.IntRange(0, 23).Draw(t, "kind"); {
 		case kind < 5:
-			if f.gateways[i].Notes() {
+			if f.gateways[i].AcceptsSessionWrites() {
 				f.commit(i, 0, session.Draw(t, "session"))
 			}
 		case kind < 9:
@@ -226,7 +226,7 @@
 // In a calm fleet of an agreed list rounds serve as they do where it is fixed, and the check above can fail: one that
 // answers session writes before it is seated is not asked by who has not heard of it.
 func TestListedRoundsServe(t *testing.T) {
-	f := newListed(4, Defaults(), []int64{0, 0, 0, 0})
+	f := newListed(4, DefaultConfig(), []int64{0, 0, 0, 0})
 	for i := range 3 {
 		f.join(i)
 	}
@@ -243,21 +243,21 @@
 		f.read(i, 0, 9)
 		f.settle()
 	}
-	before := f.gateways[1].Counts()
+	before := f.gateways[1].Stats()
 	for range 20 {
 		f.clock += 30e6
 		f.commit(0, 0, 1)
 		f.read(1, 0, 1)
 		f.settle()
 	}
-	if c := f.gateways[1].Counts(); f.broken != "" || c.Fences != before.Fences || c.Covered-before.Covered != 20 {
+	if c := f.gateways[1].Stats(); f.broken != "" || c.FenceRequests != before.FenceRequests || c.Covered-before.Covered != 20 {
 		t.Fatalf("%q %+v", f.broken, c)
 	}
 	f.expire(1) // cut off from all that vote: its reads are fenced, and served
 	f.commit(0, 0, 1)
 	f.read(1, 0, 1)
 	f.settle()
-	if c := f.gateways[1].Counts(); f.broken != "" || c.Fences != before.Fences+1 {
+	if c := f.gateways[1].Stats(); f.broken != "" || c.FenceRequests != before.FenceRequests+1 {
 		t.Fatalf("%q %+v", f.broken, c)
 	}
 	hear()
--- a/session/marks.go
+++ b/session/marks.go
@@ -45,7 +45,7 @@
 	n := 0
 	for ; n < len(m.line); n++ {
 		a := m.line[n]
-		if s.now-a.at < s.terms.Span && len(m.held) <= s.terms.MostMarks {
+		if s.now-a.at < s.terms.WatermarkExpiry && len(m.held) <= s.terms.MaxWatermarks {
 			break
 		}
 		if held := m.held[a.of]; held.at == a.at && held.position > 0 {
@@ -56,7 +56,7 @@
 	if m.line = m.line[n:]; len(m.line) == 0 {
 		m.line = nil
 	}
-	s.keys.forgetOld(s.now, s.terms.KeySpan, s.terms.MostMarks)
+	s.keys.forgetOld(s.now, s.terms.KeyedWriteExpiry, s.terms.MaxWatermarks)
 }
 
 // forget drops a mark and raises the floor of its group, never above what the primary was seen at long after: what
@@ -82,16 +82,16 @@
 	return p, at
 }
 
-// Committed notes that a session's write is about to be answered as committed at a position. It is to be told before
+// RecordCommit notes that a session's write is about to be answered as committed at a position. It is to be told before
 // the answer is written.
-func (s *Sessions) Committed(grp int, session uint64, p Position) {
+func (s *Sessions) RecordCommit(grp int, session uint64, p Position) {
 	s.earn(s.terms.MessagesPerTxn)
 	if p > 0 {
 		s.heardTop(s.groupOf(grp), p, s.now)
 	}
 	if session != 0 {
 		s.note(grp, session, p)
-		s.append(Entry{Kind: Mark, Group: grp, Key: session, Position: p})
+		s.append(Entry{Kind: CommitEntry, Group: grp, Key: session, Position: p})
 	}
 }
 
--- a/session/peers.go
+++ b/session/peers.go
@@ -36,14 +36,14 @@
 }
 
 func (s *Sessions) append(e Entry) {
-	if e.Kind == Mark && !s.terms.Agreed && s.terms.Fleet > 1 && !s.asksAll() { // nobody asks for it, by no list
-		s.changed(Change{Kind: Heard, Entry: e})
+	if e.Kind == CommitEntry && !s.terms.DynamicMembership && s.terms.FleetSize > 1 && !s.asksAll() { // nobody asks for it, by no list
+		s.changed(Change{Kind: EntryReceived, Entry: e})
 		return
 	}
 	n := &s.notes
 	n.last++
-	s.changed(Change{Kind: Noted, No: n.last, Entry: e})
-	if s.terms.Fleet == 1 && !s.terms.Agreed {
+	s.changed(Change{Kind: EntryRecorded, Sequence: n.last, Entry: e})
+	if s.terms.FleetSize == 1 && !s.terms.DynamicMembership {
 		return
 	}
 	n.ring = append(n.ring, noted{e, s.now})
@@ -69,8 +69,8 @@
 	return p
 }
 
-// Asked takes a peer's question for what was noted here after a number of an epoch.
-func (s *Sessions) Asked(from int, no, epoch, upto uint64) {
+// HandleRequest takes a peer's question for what was noted here after a number of an epoch.
+func (s *Sessions) HandleRequest(from int, no, epoch, upto uint64) {
 	if !s.isPeer(from) {
 		return
 	}
@@ -95,8 +95,8 @@
 }
 
 func (s *Sessions) tell(to int, no uint64, p Page) {
-	s.stats.Tells++
-	s.out = append(s.out, Decision{Kind: Tell, Peer: to, No: no, Page: p})
+	s.stats.PagesSent++
+	s.out = append(s.out, Decision{Kind: SendEntries, Peer: to, RequestID: no, Page: p})
 }
 
 func (s *Sessions) ask(to int) {
@@ -105,9 +105,9 @@
 	p.askedAt = s.now
 	p.asked[p.askedNo%len(p.asked)] = asked{s.nonce, s.now}
 	p.askedNo++
-	s.stats.Asks++
+	s.stats.EntryRequests++
 	s.credit -= 2
-	s.out = append(s.out, Decision{Kind: Ask, Peer: to, No: s.nonce, Page: Page{Epoch: p.epoch, Last: p.upto}})
+	s.out = append(s.out, Decision{Kind: RequestEntries, Peer: to, RequestID: s.nonce, Page: Page{Epoch: p.epoch, Last: p.upto}})
 }
 
 func (s *Sessions) isPeer(i int) bool {
@@ -115,9 +115,9 @@
 	return ok
 }
 
-// Told takes a page of a peer, the answer to a question or, with 0, unasked. Pages may come late, twice, in any order
+// HandlePage takes a page of a peer, the answer to a question or, with 0, unasked. Pages may come late, twice, in any order
 // or never.
-func (s *Sessions) Told(from int, no uint64, page Page) {
+func (s *Sessions) HandlePage(from int, no uint64, page Page) {
 	if !s.isPeer(from) {
 		return
 	}
@@ -134,7 +134,7 @@
 		s.adopt(from, page)
 	default: // only an answer to a question of this run tells which run of its gateway goes on
 		for i := range page.Entries {
-			if e := &page.Entries[i]; e.Kind == Sent { // true of any run
+			if e := &page.Entries[i]; e.Kind == KeyedWriteEntry { // true of any run
 				s.learn(e, max(0, e.Age), since)
 			}
 		}
@@ -148,7 +148,7 @@
 	}
 	if end := page.First + uint64(len(page.Entries)); page.First <= p.upto+1 && end > p.upto+1 {
 		p.upto = end - 1
-		s.changed(Change{Kind: Caught, Peer: from, Epoch: p.epoch, No: p.upto})
+		s.changed(Change{Kind: PeerCaughtUp, Peer: from, Epoch: p.epoch, Sequence: p.upto})
 	}
 	if since < 0 {
 		return
@@ -173,16 +173,16 @@
 	}
 	p.known, p.epoch, p.upto = true, page.Epoch, page.Last
 	s.lose()
-	s.changed(Change{Kind: Caught, Peer: from, Epoch: p.epoch, No: p.upto})
+	s.changed(Change{Kind: PeerCaughtUp, Peer: from, Epoch: p.epoch, Sequence: p.upto})
 }
 
 // learn takes what a peer noted. since is when the question for it went out, negative for none.
 func (s *Sessions) learn(e *Entry, age, since int64) {
-	s.changed(Change{Kind: Heard, Entry: *e})
+	s.changed(Change{Kind: EntryReceived, Entry: *e})
 	switch e.Kind {
-	case Mark:
+	case CommitEntry:
 		s.note(e.Group, e.Key, e.Position)
-	case Sent:
+	case KeyedWriteEntry:
 		first := s.now - age
 		if since >= 0 {
 			first = since - age
@@ -194,11 +194,11 @@
 // push tells all peers what was noted, where the budget allows it. Nothing depends on it: it saves questions later.
 func (s *Sessions) push() {
 	n := &s.notes
-	if len(s.others) == 0 || s.terms.Source == Own || n.pushed == n.last {
+	if len(s.others) == 0 || s.terms.Source == SourceLocal || n.pushed == n.last {
 		return
 	}
 	n.pushed = max(n.pushed, n.last-uint64(len(n.ring)))
-	if s.terms.Agreed && !s.asksAll() {
+	if s.terms.DynamicMembership && !s.asksAll() {
 		s.pushSent()
 		return
 	}
@@ -226,7 +226,7 @@
 	upto := n.pushed
 	for ; upto < n.last && len(p.Entries) < pageSize; upto++ {
 		x := n.ring[len(n.ring)-int(n.last-upto)]
-		if x.Kind != Sent {
+		if x.Kind != KeyedWriteEntry {
 			continue
 		}
 		if len(p.Entries) == 0 {
@@ -263,7 +263,7 @@
 
 // keepalive is how often a peer is asked. It grows with the fleet, so that what it costs a gateway does not.
 func (s *Sessions) keepalive(p *peer) int64 {
-	span := max(s.terms.Keepalive, int64(float64(4*s.size())/idleRate*1e9))
+	span := max(s.terms.KeepaliveInterval, int64(float64(4*s.size())/idleRate*1e9))
 	if p.silent {
 		return min(span, p.retry)
 	}
--- a/session/repeats.go
+++ b/session/repeats.go
@@ -35,19 +35,19 @@
 	}
 }
 
-// Sent notes that a keyed write goes to a member of a group now.
-func (s *Sessions) Sent(grp int, key uint64) {
+// RecordKeyedWrite notes that a keyed write goes to a member of a group now.
+func (s *Sessions) RecordKeyedWrite(grp int, key uint64) {
 	if _, ok := s.keys.held[key]; ok {
 		return
 	}
 	s.keys.note(grp, key, s.now, s.now)
-	s.append(Entry{Kind: Sent, Group: grp, Key: key})
+	s.append(Entry{Kind: KeyedWriteEntry, Group: grp, Key: key})
 }
 
-// Repeat tells until when a keyed write may be sent to its group: while the group drops repeats for a window since
+// RetryDeadline tells until when a keyed write may be sent to its group: while the group drops repeats for a window since
 // the first was sent, by any gateway that told of it. ok is false where that is over, or the key went to another
 // group, which drops no repeat of it; until is 0 where nothing is known of it.
-func (s *Sessions) Repeat(grp int, key uint64, window int64) (until int64, ok bool) {
+func (s *Sessions) RetryDeadline(grp int, key uint64, window int64) (until int64, ok bool) {
 	held, known := s.keys.held[key]
 	if !known {
 		return 0, true
--- a/session/session.go
+++ b/session/session.go
@@ -21,30 +21,30 @@
 // Position is a place in a group's log as the group tells it, in nanoseconds of its primary's Unix time; 0 is none.
 type Position int64
 
-// Kind is what a decision asks of the host.
-type Kind uint8
+// DecisionKind is what a decision asks of the host.
+type DecisionKind uint8
 
 const (
-	Serve  Kind = iota // Read goes to the routing, to see at least Floor; 0 is nothing to wait for
-	Refuse             // Read is refused, nothing of it was sent; come back After
-	Fence              // ask the primary of Group for its position, as question No
-	Ask                // Peer what it noted after Page.Last of Page.Epoch, as question No
-	Tell               // Peer a page of what was noted here, as the answer to No, 0 for none
-	Wake               // a round After this span
-	Log                // Text
+	Serve          DecisionKind = iota // Read goes to the routing, to see at least Floor; 0 is nothing to wait for
+	Refuse                             // Read is refused, nothing of it was sent; come back After
+	Fence                              // ask the primary of Group for its position, as question No
+	RequestEntries                     // Peer what it noted after Page.Last of Page.Epoch, as question No
+	SendEntries                        // Peer a page of what was noted here, as the answer to No, 0 for none
+	Wake                               // a round After this span
+	Log                                // Text
 )
 
 // Decision is one thing for the host to do; which fields count depends on Kind.
 type Decision struct {
-	Kind  Kind
-	Read  uint64
-	Group int
-	Peer  int
-	No    uint64
-	Floor Position
-	After int64 // nanoseconds
-	Page  Page
-	Text  string
+	Kind      DecisionKind
+	ReadID    uint64
+	Group     int
+	Peer      int
+	RequestID uint64
+	Floor     Position
+	Delay     int64 // nanoseconds
+	Page      Page
+	Text      string
 }
 
 // Page is a stretch of what a gateway noted, in the order of its numbers.
@@ -57,8 +57,8 @@
 
 // What an entry notes.
 const (
-	Mark EntryKind = iota // a session's write was answered as committed
-	Sent                  // a keyed write was sent to a member
+	CommitEntry     EntryKind = iota // a session's write was answered as committed
+	KeyedWriteEntry                  // a keyed write was sent to a member
 )
 
 // EntryKind is what an entry notes.
@@ -73,59 +73,59 @@
 	Age      int64    // nanoseconds since it was noted, on the clock of its gateway
 }
 
-// Source is how reads get their floors, a baseline where it is not Covered.
-type Source string
+// FloorSource is how reads get their floors, a baseline where it is not Covered.
+type FloorSource string
 
 const (
-	Covered Source = "covered" // what gateways noted, or the primary's position
-	Fenced  Source = "fenced"  // the primary's position for every read
-	Own     Source = "own"     // what this gateway noted alone: unsound, for comparison
+	SourceEntries FloorSource = "covered" // what gateways noted, or the primary's position
+	SourcePrimary FloorSource = "fenced"  // the primary's position for every read
+	SourceLocal   FloorSource = "own"     // what this gateway noted alone: unsound, for comparison
 )
 
-// Terms are what the operator says of sessions.
-type Terms struct {
-	Self, Fleet    int     // this gateway's place among all gateways, and how many there are
-	Agreed         bool    // both are told by Listed, and change
-	Source         Source  // Covered if empty
-	PeerWait       int64   // how long a question to all gateways may take before the primary is asked instead
-	FenceWait      int64   // how long a fence may take before it is asked for again
-	Span           int64   // how long a mark is kept before the floor of its group takes its place
-	KeySpan        int64   // how long a keyed write is kept; repeats after it are not known
-	MostMarks      int     // marks, and keyed writes, that are kept at the most
-	MessagesPerTxn float64 // messages between gateways for each txn, both ways counted
-	Keepalive      int64   // how often each peer is asked at least
-	RetryAfter     int64   // what refused clients are told
+// Config are what the operator says of sessions.
+type Config struct {
+	Self, FleetSize   int         // this gateway's place among all gateways, and how many there are
+	DynamicMembership bool        // both are told by Listed, and change
+	Source            FloorSource // Covered if empty
+	PeerTimeout       int64       // how long a question to all gateways may take before the primary is asked instead
+	FenceTimeout      int64       // how long a fence may take before it is asked for again
+	WatermarkExpiry   int64       // how long a mark is kept before the floor of its group takes its place
+	KeyedWriteExpiry  int64       // how long a keyed write is kept; repeats after it are not known
+	MaxWatermarks     int         // marks, and keyed writes, that are kept at the most
+	MessagesPerTxn    float64     // messages between gateways for each txn, both ways counted
+	KeepaliveInterval int64       // how often each peer is asked at least
+	RetryAfter        int64       // what refused clients are told
 }
 
-// Defaults are the terms where the operator says nothing. Sources: ours, by the measurements in docs/results.md.
-func Defaults() Terms {
-	return Terms{Fleet: 1, Source: Covered, PeerWait: 10e6, FenceWait: 50e6, Span: 10e9, KeySpan: 60e9, MostMarks: 100_000,
-		MessagesPerTxn: 4, Keepalive: 250e6, RetryAfter: 200e6}
+// DefaultConfig are the terms where the operator says nothing. Sources: ours, by the measurements in docs/results.md.
+func DefaultConfig() Config {
+	return Config{FleetSize: 1, Source: SourceEntries, PeerTimeout: 10e6, FenceTimeout: 50e6, WatermarkExpiry: 10e9, KeyedWriteExpiry: 60e9, MaxWatermarks: 100_000,
+		MessagesPerTxn: 4, KeepaliveInterval: 250e6, RetryAfter: 200e6}
 }
 
-// Check names the first term that is out of range.
-func (t *Terms) Check() error {
+// Validate names the first term that is out of range.
+func (t *Config) Validate() error {
 	wrong := func(name string) error { return fmt.Errorf("sessions: %s is out of range", name) }
 	switch {
-	case t.Fleet < 1 || t.Fleet > 4096:
+	case t.FleetSize < 1 || t.FleetSize > 4096:
 		return wrong("fleet")
-	case t.Self < 0 || t.Self >= t.Fleet:
+	case t.Self < 0 || t.Self >= t.FleetSize:
 		return wrong("self")
-	case t.Source != Covered && t.Source != Fenced && t.Source != Own:
+	case t.Source != SourceEntries && t.Source != SourcePrimary && t.Source != SourceLocal:
 		return wrong("source")
-	case t.PeerWait <= 0:
+	case t.PeerTimeout <= 0:
 		return wrong("peer_wait")
-	case t.FenceWait <= 0:
+	case t.FenceTimeout <= 0:
 		return wrong("fence_wait")
-	case t.Span < settle:
+	case t.WatermarkExpiry < settle:
 		return wrong("span")
-	case t.KeySpan <= 0:
+	case t.KeyedWriteExpiry <= 0:
 		return wrong("key_span")
-	case t.MostMarks < 1:
+	case t.MaxWatermarks < 1:
 		return wrong("most_marks")
 	case t.MessagesPerTxn < 0:
 		return wrong("messages_per_txn")
-	case t.Keepalive <= 0:
+	case t.KeepaliveInterval <= 0:
 		return wrong("keepalive")
 	}
 	return nil
@@ -154,7 +154,7 @@
 
 // Sessions is one instance of the module.
 type Sessions struct {
-	terms Terms
+	terms Config
 	now   int64
 	epoch uint64
 	rng   *rand.Rand
@@ -167,11 +167,11 @@
 	order  uint64 // of reads by arrival
 	loss   uint64 // how often something that gateways noted was lost to this one
 
-	peers  []peer // by number; those of others are used
-	others []int  // numbers of all other gateways, in order
-	list   *List  // that was agreed on
-	until  int64  // when it may be acted on
-	acted  bool   // it might be, once since the start
+	peers  []peer      // by number; those of others are used
+	others []int       // numbers of all other gateways, in order
+	list   *Membership // that was agreed on
+	until  int64       // when it may be acted on
+	acted  bool        // it might be, once since the start
 	ended  uint64
 	notes  notes
 	round  round
@@ -192,26 +192,26 @@
 // Stats count what was decided, for metrics.
 type Stats struct {
 	Reads, Trusted, Covered, Fenced, Refused uint64 // reads, and how their floors came about
-	Waited                                   int64  // nanoseconds that reads waited, in all
-	Asks, Tells, Fences                      uint64 // messages and questions sent
-	Marks                                    int    // marks held
-	Losses                                   uint64 // breaks in what other gateways noted
+	WaitTime                                 int64  // nanoseconds that reads waited, in all
+	EntryRequests, PagesSent, FenceRequests  uint64 // messages and questions sent
+	Watermarks                               int    // marks held
+	EntryLosses                              uint64 // breaks in what other gateways noted
 }
 
 // New returns an instance that knows nothing. The epoch is to be another at each start, unless Restore brings the
 // notes of the last run.
-func New(t Terms, seed, epoch uint64) (*Sessions, error) {
+func New(t Config, seed, epoch uint64) (*Sessions, error) {
 	if t.Source == "" {
-		t.Source = Covered
+		t.Source = SourceEntries
 	}
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return nil, err
 	}
 	s := &Sessions{terms: t, epoch: epoch, rng: rand.New(rand.NewPCG(seed, epoch)), byID: map[int]*group{},
-		reads: map[uint64]*read{}, peers: make([]peer, t.Fleet), loss: 1}
+		reads: map[uint64]*read{}, peers: make([]peer, t.FleetSize), loss: 1}
 	s.nonce = s.rng.Uint64() >> 1 // it only rises
-	for i := range t.Fleet {
-		if i != t.Self && !t.Agreed {
+	for i := range t.FleetSize {
+		if i != t.Self && !t.DynamicMembership {
 			s.others = append(s.others, i)
 		}
 	}
@@ -224,11 +224,11 @@
 // asksAll tells whether a question to all gateways is within what their txns allow. Where it never is, marks are not
 // told to one another either: a fence covers every read.
 func (s *Sessions) asksAll() bool {
-	return s.terms.Source == Covered && len(s.others) > 0 && float64(2*len(s.others)) <= roundTxns*s.terms.MessagesPerTxn
+	return s.terms.Source == SourceEntries && len(s.others) > 0 && float64(2*len(s.others)) <= roundTxns*s.terms.MessagesPerTxn
 }
 
-// Clock begins a round.
-func (s *Sessions) Clock(now int64) {
+// SetTime begins a round.
+func (s *Sessions) SetTime(now int64) {
 	if s.earned == 0 {
 		s.earned = now
 	}
@@ -263,7 +263,7 @@
 	}
 	if at := s.due(); at > 0 && (s.wake <= s.now || at < s.wake) {
 		s.wake = at
-		return Decision{Kind: Wake, After: max(leastWake, at-s.now)}, true
+		return Decision{Kind: Wake, Delay: max(leastWake, at-s.now)}, true
 	}
 	return Decision{}, false
 }
@@ -272,9 +272,9 @@
 	s.lines = append(s.lines, fmt.Sprintf(format, a...))
 }
 
-// Counts gives what was decided so far.
-func (s *Sessions) Counts() Stats {
+// Stats gives what was decided so far.
+func (s *Sessions) Stats() Stats {
 	c := s.stats
-	c.Marks = len(s.marks.held)
+	c.Watermarks = len(s.marks.held)
 	return c
 }
--- a/session/trace_test.go
+++ b/session/trace_test.go
@@ -10,9 +10,9 @@
 	asks     [3]uint64
 }
 
-func open(change ...func(*Terms)) *trace {
-	t := Defaults()
-	t.Fleet = 3
+func open(change ...func(*Config)) *trace {
+	t := DefaultConfig()
+	t.FleetSize = 3
 	for _, c := range change {
 		c(&t)
 	}
@@ -24,7 +24,7 @@
 	return (&trace{s: s}).at(1000)
 }
 
-func (t *trace) at(ms int64) *trace { t.s.Clock(ms * 1e6); return t }
+func (t *trace) at(ms int64) *trace { t.s.SetTime(ms * 1e6); return t }
 
 func (t *trace) pull() *trace {
 	for {
@@ -35,19 +35,19 @@
 		fmt.Print(t.s.now/1e6, " ")
 		switch d.Kind {
 		case Serve:
-			fmt.Println("serve", d.Read, "from", d.Floor)
+			fmt.Println("serve", d.ReadID, "from", d.Floor)
 		case Refuse:
-			fmt.Println("refuse", d.Read, "for", d.After/1e6)
+			fmt.Println("refuse", d.ReadID, "for", d.Delay/1e6)
 		case Fence:
-			t.fence = d.No
-			fmt.Println("fence group", d.Group, "no", d.No)
-		case Ask:
-			t.asks[d.Peer] = d.No
-			fmt.Println("ask", d.Peer, "no", d.No, "behind", d.Page.Last, "of", d.Page.Epoch)
-		case Tell:
-			fmt.Println("tell", d.Peer, "no", d.No, len(d.Page.Entries), "entries from", d.Page.First, "last", d.Page.Last)
+			t.fence = d.RequestID
+			fmt.Println("fence group", d.Group, "no", d.RequestID)
+		case RequestEntries:
+			t.asks[d.Peer] = d.RequestID
+			fmt.Println("ask", d.Peer, "no", d.RequestID, "behind", d.Page.Last, "of", d.Page.Epoch)
+		case SendEntries:
+			fmt.Println("tell", d.Peer, "no", d.RequestID, len(d.Page.Entries), "entries from", d.Page.First, "last", d.Page.Last)
 		case Wake:
-			fmt.Println("wake after", d.After/1e6)
+			fmt.Println("wake after", d.Delay/1e6)
 		case Log:
 			fmt.Println("log:", d.Text)
 		}
@@ -55,7 +55,7 @@
 }
 
 func (t *trace) read(id uint64, session uint64, brought Position) *trace {
-	t.s.Read(id, 0, session, brought, t.complete, t.s.now+500e6)
+	t.s.AddRead(id, 0, session, brought, t.complete, t.s.now+500e6)
 	return t
 }
 
@@ -67,15 +67,15 @@
 	}
 	p := Page{Epoch: epoch, Last: last, First: first}
 	for _, m := range marks {
-		p.Entries = append(p.Entries, Entry{Kind: Mark, Key: 7, Position: m})
+		p.Entries = append(p.Entries, Entry{Kind: CommitEntry, Key: 7, Position: m})
 	}
-	t.s.Told(from, no, p)
+	t.s.HandlePage(from, no, p)
 	return t
 }
 
 // fenced answers the latest fence.
 func (t *trace) fenced(p Position) *trace {
-	t.s.Fenced(0, t.fence, p)
+	t.s.FenceCompleted(0, t.fence, p)
 	return t
 }
 
@@ -84,16 +84,16 @@
 	for d, ok := t.s.Next(); ok; d, ok = t.s.Next() {
 		switch d.Kind {
 		case Fence:
-			t.fence = d.No
-		case Ask:
-			t.asks[d.Peer] = d.No
+			t.fence = d.RequestID
+		case RequestEntries:
+			t.asks[d.Peer] = d.RequestID
 		}
 	}
 	return t
 }
 
 // known is a gateway that has heard of both others, and of its group's primary since.
-func known(change ...func(*Terms)) *trace {
+func known(change ...func(*Config)) *trace {
 	t := open(change...)
 	t.quiet()
 	t.told(1, true, 201, 0, 1).told(2, true, 301, 0, 1)
@@ -237,7 +237,7 @@
 // No primary tells its position: reads wait for its successor as long as their time allows, then are refused with
 // when to come back.
 func Example_noPrimary() {
-	t := open(func(t *Terms) { t.Fleet = 1 }).read(1, 7, 0).read(2, 7, 0).pull()
+	t := open(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).read(2, 7, 0).pull()
 	for i := range 12 {
 		t.at(1001+6*int64(i)).s.FenceFailed(0, uint64(i+1))
 		for d, ok := t.s.Next(); ok; d, ok = t.s.Next() {
@@ -249,7 +249,7 @@
 		for _, ok := t.s.Next(); ok; _, ok = t.s.Next() {
 		}
 	}
-	t.s.Withdrawn(2)
+	t.s.CancelRead(2)
 	t.at(1438).pull()
 	// Output:
 	// 1000 fence group 0 no 1
@@ -277,14 +277,14 @@
 // Restored notes are out of reach as far as anybody told, until a replica shows itself beyond them: no primary is needed
 // then, for what clients bring from before that neither. What lies further is still the primary's.
 func Example_replicaShows() {
-	t := open(func(t *Terms) { t.Fleet = 1 })
-	t.s.Restore([]Change{{Kind: Floored, Entry: Entry{Position: 2000}}, {Kind: Noted, Entry: Entry{Kind: Mark, Key: 7, Position: 3000}}})
+	t := open(func(t *Config) { t.FleetSize = 1 })
+	t.s.Restore([]Change{{Kind: FloorSet, Entry: Entry{Position: 2000}}, {Kind: EntryRecorded, Entry: Entry{Kind: CommitEntry, Key: 7, Position: 3000}}})
 	t.at(2500).read(1, 7, 0).read(2, 7, 4000).read(3, 7, 9000).pull()
 	t.complete = true
 	t.at(2501).read(4, 7, 4000)
-	t.s.Seen(0, 2900) // short of all of them
+	t.s.RecordMemberPosition(0, 2900) // short of all of them
 	t.s.FenceFailed(0, t.fence)
-	t.pull().s.Seen(0, 5000)
+	t.pull().s.RecordMemberPosition(0, 5000)
 	t.pull()
 	// Output:
 	// 2500 fence group 0 no 1
@@ -298,12 +298,12 @@
 // A floor that its primary has not reached long after is lowered to where that stands: the commit was lost in a
 // switch. Until then reads are the primary's.
 func Example_lostCommit() {
-	t := open(func(t *Terms) { t.Fleet = 1 }).read(1, 7, 0).pull()
+	t := open(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).pull()
 	t.fenced(5e9)
-	t.pull().s.Committed(0, 7, 9e9) // the primary dies with it, and its successor stands at 6 s
+	t.pull().s.RecordCommit(0, 7, 9e9) // the primary dies with it, and its successor stands at 6 s
 	t.at(1500).read(2, 7, 0).pull()
 	t.at(2600).read(3, 8, 0).pull()
-	t.at(2700).s.Committed(0, 8, 6e9)
+	t.at(2700).s.RecordCommit(0, 8, 6e9)
 	t.read(4, 7, 0).pull().at(2701).fenced(61e8)
 	t.pull().at(12600).read(5, 9, 0).pull()
 	// Output:
@@ -321,7 +321,7 @@
 // A commit without a position is a loss, here and at whoever hears of it: each group is fenced once.
 func Example_commitWithoutPosition() {
 	t := known()
-	t.s.Committed(0, 7, 0)
+	t.s.RecordCommit(0, 7, 0)
 	t.read(1, 7, 0).pull().told(1, false, 201, 1, 1, 0).at(1001)
 	t.fenced(6000)
 	t.pull().read(2, 7, 0).pull()
@@ -335,18 +335,18 @@
 // A keyed write is not sent past its window since the first that any gateway told of, nor to another group.
 func Example_repeats() {
 	t := known().at(1100)
-	p := Page{Epoch: 201, Last: 1, First: 1, Entries: []Entry{{Kind: Sent, Group: 2, Key: 77, Age: 300e6}}}
-	t.s.Told(1, 0, p)
-	t.s.Sent(2, 78)
+	p := Page{Epoch: 201, Last: 1, First: 1, Entries: []Entry{{Kind: KeyedWriteEntry, Group: 2, Key: 77, Age: 300e6}}}
+	t.s.HandlePage(1, 0, p)
+	t.s.RecordKeyedWrite(2, 78)
 	for _, key := range []uint64{76, 77, 78} {
-		until, ok := t.s.Repeat(2, key, 2e9)
+		until, ok := t.s.RetryDeadline(2, key, 2e9)
 		fmt.Println(key, until/1e6, ok)
 	}
-	fmt.Println(t.s.Repeat(3, 78, 2e9))
+	fmt.Println(t.s.RetryDeadline(3, 78, 2e9))
 	t.at(2760)
-	fmt.Println(t.s.Repeat(2, 77, 2e9))
+	fmt.Println(t.s.RetryDeadline(2, 77, 2e9))
 	t.at(99000).pull()
-	fmt.Println(t.s.Repeat(2, 77, 2e9))
+	fmt.Println(t.s.RetryDeadline(2, 77, 2e9))
 	// Output:
 	// 76 0 true
 	// 77 2750 true
