--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -239,31 +239,31 @@
 // may tells whether a txn may be decided by the version in force: whether this gateway may act on it, and, where another
 // one is on its way, whether both come to the same. It looks at the clock itself: a gateway that stood still is careful
 // from its first decision on.
-func (a *agreed) may(t *txn, x *routes.Txn, group int) (routes.Why, int64) {
+func (a *agreed) may(t *txn, x *routes.Txn, group int) (routes.RejectReason, int64) {
 	stated := a.f.Plan().Terms.Stated()
 	gs := a.g.generations
 	usual := a.f.Plan().Serve
 	if !a.held {
 		if usual {
-			return routes.Free, 0
+			return routes.Allowed, 0
 		}
 		a.g.counts.unagreed++
-		return routes.Unagreed, stated
+		return routes.AgreementUnavailable, stated
 	}
 	alike, ruled := true, t.route.Route >= 0
 	if n := gs.told; n != nil {
-		y := routes.Answer{Route: -1, Type: int32(x.Type), Tenant: -1}
+		y := routes.Match{Route: -1, Type: int32(x.Type), Tenant: -1}
 		if n.table != nil {
 			y = n.table.Lookup(x)
 		}
-		alike, ruled = routes.Alike(gs.inForce.table, t.route, n.table, y, group), ruled || y.Route >= 0
+		alike, ruled = routes.SameOutcome(gs.inForce.table, t.route, n.table, y, group), ruled || y.Route >= 0
 		t.alsoTenant = y.Tenant
 	}
-	if alike && (!ruled || a.Now() < a.f.Leased()) || gs.inForce.table.ServesWithout(t.route.Tenant, usual) {
-		return routes.Free, 0
+	if alike && (!ruled || a.Now() < a.f.Leased()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, usual) {
+		return routes.Allowed, 0
 	}
 	a.g.counts.unagreed++
-	return routes.Unagreed, stated
+	return routes.AgreementUnavailable, stated
 }
 
 // Figures are what a gateway counts, and how it stands to its fleet, nil where it agrees on nothing.
@@ -327,7 +327,7 @@
 
 // propose has the fleet agree on a change as the version that follows the one held here.
 func (a *agreed) propose(c Change) (agreement.Wish, []byte, error) {
-	v := agreement.Version{Subject: SubjectRoutes, Who: c.Who, At: time.Now().UnixNano(), Why: c.Why, Form: c.Document.Needs(), Watch: c.Watch}
+	v := agreement.Version{Subject: SubjectRoutes, Who: c.Who, At: time.Now().UnixNano(), Why: c.Why, Form: c.Document.RequiredFormat(), Watch: c.Watch}
 	var before *routes.Document
 	for _, s := range a.f.Held().Subjects {
 		if s.Name != SubjectRoutes {
@@ -345,7 +345,7 @@
 	if !a.held {
 		return agreement.Wish{}, nil, errors.New("this gateway does not hold what the fleet agreed on yet")
 	}
-	if v.Clashes = routes.Clashes(before, c.Document); len(v.Clashes) == 0 {
+	if v.Clashes = routes.Conflicts(before, c.Document); len(v.Clashes) == 0 {
 		v.Share = a.f.Plan().Share
 	}
 	return agreement.Wish{Version: &v}, c.Text, nil
@@ -384,7 +384,7 @@
 	}
 	wish := agreement.Wish{Drop: &agreement.Dropping{Subject: SubjectRoutes, No: x.version, Why: "gateway " + a.g.config.Name + ": " + why}}
 	v := agreement.Version{Subject: SubjectRoutes, Predecessor: x.version, Undoes: x.version, Who: "gateway " + a.g.config.Name,
-		At: time.Now().UnixNano(), Why: why, Form: before.Needs(), Clashes: routes.Clashes(x.document, before)}
+		At: time.Now().UnixNano(), Why: why, Form: before.RequiredFormat(), Clashes: routes.Conflicts(x.document, before)}
 	if !a.tries(x) {
 		wish = agreement.Wish{Version: &v}
 	} else {
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -524,7 +524,7 @@
 		}
 		c.partAt = 0
 		if !ok {
-			cs.refuse(ref, "53300", routes.Clients.String())
+			cs.refuse(ref, "53300", routes.TenantConnections.String())
 			return 0
 		}
 		c.admitted = true
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -178,7 +178,7 @@
 			return 0, n, fmt.Errorf("configuration: %w", err)
 		}
 	}
-	if c.Agreement == nil && c.Change != nil && c.Change.Document.Needs() > 1 {
+	if c.Agreement == nil && c.Change != nil && c.Change.Document.RequiredFormat() > 1 {
 		return 0, n, errors.New("configuration: a tenant's bounds are of the fleet (fleet = true), which needs the block agreement")
 	}
 	if c.Agreement != nil {
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -35,7 +35,7 @@
 	digest   uint64
 	table    *routes.Table // nil for generation 0: all is as the platform says
 	shares   *routes.Shares
-	retries  *routes.Retries
+	retries  *routes.RetryBudgets
 	txns     int
 	version  uint64          // that the fleet gave it, 0 for none
 	watch    int64           // for which that one is watched
@@ -95,7 +95,7 @@
 // Apply checks a change and stages it; it is applied, watched, and kept or undone by what Status tells later. Findings
 // that are warnings do not refuse it. It may be called at any time from any goroutine, and waits until Run has begun.
 func (g *Gateway) Apply(ctx context.Context, c Change) (no rollout.Generation, findings []routes.Finding, err error) {
-	var w *routes.World
+	var w *routes.Environment
 	if err = g.inLoop(ctx, func() error { w = g.generations.world(); return nil }); err != nil {
 		return 0, nil, err
 	}
@@ -103,7 +103,7 @@
 	if err != nil {
 		return 0, findings, err
 	}
-	if g.agreed == nil && c.Document.Needs() > 1 {
+	if g.agreed == nil && c.Document.RequiredFormat() > 1 {
 		return 0, findings, errors.New("a tenant's bounds are of the fleet (fleet = true), and this gateway agrees on nothing with others: its operator's file has no block agreement")
 	}
 	if g.agreed != nil {
@@ -173,12 +173,12 @@
 }
 
 // world is what a document is checked against now.
-func (gs *generations) world() *routes.World {
+func (gs *generations) world() *routes.Environment {
 	g := gs.g
-	w := &routes.World{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, Descriptors: g.budget.all}
+	w := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.all}
 	for i := range g.names.Classes {
 		c := &g.names.Classes[i]
-		w.Types = append(w.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), Aim: int64(decide.Millis(c.PromiseMs)), Effect: c.Effect,
+		w.Types = append(w.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.PromiseMs)), Effect: c.Effect,
 			Need: g.names.FamilyInfo.Consistency[i], Window: int64(decide.Millis(c.Window))})
 	}
 	for _, h := range g.discovery.list.hosts {
@@ -190,7 +190,7 @@
 }
 
 // compiled is a change that has passed the checks.
-func compiled(c Change, w *routes.World) (x *generation, findings []routes.Finding, err error) {
+func compiled(c Change, w *routes.Environment) (x *generation, findings []routes.Finding, err error) {
 	x = &generation{document: c.Document, text: c.Text, digest: c.Digest, barred: barredBy(c.Document)}
 	if c.Document != nil {
 		if x.table, findings = routes.Compile(c.Document, w); x.table == nil {
@@ -254,7 +254,7 @@
 		if x != gs.told {
 			x.shares = routes.NewShares(x.table, now)
 		}
-		x.retries = routes.NewRetries(x.table)
+		x.retries = routes.NewRetryBudgets(x.table)
 		for _, ref := range gs.g.txns.Refs() {
 			if t := gs.g.txns.Get(ref); t.counted && x == gs.told {
 				t.shares, t.tenant, t.also = t.also, t.alsoTenant, nil
@@ -289,7 +289,7 @@
 		t.also = nil
 		if t.counted && x != nil && x.table != nil {
 			t.also, t.alsoTenant = x.shares, gs.tenantIn(x, t)
-			t.also.Carry(t.alsoTenant, int64(t.size))
+			t.also.CarryOver(t.alsoTenant, int64(t.size))
 		}
 	}
 	gs.rebound()
@@ -308,7 +308,7 @@
 // carry counts a txn of another generation against the tenant of its name, if there is one.
 func (gs *generations) carry(x *generation, t *txn) {
 	t.shares, t.tenant = x.shares, gs.tenantIn(x, t)
-	x.shares.Carry(t.tenant, int64(t.size))
+	x.shares.CarryOver(t.tenant, int64(t.size))
 }
 
 // bars are the members that get nothing new by what is in force, or by what comes next.
@@ -357,35 +357,35 @@
 }
 
 // arrive binds a txn to the generation in force. why is why it is refused, with when to come back.
-func (gs *generations) arrive(t *txn, x *routes.Txn) (why routes.Why, after int64) {
+func (gs *generations) arrive(t *txn, x *routes.Txn) (why routes.RejectReason, after int64) {
 	t.generation = gs.inForce
-	t.route = routes.Answer{Route: -1, Type: int32(x.Type), Tenant: -1}
+	t.route = routes.Match{Route: -1, Type: int32(x.Type), Tenant: -1}
 	if t.generation.table != nil {
 		t.route = t.generation.table.Lookup(x)
 	}
 	if gs.g.agreed != nil {
-		if why, after = gs.g.agreed.may(t, x, t.comment.Group); why != routes.Free {
+		if why, after = gs.g.agreed.may(t, x, t.comment.Group); why != routes.Allowed {
 			return why, after
 		}
 	}
 	now := int64(gs.g.clock.now())
 	if gs.told != nil && gs.told.table != nil {
-		if why, after = gs.told.shares.May(t.alsoTenant, int64(t.size), now); why != routes.Free {
+		if why, after = gs.told.shares.CanBegin(t.alsoTenant, int64(t.size), now); why != routes.Allowed {
 			return why, after
 		}
 		t.also = gs.told.shares
 	}
 	if t.generation.table == nil {
-		return routes.Free, 0
+		return routes.Allowed, 0
 	}
-	if !t.generation.table.Admits(t.route.Route, t.comment.Group) {
-		return routes.Elsewhere, 0
+	if !t.generation.table.AllowsGroup(t.route.Route, t.comment.Group) {
+		return routes.WrongGroup, 0
 	}
-	if why, after = t.generation.shares.May(t.route.Tenant, int64(t.size), now); why != routes.Free {
+	if why, after = t.generation.shares.CanBegin(t.route.Tenant, int64(t.size), now); why != routes.Allowed {
 		return why, after
 	}
 	t.shares, t.tenant = t.generation.shares, t.route.Tenant
-	return routes.Free, 0
+	return routes.Allowed, 0
 }
 
 // begin counts a txn that arrive allowed; end takes it back, once.
@@ -423,7 +423,7 @@
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return
 	}
-	if aim := t.generation.table.Routes[t.route.Route].Aim; t.route.Zones != 0 || aim > 0 {
+	if aim := t.generation.table.Routes[t.route.Route].TargetLatency; t.route.Zones != 0 || aim > 0 {
 		gs.g.module.Bind(t.id, t.route.Zones, cmp.Or(decide.Nanos(aim), decide.Millis(gs.g.names.Classes[t.class].PromiseMs)))
 	}
 }
@@ -432,7 +432,7 @@
 func (gs *generations) aimOf(t *txn) decide.Nanos {
 	aim := decide.Millis(gs.g.names.Classes[t.class].PromiseMs)
 	if t.generation != nil && t.generation.table != nil && t.route.Route >= 0 {
-		if own := t.generation.table.Routes[t.route.Route].Aim; own > 0 {
+		if own := t.generation.table.Routes[t.route.Route].TargetLatency; own > 0 {
 			aim = min(aim, decide.Nanos(own))
 		}
 	}
@@ -462,8 +462,8 @@
 	}
 	now := int64(gs.g.clock.now())
 	if no == 0 {
-		t.generation.retries.First(t.route.Route, now)
+		t.generation.retries.RecordFirst(t.route.Route, now)
 		return true
 	}
-	return gs.g.names.Classes[t.class].Effect != "repeatable" || t.generation.retries.May(t.route.Route, now)
+	return gs.g.names.Classes[t.class].Effect != "repeatable" || t.generation.retries.TryRetry(t.route.Route, now)
 }
--- a/gateway/generations_test.go
+++ b/gateway/generations_test.go
@@ -36,7 +36,7 @@
 
 // expiring is a document under which each txn may take so long, which members are told.
 func expiring(after time.Duration) *routes.Document {
-	return &routes.Document{Routes: []routes.Route{{Name: "all", Expiry: int64(after), Retries: -1}}}
+	return &routes.Document{Routes: []routes.Route{{Name: "all", Expiry: int64(after), RetryRatio: -1}}}
 }
 
 // Hundreds of changes under load: each txn goes by the generation that was in force when it arrived, whole. A txn that
@@ -233,8 +233,8 @@
 	for _, m := range members {
 		m.Delay(20 * time.Millisecond)
 	}
-	d := &routes.Document{InFlight: 8,
-		Routes:  []routes.Route{{Name: "calm", Types: []string{"session"}, Tenant: "calm", Retries: -1}, {Name: "flood", Tenant: "flood", Retries: -1}},
+	d := &routes.Document{MaxInFlight: 8,
+		Routes:  []routes.Route{{Name: "calm", Types: []string{"session"}, Tenant: "calm", RetryRatio: -1}, {Name: "flood", Tenant: "flood", RetryRatio: -1}},
 		Tenants: []routes.Tenant{{Name: "calm", Weight: 1}, {Name: "flood", Weight: 1}}}
 	address, _, _ := embeddedWith(t, func(c *gateway.Config) {
 		c.Log, c.Change = slog.New(slog.DiscardHandler), &gateway.Change{Document: d}
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -49,16 +49,16 @@
 		}
 		return at
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, Retries: -1}}}, 0)
+	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
 	until(func() bool { return reads(1)["r2"] == 1 }) // the list has been told; nothing tells when the gateway has read it
 	if at := reads(30); at["r2"] != 30 {
 		t.Fatal("reads leave their pool", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "near", Types: []string{"any"}, Zones: []string{"a"}, Retries: -1}}}, 0)
+	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "near", Types: []string{"any"}, Zones: []string{"a"}, RetryRatio: -1}}}, 0)
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("reads leave their pool", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, Retries: -1}}}, 0)
+	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
 	hosts[2].Health = "leaving"
 	list.Set(append(hosts, standin.NewGroup(5).NewMember("q", true).Host("active"))...)
 	list.AwaitTold()
@@ -66,7 +66,7 @@
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("a pool goes before a drain", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "other", Groups: []int{5}, Retries: -1}}}, 0)
+	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "other", Groups: []int{5}, RetryRatio: -1}}}, 0)
 	if a := c.Read(0); a.Code == "" {
 		t.Fatal("a route goes to a group that is not of its pool")
 	}
@@ -78,8 +78,8 @@
 	log, lines := logLines()
 	front, _, g, _, _ := zoned(t, log)
 	bound := func(n int, level string) *routes.Document {
-		return &routes.Document{Log: level, Tenants: []routes.Tenant{{Name: "t", Weight: 1, Clients: n}},
-			Routes: []routes.Route{{Name: "all", Users: []string{"portal"}, Tenant: "t", Retries: -1}}}
+		return &routes.Document{LogLevel: level, Tenants: []routes.Tenant{{Name: "t", Weight: 1, MaxConnections: n}},
+			Routes: []routes.Route{{Name: "all", Users: []string{"portal"}, Tenant: "t", RetryRatio: -1}}}
 	}
 	var all []*standin.Client
 	ask := func() string {
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -23,7 +23,7 @@
 	}
 	for i := range t.Tenants {
 		x := &t.Tenants[i]
-		if !x.Fleet {
+		if !x.FleetWide {
 			all = append(all, nil)
 			continue
 		}
@@ -38,9 +38,9 @@
 		}
 		all = append(all, &fleetBounds{x.Name,
 			add("rate", quota.Rate, int64(x.Rate*quota.Whole), int64(x.Burst*quota.Whole)),
-			add("in flight", quota.Level, int64(x.InFlight), 0),
-			add("bytes", quota.Level, x.Bytes, 0),
-			add("connections", quota.Level, int64(x.Clients), 0)})
+			add("in flight", quota.Level, int64(x.MaxInFlight), 0),
+			add("bytes", quota.Level, x.MaxBytes, 0),
+			add("connections", quota.Level, int64(x.MaxConnections), 0)})
 	}
 	return all, bounds
 }
@@ -96,14 +96,14 @@
 }
 
 // mayOfFleet tells whether a txn may begin by the fleet's bounds; first that an answer is on its way which may let it.
-func (gs *generations) mayOfFleet(t *txn) (why routes.Why, after int64, first bool) {
+func (gs *generations) mayOfFleet(t *txn) (why routes.RejectReason, after int64, first bool) {
 	q := gs.g.quotas
 	if q == nil || len(gs.inForce.fleet) == 0 && gs.told == nil {
-		return routes.Free, 0, false
+		return routes.Allowed, 0, false
 	}
 	t.bounds = gs.boundsOf(t)
 	if len(t.bounds) == 0 {
-		return routes.Free, 0, false
+		return routes.Allowed, 0, false
 	}
 	q.Clock()
 	q.Stir()
@@ -113,17 +113,17 @@
 		for _, x := range [...]struct {
 			key   uint64
 			units int64
-			why   routes.Why
-		}{{b.rate, quota.Whole, routes.Rate}, {b.flight, 1, routes.InFlight}, {b.bytes, t.bytes, routes.Bytes}} {
+			why   routes.RejectReason
+		}{{b.rate, quota.Whole, routes.TenantRate}, {b.flight, 1, routes.TenantInFlight}, {b.bytes, t.bytes, routes.TenantBytes}} {
 			if x.key == 0 {
 				continue
 			}
-			if ok, wait, none := q.Module.May(x.key, x.units); !ok && why == routes.Free {
+			if ok, wait, none := q.Module.May(x.key, x.units); !ok && why == routes.Allowed {
 				why, after, first = x.why, wait, none
 			}
 		}
 	}
-	if why != routes.Free {
+	if why != routes.Allowed {
 		t.bounds = nil
 	}
 	return why, after, first
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -192,7 +192,7 @@
 		h := all[name]
 		r.holdings = append(r.holdings, h)
 		at := -1
-		if table != nil && table.InFlight > 0 {
+		if table != nil && table.MaxInFlight > 0 {
 			for i := range table.Tenants {
 				if table.Tenants[i].Name == name {
 					at = i
@@ -207,7 +207,7 @@
 		words = append(words, fmt.Sprintf("%s: %d in flight for %s", name, h.InFlight, strings.Join(h.Names, ", ")))
 	}
 	if shares != nil {
-		shares.Hold(held)
+		shares.HoldSlots(held)
 	}
 	if text := strings.Join(words, "; "); text != r.told {
 		r.told = text
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -21,7 +21,7 @@
 	if a, ok := c.conn.RemoteAddr().(*net.TCPAddr); ok {
 		t.Client = a.AddrPort().Addr()
 	}
-	return x.table.TenantOf(t)
+	return x.table.ConnectionTenant(t)
 }
 
 // admit counts a client that has told its names against its tenant; ok is false where that may have no more.
@@ -31,13 +31,13 @@
 	if n < 0 {
 		return true, false
 	}
-	if !x.shares.MayConnect(n) {
+	if !x.shares.CanConnect(n) {
 		return false, false
 	}
 	if ok, first = cs.g.generations.mayConnect(c, n); !ok {
 		return false, first
 	}
-	x.shares.Connected(n, 1)
+	x.shares.AddConnections(n, 1)
 	c.tenant = n + 1
 	return true, false
 }
@@ -49,7 +49,7 @@
 		c.connects = 0
 	}
 	if c.tenant > 0 {
-		cs.g.generations.inForce.shares.Connected(c.tenant-1, -1)
+		cs.g.generations.inForce.shares.AddConnections(c.tenant-1, -1)
 		c.tenant = 0
 	}
 }
@@ -67,7 +67,7 @@
 			continue
 		}
 		if n := cs.tenantOf(x, c); n >= 0 {
-			x.shares.Connected(n, 1)
+			x.shares.AddConnections(n, 1)
 			c.tenant = n + 1
 			if int(n) < len(x.fleet) && x.fleet[n] != nil && x.fleet[n].connects != 0 {
 				c.connects = x.fleet[n].connects
@@ -103,10 +103,10 @@
 
 // levelOf is the least level that a document has logged.
 func levelOf(d *routes.Document) slog.Level {
-	if d == nil || d.Log == "" {
+	if d == nil || d.LogLevel == "" {
 		return everything
 	}
 	var at slog.Level
-	_ = at.UnmarshalText([]byte(d.Log)) // it was checked
+	_ = at.UnmarshalText([]byte(d.LogLevel)) // it was checked
 	return at
 }
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -24,7 +24,7 @@
 	subs     []slots.Ref
 
 	generation *generation // that it arrived under
-	route      routes.Answer
+	route      routes.Match
 	shares     *routes.Shares // that it counts against, nil for none
 	tenant     int32          // of those
 	also       *routes.Shares // of a version that comes next, nil for none
@@ -72,10 +72,10 @@
 	}
 	t := txn{id: comment.ID, client: ref, size: size, comment: comment, arrived: g.clock.now()}
 	why, after := g.generations.arrive(&t, g.routed(c, class, text))
-	if why == routes.Elsewhere {
+	if why == routes.WrongGroup {
 		return why.String()
 	}
-	if why == routes.Free {
+	if why == routes.Allowed {
 		first := false
 		if why, after, first = g.generations.mayOfFleet(&t); first && g.clients.waitsForPart(c) {
 			return waitForPart
@@ -101,8 +101,8 @@
 	if comment.Key != nil {
 		t.key = keyOf(comment.Key)
 	}
-	if g.sessions != nil && why == routes.Free && t.writes && t.session != 0 && !g.sessions.Module.AcceptsSessionWrites() {
-		why, after = routes.Unagreed, g.sessions.Plan.Terms.RetryAfter // others do not know that it is to be asked
+	if g.sessions != nil && why == routes.Allowed && t.writes && t.session != 0 && !g.sessions.Module.AcceptsSessionWrites() {
+		why, after = routes.AgreementUnavailable, g.sessions.Plan.Terms.RetryAfter // others do not know that it is to be asked
 	}
 	repeats := true
 	if g.sessions != nil && kind.Effect == "by_key" {
@@ -118,7 +118,7 @@
 	held.ending = endingOf(why)
 	defer g.forgetBuffer(held)
 	switch {
-	case why != routes.Free:
+	case why != routes.Allowed:
 		g.inputs = append(g.inputs, input{kind: inRefused, ref: c.txn, elapsed: decide.Nanos(after)})
 		return ""
 	case !repeats: // its group would not drop it as a repeat any more
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -26,11 +26,11 @@
 )
 
 // endingOf is that of a txn that is turned away.
-func endingOf(why routes.Why) ending {
+func endingOf(why routes.RejectReason) ending {
 	switch why {
-	case routes.Unagreed:
+	case routes.AgreementUnavailable:
 		return endUnagreed
-	case routes.Free:
+	case routes.Allowed:
 		return endNoMember
 	}
 	return endNoRoom
--- a/internal/operator/agreement.go
+++ b/internal/operator/agreement.go
@@ -45,8 +45,8 @@
 	in.Span("clock_error", &p.Terms.ClockError, time.Millisecond)
 	in.Span("turn", &p.Terms.Turn, time.Millisecond)
 	in.Number("share", &p.Share, 0, 1)
-	without := routes.Decline
-	in.OneOf("without_agreement", &without, routes.Decline, routes.Serve)
+	without := routes.Reject
+	in.OneOf("without_agreement", &without, routes.Reject, routes.Serve)
 	p.Serve = without == routes.Serve
 	var keys []fleet.PeerKey
 	for _, k := range in.Blocks {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -43,7 +43,7 @@
 	c.Sessions = f.Sessions
 	if f.Agreement != nil {
 		p := *f.Agreement
-		p.Name, p.Build, p.Form = c.Name, Build(), routes.Form
+		p.Name, p.Build, p.Form = c.Name, Build(), routes.FormatVersion
 		c.Agreement, c.Parse = &p, parserOf("version of the fleet")
 	}
 	c.Coordination = f.Coordination
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -135,7 +135,7 @@
 	f.Add(string(text), "portal", "10.1.2.3")
 	f.Add(routed, "portal", "10.1.2.3")
 	f.Add("route \"a\" { networks = [\"0.0.0.0/0\", \"10.0.0.0/32\"] }\nroute \"b\" { users = [\"u\", \"u\"] }", "u", "::1")
-	w := &routes.World{Zones: []string{"a"}, Types: []routes.Type{{Name: "session", HardLimit: 1e9, Effect: "repeatable", Need: "causal"}},
+	w := &routes.Environment{Zones: []string{"a"}, Types: []routes.Type{{Name: "session", HardLimit: 1e9, Effect: "repeatable", Need: "causal"}},
 		Groups: map[int][]routes.Host{0: {{Name: "m1", Zone: "a"}, {Name: "m2", Zone: "a"}}}}
 	f.Fuzz(func(t *testing.T, text, user, client string) {
 		d, err := Document([]byte(text), "o")
@@ -144,7 +144,7 @@
 		}
 		table, findings := routes.Compile(d, w)
 		for _, x := range findings {
-			if x.What == "" || x.Way == "" {
+			if x.Problem == "" || x.Remedy == "" {
 				t.Fatalf("%+v", x)
 			}
 		}
@@ -154,10 +154,10 @@
 		x := routes.Txn{User: user}
 		x.Client, _ = netip.ParseAddr(client)
 		a := table.Lookup(&x)
-		if a.Route >= int32(len(d.Routes)) || a.Tenant >= int32(len(d.Tenants)) || !table.Admits(-1, 7) || table.TenantOf(x) >= int32(len(d.Tenants)) {
+		if a.Route >= int32(len(d.Routes)) || a.Tenant >= int32(len(d.Tenants)) || !table.AllowsGroup(-1, 7) || table.ConnectionTenant(x) >= int32(len(d.Tenants)) {
 			t.Fatalf("%+v", a)
 		}
-		why, _ := routes.NewShares(table, 0).May(a.Tenant, 1, 1)
+		why, _ := routes.NewShares(table, 0).CanBegin(a.Tenant, 1, 1)
 		_ = why.String()
 	})
 }
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -12,15 +12,15 @@
 )
 
 // place is where a block stands.
-func place(r hcl.Range) routes.Place {
-	return routes.Place{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
+func place(r hcl.Range) routes.SourceLocation {
+	return routes.SourceLocation{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
 }
 
 // document takes what of a file can be changed while a gateway runs; nil where it says nothing of that.
 func (r *reader) document(top *content) *routes.Document {
 	d := new(routes.Document)
-	top.Whole("in_flight", &d.InFlight, 1, 1_000_000)
-	top.OneOf("log", &d.Log, "info", "warn", "error")
+	top.Whole("in_flight", &d.MaxInFlight, 1, 1_000_000)
+	top.OneOf("log", &d.LogLevel, "info", "warn", "error")
 	d.Excluded = r.members(top, "exclude")
 	d.Drained = r.members(top, "drain")
 	for _, b := range top.Blocks {
@@ -31,7 +31,7 @@
 			d.Routes = append(d.Routes, r.route(b))
 		}
 	}
-	if d.InFlight == 0 && d.Log == "" && len(d.Excluded)+len(d.Drained)+len(d.Tenants)+len(d.Routes) == 0 {
+	if d.MaxInFlight == 0 && d.LogLevel == "" && len(d.Excluded)+len(d.Drained)+len(d.Tenants)+len(d.Routes) == 0 {
 		return nil
 	}
 	return d
@@ -48,22 +48,22 @@
 	in := r.block(b, []string{"weight", "in_flight", "bytes", "rate", "burst", "connections", "fleet", "without_agreement"})
 	t := routes.Tenant{Name: b.Labels[0], At: place(b.DefRange), Weight: 1}
 	in.Number("weight", &t.Weight, 0, 1e6)
-	in.Whole("in_flight", &t.InFlight, 1, 1_000_000)
+	in.Whole("in_flight", &t.MaxInFlight, 1, 1_000_000)
 	bytes := 0
 	in.Whole("bytes", &bytes, 1, 1<<40)
-	t.Bytes = int64(bytes)
-	in.Whole("connections", &t.Clients, 1, 1_000_000)
+	t.MaxBytes = int64(bytes)
+	in.Whole("connections", &t.MaxConnections, 1, 1_000_000)
 	in.Number("rate", &t.Rate, 0, 1e9)
-	t.Burst = routes.UsualBurst(t.Rate)
+	t.Burst = routes.DefaultBurst(t.Rate)
 	in.Number("burst", &t.Burst, 1, 1e9)
-	in.Decode("fleet", &t.Fleet)
-	in.OneOf("without_agreement", &t.Without, routes.Decline, routes.Serve)
+	in.Decode("fleet", &t.FleetWide)
+	in.OneOf("without_agreement", &t.WithoutAgreement, routes.Reject, routes.Serve)
 	return t
 }
 
 func (r *reader) route(b *hcl.Block) routes.Route {
 	in := r.block(b, []string{"types", "users", "databases", "tables", "networks", "type", "tenant", "expiry", "retries", "aim", "zones", "groups"})
-	t := routes.Route{Name: b.Labels[0], At: place(b.DefRange), Retries: -1}
+	t := routes.Route{Name: b.Labels[0], At: place(b.DefRange), RetryRatio: -1}
 	t.Types, t.Users, t.Databases, t.Tables = in.Words("types"), in.Words("users"), in.Words("databases"), in.Words("tables")
 	for _, text := range in.Words("networks") {
 		n, err := netip.ParsePrefix(text)
@@ -73,15 +73,15 @@
 		}
 		t.Networks = append(t.Networks, n)
 	}
-	in.Decode("type", &t.Type)
+	in.Decode("type", &t.RunAs)
 	in.Decode("tenant", &t.Tenant)
 	in.Span("expiry", &t.Expiry, 1e6)
-	in.Span("aim", &t.Aim, 1e6)
+	in.Span("aim", &t.TargetLatency, 1e6)
 	t.Zones = in.Words("zones")
 	if a := in.Attrs["groups"]; a != nil {
 		in.Decode("groups", &t.Groups)
 	}
-	in.Number("retries", &t.Retries, 0, 10)
+	in.Number("retries", &t.RetryRatio, 0, 10)
 	return t
 }
 
--- a/internal/operator/routes_test.go
+++ b/internal/operator/routes_test.go
@@ -45,9 +45,9 @@
 func Example_routes() {
 	f, err := Parse([]byte(routed), "r.hcl")
 	d := f.Document
-	fmt.Println(err, f.Watch == 10*time.Second, d.InFlight, d.Excluded, d.Tenants[0].Burst)
-	fmt.Println(d.Routes[0].At, d.Routes[0].Networks, d.Routes[0].Retries, d.Routes[0].Expiry == int64(500*time.Millisecond),
-		d.Routes[0].Aim == int64(200*time.Millisecond), d.Routes[0].Zones, d.Routes[0].Groups)
+	fmt.Println(err, f.Watch == 10*time.Second, d.MaxInFlight, d.Excluded, d.Tenants[0].Burst)
+	fmt.Println(d.Routes[0].At, d.Routes[0].Networks, d.Routes[0].RetryRatio, d.Routes[0].Expiry == int64(500*time.Millisecond),
+		d.Routes[0].TargetLatency == int64(200*time.Millisecond), d.Routes[0].Zones, d.Routes[0].Groups)
 	same, _ := Parse([]byte(routed), "other.hcl")
 	fmt.Println(same.Digest == f.Digest)
 	for _, text := range []string{"route {}", "route \"a\" \"b\" {}", "route \"a\" {\n  networks = [\"x\"]\n}", "route \"a\" {\n  retries = -1\n}",
--- a/rehearse/nodes.go
+++ b/rehearse/nodes.go
@@ -102,14 +102,14 @@
 	if s.InFlight == 0 {
 		return
 	}
-	n.shares = routes.NewShares(&routes.Table{InFlight: s.InFlight, Tenants: s.Tenants}, n.w.Now)
+	n.shares = routes.NewShares(&routes.Table{MaxInFlight: s.InFlight, Tenants: s.Tenants}, n.w.Now)
 	held := map[int32]int{}
 	for i := range s.Tenants {
 		if k := s.Held[s.Tenants[i].Name]; k > 0 {
 			held[int32(i)] = k
 		}
 	}
-	n.shares.Hold(held)
+	n.shares.HoldSlots(held)
 }
 
 // tenantOf is whose a txn type's are, below 0 for nobody's.
@@ -276,7 +276,7 @@
 	}
 	if n.shares != nil {
 		tenant := n.w.tenantOf(t.kind)
-		if why, after := n.shares.May(tenant, 1, n.w.Now); why != routes.Free {
+		if why, after := n.shares.CanBegin(tenant, 1, n.w.Now); why != routes.Allowed {
 			run := n.run
 			n.w.After(n.w.way(n.zone, n.zone), func() {
 				if n.run == run {
--- a/routes/limits.go
+++ b/routes/limits.go
@@ -2,245 +2,247 @@
 
 import "math"
 
-// Shares tells whether a tenant may have one more txn in flight. Each has a share of all that may be, by its weight.
-// What a tenant leaves unused of its share is lent to those that ask for more, but for a reserve, so that it finds
-// room at once when it comes back. One that was refused within its share wants all of it back: nothing of it is
-// lent for a while, so it comes back as what was lent ends.
+// Shares decides whether a tenant may have one more txn in flight. Each tenant has a share of the in-flight limit, by
+// its weight. The part of a share that its tenant leaves unused is lent to others, except for a reserve that lets the
+// tenant begin at once when it comes back. A tenant that was rejected within its share reclaims all of it: for a while
+// nothing of it is lent, so the tenant gets it back as the borrowers' txns end.
 type Shares struct {
-	most    int // of all; 0 is no bound
-	wanting []int32
-	tenants []share
-	total   int
-	spare   float64 // reserves of all, which nobody may borrow
+	maxInFlight int // of all tenants; 0 is no limit
+	reclaiming  []int32
+	tenants     []tenantShare
+	inFlight    int
+	reserved    float64 // sum of all reserves, which no tenant may borrow
 }
 
-// share is a tenant's.
-type share struct {
-	own      float64 // what it has without borrowing
-	inFlight int
-	bytes    int64
-	clients  int
-	tokens   float64 // of its rate
-	at       int64   // when they were counted
-	weighed  float64 // what it has by its weight
-	held     int     // what is held for it beside, whatever others have
-	wants    bool    // it was refused within its share
-	wantedAt int64
-	limits   Tenant
+// tenantShare is the share of one tenant and its usage.
+type tenantShare struct {
+	own         float64 // what it has without borrowing
+	inFlight    int
+	bytes       int64
+	clients     int
+	tokens      float64 // of its rate limit's token bucket
+	refilledAt  int64   // when the tokens were last refilled
+	byWeight    float64 // what it has by its weight
+	heldSlots   int     // slots held for it, whatever its weight
+	reclaims    bool    // it was rejected within its share
+	reclaimedAt int64
+	limits      Tenant
 }
 
-// reservePart of an unused share is never lent: a tenant that comes back with a burst of so much waits for nobody. Ours.
-const reservePart = 0.1
-
-// heldPart is that of a tenant for whom room is held: the first of an event wait for nobody. Ours.
-const heldPart = 0.5
+// Fractions of an unused share that are never lent.
+const (
+	reserveFraction     = 0.1 // a tenant that comes back with a burst of this size does not wait
+	heldReserveFraction = 0.5 // for a tenant with held slots: the first txns of its event do not wait
+)
 
-// UsualBurst is that of a rate whose burst is not said: a tenth of a second's. Ours.
-func UsualBurst(rate float64) float64 { return max(1, rate/10) }
+// DefaultBurst is the burst of a rate that has none set: a tenth of a second's txns.
+func DefaultBurst(rate float64) float64 { return max(1, rate/10) }
 
-// wantSpan is for how long a tenant that was refused within its share lends nothing: long against a txn. Ours.
-const wantSpan = int64(1e9)
+// reclaimDuration is how long a tenant that was rejected within its share lends nothing, in nanoseconds: long against
+// a txn.
+const reclaimDuration = int64(1e9)
 
-// Why says why a tenant may not have one more.
-type Why uint8
+// RejectReason is why a tenant may not have one more txn or connection.
+type RejectReason uint8
 
-// Free is that it may.
+// Allowed means that the tenant may.
 const (
-	Free     Why = iota
-	All          // as many as may be are in flight
-	Lent         // it has its share, and what others leave is lent
-	InFlight     // its own bounds
-	Bytes
-	Rate
-	Clients
-	Elsewhere // its route does not go to that group
-	Unagreed  // this gateway can't tell whether the rules still hold
+	Allowed              RejectReason = iota
+	GatewayFull                       // the limit on all txns in flight is reached
+	ShareInUse                        // the tenant uses its share, and the unused parts of others are lent
+	TenantInFlight                    // the tenant's own limit on txns in flight is reached
+	TenantBytes                       // the same of bytes in flight
+	TenantRate                        // the same of txns a second
+	TenantConnections                 // the same of connections
+	WrongGroup                        // the route does not allow the txn's group
+	AgreementUnavailable              // this gateway can't tell whether the agreed settings are still in force
 )
 
-// String words it for a client or a log.
-func (w Why) String() string {
+// String returns the text for clients and logs.
+func (r RejectReason) String() string {
 	return [...]string{"free", "too many txns in flight", "the tenant's share is in use", "the tenant's txns in flight",
-		"the tenant's bytes in flight", "the tenant's rate", "the tenant's connections", "the route does not go to that cluster", "the fleet's agreement is not renewed"}[w]
+		"the tenant's bytes in flight", "the tenant's rate", "the tenant's connections", "the route does not go to that cluster", "the fleet's agreement is not renewed"}[r]
 }
 
-// NewShares makes the shares of a table. Txns that were begun under another table are not in them; the host carries
-// over what is in flight by Carry.
+// NewShares creates the shares of a table. Txns that began under another table are not counted; the host adds those in
+// flight with CarryOver.
 func NewShares(t *Table, now int64) *Shares {
-	s := &Shares{most: t.InFlight}
-	sum := 0.0
+	s := &Shares{maxInFlight: t.MaxInFlight}
+	totalWeight := 0.0
 	for i := range t.Tenants {
-		sum += t.Tenants[i].Weight
+		totalWeight += t.Tenants[i].Weight
 	}
 	for i := range t.Tenants {
-		x := share{limits: t.Tenants[i], tokens: t.Tenants[i].Burst, at: now}
-		if x.limits.Fleet { // these are divided among gateways: package quota
-			x.limits.InFlight, x.limits.Bytes, x.limits.Rate, x.limits.Clients = 0, 0, 0, 0
+		x := tenantShare{limits: t.Tenants[i], tokens: t.Tenants[i].Burst, refilledAt: now}
+		if x.limits.FleetWide { // package quota divides these limits among the gateways
+			x.limits.MaxInFlight, x.limits.MaxBytes, x.limits.Rate, x.limits.MaxConnections = 0, 0, 0, 0
 		}
-		if sum > 0 {
-			x.weighed = float64(s.most) * x.limits.Weight / sum
+		if totalWeight > 0 {
+			x.byWeight = float64(s.maxInFlight) * x.limits.Weight / totalWeight
 		}
-		x.own = x.weighed
+		x.own = x.byWeight
 		s.tenants = append(s.tenants, x)
-		s.spare += x.reserve()
+		s.reserved += x.reserve()
 	}
 	return s
 }
 
-// reserve is what of a tenant's share nobody may borrow now.
-func (x *share) reserve() float64 {
-	part := reservePart
+// reserve is the part of a tenant's share that no other tenant may borrow now.
+func (x *tenantShare) reserve() float64 {
+	fraction := reserveFraction
 	switch {
-	case x.wants:
-		part = 1
-	case x.held > 0:
-		part = heldPart
+	case x.reclaims:
+		fraction = 1
+	case x.heldSlots > 0:
+		fraction = heldReserveFraction
 	}
-	return part * max(0, x.own-float64(x.inFlight))
+	return fraction * max(0, x.own-float64(x.inFlight))
 }
 
-// Hold has room held for tenants, by their places: each has so many txns in flight of its own from now on, and the others
-// share by their weights what is left. What held tenants leave is lent, but for a larger reserve. One that is not named has
-// nothing held for it any more. It tells how much is held; more than there is is cut for all alike.
-func (s *Shares) Hold(held map[int32]int) (all int) {
-	sum, left := 0, 0.0
-	for _, n := range held {
-		sum += n
+// HoldSlots holds in-flight slots for tenants, by their indexes: from now on each has so many txns in flight of its
+// own, and the others share the rest by their weights. Held slots that are unused are lent, except for a larger
+// reserve. A tenant that is not in the map has no held slots any more. It returns how many slots are held; if they
+// exceed the limit, all are reduced by the same ratio.
+func (s *Shares) HoldSlots(slots map[int32]int) (held int) {
+	requested, rest := 0, 0.0
+	for _, n := range slots {
+		requested += n
 	}
-	part := 1.0
-	if sum > s.most {
-		part = float64(s.most) / float64(max(1, sum))
+	ratio := 1.0
+	if requested > s.maxInFlight {
+		ratio = float64(s.maxInFlight) / float64(max(1, requested))
 	}
 	weight := 0.0
 	for i := range s.tenants {
-		if x := &s.tenants[i]; held[int32(i)] == 0 {
-			weight += x.weighed
+		if x := &s.tenants[i]; slots[int32(i)] == 0 {
+			weight += x.byWeight
 		}
 	}
-	left = float64(s.most) - min(float64(s.most), float64(sum))
-	s.spare = 0
+	rest = float64(s.maxInFlight) - min(float64(s.maxInFlight), float64(requested))
+	s.reserved = 0
 	for i := range s.tenants {
 		x := &s.tenants[i]
-		if x.held = held[int32(i)]; x.held > 0 {
-			x.own = float64(x.held) * part
-			all += x.held
+		if x.heldSlots = slots[int32(i)]; x.heldSlots > 0 {
+			x.own = float64(x.heldSlots) * ratio
+			held += x.heldSlots
 		} else if x.own = 0; weight > 0 {
-			x.own = left * x.weighed / weight
+			x.own = rest * x.byWeight / weight
 		}
-		if sum == 0 {
-			x.own = x.weighed
+		if requested == 0 {
+			x.own = x.byWeight
 		}
-		s.spare += x.reserve()
+		s.reserved += x.reserve()
 	}
-	return min(all, s.most)
+	return min(held, s.maxInFlight)
 }
 
-// want notes whether a tenant wants its share back.
-func (s *Shares) want(tenant int32, wants bool, now int64) {
+// setReclaims sets whether a tenant reclaims its share.
+func (s *Shares) setReclaims(tenant int32, reclaims bool, now int64) {
 	x := &s.tenants[tenant]
-	s.spare -= x.reserve()
-	if wants && !x.wants {
-		s.wanting = append(s.wanting, tenant)
+	s.reserved -= x.reserve()
+	if reclaims && !x.reclaims {
+		s.reclaiming = append(s.reclaiming, tenant)
 	}
-	x.wants, x.wantedAt = wants, now
-	s.spare += x.reserve()
+	x.reclaims, x.reclaimedAt = reclaims, now
+	s.reserved += x.reserve()
 }
 
-// appease lets those lend again that were refused a while ago.
-func (s *Shares) appease(now int64) {
-	kept := s.wanting[:0]
-	for _, n := range s.wanting {
-		if now-s.tenants[n].wantedAt >= wantSpan {
-			s.want(n, false, now)
+// expireReclaims lets tenants lend again that were last rejected reclaimDuration ago.
+func (s *Shares) expireReclaims(now int64) {
+	kept := s.reclaiming[:0]
+	for _, n := range s.reclaiming {
+		if now-s.tenants[n].reclaimedAt >= reclaimDuration {
+			s.setReclaims(n, false, now)
 		} else {
 			kept = append(kept, n)
 		}
 	}
-	s.wanting = kept
+	s.reclaiming = kept
 }
 
-// May tells whether a tenant may have a txn of so many bytes now, and if not, after how many nanoseconds its rate allows
-// one; 0 is unknown. A tenant below 0 is none: only the bound of all counts.
-func (s *Shares) May(tenant int32, bytes, now int64) (why Why, after int64) {
-	s.appease(now)
-	if s.most > 0 && s.total >= s.most {
+// CanBegin reports whether a tenant may have a txn of so many bytes now, and if not, after how many nanoseconds its
+// rate allows one; 0 is unknown. A tenant below 0 is none: only the limit on all txns applies.
+func (s *Shares) CanBegin(tenant int32, bytes, now int64) (reason RejectReason, after int64) {
+	s.expireReclaims(now)
+	if s.maxInFlight > 0 && s.inFlight >= s.maxInFlight {
 		if tenant >= 0 && float64(s.tenants[tenant].inFlight+1) <= s.tenants[tenant].own {
-			s.want(tenant, true, now)
+			s.setReclaims(tenant, true, now)
 		}
-		return All, 0
+		return GatewayFull, 0
 	}
 	if tenant < 0 {
-		if s.most > 0 && float64(s.total+1)+s.spare > float64(s.most) {
-			return All, 0
+		if s.maxInFlight > 0 && float64(s.inFlight+1)+s.reserved > float64(s.maxInFlight) {
+			return GatewayFull, 0
 		}
-		return Free, 0
+		return Allowed, 0
 	}
 	x := &s.tenants[tenant]
 	l := &x.limits
 	switch {
-	case l.InFlight > 0 && x.inFlight >= l.InFlight:
-		return InFlight, 0
-	case l.Bytes > 0 && x.bytes > 0 && x.bytes+bytes > l.Bytes: // one alone may be larger than its bound
-		return Bytes, 0
-	case s.most > 0 && float64(x.inFlight+1) > x.own && float64(s.total+1)+s.spare-x.reserve() > float64(s.most):
-		return Lent, 0
+	case l.MaxInFlight > 0 && x.inFlight >= l.MaxInFlight:
+		return TenantInFlight, 0
+	case l.MaxBytes > 0 && x.bytes > 0 && x.bytes+bytes > l.MaxBytes: // a single txn may be larger than the limit
+		return TenantBytes, 0
+	case s.maxInFlight > 0 && float64(x.inFlight+1) > x.own && float64(s.inFlight+1)+s.reserved-x.reserve() > float64(s.maxInFlight):
+		return ShareInUse, 0
 	}
 	if l.Rate > 0 {
 		x.refill(now)
 		if x.tokens < 1 {
-			return Rate, int64(math.Ceil((1 - x.tokens) / l.Rate * 1e9))
+			return TenantRate, int64(math.Ceil((1 - x.tokens) / l.Rate * 1e9))
 		}
 	}
-	return Free, 0
+	return Allowed, 0
 }
 
-func (x *share) refill(now int64) {
-	if now > x.at {
-		x.tokens = min(x.limits.Burst, x.tokens+float64(now-x.at)/1e9*x.limits.Rate)
-		x.at = now
+func (x *tenantShare) refill(now int64) {
+	if now > x.refilledAt {
+		x.tokens = min(x.limits.Burst, x.tokens+float64(now-x.refilledAt)/1e9*x.limits.Rate)
+		x.refilledAt = now
 	}
 }
 
-// Begin counts a txn that May allowed.
+// Begin counts a txn that CanBegin allowed.
 func (s *Shares) Begin(tenant int32, bytes, now int64) {
-	s.change(tenant, 1, bytes)
+	s.addInFlight(tenant, 1, bytes)
 	if tenant >= 0 && s.tenants[tenant].limits.Rate > 0 {
 		s.tenants[tenant].refill(now)
 		s.tenants[tenant].tokens--
 	}
 }
 
-// Carry counts a txn that was begun under another table: it is in flight, but took its turn of the rate there.
-func (s *Shares) Carry(tenant int32, bytes int64) { s.change(tenant, 1, bytes) }
+// CarryOver counts a txn that began under another table: it is in flight, but took its token of the rate there.
+func (s *Shares) CarryOver(tenant int32, bytes int64) { s.addInFlight(tenant, 1, bytes) }
 
-// End takes a txn back.
-func (s *Shares) End(tenant int32, bytes int64) { s.change(tenant, -1, -bytes) }
+// End removes a txn that has ended.
+func (s *Shares) End(tenant int32, bytes int64) { s.addInFlight(tenant, -1, -bytes) }
 
-func (s *Shares) change(tenant int32, n int, bytes int64) {
-	s.total += n
+func (s *Shares) addInFlight(tenant int32, n int, bytes int64) {
+	s.inFlight += n
 	if tenant < 0 {
 		return
 	}
 	x := &s.tenants[tenant]
-	s.spare -= x.reserve()
+	s.reserved -= x.reserve()
 	x.inFlight += n
 	x.bytes += bytes
-	s.spare += x.reserve()
+	s.reserved += x.reserve()
 }
 
-// MayConnect tells whether a tenant may have one more connection.
-func (s *Shares) MayConnect(tenant int32) bool {
-	return tenant < 0 || s.tenants[tenant].limits.Clients == 0 || s.tenants[tenant].clients < s.tenants[tenant].limits.Clients
+// CanConnect reports whether a tenant may have one more connection.
+func (s *Shares) CanConnect(tenant int32) bool {
+	return tenant < 0 || s.tenants[tenant].limits.MaxConnections == 0 || s.tenants[tenant].clients < s.tenants[tenant].limits.MaxConnections
 }
 
-// Connected counts connections that come, or with a number below 0 go.
-func (s *Shares) Connected(tenant int32, n int) {
+// AddConnections counts connections that open, or with a number below 0 close.
+func (s *Shares) AddConnections(tenant int32, n int) {
 	if tenant >= 0 {
 		s.tenants[tenant].clients += n
 	}
 }
 
-// InFlight is how many txns a tenant has, and how many it has without borrowing.
-func (s *Shares) InFlight(tenant int32) (now int, own float64) {
+// Usage returns how many txns a tenant has in flight, and how many it may have without borrowing.
+func (s *Shares) Usage(tenant int32) (inFlight int, own float64) {
 	x := &s.tenants[tenant]
 	return x.inFlight, x.own
 }
--- a/routes/retries.go
+++ b/routes/retries.go
@@ -2,61 +2,61 @@
 
 import "math"
 
-// Retries are the budgets of repeated submissions, by route: a share of the first ones of late, so that what is
-// repeated can never be most of what members get when much fails. A few are always allowed: with little traffic a
-// share of it would be none.
-type Retries struct {
-	shares []float64 // below 0 is no bound
-	first  []fading
-	more   []fading
+// RetryBudgets limits repeated submissions, by route, to a fraction of the recent first ones, so that retries can never
+// be most of the load on members when many txns fail. A few are always allowed: with little traffic the fraction would
+// round to none.
+type RetryBudgets struct {
+	ratios           []float64 // below 0 is no limit
+	firstSubmissions []decayingSum
+	retries          []decayingSum
 }
 
-// fading is a sum whose parts fade with time.
-type fading struct {
-	sum float64
-	at  int64
+// decayingSum is a sum that decays exponentially with time.
+type decayingSum struct {
+	sum       float64
+	updatedAt int64
 }
 
 const (
-	fadeRetries  = 10e9 // nanoseconds; long against one failure, short against an outage. Ours
-	leastRetries = 3.0  // allowed of late whatever the share. Ours
+	retryDecay = 10e9 // nanoseconds; long against one failure, short against an outage
+	minRetries = 3.0  // recent retries that are allowed whatever the ratio
 )
 
-func (f *fading) read(now int64) float64 {
-	if now > f.at {
-		f.sum *= math.Exp(-float64(now-f.at) / fadeRetries)
-		f.at = now
+func (d *decayingSum) read(now int64) float64 {
+	if now > d.updatedAt {
+		d.sum *= math.Exp(-float64(now-d.updatedAt) / retryDecay)
+		d.updatedAt = now
 	}
-	return f.sum
+	return d.sum
 }
 
-func (f *fading) add(now int64, x float64) { f.sum = f.read(now) + x }
+func (d *decayingSum) add(now int64, x float64) { d.sum = d.read(now) + x }
 
-// NewRetries makes the budgets of a table.
-func NewRetries(t *Table) *Retries {
-	r := &Retries{first: make([]fading, len(t.Routes)), more: make([]fading, len(t.Routes))}
+// NewRetryBudgets creates the budgets of a table's routes.
+func NewRetryBudgets(t *Table) *RetryBudgets {
+	b := &RetryBudgets{firstSubmissions: make([]decayingSum, len(t.Routes)), retries: make([]decayingSum, len(t.Routes))}
 	for i := range t.Routes {
-		r.shares = append(r.shares, t.Routes[i].Retries)
+		b.ratios = append(b.ratios, t.Routes[i].RetryRatio)
 	}
-	return r
+	return b
 }
 
-// First counts a first submission.
-func (r *Retries) First(route int32, now int64) {
+// RecordFirst counts a first submission.
+func (b *RetryBudgets) RecordFirst(route int32, now int64) {
 	if route >= 0 {
-		r.first[route].add(now, 1)
+		b.firstSubmissions[route].add(now, 1)
 	}
 }
 
-// May tells whether one more may be repeated now, and counts it if so.
-func (r *Retries) May(route int32, now int64) bool {
-	if route < 0 || r.shares[route] < 0 {
+// TryRetry reports whether a retry is allowed now, and counts it if so.
+func (b *RetryBudgets) TryRetry(route int32, now int64) bool {
+	if route < 0 || b.ratios[route] < 0 {
 		return true
 	}
-	allowed := max(leastRetries, r.shares[route]*r.first[route].read(now))
-	if r.more[route].read(now)+1 > allowed {
+	allowed := max(minRetries, b.ratios[route]*b.firstSubmissions[route].read(now))
+	if b.retries[route].read(now)+1 > allowed {
 		return false
 	}
-	r.more[route].add(now, 1)
+	b.retries[route].add(now, 1)
 	return true
 }
--- a/routes/table.go
+++ b/routes/table.go
@@ -6,39 +6,40 @@
 	"slices"
 )
 
-// Txn is what a route is chosen by.
+// Txn holds the properties that a route is selected by.
 type Txn struct {
-	Type     int // of the platform's txn types; below 0 is none
+	Type     int // index of the platform's txn types; below 0 is none
 	User     string
 	Database string
 	Table    string
 	Client   netip.Addr
 }
 
-// Answer is what holds for a txn. Route is below 0 where none matches: then all is as the platform says.
-type Answer struct {
+// Match is the result of a lookup. Route is below 0 where none matches: then the platform's settings apply.
+type Match struct {
 	Route  int32
-	Type   int32  // the txn type that it runs as
+	Type   int32  // the txn type that the txn runs as
 	Tenant int32  // below 0 is none
-	Zones  uint64 // that its reads are kept to, a bit each in the order of the settings; 0 is none
+	Zones  uint64 // zones that its reads prefer, a bit each in the order of the settings; 0 is none
 }
 
-// Table is a checked document. It never changes, so that any number of txns may be under way by it.
+// Table is a checked document. It is immutable, so that any number of txns may use it at the same time.
 //
-// Routes are kept by which conditions they have: for each such shape one hash table from the values to the first route
-// that names them. A lookup asks one table a shape, of which there are few, however many routes there are.
+// Routes are grouped by which conditions they have: each such condition set has one hash table from the values to the
+// first route that names them. A lookup queries one table for each condition set, of which there are few, however many
+// routes there are.
 type Table struct {
-	Routes   []Route
-	Tenants  []Tenant
-	InFlight int
-
-	words  map[string]uint32 // users, databases and tables that any route names; 0 is none of them
-	types  map[string]int32
-	shapes []shape
-	as     []Answer // by route
+	Routes      []Route
+	Tenants     []Tenant
+	MaxInFlight int
+
+	wordIDs       map[string]uint32 // users, databases and tables that any route names; 0 is none of them
+	typeIndexes   map[string]int32
+	conditionSets []conditionSet
+	matches       []Match // by route
 }
 
-// Conditions of a shape.
+// Conditions of a condition set.
 const (
 	byType = 1 << iota
 	byUser
@@ -47,74 +48,75 @@
 	byNetwork
 )
 
-// key is the values of a shape's conditions; those that it does not have are 0.
-type key struct {
-	kind                  int32
+// conditionKey holds the values of a condition set's conditions; conditions that it lacks are 0.
+type conditionKey struct {
+	txnType               int32
 	user, database, table uint32
-	net                   uint32
+	network               uint32
 }
 
-// shape is the routes that have the same conditions; networks of each length are a shape of their own.
-type shape struct {
-	mask  uint8
-	bits  int // of its networks
-	first int32
-	by    map[key]int32
+// conditionSet is the set of routes with the same conditions; each network prefix length is a set of its own.
+type conditionSet struct {
+	mask         uint8
+	prefixLength int // of its networks
+	firstRoute   int32
+	routes       map[conditionKey]int32
 }
 
-func (c *checker) build() *Table {
-	t := &Table{Routes: slices.Clone(c.d.Routes), Tenants: slices.Clone(c.d.Tenants), InFlight: c.d.InFlight,
-		words: map[string]uint32{}, types: map[string]int32{}}
-	for i := range c.w.Types {
-		t.types[c.w.Types[i].Name] = int32(i)
+func (c *checker) buildTable() *Table {
+	t := &Table{Routes: slices.Clone(c.document.Routes), Tenants: slices.Clone(c.document.Tenants),
+		MaxInFlight: c.document.MaxInFlight, wordIDs: map[string]uint32{}, typeIndexes: map[string]int32{}}
+	for i := range c.environment.Types {
+		t.typeIndexes[c.environment.Types[i].Name] = int32(i)
 	}
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		for _, list := range [...][]string{r.Users, r.Databases, r.Tables} {
 			for _, w := range list {
-				if t.words[w] == 0 {
-					t.words[w] = uint32(len(t.words) + 1)
+				if t.wordIDs[w] == 0 {
+					t.wordIDs[w] = uint32(len(t.wordIDs) + 1)
 				}
 			}
 		}
-		a := Answer{Route: int32(i), Type: -1, Tenant: -1}
+		m := Match{Route: int32(i), Type: -1, Tenant: -1}
 		for _, z := range r.Zones {
-			a.Zones |= 1 << slices.Index(c.w.Zones, z)
+			m.Zones |= 1 << slices.Index(c.environment.Zones, z)
 		}
-		if r.Type != "" {
-			a.Type = t.types[r.Type]
+		if r.RunAs != "" {
+			m.Type = t.typeIndexes[r.RunAs]
 		}
 		for n := range t.Tenants {
 			if t.Tenants[n].Name == r.Tenant {
-				a.Tenant = int32(n)
+				m.Tenant = int32(n)
 			}
 		}
-		t.as = append(t.as, a)
+		t.matches = append(t.matches, m)
 	}
 	for i := range t.Routes {
-		t.expand(&t.Routes[i], func(mask uint8, bits int, k key) {
-			s := t.shapeOf(mask, bits, int32(i))
-			if _, taken := s.by[k]; !taken {
-				s.by[k] = int32(i)
+		t.forEachCombination(&t.Routes[i], func(mask uint8, prefixLength int, k conditionKey) {
+			s := t.conditionSetFor(mask, prefixLength, int32(i))
+			if _, taken := s.routes[k]; !taken {
+				s.routes[k] = int32(i)
 			}
 		})
 	}
-	slices.SortStableFunc(t.shapes, func(a, b shape) int { return int(a.first - b.first) })
+	slices.SortStableFunc(t.conditionSets, func(a, b conditionSet) int { return int(a.firstRoute - b.firstRoute) })
 	return t
 }
 
-func (t *Table) shapeOf(mask uint8, bits int, route int32) *shape {
-	for i := range t.shapes {
-		if s := &t.shapes[i]; s.mask == mask && s.bits == bits {
+func (t *Table) conditionSetFor(mask uint8, prefixLength int, route int32) *conditionSet {
+	for i := range t.conditionSets {
+		if s := &t.conditionSets[i]; s.mask == mask && s.prefixLength == prefixLength {
 			return s
 		}
 	}
-	t.shapes = append(t.shapes, shape{mask: mask, bits: bits, first: route, by: map[key]int32{}})
-	return &t.shapes[len(t.shapes)-1]
+	t.conditionSets = append(t.conditionSets,
+		conditionSet{mask: mask, prefixLength: prefixLength, firstRoute: route, routes: map[conditionKey]int32{}})
+	return &t.conditionSets[len(t.conditionSets)-1]
 }
 
-// expand gives every combination of a route's conditions.
-func (t *Table) expand(r *Route, f func(mask uint8, bits int, k key)) {
+// forEachCombination calls f with every combination of the values of a route's conditions.
+func (t *Table) forEachCombination(r *Route, f func(mask uint8, prefixLength int, k conditionKey)) {
 	var mask uint8
 	values := func(words []string, bit uint8) []uint32 {
 		if len(words) == 0 {
@@ -123,34 +125,34 @@
 		mask |= bit
 		var all []uint32
 		for _, w := range words {
-			all = append(all, t.words[w])
+			all = append(all, t.wordIDs[w])
 		}
 		return all
 	}
 	users, databases, tables := values(r.Users, byUser), values(r.Databases, byDatabase), values(r.Tables, byTable)
-	kinds := []int32{0}
+	txnTypes := []int32{0}
 	if len(r.Types) > 0 {
 		mask |= byType
-		kinds = nil
+		txnTypes = nil
 		for _, name := range r.Types {
-			kinds = append(kinds, t.types[name])
+			txnTypes = append(txnTypes, t.typeIndexes[name])
 		}
 	}
-	nets := []netip.Prefix{{}}
+	networks := []netip.Prefix{{}}
 	if len(r.Networks) > 0 {
 		mask |= byNetwork
-		nets = r.Networks
+		networks = r.Networks
 	}
-	for _, n := range nets {
-		bits, addr := 0, uint32(0)
+	for _, n := range networks {
+		prefixLength, addr := 0, uint32(0)
 		if mask&byNetwork != 0 {
-			bits, addr = n.Bits(), address(n.Addr())
+			prefixLength, addr = n.Bits(), ipv4ToUint32(n.Addr())
 		}
-		for _, kind := range kinds {
+		for _, txnType := range txnTypes {
 			for _, u := range users {
 				for _, d := range databases {
 					for _, table := range tables {
-						f(mask, bits, key{kind, u, d, table, addr})
+						f(mask, prefixLength, conditionKey{txnType, u, d, table, addr})
 					}
 				}
 			}
@@ -158,22 +160,22 @@
 	}
 }
 
-func address(a netip.Addr) uint32 {
+func ipv4ToUint32(a netip.Addr) uint32 {
 	b := a.As4()
 	return binary.BigEndian.Uint32(b[:])
 }
 
-func cut(addr uint32, bits int) uint32 {
-	if bits == 0 {
+func maskAddress(addr uint32, prefixLength int) uint32 {
+	if prefixLength == 0 {
 		return 0
 	}
-	return addr &^ (1<<(32-bits) - 1)
+	return addr &^ (1<<(32-prefixLength) - 1)
 }
 
-// project leaves of a key what a shape asks for.
-func (s *shape) project(k key) key {
+// project clears the values of a key that the condition set has no condition on.
+func (s *conditionSet) project(k conditionKey) conditionKey {
 	if s.mask&byType == 0 {
-		k.kind = 0
+		k.txnType = 0
 	}
 	if s.mask&byUser == 0 {
 		k.user = 0
@@ -185,66 +187,68 @@
 		k.table = 0
 	}
 	if s.mask&byNetwork == 0 {
-		k.net = 0
+		k.network = 0
 	} else {
-		k.net = cut(k.net, s.bits)
+		k.network = maskAddress(k.network, s.prefixLength)
 	}
 	return k
 }
 
-// firstCovering is the first route before one that takes all txns of a combination, below 0 if there is none.
-func (t *Table) firstCovering(mask uint8, bits int, k key, before int32) int32 {
+// firstCoveringRoute returns the first route before one that matches all txns of a combination, below 0 if there is
+// none.
+func (t *Table) firstCoveringRoute(mask uint8, prefixLength int, k conditionKey, before int32) int32 {
 	found := int32(-1)
-	for i := range t.shapes {
-		s := &t.shapes[i]
-		if s.mask&^mask != 0 || s.mask&byNetwork != 0 && s.bits > bits {
+	for i := range t.conditionSets {
+		s := &t.conditionSets[i]
+		if s.mask&^mask != 0 || s.mask&byNetwork != 0 && s.prefixLength > prefixLength {
 			continue
 		}
-		if r, ok := s.by[s.project(k)]; ok && r < before && (found < 0 || r < found) {
+		if r, ok := s.routes[s.project(k)]; ok && r < before && (found < 0 || r < found) {
 			found = r
 		}
 	}
 	return found
 }
 
-// Admits tells whether txns of a route may go to a group.
-func (t *Table) Admits(route int32, group int) bool {
+// AllowsGroup reports whether txns of a route may go to a group.
+func (t *Table) AllowsGroup(route int32, group int) bool {
 	return route < 0 || len(t.Routes[route].Groups) == 0 || slices.Contains(t.Routes[route].Groups, group)
 }
 
-// TenantOf is whose connections one counts against: by what it says of itself, whatever it will ask.
-func (t *Table) TenantOf(x Txn) int32 {
+// ConnectionTenant returns the tenant that a connection counts against: by what is known when it opens, without the
+// type and table of its later txns.
+func (t *Table) ConnectionTenant(x Txn) int32 {
 	x.Type, x.Table = -1, ""
 	return t.Lookup(&x).Tenant
 }
 
-// Lookup gives what holds for a txn, by the first route that matches it.
-func (t *Table) Lookup(x *Txn) Answer {
-	k := key{kind: int32(x.Type), user: t.words[x.User], database: t.words[x.Database], table: t.words[x.Table]}
+// Lookup returns the settings of the first route that matches a txn.
+func (t *Table) Lookup(x *Txn) Match {
+	k := conditionKey{txnType: int32(x.Type), user: t.wordIDs[x.User], database: t.wordIDs[x.Database], table: t.wordIDs[x.Table]}
 	v4 := x.Client.Unmap()
 	if v4.Is4() {
-		k.net = address(v4)
+		k.network = ipv4ToUint32(v4)
 	}
 	best := int32(len(t.Routes))
-	for i := range t.shapes {
-		s := &t.shapes[i]
-		if s.first >= best {
-			break // shapes stand by their first route
+	for i := range t.conditionSets {
+		s := &t.conditionSets[i]
+		if s.firstRoute >= best {
+			break // condition sets are sorted by their first route
 		}
 		if s.mask&byNetwork != 0 && !v4.Is4() || s.mask&byType != 0 && x.Type < 0 ||
 			s.mask&byUser != 0 && k.user == 0 || s.mask&byDatabase != 0 && k.database == 0 || s.mask&byTable != 0 && k.table == 0 {
 			continue
 		}
-		if r, ok := s.by[s.project(k)]; ok && r < best {
+		if r, ok := s.routes[s.project(k)]; ok && r < best {
 			best = r
 		}
 	}
 	if best == int32(len(t.Routes)) {
-		return Answer{Route: -1, Type: int32(x.Type), Tenant: -1}
+		return Match{Route: -1, Type: int32(x.Type), Tenant: -1}
 	}
-	a := t.as[best]
-	if a.Type < 0 {
-		a.Type = int32(x.Type)
+	m := t.matches[best]
+	if m.Type < 0 {
+		m.Type = int32(x.Type)
 	}
-	return a
+	return m
 }
--- a/session/fences.go
+++ b/session/fences.go
@@ -4,398 +4,405 @@
 	"slices"
 )
 
-// group is what is known of one primary and its replicas.
+// group is the state of one primary and its replicas.
 type group struct {
-	id      int
-	floor   Position // every read's: what was forgotten, or lost to this gateway, lies at or below
-	floorAt int64
-	fenced  uint64   // the count of losses that the floor covers
-	top     Position // highest position that a primary told of itself
-	topSet  int64    // when the question for that word went out
-	topAt   int64    // the same of the latest word
-	seen    Position // highest that any other member was seen at: the log stood there, whoever is its primary
-	waiting []*read  // in the order of arrival
-	fences  []question
-	fenceAt int64 // no new one before
-	lacking bool  // fences fail, as last logged
-	failed  int   // in a row
+	id                       int
+	floor                    Position // applies to every read: expired watermarks and lost entries lie at or below it
+	floorSetAt               int64
+	coveredLosses            uint64   // the loss count that the floor covers
+	primaryPosition          Position // highest position that a primary reported of itself
+	primaryPositionSetAt     int64    // when the request for that report was sent
+	primaryConfirmedAt       int64    // the same of the latest report
+	maxMemberPosition        Position // highest position reported of any other member: the group's log has reached it
+	waitingReads             []*read  // in the order of arrival
+	pendingFences            []fenceRequest
+	nextFenceAt              int64 // no new fence before
+	primaryUnavailable       bool  // fences fail, as last logged
+	consecutiveFenceFailures int
 }
 
 // read is a session read that waits for its floor.
 type read struct {
-	id       uint64
-	session  uint64
-	brought  Position
-	complete bool // brought covers all that the session wrote
-	noted    bool // all that was answered before it came is noted here: what it brought alone is in doubt
-	arrived  int64
-	until    int64
-	order    uint64
-	group    *group
+	id              uint64
+	session         uint64
+	clientPosition  Position
+	complete        bool // clientPosition covers all that the session wrote
+	entriesComplete bool // all entries from before its arrival are held here: only clientPosition is in doubt
+	arrivedAt       int64
+	deadline        int64
+	arrival         uint64 // number in the order of arrival
+	group           *group
 }
 
-// question is a fence under way.
-type question struct {
-	no     uint64
-	at     int64
-	loss   uint64 // the count of losses when it went out
-	covers uint64 // reads up to this one in the order of arrival
+// fenceRequest is a fence in flight.
+type fenceRequest struct {
+	id          uint64
+	sentAt      int64
+	lossCount   uint64 // when it was sent
+	lastArrival uint64 // the latest read that it covers, in the order of arrival
 }
 
-// round is a question to all other gateways.
-type round struct {
-	began  int64 // 0 while there is none
-	covers uint64
-	after  uint64 // questions with a higher number belong to it
-	lacks  []bool // by peer: its notes are not yet held to the last
-	open   int
-	tries  int
+// peerQuery is a request to all other gateways for their entries.
+type peerQuery struct {
+	startedAt         int64 // 0 while there is none
+	lastArrival       uint64
+	previousRequestID uint64 // requests with a higher number belong to the query
+	pending           []bool // by peer: its entries are not yet held up to its last
+	pendingCount      int
+	attempts          int
 }
 
-func (s *Sessions) groupOf(id int) *group {
-	g := s.byID[id]
+func (s *Sessions) groupByID(id int) *group {
+	g := s.groupsByID[id]
 	if g == nil {
 		g = &group{id: id}
-		s.byID[id] = g
+		s.groupsByID[id] = g
 		at, _ := slices.BinarySearchFunc(s.groups, id, func(g *group, id int) int { return g.id - id })
 		s.groups = slices.Insert(s.groups, at, g)
 	}
 	return g
 }
 
-// AddRead takes a session read. brought is the position that its client says the session has reached, 0 for none;
-// complete says that this covers all that the session wrote, 0 that it wrote nothing. What has no floor by a part of
-// its time before until is refused.
-func (s *Sessions) AddRead(id uint64, grp int, session uint64, brought Position, complete bool, until int64) {
-	s.earn(s.terms.MessagesPerTxn)
+// AddRead takes a session read. clientPosition is the position that its client reports for the session, 0 for none;
+// complete means that it covers all that the session wrote, 0 that it wrote nothing. A read without a floor when a
+// reserved fraction of its time is left before until is refused.
+func (s *Sessions) AddRead(id uint64, groupID int, session uint64, clientPosition Position, complete bool, until int64) {
+	s.addMessageBudget(s.config.MessagesPerTxn)
 	s.stats.Reads++
-	s.order++
-	g := s.groupOf(grp)
-	r := &read{id: id, session: session, brought: brought, complete: complete, arrived: s.now, order: s.order, group: g,
-		until: until - max(leastLeft, (until-s.now)/refusePart)}
+	s.lastArrival++
+	g := s.groupByID(groupID)
+	r := &read{id: id, session: session, clientPosition: clientPosition, complete: complete, arrivedAt: s.now,
+		arrival: s.lastArrival, group: g, deadline: until - max(minDeadlineReserve, (until-s.now)/deadlineReserveDivisor)}
 	switch {
-	case session == 0 && brought == 0:
+	case session == 0 && clientPosition == 0:
 		s.serve(r, 0)
 		return
-	case s.terms.Source == SourceLocal:
-		floor, _ := s.floorOf(g, session)
-		s.serve(r, max(floor, brought))
+	case s.config.Source == SourceLocal:
+		floor, _ := s.sessionFloor(g, session)
+		s.serve(r, max(floor, clientPosition))
 		return
-	case complete && s.terms.Source == SourceEntries && s.believed(r):
+	case complete && s.config.Source == SourceEntries && s.trustsClientPosition(r):
 		s.stats.Trusted++
-		s.serve(r, brought)
+		s.serve(r, clientPosition)
 		return
 	}
 	s.reads[id] = r
-	g.waiting = append(g.waiting, r)
+	g.waitingReads = append(g.waitingReads, r)
 }
 
-// believed tells whether a position that a client brings can be taken as it is: the group was seen there. One from
-// further ahead may be forged, or of a clock that runs ahead; the primary's position bounds it.
-func (s *Sessions) believed(r *read) bool {
-	known, _ := s.floorOf(r.group, r.session)
-	return r.brought <= max(known, r.group.top, r.group.seen)
+// trustsClientPosition reports whether a client's position can be taken as it is: the group is known to have reached
+// it. A higher one may be forged, or come from a clock that runs ahead; the primary's position bounds it.
+func (s *Sessions) trustsClientPosition(r *read) bool {
+	floor, _ := s.sessionFloor(r.group, r.session)
+	return r.clientPosition <= max(floor, r.group.primaryPosition, r.group.maxMemberPosition)
 }
 
-// CancelRead takes back a read whose client is gone.
+// CancelRead removes a read whose client is gone.
 func (s *Sessions) CancelRead(id uint64) {
 	if r := s.reads[id]; r != nil {
-		s.drop(r)
+		s.removeRead(r)
 	}
 }
 
-func (s *Sessions) drop(r *read) {
+func (s *Sessions) removeRead(r *read) {
 	delete(s.reads, r.id)
-	r.group.waiting = slices.DeleteFunc(r.group.waiting, func(x *read) bool { return x == r })
+	r.group.waitingReads = slices.DeleteFunc(r.group.waitingReads, func(x *read) bool { return x == r })
 }
 
 func (s *Sessions) serve(r *read, floor Position) {
-	s.stats.WaitTime += s.now - r.arrived
-	s.out = append(s.out, Decision{Kind: Serve, ReadID: r.id, Group: r.group.id, Floor: floor})
+	s.stats.WaitTime += s.now - r.arrivedAt
+	s.decisions = append(s.decisions, Decision{Kind: Serve, ReadID: r.id, Group: r.group.id, Floor: floor})
 }
 
-// release serves all waiting reads of a group that something answers.
-func (s *Sessions) release(g *group, answers func(*read) (Position, bool)) (n int) {
-	g.waiting = slices.DeleteFunc(g.waiting, func(r *read) bool {
-		floor, ok := answers(r)
+// serveWaiting serves all waiting reads of a group for which floorOf returns a floor.
+func (s *Sessions) serveWaiting(g *group, floorOf func(*read) (Position, bool)) (served int) {
+	g.waitingReads = slices.DeleteFunc(g.waitingReads, func(r *read) bool {
+		floor, ok := floorOf(r)
 		if !ok {
 			return false
 		}
 		delete(s.reads, r.id)
 		s.serve(r, floor)
-		n++
+		served++
 		return true
 	})
-	return n
+	return served
 }
 
-// FenceCompleted takes a primary's word on its position, as the answer to a question. The member must have said in the same
-// answer that it is the primary.
-func (s *Sessions) FenceCompleted(grp int, no uint64, p Position) {
-	g := s.groupOf(grp)
-	i := slices.IndexFunc(g.fences, func(q question) bool { return q.no == no })
+// FenceCompleted takes the position that a primary reported in response to a fence. The member must have stated in the
+// same response that it is the primary.
+func (s *Sessions) FenceCompleted(groupID int, requestID uint64, p Position) {
+	g := s.groupByID(groupID)
+	i := slices.IndexFunc(g.pendingFences, func(f fenceRequest) bool { return f.id == requestID })
 	if i < 0 || p <= 0 {
 		return
 	}
-	q := g.fences[i]
-	g.fences = slices.Delete(g.fences, 0, i+1) // those before it have nothing to add
-	g.failed = 0
-	if g.lacking {
-		g.lacking = false
-		s.log("group %d: its primary tells its position again, %d reads waited", grp, len(g.waiting))
+	f := g.pendingFences[i]
+	g.pendingFences = slices.Delete(g.pendingFences, 0, i+1) // earlier ones cover nothing more
+	g.consecutiveFenceFailures = 0
+	if g.primaryUnavailable {
+		g.primaryUnavailable = false
+		s.log("group %d: its primary tells its position again, %d reads waited", groupID, len(g.waitingReads))
 	}
-	s.heardTop(g, p, q.at)
-	if g.floor > p && g.floorAt+settle < q.at {
+	s.updatePrimaryPosition(g, p, f.sentAt)
+	if g.floor > p && g.floorSetAt+positionSettleTime < f.sentAt {
 		s.log("group %d: floor %d ms beyond its primary, lowered: commits were lost in a switch, or clocks differ",
-			grp, int64(g.floor-p)/1e6)
+			groupID, int64(g.floor-p)/1e6)
 		g.floor = p
 	}
-	if q.loss > g.fenced {
-		g.fenced = q.loss
+	if f.lossCount > g.coveredLosses {
+		g.coveredLosses = f.lossCount
 		if p > g.floor {
-			g.floor, g.floorAt = p, s.now
+			g.floor, g.floorSetAt = p, s.now
 		}
-		if g.fenced == s.loss {
-			s.changed(Change{Kind: FloorSet, Entry: Entry{Group: g.id, Position: g.floor}})
+		if g.coveredLosses == s.lossCount {
+			s.recordChange(Change{Kind: FloorSet, Entry: Entry{Group: g.id, Position: g.floor}})
 		}
 	}
-	s.stats.Fenced += uint64(s.release(g, func(r *read) (Position, bool) {
-		if r.order > q.covers {
+	s.stats.Fenced += uint64(s.serveWaiting(g, func(r *read) (Position, bool) {
+		if r.arrival > f.lastArrival {
 			return 0, false
 		}
 		if r.complete {
-			return min(r.brought, p), true
+			return min(r.clientPosition, p), true
 		}
 		return p, true
 	}))
 }
 
-// RecordMemberPosition takes the position of a member that is not the primary, or does not say so. It bounds no read, as the primary
-// may be further; but the group's log stood there, so a floor or a client's position from before that is in reach and
-// needs no primary. Without it a gateway that came back while its primary hangs refuses, from a second on, every read
-// of the sessions that it has notes of. It may harm where a member tells positions that its group never had: what
-// clients bring is then believed up to there.
-func (s *Sessions) RecordMemberPosition(grp int, p Position) {
-	g := s.groupOf(grp)
-	if p <= g.seen {
+// RecordMemberPosition takes the position of a member that is not the primary, or does not state that it is. It bounds
+// no read, as the primary may be ahead; but the group's log has reached it, so a lower floor or client position is
+// within reach and needs no primary. Without it a gateway that restarted while its primary hangs refuses, from one
+// second on, every read of the sessions that it has entries of. It is unsafe where a member reports positions that its
+// group never had: client positions are then trusted up to there.
+func (s *Sessions) RecordMemberPosition(groupID int, p Position) {
+	g := s.groupByID(groupID)
+	if p <= g.maxMemberPosition {
 		return
 	}
-	g.seen = p
-	s.release(g, func(r *read) (Position, bool) {
-		floor, _ := s.floorOf(g, r.session)
+	g.maxMemberPosition = p
+	s.serveWaiting(g, func(r *read) (Position, bool) {
+		floor, _ := s.sessionFloor(g, r.session)
 		switch {
-		case r.complete && s.terms.Source == SourceEntries && s.believed(r):
+		case r.complete && s.config.Source == SourceEntries && s.trustsClientPosition(r):
 			s.stats.Trusted++
-			return r.brought, true
-		case r.noted && s.believed(r):
+			return r.clientPosition, true
+		case r.entriesComplete && s.trustsClientPosition(r):
 			s.stats.Covered++
-			return max(floor, r.brought), true
+			return max(floor, r.clientPosition), true
 		}
 		return 0, false
 	})
 }
 
-// FenceFailed tells that a fence has no answer: no primary is known, it drains, or it did not answer as one.
-func (s *Sessions) FenceFailed(grp int, no uint64) {
-	g := s.groupOf(grp)
-	before := len(g.fences)
-	if g.fences = slices.DeleteFunc(g.fences, func(q question) bool { return q.no == no }); len(g.fences) == before {
+// FenceFailed reports that a fence has no response: no primary is known, it drains, or it did not respond as one.
+func (s *Sessions) FenceFailed(groupID int, requestID uint64) {
+	g := s.groupByID(groupID)
+	before := len(g.pendingFences)
+	g.pendingFences = slices.DeleteFunc(g.pendingFences, func(f fenceRequest) bool { return f.id == requestID })
+	if len(g.pendingFences) == before {
 		return
 	}
-	g.fenceAt = s.now + oftenest
-	if g.failed++; g.failed > 10 && !g.lacking {
-		g.lacking = true
-		s.log("group %d: no primary tells its position, %d reads wait", grp, len(g.waiting))
+	g.nextFenceAt = s.now + fenceRetryInterval
+	if g.consecutiveFenceFailures++; g.consecutiveFenceFailures > 10 && !g.primaryUnavailable {
+		g.primaryUnavailable = true
+		s.log("group %d: no primary tells its position, %d reads wait", groupID, len(g.waitingReads))
 	}
 }
 
-// decideReads looks at the reads that wait: what can be answered, what must be asked, what is out of time.
-func (s *Sessions) decideReads() {
-	s.repeatRound()
-	s.roundOverdue()
-	wantsRound := false
+// processReads serves the waiting reads that can be served, refuses the overdue ones and sends requests for the rest.
+func (s *Sessions) processReads() {
+	s.retryPeerQuery()
+	s.expirePeerQuery()
+	needsQuery := false
 	for _, g := range s.groups {
-		if len(g.waiting) == 0 {
+		if len(g.waitingReads) == 0 {
 			continue
 		}
-		for len(g.waiting) > 0 {
+		for len(g.waitingReads) > 0 {
 			r := s.firstOverdue(g)
 			if r == nil {
 				break
 			}
-			s.drop(r)
+			s.removeRead(r)
 			s.stats.Refused++
-			s.out = append(s.out, Decision{Kind: Refuse, ReadID: r.id, Group: g.id, Delay: s.terms.RetryAfter})
+			s.decisions = append(s.decisions, Decision{Kind: Refuse, ReadID: r.id, Group: g.id, Delay: s.config.RetryAfter})
 		}
-		if len(s.others) == 0 && s.current() && s.terms.Source == SourceEntries && g.fenced == s.loss {
-			s.covered(g, s.order)
+		if len(s.otherGateways) == 0 && s.leaseValid() && s.config.Source == SourceEntries && g.coveredLosses == s.lossCount {
+			s.serveFromEntries(g, s.lastArrival)
 		}
-		if len(g.waiting) == 0 {
+		if len(g.waitingReads) == 0 {
 			continue
 		}
-		if s.roundServes(g) {
-			wantsRound = true
+		if s.usesPeerQuery(g) {
+			needsQuery = true
 		} else {
-			s.fence(g)
+			s.requestFence(g)
 		}
 	}
-	if wantsRound && s.round.began == 0 {
-		s.beginRound()
+	if needsQuery && s.query.startedAt == 0 {
+		s.startPeerQuery()
 	}
 }
 
 func (s *Sessions) firstOverdue(g *group) *read {
-	for _, r := range g.waiting {
-		if s.now >= r.until {
+	for _, r := range g.waitingReads {
+		if s.now >= r.deadline {
 			return r
 		}
 	}
 	return nil
 }
 
-// covered serves the reads up to one in the order of arrival by what is noted. A floor that some member should have
-// shown itself beyond long since is not taken as it is.
-func (s *Sessions) covered(g *group, upto uint64) {
-	s.stats.Covered += uint64(s.release(g, func(r *read) (Position, bool) {
-		if r.order > upto || r.complete {
+// serveFromEntries serves the reads up to one in the order of arrival by the entries held here. A floor that some
+// member should have passed long ago is not taken as it is.
+func (s *Sessions) serveFromEntries(g *group, lastArrival uint64) {
+	s.stats.Covered += uint64(s.serveWaiting(g, func(r *read) (Position, bool) {
+		if r.arrival > lastArrival || r.complete {
 			return 0, false
 		}
-		floor, at := s.floorOf(g, r.session)
-		if floor > max(g.top, g.seen) && s.now-at > settle {
+		floor, setAt := s.sessionFloor(g, r.session)
+		if floor > max(g.primaryPosition, g.maxMemberPosition) && s.now-setAt > positionSettleTime {
 			return 0, false
 		}
-		r.noted = true
-		return max(floor, r.brought), s.believed(r)
+		r.entriesComplete = true
+		return max(floor, r.clientPosition), s.trustsClientPosition(r)
 	}))
 }
 
-// roundServes tells whether the other gateways are to be asked for a group's reads, rather than its primary.
-func (s *Sessions) roundServes(g *group) bool {
-	if !s.asksAll() || g.fenced != s.loss || len(g.fences) > 0 || !s.current() && s.round.began == 0 {
+// usesPeerQuery reports whether the other gateways are to be asked for a group's reads, rather than its primary.
+func (s *Sessions) usesPeerQuery(g *group) bool {
+	if !s.canQueryPeers() || g.coveredLosses != s.lossCount || len(g.pendingFences) > 0 ||
+		!s.leaseValid() && s.query.startedAt == 0 {
 		return false
 	}
-	for _, i := range s.others {
-		if s.peers[i].silent || !s.peers[i].known {
+	for _, i := range s.otherGateways {
+		if s.peers[i].unresponsive || !s.peers[i].epochKnown {
 			return false
 		}
 	}
-	for _, r := range g.waiting {
-		// A position from ahead is for the primary to bound, and so is what a round was in vain for.
-		if r.complete || r.order <= s.round.covers && s.round.began == 0 {
+	for _, r := range g.waitingReads {
+		// The primary must bound a client position from ahead, and serves the reads that a query failed for.
+		if r.complete || r.arrival <= s.query.lastArrival && s.query.startedAt == 0 {
 			return false
 		}
 	}
-	return s.round.began != 0 || s.credit >= float64(2*len(s.others))
+	return s.query.startedAt != 0 || s.messageBudget >= float64(2*len(s.otherGateways))
 }
 
-// fence asks a group's primary for its position, for all reads that wait.
-func (s *Sessions) fence(g *group) {
-	n := len(g.fences)
+// requestFence asks a group's primary for its position, for all reads that wait.
+func (s *Sessions) requestFence(g *group) {
+	n := len(g.pendingFences)
 	// One at a time: the next begins when this one ends, or takes too long.
-	if s.now < g.fenceAt || n > 0 && s.now-g.fences[n-1].at < s.terms.FenceTimeout {
+	if s.now < g.nextFenceAt || n > 0 && s.now-g.pendingFences[n-1].sentAt < s.config.FenceTimeout {
 		return
 	}
-	if len(g.fences) >= questions {
-		g.fences = slices.Delete(g.fences, 0, 1)
+	if len(g.pendingFences) >= maxPendingFences {
+		g.pendingFences = slices.Delete(g.pendingFences, 0, 1)
 	}
-	s.nonce++
+	s.lastRequestID++
 	s.stats.FenceRequests++
-	g.fences = append(g.fences, question{no: s.nonce, at: s.now, loss: s.loss, covers: s.order})
-	s.out = append(s.out, Decision{Kind: Fence, Group: g.id, RequestID: s.nonce})
+	g.pendingFences = append(g.pendingFences,
+		fenceRequest{id: s.lastRequestID, sentAt: s.now, lossCount: s.lossCount, lastArrival: s.lastArrival})
+	s.decisions = append(s.decisions, Decision{Kind: Fence, Group: g.id, RequestID: s.lastRequestID})
 }
 
-// beginRound asks all other gateways what they noted.
-func (s *Sessions) beginRound() {
-	s.round = round{began: s.now, covers: s.order, after: s.nonce, lacks: make([]bool, len(s.peers)), tries: 1}
-	for _, i := range s.others {
-		s.ask(i)
-		s.round.lacks[i] = true
-		s.round.open++
+// startPeerQuery requests the entries of all other gateways.
+func (s *Sessions) startPeerQuery() {
+	s.query = peerQuery{startedAt: s.now, lastArrival: s.lastArrival, previousRequestID: s.lastRequestID,
+		pending: make([]bool, len(s.peers)), attempts: 1}
+	for _, i := range s.otherGateways {
+		s.requestEntries(i)
+		s.query.pending[i] = true
+		s.query.pendingCount++
 	}
 }
 
-// repeatAt is when those that have not answered are asked again: a message may be lost.
-func (r *round) repeatAt(wait int64) int64 { return r.began + wait*int64(r.tries)/roundTries }
+// nextAttemptAt is when peers that have not responded are asked again, as a message may be lost.
+func (q *peerQuery) nextAttemptAt(timeout int64) int64 {
+	return q.startedAt + timeout*int64(q.attempts)/maxQueryAttempts
+}
 
-func (s *Sessions) repeatRound() {
-	r := &s.round
-	if r.began == 0 || r.tries >= roundTries || s.now < r.repeatAt(s.terms.PeerTimeout) || s.now-r.began >= s.terms.PeerTimeout {
+func (s *Sessions) retryPeerQuery() {
+	q := &s.query
+	if q.startedAt == 0 || q.attempts >= maxQueryAttempts || s.now < q.nextAttemptAt(s.config.PeerTimeout) ||
+		s.now-q.startedAt >= s.config.PeerTimeout {
 		return
 	}
-	r.tries++
-	for i, lacks := range r.lacks {
-		if lacks && s.credit >= 2 {
-			s.ask(i)
+	q.attempts++
+	for i, pending := range q.pending {
+		if pending && s.messageBudget >= 2 {
+			s.requestEntries(i)
 		}
 	}
 }
 
-// roundHeard takes an answer to a round's question.
-func (s *Sessions) roundHeard(from int, no uint64, whole bool) {
-	if s.round.began == 0 || no <= s.round.after || !s.round.lacks[from] || !whole {
+// recordPeerResponse takes a response to a query's request. caughtUp means that all of the peer's entries are held.
+func (s *Sessions) recordPeerResponse(from int, requestID uint64, caughtUp bool) {
+	if s.query.startedAt == 0 || requestID <= s.query.previousRequestID || !s.query.pending[from] || !caughtUp {
 		return
 	}
-	s.round.lacks[from] = false
-	if s.round.open--; s.round.open > 0 {
+	s.query.pending[from] = false
+	if s.query.pendingCount--; s.query.pendingCount > 0 {
 		return
 	}
-	covers := s.round.covers
-	s.round.began = 0
+	lastArrival := s.query.lastArrival
+	s.query.startedAt = 0
 	for _, g := range s.groups {
-		if g.fenced == s.loss && len(g.waiting) > 0 {
-			s.covered(g, covers)
+		if g.coveredLosses == s.lossCount && len(g.waitingReads) > 0 {
+			s.serveFromEntries(g, lastArrival)
 		}
 	}
 }
 
-// roundOverdue gives up a round that takes too long: who has said nothing is silent from now on, until it answers.
-// One that lost a page on the way is not; the reads are fenced all the same.
-func (s *Sessions) roundOverdue() {
-	if s.round.began == 0 || s.now-s.round.began < s.terms.PeerTimeout {
+// expirePeerQuery gives up a query that takes too long: a peer that sent nothing is unresponsive until it responds
+// again. A peer of which only a page was lost is not; the reads are fenced all the same.
+func (s *Sessions) expirePeerQuery() {
+	if s.query.startedAt == 0 || s.now-s.query.startedAt < s.config.PeerTimeout {
 		return
 	}
-	began := s.round.began
-	s.round.began = 0
-	for i, lacks := range s.round.lacks {
-		if p := &s.peers[i]; lacks && !p.silent && p.heardAt < began {
-			p.silent, p.silentAt, p.retry = true, s.now, s.terms.PeerTimeout
-			s.log("gateway %d does not answer, reads are fenced, notes held to %d", i, p.upto)
+	startedAt := s.query.startedAt
+	s.query.startedAt = 0
+	for i, pending := range s.query.pending {
+		if p := &s.peers[i]; pending && !p.unresponsive && p.respondedAt < startedAt {
+			p.unresponsive, p.unresponsiveSince, p.retryInterval = true, s.now, s.config.PeerTimeout
+			s.log("gateway %d does not answer, reads are fenced, notes held to %d", i, p.lastSequence)
 		}
 	}
 }
 
-// due is when the next round is needed, 0 for never.
-func (s *Sessions) due() int64 {
-	var at int64
-	by := func(t int64) {
-		if at == 0 || t < at {
-			at = t
+// nextDeadline is when the next round is needed, 0 for never.
+func (s *Sessions) nextDeadline() int64 {
+	var earliest int64
+	include := func(t int64) {
+		if earliest == 0 || t < earliest {
+			earliest = t
 		}
 	}
 	for _, g := range s.groups {
-		for _, r := range g.waiting {
-			by(r.until)
+		for _, r := range g.waitingReads {
+			include(r.deadline)
 		}
-		if len(g.waiting) > 0 {
-			if n := len(g.fences); n > 0 {
-				by(max(g.fenceAt, g.fences[n-1].at+s.terms.FenceTimeout))
-			} else if g.fenceAt > s.now {
-				by(g.fenceAt)
+		if len(g.waitingReads) > 0 {
+			if n := len(g.pendingFences); n > 0 {
+				include(max(g.nextFenceAt, g.pendingFences[n-1].sentAt+s.config.FenceTimeout))
+			} else if g.nextFenceAt > s.now {
+				include(g.nextFenceAt)
 			}
 		}
 	}
-	if s.round.began > 0 {
-		by(min(s.round.repeatAt(s.terms.PeerTimeout), s.round.began+s.terms.PeerTimeout))
+	if s.query.startedAt > 0 {
+		include(min(s.query.nextAttemptAt(s.config.PeerTimeout), s.query.startedAt+s.config.PeerTimeout))
 	}
-	if len(s.others) > 0 {
-		for _, i := range s.others {
-			if s.asksAll() {
-				by(max(s.now+slowWake, s.peers[i].askedAt+s.keepalive(&s.peers[i])))
+	if len(s.otherGateways) > 0 {
+		for _, i := range s.otherGateways {
+			if s.canQueryPeers() {
+				include(max(s.now+minKeepaliveWakeDelay, s.peers[i].requestedAt+s.keepaliveInterval(&s.peers[i])))
 			}
 		}
-		if n := &s.notes; n.pushed < n.last {
-			by(s.now + pushAfter)
+		if l := &s.entryLog; l.lastPushed < l.lastSequence {
+			include(s.now + pushDelay)
 		}
 	}
-	return at
+	return earliest
 }
--- a/session/marks.go
+++ b/session/marks.go
@@ -1,107 +1,109 @@
 package session
 
-// sessionOf names a session of a group.
-type sessionOf struct {
+// sessionKey identifies a session of a group.
+type sessionKey struct {
 	group   int
 	session uint64
 }
 
-// mark is the highest position of a session's writes that is known here.
-type mark struct {
-	position Position
-	at       int64 // when it was told here
+// watermark is the highest known position of a session's writes.
+type watermark struct {
+	position   Position
+	recordedAt int64 // when this gateway received it
 }
 
-// marks are bounded by a span and a number. What is forgotten raises the floor of its group.
-type marks struct {
-	held map[sessionOf]mark
-	line []aged // oldest first; one whose mark was raised since is passed over
+// watermarks are limited by age and number. One that expires raises the floor of its group.
+type watermarks struct {
+	bySession map[sessionKey]watermark
+	byAge     []watermarkAge // oldest first; one whose watermark was raised since is skipped
 }
 
-type aged struct {
-	of sessionOf
-	at int64
+type watermarkAge struct {
+	key        sessionKey
+	recordedAt int64
 }
 
-func (m *marks) init() { m.held = map[sessionOf]mark{} }
+func (m *watermarks) init() { m.bySession = map[sessionKey]watermark{} }
 
-// note raises a session's mark. A commit that did not tell its position lies under the next fence.
-func (s *Sessions) note(grp int, session uint64, p Position) {
+// raiseWatermark raises a session's watermark. A commit that did not report its position is a loss, which the next
+// fence covers.
+func (s *Sessions) raiseWatermark(groupID int, session uint64, p Position) {
 	if p <= 0 {
-		s.lose()
+		s.recordLoss()
 		return
 	}
-	of := sessionOf{grp, session}
-	if old, ok := s.marks.held[of]; ok && old.position >= p {
+	key := sessionKey{groupID, session}
+	if old, ok := s.watermarks.bySession[key]; ok && old.position >= p {
 		return
 	}
-	s.marks.held[of] = mark{p, s.now}
-	s.marks.line = append(s.marks.line, aged{of, s.now})
+	s.watermarks.bySession[key] = watermark{p, s.now}
+	s.watermarks.byAge = append(s.watermarks.byAge, watermarkAge{key, s.now})
 }
 
-// forgetOld lets the floors of groups take the place of marks that are old or too many.
-func (s *Sessions) forgetOld() {
-	m := &s.marks
+// expireOld replaces watermarks that are too old or too many by the floors of their groups, and drops old keyed writes.
+func (s *Sessions) expireOld() {
+	m := &s.watermarks
 	n := 0
-	for ; n < len(m.line); n++ {
-		a := m.line[n]
-		if s.now-a.at < s.terms.WatermarkExpiry && len(m.held) <= s.terms.MaxWatermarks {
+	for ; n < len(m.byAge); n++ {
+		a := m.byAge[n]
+		if s.now-a.recordedAt < s.config.WatermarkExpiry && len(m.bySession) <= s.config.MaxWatermarks {
 			break
 		}
-		if held := m.held[a.of]; held.at == a.at && held.position > 0 {
-			s.forget(a.of, held)
+		if held := m.bySession[a.key]; held.recordedAt == a.recordedAt && held.position > 0 {
+			s.expireWatermark(a.key, held)
 		}
 	}
-	// The array is left behind once half of it is forgotten: each entry moves once more at the most.
-	if m.line = m.line[n:]; len(m.line) == 0 {
-		m.line = nil
+	// Reslicing leaves the array to a later append, which copies what is left: each entry is copied at most once more.
+	if m.byAge = m.byAge[n:]; len(m.byAge) == 0 {
+		m.byAge = nil
 	}
-	s.keys.forgetOld(s.now, s.terms.KeyedWriteExpiry, s.terms.MaxWatermarks)
+	s.keyedWrites.expireOld(s.now, s.config.KeyedWriteExpiry, s.config.MaxWatermarks)
 }
 
-// forget drops a mark and raises the floor of its group, never above what the primary was seen at long after: what
-// it has not reached by then is lost or was never so.
-func (s *Sessions) forget(of sessionOf, held mark) {
-	delete(s.marks.held, of)
-	g := s.groupOf(of.group)
+// expireWatermark drops a watermark and raises the floor of its group, but not above the position that the primary
+// reported long after: a position that it has not reached by then was lost or never existed.
+func (s *Sessions) expireWatermark(key sessionKey, held watermark) {
+	delete(s.watermarks.bySession, key)
+	g := s.groupByID(key.group)
 	p := held.position
-	if p > g.top && g.topAt > held.at+settle {
-		p = g.top
+	if p > g.primaryPosition && g.primaryConfirmedAt > held.recordedAt+positionSettleTime {
+		p = g.primaryPosition
 	}
 	if p > g.floor {
-		g.floor, g.floorAt = p, s.now
+		g.floor, g.floorSetAt = p, s.now
 	}
 }
 
-// floorOf is what a session's read must see by what is known here.
-func (s *Sessions) floorOf(g *group, session uint64) (p Position, at int64) {
-	p, at = g.floor, g.floorAt
-	if held, ok := s.marks.held[sessionOf{g.id, session}]; ok && held.position > p {
-		p, at = held.position, held.at
+// sessionFloor returns the position that a session's read must see according to the local state, and when it was set.
+func (s *Sessions) sessionFloor(g *group, session uint64) (p Position, setAt int64) {
+	p, setAt = g.floor, g.floorSetAt
+	if held, ok := s.watermarks.bySession[sessionKey{g.id, session}]; ok && held.position > p {
+		p, setAt = held.position, held.recordedAt
 	}
-	return p, at
+	return p, setAt
 }
 
-// RecordCommit notes that a session's write is about to be answered as committed at a position. It is to be told before
-// the answer is written.
-func (s *Sessions) RecordCommit(grp int, session uint64, p Position) {
-	s.earn(s.terms.MessagesPerTxn)
+// RecordCommit records that a session's write is about to be answered as committed at a position. The host must call
+// it before it writes the answer.
+func (s *Sessions) RecordCommit(groupID int, session uint64, p Position) {
+	s.addMessageBudget(s.config.MessagesPerTxn)
 	if p > 0 {
-		s.heardTop(s.groupOf(grp), p, s.now)
+		s.updatePrimaryPosition(s.groupByID(groupID), p, s.now)
 	}
 	if session != 0 {
-		s.note(grp, session, p)
-		s.append(Entry{Kind: CommitEntry, Group: grp, Key: session, Position: p})
+		s.raiseWatermark(groupID, session, p)
+		s.appendEntry(Entry{Kind: CommitEntry, Group: groupID, Key: session, Position: p})
 	}
 }
 
-// heardTop takes a primary's own word on its position, given at or after a time.
-func (s *Sessions) heardTop(g *group, p Position, at int64) {
-	if p > g.top || at > g.topSet+settle { // lower for so long: another primary, which has less or another clock
-		if p < g.top { // what others showed may be what it lost
-			g.seen = min(g.seen, p)
+// updatePrimaryPosition takes the position that a primary reported of itself, at or after a time.
+func (s *Sessions) updatePrimaryPosition(g *group, p Position, at int64) {
+	// A position that stays lower for so long is of another primary, which has less or another clock.
+	if p > g.primaryPosition || at > g.primaryPositionSetAt+positionSettleTime {
+		if p < g.primaryPosition { // other members may have reported positions that the new primary lost
+			g.maxMemberPosition = min(g.maxMemberPosition, p)
 		}
-		g.top, g.topSet = p, at
+		g.primaryPosition, g.primaryPositionSetAt = p, at
 	}
-	g.topAt = max(g.topAt, at)
+	g.primaryConfirmedAt = max(g.primaryConfirmedAt, at)
 }
--- a/session/peers.go
+++ b/session/peers.go
@@ -2,270 +2,275 @@
 
 import "slices"
 
-// peer is what is known of another gateway. Its notes up to a number are held here, or were forgotten into floors, or
-// lie under the fences that were asked for after the last loss.
+// peer is the state of another gateway. Its entries up to lastSequence are held here, were expired into floors, or are
+// covered by the fences requested after the last loss.
 type peer struct {
-	known    bool // an answer to a question of this run, or the state of the last, told its epoch
-	epoch    uint64
-	upto     uint64
-	silent   bool // the last question to all was not answered in time
-	askedAt  int64
-	heardAt  int64
-	asked    [4]asked // latest questions
-	askedNo  int
-	silentAt int64
-	retry    int64 // after which one that is silent is asked again, longer each time
+	epochKnown        bool // from a response to a request of this run, or from the restored state
+	epoch             uint64
+	lastSequence      uint64
+	unresponsive      bool // it did not respond to the last peer query in time
+	requestedAt       int64
+	respondedAt       int64
+	recentRequests    [4]entryRequest
+	requestCount      int
+	unresponsiveSince int64
+	retryInterval     int64 // between requests to an unresponsive peer, doubled each time
 }
 
-// asked is a question under way.
-type asked struct {
-	no uint64
-	at int64
+// entryRequest is a request in flight for a peer's entries.
+type entryRequest struct {
+	id     uint64
+	sentAt int64
 }
 
-// notes are what this gateway noted, the latest of which can be told again.
-type notes struct {
-	last   uint64
-	ring   []noted // the last of which has the number last
-	pushed uint64  // numbers that were told unasked, or are too old to be
+// entryLog holds the entries that this gateway recorded, the latest of which can be sent again.
+type entryLog struct {
+	lastSequence uint64
+	retained     []loggedEntry // the last of which has the number lastSequence
+	lastPushed   uint64        // entries up to here were sent unrequested, or are no longer retained
 }
 
-type noted struct {
+type loggedEntry struct {
 	Entry
-	at int64
+	recordedAt int64
 }
 
-func (s *Sessions) append(e Entry) {
-	if e.Kind == CommitEntry && !s.terms.DynamicMembership && s.terms.FleetSize > 1 && !s.asksAll() { // nobody asks for it, by no list
-		s.changed(Change{Kind: EntryReceived, Entry: e})
+func (s *Sessions) appendEntry(e Entry) {
+	// With a fixed list that is too large for queries no gateway ever requests commits.
+	if e.Kind == CommitEntry && !s.config.DynamicMembership && s.config.FleetSize > 1 && !s.canQueryPeers() {
+		s.recordChange(Change{Kind: EntryReceived, Entry: e})
 		return
 	}
-	n := &s.notes
-	n.last++
-	s.changed(Change{Kind: EntryRecorded, Sequence: n.last, Entry: e})
-	if s.terms.FleetSize == 1 && !s.terms.DynamicMembership {
+	l := &s.entryLog
+	l.lastSequence++
+	s.recordChange(Change{Kind: EntryRecorded, Sequence: l.lastSequence, Entry: e})
+	if s.config.FleetSize == 1 && !s.config.DynamicMembership {
 		return
 	}
-	n.ring = append(n.ring, noted{e, s.now})
-	n.trim()
+	l.retained = append(l.retained, loggedEntry{e, s.now})
+	l.trim()
 }
 
-func (n *notes) trim() {
-	if len(n.ring) >= 2*ringSize {
-		n.ring = append([]noted(nil), n.ring[len(n.ring)-ringSize:]...)
+func (l *entryLog) trim() {
+	if len(l.retained) >= 2*maxRetainedEntries {
+		l.retained = append([]loggedEntry(nil), l.retained[len(l.retained)-maxRetainedEntries:]...)
 	}
 }
 
-// page is the notes from a number on, as many as fit.
-func (s *Sessions) page(from uint64) Page {
-	n := &s.notes
-	p := Page{Epoch: s.epoch, Last: n.last, First: from}
-	for no := from; no <= n.last && len(p.Entries) < pageSize; no++ {
-		x := n.ring[len(n.ring)-1-int(n.last-no)]
-		e := x.Entry
-		e.Age = s.now - x.at
+// pageFrom returns the entries from a sequence number on, as many as fit into a page.
+func (s *Sessions) pageFrom(first uint64) Page {
+	l := &s.entryLog
+	p := Page{Epoch: s.epoch, Last: l.lastSequence, First: first}
+	for sequence := first; sequence <= l.lastSequence && len(p.Entries) < maxPageEntries; sequence++ {
+		logged := l.retained[len(l.retained)-1-int(l.lastSequence-sequence)]
+		e := logged.Entry
+		e.Age = s.now - logged.recordedAt
 		p.Entries = append(p.Entries, e)
 	}
 	return p
 }
 
-// HandleRequest takes a peer's question for what was noted here after a number of an epoch.
-func (s *Sessions) HandleRequest(from int, no, epoch, upto uint64) {
+// HandleRequest takes a peer's request for this gateway's entries after a sequence number of an epoch.
+func (s *Sessions) HandleRequest(from int, requestID, epoch, lastSequence uint64) {
 	if !s.isPeer(from) {
 		return
 	}
-	n := &s.notes
-	lacks := n.last - upto
-	// What it lacks is too much, or gone, or it knows of another run: it is told the last number alone, which it
-	// takes as a loss.
-	if epoch != s.epoch || upto > n.last || lacks > catchUp*pageSize || lacks > uint64(len(n.ring)) {
-		s.tell(from, no, Page{Epoch: s.epoch, Last: n.last, First: n.last + 1})
+	l := &s.entryLog
+	missing := l.lastSequence - lastSequence
+	// If the peer misses too much, or entries that are gone, or refers to another run, it is sent the last sequence
+	// number alone, which it records as a loss.
+	if epoch != s.epoch || lastSequence > l.lastSequence || missing > maxCatchUpPages*maxPageEntries ||
+		missing > uint64(len(l.retained)) {
+		s.sendPage(from, requestID, Page{Epoch: s.epoch, Last: l.lastSequence, First: l.lastSequence + 1})
 		return
 	}
-	for paid := true; ; paid = false { // the first answer by who asked
-		p := s.page(upto + 1)
-		s.tell(from, no, p)
-		if !paid {
-			s.credit--
+	for prepaid := true; ; prepaid = false { // the requester's budget was charged for the first page
+		p := s.pageFrom(lastSequence + 1)
+		s.sendPage(from, requestID, p)
+		if !prepaid {
+			s.messageBudget--
 		}
-		if upto += uint64(len(p.Entries)); upto >= n.last {
+		if lastSequence += uint64(len(p.Entries)); lastSequence >= l.lastSequence {
 			return
 		}
 	}
 }
 
-func (s *Sessions) tell(to int, no uint64, p Page) {
+func (s *Sessions) sendPage(to int, requestID uint64, p Page) {
 	s.stats.PagesSent++
-	s.out = append(s.out, Decision{Kind: SendEntries, Peer: to, RequestID: no, Page: p})
+	s.decisions = append(s.decisions, Decision{Kind: SendEntries, Peer: to, RequestID: requestID, Page: p})
 }
 
-func (s *Sessions) ask(to int) {
+func (s *Sessions) requestEntries(to int) {
 	p := &s.peers[to]
-	s.nonce++
-	p.askedAt = s.now
-	p.asked[p.askedNo%len(p.asked)] = asked{s.nonce, s.now}
-	p.askedNo++
+	s.lastRequestID++
+	p.requestedAt = s.now
+	p.recentRequests[p.requestCount%len(p.recentRequests)] = entryRequest{s.lastRequestID, s.now}
+	p.requestCount++
 	s.stats.EntryRequests++
-	s.credit -= 2
-	s.out = append(s.out, Decision{Kind: RequestEntries, Peer: to, RequestID: s.nonce, Page: Page{Epoch: p.epoch, Last: p.upto}})
+	s.messageBudget -= 2
+	s.decisions = append(s.decisions, Decision{Kind: RequestEntries, Peer: to, RequestID: s.lastRequestID,
+		Page: Page{Epoch: p.epoch, Last: p.lastSequence}})
 }
 
 func (s *Sessions) isPeer(i int) bool {
-	_, ok := slices.BinarySearch(s.others, i)
+	_, ok := slices.BinarySearch(s.otherGateways, i)
 	return ok
 }
 
-// HandlePage takes a page of a peer, the answer to a question or, with 0, unasked. Pages may come late, twice, in any order
-// or never.
-func (s *Sessions) HandlePage(from int, no uint64, page Page) {
+// HandlePage takes a page of a peer, the response to a request or, with requestID 0, unrequested. Pages may come late,
+// twice, in any order or never.
+func (s *Sessions) HandlePage(from int, requestID uint64, page Page) {
 	if !s.isPeer(from) {
 		return
 	}
 	p := &s.peers[from]
-	since := int64(-1) // when the question went out, which the page answers
-	for _, a := range p.asked {
-		if no != 0 && a.no == no {
-			since = a.at
+	requestedAt := int64(-1) // when the request that the page answers was sent
+	for _, request := range p.recentRequests {
+		if requestID != 0 && request.id == requestID {
+			requestedAt = request.sentAt
 		}
 	}
 	switch {
-	case p.known && p.epoch == page.Epoch:
-	case since >= 0:
-		s.adopt(from, page)
-	default: // only an answer to a question of this run tells which run of its gateway goes on
+	case p.epochKnown && p.epoch == page.Epoch:
+	case requestedAt >= 0:
+		s.resetPeer(from, page)
+	default: // only a response to a request of this run shows which run of the peer is current
 		for i := range page.Entries {
-			if e := &page.Entries[i]; e.Kind == KeyedWriteEntry { // true of any run
-				s.learn(e, max(0, e.Age), since)
+			if e := &page.Entries[i]; e.Kind == KeyedWriteEntry { // valid for any run
+				s.applyPeerEntry(e, max(0, e.Age), requestedAt)
 			}
 		}
 		return
 	}
-	p.heardAt = s.now
+	p.respondedAt = s.now
 	for i := range page.Entries {
 		e := &page.Entries[i]
-		// The question went out before the page was made: what is that old was noted this long ago at least.
-		s.learn(e, max(0, e.Age), since)
+		// The request was sent before the page was made: an entry of this age was recorded at least that long ago.
+		s.applyPeerEntry(e, max(0, e.Age), requestedAt)
 	}
-	if end := page.First + uint64(len(page.Entries)); page.First <= p.upto+1 && end > p.upto+1 {
-		p.upto = end - 1
-		s.changed(Change{Kind: PeerCaughtUp, Peer: from, Epoch: p.epoch, Sequence: p.upto})
+	if end := page.First + uint64(len(page.Entries)); page.First <= p.lastSequence+1 && end > p.lastSequence+1 {
+		p.lastSequence = end - 1
+		s.recordChange(Change{Kind: PeerCaughtUp, Peer: from, Epoch: p.epoch, Sequence: p.lastSequence})
 	}
-	if since < 0 {
+	if requestedAt < 0 {
 		return
 	}
-	if len(page.Entries) == 0 && page.First > p.upto+1 { // a stretch of it is not to be had
-		s.adopt(from, page)
+	if len(page.Entries) == 0 && page.First > p.lastSequence+1 { // the peer can't send the missing entries
+		s.resetPeer(from, page)
 	}
-	if p.silent {
-		p.silent = false
-		s.log("gateway %d answers again after %d ms, notes held to %d of %d", from, (s.now-p.silentAt)/1e6,
-			p.upto, page.Last)
+	if p.unresponsive {
+		p.unresponsive = false
+		s.log("gateway %d answers again after %d ms, notes held to %d of %d", from, (s.now-p.unresponsiveSince)/1e6,
+			p.lastSequence, page.Last)
 	}
-	s.roundHeard(from, no, p.upto >= page.Last)
+	s.recordPeerResponse(from, requestID, p.lastSequence >= page.Last)
 }
 
-// adopt takes a peer's notes as they stand: what it noted before is not held here, and lies under the fences that
-// are asked for from now on.
-func (s *Sessions) adopt(from int, page Page) {
+// resetPeer continues from the end of a peer's entry log: its earlier entries are not held here, and are covered by
+// the fences that are requested from now on.
+func (s *Sessions) resetPeer(from int, page Page) {
 	p := &s.peers[from]
-	if p.known {
-		s.log("gateway %d: notes lost from %d to %d, each group is fenced once", from, p.upto, page.Last)
+	if p.epochKnown {
+		s.log("gateway %d: notes lost from %d to %d, each group is fenced once", from, p.lastSequence, page.Last)
 	}
-	p.known, p.epoch, p.upto = true, page.Epoch, page.Last
-	s.lose()
-	s.changed(Change{Kind: PeerCaughtUp, Peer: from, Epoch: p.epoch, Sequence: p.upto})
+	p.epochKnown, p.epoch, p.lastSequence = true, page.Epoch, page.Last
+	s.recordLoss()
+	s.recordChange(Change{Kind: PeerCaughtUp, Peer: from, Epoch: p.epoch, Sequence: p.lastSequence})
 }
 
-// learn takes what a peer noted. since is when the question for it went out, negative for none.
-func (s *Sessions) learn(e *Entry, age, since int64) {
-	s.changed(Change{Kind: EntryReceived, Entry: *e})
+// applyPeerEntry takes an entry of a peer. requestedAt is when the request for it was sent, negative for none.
+func (s *Sessions) applyPeerEntry(e *Entry, age, requestedAt int64) {
+	s.recordChange(Change{Kind: EntryReceived, Entry: *e})
 	switch e.Kind {
 	case CommitEntry:
-		s.note(e.Group, e.Key, e.Position)
+		s.raiseWatermark(e.Group, e.Key, e.Position)
 	case KeyedWriteEntry:
-		first := s.now - age
-		if since >= 0 {
-			first = since - age
+		firstSentAt := s.now - age
+		if requestedAt >= 0 {
+			firstSentAt = requestedAt - age
 		}
-		s.keys.note(e.Group, e.Key, first, s.now)
+		s.keyedWrites.record(e.Group, e.Key, firstSentAt, s.now)
 	}
 }
 
-// push tells all peers what was noted, where the budget allows it. Nothing depends on it: it saves questions later.
-func (s *Sessions) push() {
-	n := &s.notes
-	if len(s.others) == 0 || s.terms.Source == SourceLocal || n.pushed == n.last {
+// pushEntries sends new entries to all peers where the budget allows it. Correctness does not depend on it: it saves
+// requests later.
+func (s *Sessions) pushEntries() {
+	l := &s.entryLog
+	if len(s.otherGateways) == 0 || s.config.Source == SourceLocal || l.lastPushed == l.lastSequence {
 		return
 	}
-	n.pushed = max(n.pushed, n.last-uint64(len(n.ring)))
-	if s.terms.DynamicMembership && !s.asksAll() {
-		s.pushSent()
+	l.lastPushed = max(l.lastPushed, l.lastSequence-uint64(len(l.retained)))
+	if s.config.DynamicMembership && !s.canQueryPeers() {
+		s.pushKeyedWrites()
 		return
 	}
-	for n.pushed < n.last {
-		oldest := n.ring[len(n.ring)-int(n.last-n.pushed)]
-		full := n.last-n.pushed >= pageSize
-		if s.now-oldest.at < pushAfter && !full || s.credit < float64(len(s.others)) {
+	for l.lastPushed < l.lastSequence {
+		oldest := l.retained[len(l.retained)-int(l.lastSequence-l.lastPushed)]
+		full := l.lastSequence-l.lastPushed >= maxPageEntries
+		if s.now-oldest.recordedAt < pushDelay && !full || s.messageBudget < float64(len(s.otherGateways)) {
 			return
 		}
-		p := s.page(n.pushed + 1)
-		for _, i := range s.others {
-			s.credit--
-			s.tell(i, 0, p)
+		p := s.pageFrom(l.lastPushed + 1)
+		for _, i := range s.otherGateways {
+			s.messageBudget--
+			s.sendPage(i, 0, p)
 		}
-		n.pushed += uint64(len(p.Entries))
+		l.lastPushed += uint64(len(p.Entries))
 	}
 }
 
-// pushSent tells all peers of keyed writes alone: by this list nobody asks for marks, and who asks by another one gets
-// them then.
-func (s *Sessions) pushSent() {
-	n := &s.notes
-	p := Page{Epoch: s.epoch, Last: n.last, First: outOfOrder}
+// pushKeyedWrites sends all peers the keyed writes alone: under the current list no gateway requests commits, and one
+// that requests them under another list receives them then.
+func (s *Sessions) pushKeyedWrites() {
+	l := &s.entryLog
+	p := Page{Epoch: s.epoch, Last: l.lastSequence, First: nonContiguousPage}
 	oldest := int64(0)
-	upto := n.pushed
-	for ; upto < n.last && len(p.Entries) < pageSize; upto++ {
-		x := n.ring[len(n.ring)-int(n.last-upto)]
-		if x.Kind != KeyedWriteEntry {
+	scanned := l.lastPushed
+	for ; scanned < l.lastSequence && len(p.Entries) < maxPageEntries; scanned++ {
+		logged := l.retained[len(l.retained)-int(l.lastSequence-scanned)]
+		if logged.Kind != KeyedWriteEntry {
 			continue
 		}
 		if len(p.Entries) == 0 {
-			oldest = x.at
+			oldest = logged.recordedAt
 		}
-		e := x.Entry
-		e.Age = s.now - x.at
+		e := logged.Entry
+		e.Age = s.now - logged.recordedAt
 		p.Entries = append(p.Entries, e)
 	}
-	if len(p.Entries) > 0 && (s.now-oldest < pushAfter && len(p.Entries) < pageSize || s.credit < float64(len(s.others))) {
+	if len(p.Entries) > 0 && (s.now-oldest < pushDelay && len(p.Entries) < maxPageEntries ||
+		s.messageBudget < float64(len(s.otherGateways))) {
 		return
 	}
-	if n.pushed = upto; len(p.Entries) == 0 {
+	if l.lastPushed = scanned; len(p.Entries) == 0 {
 		return
 	}
-	for _, i := range s.others {
-		s.credit--
-		s.tell(i, 0, p)
+	for _, i := range s.otherGateways {
+		s.messageBudget--
+		s.sendPage(i, 0, p)
 	}
 }
 
-// keepAlive asks peers that were not asked for a while: that tells who is there, and fills gaps.
-func (s *Sessions) keepAlive() {
-	if !s.asksAll() {
+// sendKeepalives sends requests to peers that got none for a while: this detects failed peers, and fills gaps.
+func (s *Sessions) sendKeepalives() {
+	if !s.canQueryPeers() {
 		return
 	}
-	for _, i := range s.others {
-		if p := &s.peers[i]; s.now-p.askedAt >= s.keepalive(p) && s.credit >= 2 {
-			p.retry *= 2
-			s.ask(i)
+	for _, i := range s.otherGateways {
+		if p := &s.peers[i]; s.now-p.requestedAt >= s.keepaliveInterval(p) && s.messageBudget >= 2 {
+			p.retryInterval *= 2
+			s.requestEntries(i)
 		}
 	}
 }
 
-// keepalive is how often a peer is asked. It grows with the fleet, so that what it costs a gateway does not.
-func (s *Sessions) keepalive(p *peer) int64 {
-	span := max(s.terms.KeepaliveInterval, int64(float64(4*s.size())/idleRate*1e9))
-	if p.silent {
-		return min(span, p.retry)
+// keepaliveInterval grows with the fleet, so that the cost of keepalives for each gateway does not.
+func (s *Sessions) keepaliveInterval(p *peer) int64 {
+	interval := max(s.config.KeepaliveInterval, int64(float64(4*s.fleetSize())/idleMessagesPerSecond*1e9))
+	if p.unresponsive {
+		return min(interval, p.retryInterval)
 	}
-	return span
+	return interval
 }
--- a/session/repeats.go
+++ b/session/repeats.go
@@ -1,57 +1,57 @@
 package session
 
-// keys are the keyed writes that were sent to members by any gateway, as far as is known here: for how long a group
-// drops repeats counts from the first.
-type keys struct {
-	held map[uint64]sent
-	line []uint64 // oldest first
+// keyedWrites are the keyed writes that any gateway sent to members, as far as this one knows. The time for which a
+// group drops repeats counts from the first.
+type keyedWrites struct {
+	byKey map[uint64]keyedWrite
+	byAge []uint64 // oldest first
 }
 
-type sent struct {
-	group int
-	first int64 // earliest time at which it may have been sent
-	at    int64 // when it was told here
+type keyedWrite struct {
+	group       int
+	firstSentAt int64 // earliest time at which it may have been sent
+	recordedAt  int64 // when this gateway received it
 }
 
-func (k *keys) init() { k.held = map[uint64]sent{} }
+func (k *keyedWrites) init() { k.byKey = map[uint64]keyedWrite{} }
 
-func (k *keys) note(grp int, key uint64, first, now int64) {
-	if old, ok := k.held[key]; ok {
-		old.first = min(old.first, first)
-		k.held[key] = old
+func (k *keyedWrites) record(groupID int, key uint64, firstSentAt, now int64) {
+	if old, ok := k.byKey[key]; ok {
+		old.firstSentAt = min(old.firstSentAt, firstSentAt)
+		k.byKey[key] = old
 		return
 	}
-	k.held[key] = sent{grp, first, now}
-	k.line = append(k.line, key)
+	k.byKey[key] = keyedWrite{groupID, firstSentAt, now}
+	k.byAge = append(k.byAge, key)
 }
 
-func (k *keys) forgetOld(now, span int64, most int) {
+func (k *keyedWrites) expireOld(now, expiry int64, maxCount int) {
 	n := 0
-	for ; n < len(k.line) && (now-k.held[k.line[n]].at >= span || len(k.held) > most); n++ {
-		delete(k.held, k.line[n])
+	for ; n < len(k.byAge) && (now-k.byKey[k.byAge[n]].recordedAt >= expiry || len(k.byKey) > maxCount); n++ {
+		delete(k.byKey, k.byAge[n])
 	}
-	if k.line = k.line[n:]; len(k.line) == 0 {
-		k.line = nil
+	if k.byAge = k.byAge[n:]; len(k.byAge) == 0 {
+		k.byAge = nil
 	}
 }
 
-// RecordKeyedWrite notes that a keyed write goes to a member of a group now.
-func (s *Sessions) RecordKeyedWrite(grp int, key uint64) {
-	if _, ok := s.keys.held[key]; ok {
+// RecordKeyedWrite records that a keyed write is being sent to a member of a group.
+func (s *Sessions) RecordKeyedWrite(groupID int, key uint64) {
+	if _, ok := s.keyedWrites.byKey[key]; ok {
 		return
 	}
-	s.keys.note(grp, key, s.now, s.now)
-	s.append(Entry{Kind: KeyedWriteEntry, Group: grp, Key: key})
+	s.keyedWrites.record(groupID, key, s.now, s.now)
+	s.appendEntry(Entry{Kind: KeyedWriteEntry, Group: groupID, Key: key})
 }
 
-// RetryDeadline tells until when a keyed write may be sent to its group: while the group drops repeats for a window since
-// the first was sent, by any gateway that told of it. ok is false where that is over, or the key went to another
-// group, which drops no repeat of it; until is 0 where nothing is known of it.
-func (s *Sessions) RetryDeadline(grp int, key uint64, window int64) (until int64, ok bool) {
-	held, known := s.keys.held[key]
+// RetryDeadline returns until when a keyed write may be sent to its group: as long as the group drops repeats, which
+// is a window that begins when the first was sent, by any gateway that reported it. ok is false where that time is
+// over, or the key went to another group, which drops no repeat of it; until is 0 where nothing is known of the key.
+func (s *Sessions) RetryDeadline(groupID int, key uint64, window int64) (until int64, ok bool) {
+	held, known := s.keyedWrites.byKey[key]
 	if !known {
 		return 0, true
 	}
-	until = held.first + window - marginSent
-	return until, held.group == grp && s.now < until
+	until = held.firstSentAt + window - keyedWriteMargin
+	return until, held.group == groupID && s.now < until
 }
--- a/session/seed_test.go
+++ b/session/seed_test.go
@@ -2,5 +2,5 @@
 
 import "flag"
 
-// The same histories every time, unless the command line says otherwise.
+// Fixes the seed, so that each run draws the same histories, unless the command line sets another.
 func init() { _ = flag.Set("rapid.seed", "1") }
--- a/session/trace_test.go
+++ b/session/trace_test.go
@@ -2,15 +2,15 @@
 
 import "fmt"
 
-// trace drives one gateway of a fleet of three, the first, and prints what it decides.
+// trace drives the first gateway of a fleet of three, and prints its decisions.
 type trace struct {
-	s        *Sessions
-	complete bool   // what clients bring covers all that their sessions wrote
-	fence    uint64 // the latest
-	asks     [3]uint64
+	s              *Sessions
+	complete       bool   // client positions cover all that their sessions wrote
+	lastFenceID    uint64 // of the latest fence
+	lastRequestIDs [3]uint64
 }
 
-func open(change ...func(*Config)) *trace {
+func newTrace(change ...func(*Config)) *trace {
 	t := DefaultConfig()
 	t.FleetSize = 3
 	for _, c := range change {
@@ -20,13 +20,13 @@
 	if err != nil {
 		panic(err)
 	}
-	s.nonce = 0
+	s.lastRequestID = 0
 	return (&trace{s: s}).at(1000)
 }
 
 func (t *trace) at(ms int64) *trace { t.s.SetTime(ms * 1e6); return t }
 
-func (t *trace) pull() *trace {
+func (t *trace) printDecisions() *trace {
 	for {
 		d, ok := t.s.Next()
 		if !ok {
@@ -39,10 +39,10 @@
 		case Refuse:
 			fmt.Println("refuse", d.ReadID, "for", d.Delay/1e6)
 		case Fence:
-			t.fence = d.RequestID
+			t.lastFenceID = d.RequestID
 			fmt.Println("fence group", d.Group, "no", d.RequestID)
 		case RequestEntries:
-			t.asks[d.Peer] = d.RequestID
+			t.lastRequestIDs[d.Peer] = d.RequestID
 			fmt.Println("ask", d.Peer, "no", d.RequestID, "behind", d.Page.Last, "of", d.Page.Epoch)
 		case SendEntries:
 			fmt.Println("tell", d.Peer, "no", d.RequestID, len(d.Page.Entries), "entries from", d.Page.First, "last", d.Page.Last)
@@ -54,16 +54,16 @@
 	}
 }
 
-func (t *trace) read(id uint64, session uint64, brought Position) *trace {
-	t.s.AddRead(id, 0, session, brought, t.complete, t.s.now+500e6)
+func (t *trace) read(id uint64, session uint64, clientPosition Position) *trace {
+	t.s.AddRead(id, 0, session, clientPosition, t.complete, t.s.now+500e6)
 	return t
 }
 
-// told answers the latest question to a peer, or has it say something unasked.
-func (t *trace) told(from int, asked bool, epoch, last uint64, first uint64, marks ...Position) *trace {
+// respond delivers a page of a peer, as the response to the latest request or unrequested.
+func (t *trace) respond(from int, isResponse bool, epoch, last uint64, first uint64, marks ...Position) *trace {
 	no := uint64(0)
-	if asked {
-		no = t.asks[from]
+	if isResponse {
+		no = t.lastRequestIDs[from]
 	}
 	p := Page{Epoch: epoch, Last: last, First: first}
 	for _, m := range marks {
@@ -73,45 +73,45 @@
 	return t
 }
 
-// fenced answers the latest fence.
-func (t *trace) fenced(p Position) *trace {
-	t.s.FenceCompleted(0, t.fence, p)
+// completeFence responds to the latest fence.
+func (t *trace) completeFence(p Position) *trace {
+	t.s.FenceCompleted(0, t.lastFenceID, p)
 	return t
 }
 
-// quiet takes decisions without printing them.
-func (t *trace) quiet() *trace {
+// processSilently takes decisions without printing them.
+func (t *trace) processSilently() *trace {
 	for d, ok := t.s.Next(); ok; d, ok = t.s.Next() {
 		switch d.Kind {
 		case Fence:
-			t.fence = d.RequestID
+			t.lastFenceID = d.RequestID
 		case RequestEntries:
-			t.asks[d.Peer] = d.RequestID
+			t.lastRequestIDs[d.Peer] = d.RequestID
 		}
 	}
 	return t
 }
 
-// known is a gateway that has heard of both others, and of its group's primary since.
-func known(change ...func(*Config)) *trace {
-	t := open(change...)
-	t.quiet()
-	t.told(1, true, 201, 0, 1).told(2, true, 301, 0, 1)
+// connected returns a gateway that has received a page of both others, and then its primary's position.
+func connected(change ...func(*Config)) *trace {
+	t := newTrace(change...)
+	t.processSilently()
+	t.respond(1, true, 201, 0, 1).respond(2, true, 301, 0, 1)
 	t.read(99, 7, 0)
-	t.quiet()
-	t.fenced(5000)
-	t.quiet()
+	t.processSilently()
+	t.completeFence(5000)
+	t.processSilently()
 	return t
 }
 
-// A fresh gateway asks the primary; what came before the first word of the others lies under that fence.
-func Example_freshGateway() {
-	t := open().read(1, 7, 0).pull()
-	t.at(1001).told(1, true, 201, 40, 41).told(2, true, 301, 12, 13).pull()
-	t.at(1002).fenced(5000) // asked for before the last loss: it covers the read, not the group
-	t.pull().read(2, 7, 0).pull()
-	t.at(1003).fenced(6000)
-	t.pull().read(3, 7, 0).pull()
+// A gateway without state asks the primary; a fence covers what the others recorded before their first response.
+func Example_gatewayWithoutState() {
+	t := newTrace().read(1, 7, 0).printDecisions()
+	t.at(1001).respond(1, true, 201, 40, 41).respond(2, true, 301, 12, 13).printDecisions()
+	t.at(1002).completeFence(5000) // requested before the last loss: it covers the read, not the group
+	t.printDecisions().read(2, 7, 0).printDecisions()
+	t.at(1003).completeFence(6000)
+	t.printDecisions().read(3, 7, 0).printDecisions()
 	// Output:
 	// 1000 fence group 0 no 1
 	// 1000 ask 1 no 2 behind 0 of 0
@@ -125,11 +125,11 @@
 	// 1003 wake after 3
 }
 
-// One question to both others serves all reads that wait when it goes out; later ones wait for the next.
-func Example_round() {
-	t := known().at(1100).read(1, 7, 0).read(2, 8, 0).pull()
-	t.read(3, 8, 0).pull()
-	t.at(1101).told(1, true, 201, 2, 1, 7000, 8000).told(2, true, 301, 0, 1).pull()
+// One query to both others serves all reads that wait when it starts; later ones wait for the next.
+func Example_peerQuery() {
+	t := connected().at(1100).read(1, 7, 0).read(2, 8, 0).printDecisions()
+	t.read(3, 8, 0).printDecisions()
+	t.at(1101).respond(1, true, 201, 2, 1, 7000, 8000).respond(2, true, 301, 0, 1).printDecisions()
 	// Output:
 	// 1100 ask 1 no 4 behind 0 of 201
 	// 1100 ask 2 no 5 behind 0 of 301
@@ -140,11 +140,11 @@
 	// 1101 ask 2 no 7 behind 0 of 301
 }
 
-// A message is lost: who has not answered is asked again within the round, and either answer will do.
+// A message is lost: the peer that has not responded is asked again within the query, and either response counts.
 func Example_lostMessage() {
-	t := known().at(1100).read(1, 7, 0).pull()
-	t.told(2, true, 301, 0, 1).at(1104).pull()
-	t.at(1105).told(1, true, 201, 1, 1, 7000).pull()
+	t := connected().at(1100).read(1, 7, 0).printDecisions()
+	t.respond(2, true, 301, 0, 1).at(1104).printDecisions()
+	t.at(1105).respond(1, true, 201, 1, 1, 7000).printDecisions()
 	// Output:
 	// 1100 ask 1 no 4 behind 0 of 201
 	// 1100 ask 2 no 5 behind 0 of 301
@@ -154,14 +154,14 @@
 	// 1105 serve 1 from 7000
 }
 
-// Of several pages one is lost: the round is not over before the gap is filled, by the next question.
+// One of several pages is lost: the query does not end before the next request fills the gap.
 func Example_gap() {
-	t := known().at(1100).read(1, 7, 0).pull()
-	t.at(1101).told(2, true, 301, 0, 1).told(1, true, 201, 10, 9, 7000, 8000).pull()
-	t.at(1111).pull()
-	t.at(1112).fenced(9000)
-	t.pull().at(1120).read(2, 7, 0).pull()
-	t.at(1121).told(2, true, 301, 0, 1).told(1, true, 201, 10, 1, 1, 1, 1, 1, 1, 1, 1, 1).told(1, true, 201, 10, 9, 7000, 8000).pull()
+	t := connected().at(1100).read(1, 7, 0).printDecisions()
+	t.at(1101).respond(2, true, 301, 0, 1).respond(1, true, 201, 10, 9, 7000, 8000).printDecisions()
+	t.at(1111).printDecisions()
+	t.at(1112).completeFence(9000)
+	t.printDecisions().at(1120).read(2, 7, 0).printDecisions()
+	t.at(1121).respond(2, true, 301, 0, 1).respond(1, true, 201, 10, 1, 1, 1, 1, 1, 1, 1, 1, 1).respond(1, true, 201, 10, 9, 7000, 8000).printDecisions()
 	// Output:
 	// 1100 ask 1 no 4 behind 0 of 201
 	// 1100 ask 2 no 5 behind 0 of 301
@@ -175,13 +175,13 @@
 	// 1121 serve 2 from 8000
 }
 
-// A page of another run that nobody asked for changes nothing; as an answer it is a loss, and each group is fenced
+// A page of another run that was not requested changes nothing; as a response it is a loss, and each group is fenced
 // once.
 func Example_otherEpoch() {
-	t := known().at(1100).told(1, false, 777, 9, 9, 8000).read(1, 7, 0).pull()
-	t.at(1101).told(1, true, 202, 0, 1).told(2, true, 301, 0, 1).pull()
-	t.at(1102).fenced(9000)
-	t.pull()
+	t := connected().at(1100).respond(1, false, 777, 9, 9, 8000).read(1, 7, 0).printDecisions()
+	t.at(1101).respond(1, true, 202, 0, 1).respond(2, true, 301, 0, 1).printDecisions()
+	t.at(1102).completeFence(9000)
+	t.printDecisions()
 	// Output:
 	// 1100 ask 1 no 4 behind 0 of 201
 	// 1100 ask 2 no 5 behind 0 of 301
@@ -191,12 +191,12 @@
 	// 1102 serve 1 from 9000
 }
 
-// A fence that was asked for before a loss covers the reads that waited for it, but not what was lost.
-func Example_lossMeanwhile() {
-	t := open().read(1, 7, 0).pull()
-	t.told(1, true, 201, 5, 6).at(1005)
-	t.fenced(5000)
-	t.pull().read(2, 7, 0).pull()
+// A fence requested before a loss covers the reads that waited for it, but not the lost entries.
+func Example_lossDuringFence() {
+	t := newTrace().read(1, 7, 0).printDecisions()
+	t.respond(1, true, 201, 5, 6).at(1005)
+	t.completeFence(5000)
+	t.printDecisions().read(2, 7, 0).printDecisions()
 	// Output:
 	// 1000 fence group 0 no 1
 	// 1000 ask 1 no 2 behind 0 of 0
@@ -206,14 +206,14 @@
 	// 1005 fence group 0 no 4
 }
 
-// A gateway that does not answer costs the reads their round once, then a fence each, until it answers again.
-func Example_silentPeer() {
-	t := known().at(1100).read(1, 7, 0).pull()
-	t.at(1101).told(2, true, 301, 0, 1).at(1110).pull()
-	t.at(1111).fenced(9000)
-	t.pull().at(1120).read(2, 7, 0).pull()
-	t.at(1121).fenced(9100)
-	t.pull().at(1400).pull().told(1, true, 201, 0, 1).read(3, 7, 0).pull()
+// An unresponsive gateway costs the reads one failed query, then a fence each, until it responds again.
+func Example_unresponsivePeer() {
+	t := connected().at(1100).read(1, 7, 0).printDecisions()
+	t.at(1101).respond(2, true, 301, 0, 1).at(1110).printDecisions()
+	t.at(1111).completeFence(9000)
+	t.printDecisions().at(1120).read(2, 7, 0).printDecisions()
+	t.at(1121).completeFence(9100)
+	t.printDecisions().at(1400).printDecisions().respond(1, true, 201, 0, 1).read(3, 7, 0).printDecisions()
 	// Output:
 	// 1100 ask 1 no 4 behind 0 of 201
 	// 1100 ask 2 no 5 behind 0 of 301
@@ -234,10 +234,10 @@
 	// 1400 wake after 3
 }
 
-// No primary tells its position: reads wait for its successor as long as their time allows, then are refused with
-// when to come back.
+// No primary reports its position: reads wait for its successor as long as their time allows, then are refused with a
+// delay after which to retry.
 func Example_noPrimary() {
-	t := open(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).read(2, 7, 0).pull()
+	t := newTrace(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).read(2, 7, 0).printDecisions()
 	for i := range 12 {
 		t.at(1001+6*int64(i)).s.FenceFailed(0, uint64(i+1))
 		for d, ok := t.s.Next(); ok; d, ok = t.s.Next() {
@@ -250,7 +250,7 @@
 		}
 	}
 	t.s.CancelRead(2)
-	t.at(1438).pull()
+	t.at(1438).printDecisions()
 	// Output:
 	// 1000 fence group 0 no 1
 	// 1000 wake after 50
@@ -258,14 +258,14 @@
 	// 1438 refuse 1 for 200
 }
 
-// A position that a client brings is believed as far as its group was seen; one from the future is bounded by the
-// primary, so that nobody pins a session to it.
-func Example_broughtTokens() {
-	t := known().at(1100)
+// A client's position is trusted up to where its group is known to be; a higher one is bounded by the primary, so that
+// no client can pin a session to it.
+func Example_clientPositions() {
+	t := connected().at(1100)
 	t.complete = true
-	t.read(1, 7, 4000).read(2, 7, 0).read(3, 7, 999e15).pull()
-	t.at(1101).fenced(9000)
-	t.pull()
+	t.read(1, 7, 4000).read(2, 7, 0).read(3, 7, 999e15).printDecisions()
+	t.at(1101).completeFence(9000)
+	t.printDecisions()
 	// Output:
 	// 1100 serve 1 from 4000
 	// 1100 serve 2 from 0
@@ -274,18 +274,18 @@
 	// 1101 serve 3 from 9000
 }
 
-// Restored notes are out of reach as far as anybody told, until a replica shows itself beyond them: no primary is needed
-// then, for what clients bring from before that neither. What lies further is still the primary's.
-func Example_replicaShows() {
-	t := open(func(t *Config) { t.FleetSize = 1 })
+// Restored entries may be out of reach, until a replica reports a position beyond them: then neither they nor client
+// positions up to there need a primary. Higher positions still do.
+func Example_replicaReachesFloor() {
+	t := newTrace(func(t *Config) { t.FleetSize = 1 })
 	t.s.Restore([]Change{{Kind: FloorSet, Entry: Entry{Position: 2000}}, {Kind: EntryRecorded, Entry: Entry{Kind: CommitEntry, Key: 7, Position: 3000}}})
-	t.at(2500).read(1, 7, 0).read(2, 7, 4000).read(3, 7, 9000).pull()
+	t.at(2500).read(1, 7, 0).read(2, 7, 4000).read(3, 7, 9000).printDecisions()
 	t.complete = true
 	t.at(2501).read(4, 7, 4000)
-	t.s.RecordMemberPosition(0, 2900) // short of all of them
-	t.s.FenceFailed(0, t.fence)
-	t.pull().s.RecordMemberPosition(0, 5000)
-	t.pull()
+	t.s.RecordMemberPosition(0, 2900) // below all of them
+	t.s.FenceFailed(0, t.lastFenceID)
+	t.printDecisions().s.RecordMemberPosition(0, 5000)
+	t.printDecisions()
 	// Output:
 	// 2500 fence group 0 no 1
 	// 2500 wake after 50
@@ -295,17 +295,17 @@
 	// 2501 serve 2 from 4000
 }
 
-// A floor that its primary has not reached long after is lowered to where that stands: the commit was lost in a
-// switch. Until then reads are the primary's.
+// A floor that the primary has not reached long after is lowered to the primary's position: the commit was lost in a
+// failover. Until then reads need the primary.
 func Example_lostCommit() {
-	t := open(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).pull()
-	t.fenced(5e9)
-	t.pull().s.RecordCommit(0, 7, 9e9) // the primary dies with it, and its successor stands at 6 s
-	t.at(1500).read(2, 7, 0).pull()
-	t.at(2600).read(3, 8, 0).pull()
+	t := newTrace(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).printDecisions()
+	t.completeFence(5e9)
+	t.printDecisions().s.RecordCommit(0, 7, 9e9) // the primary fails with it, and its successor is at 6 s
+	t.at(1500).read(2, 7, 0).printDecisions()
+	t.at(2600).read(3, 8, 0).printDecisions()
 	t.at(2700).s.RecordCommit(0, 8, 6e9)
-	t.read(4, 7, 0).pull().at(2701).fenced(61e8)
-	t.pull().at(12600).read(5, 9, 0).pull()
+	t.read(4, 7, 0).printDecisions().at(2701).completeFence(61e8)
+	t.printDecisions().at(12600).read(5, 9, 0).printDecisions()
 	// Output:
 	// 1000 fence group 0 no 1
 	// 1000 wake after 50
@@ -318,13 +318,13 @@
 	// 12600 serve 5 from 5000000000
 }
 
-// A commit without a position is a loss, here and at whoever hears of it: each group is fenced once.
+// A commit without a position is a loss, here and at each gateway that receives it: each group is fenced once.
 func Example_commitWithoutPosition() {
-	t := known()
+	t := connected()
 	t.s.RecordCommit(0, 7, 0)
-	t.read(1, 7, 0).pull().told(1, false, 201, 1, 1, 0).at(1001)
-	t.fenced(6000)
-	t.pull().read(2, 7, 0).pull()
+	t.read(1, 7, 0).printDecisions().respond(1, false, 201, 1, 1, 0).at(1001)
+	t.completeFence(6000)
+	t.printDecisions().read(2, 7, 0).printDecisions()
 	// Output:
 	// 1000 fence group 0 no 4
 	// 1000 wake after 2
@@ -332,9 +332,9 @@
 	// 1001 fence group 0 no 5
 }
 
-// A keyed write is not sent past its window since the first that any gateway told of, nor to another group.
-func Example_repeats() {
-	t := known().at(1100)
+// A keyed write is not sent again after its window, which begins when any gateway first sent it, nor to another group.
+func Example_keyedWriteRetries() {
+	t := connected().at(1100)
 	p := Page{Epoch: 201, Last: 1, First: 1, Entries: []Entry{{Kind: KeyedWriteEntry, Group: 2, Key: 77, Age: 300e6}}}
 	t.s.HandlePage(1, 0, p)
 	t.s.RecordKeyedWrite(2, 78)
@@ -345,7 +345,7 @@
 	fmt.Println(t.s.RetryDeadline(3, 78, 2e9))
 	t.at(2760)
 	fmt.Println(t.s.RetryDeadline(2, 77, 2e9))
-	t.at(99000).pull()
+	t.at(99000).printDecisions()
 	fmt.Println(t.s.RetryDeadline(2, 77, 2e9))
 	// Output:
 	// 76 0 true
