--- a/agreement/fleet_test.go
+++ b/agreement/fleet_test.go
@@ -379,7 +379,7 @@
 		}
 		g := p.entry(p.a.Held())
 		p.acted = p.acted || g != nil && !p.down && !p.paused && p.clock() < p.a.Leased()
-		// Of a list that it never might act on since its start it may have been taken out long ago: session.Notes.
+		// Of a list that it never might act on since its start it may have been taken out long ago: session.AcceptsSessionWrites.
 		if p.down || g == nil || !g.Seated || !p.acted {
 			continue
 		}
--- a/session/fleet_test.go
+++ b/session/fleet_test.go
@@ -60,10 +60,10 @@
 // start starts a gateway without state; its reads in flight are gone with its clients' connections.
 func (f *fleet) start(i int) {
 	f.lastEpoch++
-	t := f.config
-	t.Self = i
+	config := f.config
+	config.Self = i
 	epoch := f.lastEpoch<<8 | uint64(i)
-	s, err := New(t, f.lastEpoch, epoch)
+	s, err := New(config, f.lastEpoch, epoch)
 	if err != nil {
 		panic(err)
 	}
@@ -195,7 +195,7 @@
 	session := rapid.Uint64Range(1, 4)
 	for steps := rapid.IntRange(1, 150).Draw(t, "steps"); steps > 0 && f.failure == ""; steps-- {
 		switch kind := rapid.IntRange(0, 19).Draw(t, "kind"); {
-		case kind == 0: // more entries than a page holds
+		case kind == 0: // more entries than a page holds, so that peers need several
 			i, groupID := gateway.Draw(t, "gateway"), group.Draw(t, "group")
 			for k := range rapid.IntRange(2, 30).Draw(t, "burst") {
 				f.commit(i, groupID, uint64(1+k%4))
@@ -211,7 +211,7 @@
 			f.messages = slices.Delete(f.messages, at, at+1)
 		case kind == 16:
 			f.start(gateway.Draw(t, "killed"))
-		case kind == 17: // a restart with a complete ledger
+		case kind == 17: // a restart with a complete ledger; an older state must not be restored
 			i := gateway.Draw(t, "restarted")
 			f.restore(i, rapid.Bool().Draw(t, "dumped"))
 		case kind == 18: // all messages in flight arrive, in order
@@ -232,9 +232,9 @@
 }
 
 func smallConfig() Config {
-	t := DefaultConfig()
-	t.WatermarkExpiry, t.MaxWatermarks, t.MessagesPerTxn = 1e9, 3, 20
-	return t
+	c := DefaultConfig()
+	c.WatermarkExpiry, c.MaxWatermarks, c.MessagesPerTxn = 1e9, 3, 20
+	return c
 }
 
 // The package invariant: a read's floor covers all answered writes of its session, whichever messages are lost, late,
@@ -271,7 +271,8 @@
 	}
 }
 
-// Without failures peer queries serve all reads: no fence but the first of each group.
+// Without failures peer queries serve all reads: no fence but the first of each group, and the floor is the session's
+// own watermark.
 func TestHealthyFleetNeedsNoFence(t *testing.T) {
 	f := newFleet(3, DefaultConfig(), []int64{0, 3e9, -2e9})
 	f.runUntilIdle()
--- a/session/trace_test.go
+++ b/session/trace_test.go
@@ -11,12 +11,12 @@
 }
 
 func newTrace(change ...func(*Config)) *trace {
-	t := DefaultConfig()
-	t.FleetSize = 3
+	config := DefaultConfig()
+	config.FleetSize = 3
 	for _, c := range change {
-		c(&t)
+		c(&config)
 	}
-	s, err := New(t, 1, 100)
+	s, err := New(config, 1, 100)
 	if err != nil {
 		panic(err)
 	}
@@ -40,12 +40,12 @@
 			fmt.Println("refuse", d.ReadID, "for", d.Delay/1e6)
 		case Fence:
 			t.lastFenceID = d.RequestID
-			fmt.Println("fence group", d.Group, "no", d.RequestID)
+			fmt.Println("request", d.RequestID, "to the primary of group", d.Group)
 		case RequestEntries:
 			t.lastRequestIDs[d.Peer] = d.RequestID
-			fmt.Println("ask", d.Peer, "no", d.RequestID, "behind", d.Page.Last, "of", d.Page.Epoch)
+			fmt.Println("request", d.RequestID, "to gateway", d.Peer, "after", d.Page.Last, "of epoch", d.Page.Epoch)
 		case SendEntries:
-			fmt.Println("tell", d.Peer, "no", d.RequestID, len(d.Page.Entries), "entries from", d.Page.First, "last", d.Page.Last)
+			fmt.Printf("send to gateway %d for request %d: %d entries from %d, last %d\n", d.Peer, d.RequestID, len(d.Page.Entries), d.Page.First, d.Page.Last)
 		case Wake:
 			fmt.Println("wake after", d.Delay/1e6)
 		case Log:
@@ -60,16 +60,16 @@
 }
 
 // respond delivers a page of a peer, as the response to the latest request or unrequested.
-func (t *trace) respond(from int, isResponse bool, epoch, last uint64, first uint64, marks ...Position) *trace {
-	no := uint64(0)
+func (t *trace) respond(from int, isResponse bool, epoch, last uint64, first uint64, positions ...Position) *trace {
+	requestID := uint64(0)
 	if isResponse {
-		no = t.lastRequestIDs[from]
+		requestID = t.lastRequestIDs[from]
 	}
 	p := Page{Epoch: epoch, Last: last, First: first}
-	for _, m := range marks {
+	for _, m := range positions {
 		p.Entries = append(p.Entries, Entry{Kind: CommitEntry, Key: 7, Position: m})
 	}
-	t.s.HandlePage(from, no, p)
+	t.s.HandlePage(from, requestID, p)
 	return t
 }
 
@@ -113,15 +113,15 @@
 	t.at(1003).completeFence(6000)
 	t.printDecisions().read(3, 7, 0).printDecisions()
 	// Output:
-	// 1000 fence group 0 no 1
-	// 1000 ask 1 no 2 behind 0 of 0
-	// 1000 ask 2 no 3 behind 0 of 0
+	// 1000 request 1 to the primary of group 0
+	// 1000 request 2 to gateway 1 after 0 of epoch 0
+	// 1000 request 3 to gateway 2 after 0 of epoch 0
 	// 1000 wake after 50
 	// 1002 serve 1 from 5000
-	// 1002 fence group 0 no 4
+	// 1002 request 4 to the primary of group 0
 	// 1003 serve 2 from 6000
-	// 1003 ask 1 no 5 behind 40 of 201
-	// 1003 ask 2 no 6 behind 12 of 301
+	// 1003 request 5 to gateway 1 after 40 of epoch 201
+	// 1003 request 6 to gateway 2 after 12 of epoch 301
 	// 1003 wake after 3
 }
 
@@ -131,13 +131,13 @@
 	t.read(3, 8, 0).printDecisions()
 	t.at(1101).respond(1, true, 201, 2, 1, 7000, 8000).respond(2, true, 301, 0, 1).printDecisions()
 	// Output:
-	// 1100 ask 1 no 4 behind 0 of 201
-	// 1100 ask 2 no 5 behind 0 of 301
+	// 1100 request 4 to gateway 1 after 0 of epoch 201
+	// 1100 request 5 to gateway 2 after 0 of epoch 301
 	// 1100 wake after 3
 	// 1101 serve 1 from 8000
 	// 1101 serve 2 from 5000
-	// 1101 ask 1 no 6 behind 2 of 201
-	// 1101 ask 2 no 7 behind 0 of 301
+	// 1101 request 6 to gateway 1 after 2 of epoch 201
+	// 1101 request 7 to gateway 2 after 0 of epoch 301
 }
 
 // A message is lost: the peer that has not responded is asked again within the query, and either response counts.
@@ -146,10 +146,10 @@
 	t.respond(2, true, 301, 0, 1).at(1104).printDecisions()
 	t.at(1105).respond(1, true, 201, 1, 1, 7000).printDecisions()
 	// Output:
-	// 1100 ask 1 no 4 behind 0 of 201
-	// 1100 ask 2 no 5 behind 0 of 301
+	// 1100 request 4 to gateway 1 after 0 of epoch 201
+	// 1100 request 5 to gateway 2 after 0 of epoch 301
 	// 1100 wake after 3
-	// 1104 ask 1 no 6 behind 0 of 201
+	// 1104 request 6 to gateway 1 after 0 of epoch 201
 	// 1104 wake after 2
 	// 1105 serve 1 from 7000
 }
@@ -163,14 +163,14 @@
 	t.printDecisions().at(1120).read(2, 7, 0).printDecisions()
 	t.at(1121).respond(2, true, 301, 0, 1).respond(1, true, 201, 10, 1, 1, 1, 1, 1, 1, 1, 1, 1).respond(1, true, 201, 10, 9, 7000, 8000).printDecisions()
 	// Output:
-	// 1100 ask 1 no 4 behind 0 of 201
-	// 1100 ask 2 no 5 behind 0 of 301
+	// 1100 request 4 to gateway 1 after 0 of epoch 201
+	// 1100 request 5 to gateway 2 after 0 of epoch 301
 	// 1100 wake after 3
-	// 1111 fence group 0 no 6
+	// 1111 request 6 to the primary of group 0
 	// 1111 wake after 50
 	// 1112 serve 1 from 9000
-	// 1120 ask 1 no 7 behind 0 of 201
-	// 1120 ask 2 no 8 behind 0 of 301
+	// 1120 request 7 to gateway 1 after 0 of epoch 201
+	// 1120 request 8 to gateway 2 after 0 of epoch 301
 	// 1120 wake after 3
 	// 1121 serve 2 from 8000
 }
@@ -183,11 +183,11 @@
 	t.at(1102).completeFence(9000)
 	t.printDecisions()
 	// Output:
-	// 1100 ask 1 no 4 behind 0 of 201
-	// 1100 ask 2 no 5 behind 0 of 301
+	// 1100 request 4 to gateway 1 after 0 of epoch 201
+	// 1100 request 5 to gateway 2 after 0 of epoch 301
 	// 1100 wake after 3
 	// 1101 log: gateway 1: notes lost from 0 to 0, each group is fenced once
-	// 1101 fence group 0 no 6
+	// 1101 request 6 to the primary of group 0
 	// 1102 serve 1 from 9000
 }
 
@@ -198,12 +198,12 @@
 	t.completeFence(5000)
 	t.printDecisions().read(2, 7, 0).printDecisions()
 	// Output:
-	// 1000 fence group 0 no 1
-	// 1000 ask 1 no 2 behind 0 of 0
-	// 1000 ask 2 no 3 behind 0 of 0
+	// 1000 request 1 to the primary of group 0
+	// 1000 request 2 to gateway 1 after 0 of epoch 0
+	// 1000 request 3 to gateway 2 after 0 of epoch 0
 	// 1000 wake after 50
 	// 1005 serve 1 from 5000
-	// 1005 fence group 0 no 4
+	// 1005 request 4 to the primary of group 0
 }
 
 // An unresponsive gateway costs the reads one failed query, then a fence each, until it responds again.
@@ -215,29 +215,29 @@
 	t.at(1121).completeFence(9100)
 	t.printDecisions().at(1400).printDecisions().respond(1, true, 201, 0, 1).read(3, 7, 0).printDecisions()
 	// Output:
-	// 1100 ask 1 no 4 behind 0 of 201
-	// 1100 ask 2 no 5 behind 0 of 301
+	// 1100 request 4 to gateway 1 after 0 of epoch 201
+	// 1100 request 5 to gateway 2 after 0 of epoch 301
 	// 1100 wake after 3
 	// 1110 log: gateway 1 does not answer, reads are fenced, notes held to 0
-	// 1110 fence group 0 no 6
-	// 1110 ask 1 no 7 behind 0 of 201
+	// 1110 request 6 to the primary of group 0
+	// 1110 request 7 to gateway 1 after 0 of epoch 201
 	// 1110 wake after 20
 	// 1111 serve 1 from 9000
-	// 1120 fence group 0 no 8
+	// 1120 request 8 to the primary of group 0
 	// 1121 serve 2 from 9100
-	// 1400 ask 1 no 9 behind 0 of 201
-	// 1400 ask 2 no 10 behind 0 of 301
+	// 1400 request 9 to gateway 1 after 0 of epoch 201
+	// 1400 request 10 to gateway 2 after 0 of epoch 301
 	// 1400 wake after 40
 	// 1400 log: gateway 1 answers again after 290 ms, notes held to 0 of 0
-	// 1400 ask 1 no 11 behind 0 of 201
-	// 1400 ask 2 no 12 behind 0 of 301
+	// 1400 request 11 to gateway 1 after 0 of epoch 201
+	// 1400 request 12 to gateway 2 after 0 of epoch 301
 	// 1400 wake after 3
 }
 
 // No primary reports its position: reads wait for its successor as long as their time allows, then are refused with a
 // delay after which to retry.
 func Example_noPrimary() {
-	t := newTrace(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).read(2, 7, 0).printDecisions()
+	t := newTrace(func(c *Config) { c.FleetSize = 1 }).read(1, 7, 0).read(2, 7, 0).printDecisions()
 	for i := range 12 {
 		t.at(1001+6*int64(i)).s.FenceFailed(0, uint64(i+1))
 		for d, ok := t.s.Next(); ok; d, ok = t.s.Next() {
@@ -252,7 +252,7 @@
 	t.s.CancelRead(2)
 	t.at(1438).printDecisions()
 	// Output:
-	// 1000 fence group 0 no 1
+	// 1000 request 1 to the primary of group 0
 	// 1000 wake after 50
 	// group 0: no primary tells its position, 2 reads wait
 	// 1438 refuse 1 for 200
@@ -269,7 +269,7 @@
 	// Output:
 	// 1100 serve 1 from 4000
 	// 1100 serve 2 from 0
-	// 1100 fence group 0 no 4
+	// 1100 request 4 to the primary of group 0
 	// 1100 wake after 50
 	// 1101 serve 3 from 9000
 }
@@ -277,7 +277,7 @@
 // Restored entries may be out of reach, until a replica reports a position beyond them: then neither they nor client
 // positions up to there need a primary. Higher positions still do.
 func Example_replicaReachesFloor() {
-	t := newTrace(func(t *Config) { t.FleetSize = 1 })
+	t := newTrace(func(c *Config) { c.FleetSize = 1 })
 	t.s.Restore([]Change{{Kind: FloorSet, Entry: Entry{Position: 2000}}, {Kind: EntryRecorded, Entry: Entry{Kind: CommitEntry, Key: 7, Position: 3000}}})
 	t.at(2500).read(1, 7, 0).read(2, 7, 4000).read(3, 7, 9000).printDecisions()
 	t.complete = true
@@ -287,7 +287,7 @@
 	t.printDecisions().s.RecordMemberPosition(0, 5000)
 	t.printDecisions()
 	// Output:
-	// 2500 fence group 0 no 1
+	// 2500 request 1 to the primary of group 0
 	// 2500 wake after 50
 	// 2501 wake after 5
 	// 2501 serve 4 from 4000
@@ -298,7 +298,7 @@
 // A floor that the primary has not reached long after is lowered to the primary's position: the commit was lost in a
 // failover. Until then reads need the primary.
 func Example_lostCommit() {
-	t := newTrace(func(t *Config) { t.FleetSize = 1 }).read(1, 7, 0).printDecisions()
+	t := newTrace(func(c *Config) { c.FleetSize = 1 }).read(1, 7, 0).printDecisions()
 	t.completeFence(5e9)
 	t.printDecisions().s.RecordCommit(0, 7, 9e9) // the primary fails with it, and its successor is at 6 s
 	t.at(1500).read(2, 7, 0).printDecisions()
@@ -307,12 +307,12 @@
 	t.read(4, 7, 0).printDecisions().at(2701).completeFence(61e8)
 	t.printDecisions().at(12600).read(5, 9, 0).printDecisions()
 	// Output:
-	// 1000 fence group 0 no 1
+	// 1000 request 1 to the primary of group 0
 	// 1000 wake after 50
 	// 1000 serve 1 from 5000000000
 	// 1500 serve 2 from 9000000000
 	// 2600 serve 3 from 5000000000
-	// 2700 fence group 0 no 2
+	// 2700 request 2 to the primary of group 0
 	// 2700 wake after 50
 	// 2701 serve 4 from 6100000000
 	// 12600 serve 5 from 5000000000
@@ -326,10 +326,10 @@
 	t.completeFence(6000)
 	t.printDecisions().read(2, 7, 0).printDecisions()
 	// Output:
-	// 1000 fence group 0 no 4
+	// 1000 request 4 to the primary of group 0
 	// 1000 wake after 2
 	// 1001 serve 1 from 6000
-	// 1001 fence group 0 no 5
+	// 1001 request 5 to the primary of group 0
 }
 
 // A keyed write is not sent again after its window, which begins when any gateway first sent it, nor to another group.
@@ -353,10 +353,10 @@
 	// 78 3050 true
 	// 3050000000 false
 	// 2750000000 false
-	// 99000 tell 1 no 0 1 entries from 1 last 1
-	// 99000 tell 2 no 0 1 entries from 1 last 1
-	// 99000 ask 1 no 4 behind 1 of 201
-	// 99000 ask 2 no 5 behind 0 of 301
+	// 99000 send to gateway 1 for request 0: 1 entries from 1, last 1
+	// 99000 send to gateway 2 for request 0: 1 entries from 1, last 1
+	// 99000 request 4 to gateway 1 after 1 of epoch 201
+	// 99000 request 5 to gateway 2 after 0 of epoch 301
 	// 99000 wake after 250
 	// 0 true
 }
