--- a/routes/check.go
+++ b/routes/check.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// checkRunAs checks that a change of txn type is safe: a write stays a write and a read a read, and no read gets
-// weaker consistency than it needs.
+// checkRunAs checks that a change of txn type is safe: a write stays a write and a read a read, no txn is retried in
+// more cases than its own type allows, and no read gets weaker consistency than it needs.
 func (c *checker) checkRunAs(r *Route) {
 	if r.RunAs == "" {
 		return
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -39,11 +39,11 @@
 	nets := []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8"), netip.MustParsePrefix("10.1.0.0/16"), netip.MustParsePrefix("0.0.0.0/0")}
 	clients := []netip.Addr{netip.MustParseAddr("10.0.0.1"), netip.MustParseAddr("10.1.2.3"), netip.MustParseAddr("192.0.2.1")}
 	var all []Txn
-	for kind := -1; kind < len(environment.Types); kind++ {
+	for txnType := -1; txnType < len(environment.Types); txnType++ {
 		for _, u := range append(words, "other") {
 			for _, d := range append(words, "other") {
 				for _, c := range clients {
-					all = append(all, Txn{Type: kind, User: u, Database: d, Table: "t", Client: c})
+					all = append(all, Txn{Type: txnType, User: u, Database: d, Table: "t", Client: c})
 				}
 			}
 		}
@@ -190,25 +190,25 @@
 				}
 				continue
 			}
-			why, _ := s.CanBegin(n, 1, 0)
+			reason, _ := s.CanBegin(n, 1, 0)
 			own := s.tenants[n].own
-			most := table.Tenants[n].MaxInFlight
+			limit := table.Tenants[n].MaxInFlight
 			switch {
-			case why == Allowed:
+			case reason == Allowed:
 				s.Begin(n, 1, 0)
 				counts[n]++
 				total++
-				if total > table.MaxInFlight || most > 0 && counts[n] > most {
+				if total > table.MaxInFlight || limit > 0 && counts[n] > limit {
 					t.Fatalf("limit exceeded: %v", counts)
 				}
-			case why == ShareInUse && float64(counts[n]+1) <= own:
+			case reason == ShareInUse && float64(counts[n]+1) <= own:
 				t.Fatalf("rejected within its share: %v of %v", counts[n], own)
-			case why == GatewayFull && total < table.MaxInFlight, why == TenantInFlight && (most == 0 || counts[n] < most):
-				t.Fatalf("%v, though %d of %d are in flight", why, total, table.MaxInFlight)
+			case reason == GatewayFull && total < table.MaxInFlight, reason == TenantInFlight && (limit == 0 || counts[n] < limit):
+				t.Fatalf("%v, though %d of %d are in flight", reason, total, table.MaxInFlight)
 			}
-			now, _ := s.Usage(n)
-			if now != counts[n] {
-				t.Fatal(now, counts)
+			inFlight, _ := s.Usage(n)
+			if inFlight != counts[n] {
+				t.Fatal(inFlight, counts)
 			}
 		}
 		reserved := 0.0
@@ -225,10 +225,10 @@
 func Example_tenantFlood() {
 	table := &Table{MaxInFlight: 100, Tenants: []Tenant{{Name: "flood", Weight: 1}, {Name: "calm", Weight: 1}}}
 	s := NewShares(table, 0)
-	fill := func(tenant int32) (n int, why RejectReason) {
+	fill := func(tenant int32) (n int, reason RejectReason) {
 		for {
-			if why, _ = s.CanBegin(tenant, 1, 0); why != Allowed {
-				return n, why
+			if reason, _ = s.CanBegin(tenant, 1, 0); reason != Allowed {
+				return n, reason
 			}
 			s.Begin(tenant, 1, 0)
 			n++
@@ -255,14 +255,14 @@
 	table := &Table{Tenants: []Tenant{{Name: "t", Rate: 10, Burst: 2}}, Routes: []Route{{RetryRatio: 0.1}, {RetryRatio: -1}}}
 	s := NewShares(table, 0)
 	for _, now := range []int64{0, 0, 0, 50e6, 100e6} {
-		why, after := s.CanBegin(0, 1, now)
-		if why == Allowed {
+		reason, after := s.CanBegin(0, 1, now)
+		if reason == Allowed {
 			s.Begin(0, 1, now)
 		}
-		fmt.Println(why, after/1e6)
+		fmt.Println(reason, after/1e6)
 	}
 	r := NewRetryBudgets(table)
-	may := func() (n int) {
+	countRetries := func() (n int) {
 		for range 100 {
 			if r.TryRetry(0, 1e9) {
 				n++
@@ -270,11 +270,11 @@
 		}
 		return n
 	}
-	fmt.Println(may(), r.TryRetry(1, 0), r.TryRetry(-1, 0))
+	fmt.Println(countRetries(), r.TryRetry(1, 0), r.TryRetry(-1, 0))
 	for range 200 {
 		r.RecordFirst(0, 1e9)
 	}
-	fmt.Println(may())
+	fmt.Println(countRetries())
 	// Output:
 	// free 0
 	// free 0
@@ -323,8 +323,8 @@
 func Example_heldSlots() {
 	table := &Table{MaxInFlight: 20, Tenants: []Tenant{{Name: "tv", Weight: 1}, {Name: "others", Weight: 19}}}
 	s := NewShares(table, 0)
-	fill := func(tenant int32, most int) (n int) {
-		for why, _ := s.CanBegin(tenant, 1, 0); why == Allowed && n < most; why, _ = s.CanBegin(tenant, 1, 0) {
+	fill := func(tenant int32, limit int) (n int) {
+		for reason, _ := s.CanBegin(tenant, 1, 0); reason == Allowed && n < limit; reason, _ = s.CanBegin(tenant, 1, 0) {
 			s.Begin(tenant, 1, 0)
 			n++
 		}
--- a/session/fences.go
+++ b/session/fences.go
@@ -13,7 +13,7 @@
 	primaryPosition          Position // highest position that a primary reported of itself
 	primaryPositionSetAt     int64    // when the request for that report was sent
 	primaryConfirmedAt       int64    // the same of the latest report
-	maxMemberPosition        Position // highest position reported of any other member: the group's log has reached it
+	maxMemberPosition        Position // highest position reported of any other member: the group's log has reached it, whoever is its primary
 	waitingReads             []*read  // in the order of arrival
 	pendingFences            []fenceRequest
 	nextFenceAt              int64 // no new fence before
