--- a/agreement/agreement.go
+++ b/agreement/agreement.go
@@ -20,38 +20,40 @@
 type ID uint64
 
 // Terms are what all gateways of a fleet have alike, but for Self, Seed and Seeds. Times are nanoseconds.
-type Terms struct {
-	Self       ID
-	Epoch      uint64 // another and a later one at each start
-	Seed       uint64
-	Lease      int64 // for which a gateway acts on what it knows without a word of a voter
-	ClockError int64 // by which two clocks differ at most over a lease
-	Turn       int64 // from the moment that a gateway decides to the moment that this has its effect, at most
-	Page       int   // bytes of a text in one message
-	Seeds      []ID  // who is asked first for what is agreed on
+type Config struct {
+	Self        ID
+	Epoch       uint64 // another and a later one at each start
+	Seed        uint64
+	Lease       int64 // for which a gateway acts on what it knows without a word of a voter
+	ClockError  int64 // by which two clocks differ at most over a lease
+	EffectDelay int64 // from the moment that a gateway decides to the moment that this has its effect, at most
+	PageSize    int   // bytes of a text in one message
+	Seeds       []ID  // who is asked first for what is agreed on
 }
 
 // Stated is the time for which two gateways may act on rules that contradict each other, at most.
-func (t *Terms) Stated() int64 { return t.Lease + t.ClockError + t.Turn }
+func (t *Config) MaxDivergence() int64 { return t.Lease + t.ClockError + t.EffectDelay }
 
 // Settling is how long a gateway that starts waits for the list and for a place in it before clients may come all the same: an
 // election and a lease that runs out fit in.
-func (t *Terms) Settling() int64 { return 2 * t.Stated() }
+func (t *Config) StartupWait() int64 { return 2 * t.MaxDivergence() }
 
 // UsualTerms are those of who does not say: three seconds in all. Ours: a restart of a voter fits in, and a change in a
 // fleet with one gateway away is in force within what an operator waits for.
-func UsualTerms() Terms { return Terms{Lease: 2500e6, ClockError: 250e6, Turn: 250e6, Page: 512} }
+func DefaultConfig() Config {
+	return Config{Lease: 2500e6, ClockError: 250e6, EffectDelay: 250e6, PageSize: 512}
+}
 
 // Check names the first value that is wrong.
-func (t *Terms) Check() error {
+func (t *Config) Validate() error {
 	switch {
 	case t.Self == 0:
 		return errors.New("agreement: self is lacking")
 	case t.Lease < 100e6:
 		return errors.New("agreement: lease is shorter than 100ms")
-	case t.ClockError <= 0 || t.Turn <= 0:
+	case t.ClockError <= 0 || t.EffectDelay <= 0:
 		return errors.New("agreement: clock_error and turn are above 0")
-	case t.Page < 64 || t.Page > 512:
+	case t.PageSize < 64 || t.PageSize > 512:
 		return errors.New("agreement: page is from 64 to 512 bytes")
 	}
 	return nil
@@ -61,34 +63,34 @@
 type Kind uint8
 
 const (
-	Raft    Kind = iota + 1 // Data is of the log's protocol
-	Beat                    // of the leader to a voter: No is when, Echo and Run of the promise it has, Left how long it may grant, Stamp what it must know
-	Promise                 // of a voter to its leader: Echo its beat, No and Run when, Known what all know to whom it grants
-	Renew                   // of a gateway to a voter: No and Run are when, Known what it holds
-	Grant                   // the answer: Echo and Run, Left, and Stamp with Digest and Size of what is agreed on now
-	Fetch                   // a question for what stands from Offset on in the text of Digest
-	Page                    // Data is that
-	Propose                 // Data is a proposal
-	Result                  // Data is what became of one
-	Census                  // a question of a survey to a voter
-	Counted                 // the answer: Echo is the question, Digest and Size of its text
+	Raft           Kind = iota + 1 // Data is of the log's protocol
+	Heartbeat                      // of the leader to a voter: No is when, Echo and Run of the promise it has, Left how long it may grant, Stamp what it must know
+	Promise                        // of a voter to its leader: Echo its beat, No and Run when, Known what all know to whom it grants
+	Renew                          // of a gateway to a voter: No and Run are when, Known what it holds
+	Grant                          // the answer: Echo and Run, Left, and Stamp with Digest and Size of what is agreed on now
+	Fetch                          // a question for what stands from Offset on in the text of Digest
+	Page                           // Data is that
+	Propose                        // Data is a proposal
+	Result                         // Data is what became of one
+	SurveyRequest                  // a question of a survey to a voter
+	SurveyResponse                 // the answer: Echo is the question, Digest and Size of its text
 )
 
 // Message is what one gateway tells another. Whoever carries it vouches for From. It may be lost, late or come twice.
 type Message struct {
-	Kind     Kind
-	From, To ID
-	Term     uint64
-	Run      uint64
-	No, Echo int64
-	Left     int64
-	Stamp    uint64
-	Known    uint64
-	Well     uint64 // in a Renew the latest version that was tried here and is well, in a Promise the latest that is with all that try one
-	Digest   Digest
-	Size     int
-	Offset   int
-	Data     []byte
+	Kind           Kind
+	From, To       ID
+	Term           uint64
+	Epoch          uint64
+	SentAt, Echo   int64
+	Remaining      int64
+	Revision       uint64
+	KnownRevision  uint64
+	HealthyVersion uint64 // in a Renew the latest version that was tried here and is well, in a Promise the latest that is with all that try one
+	Digest         Digest
+	Size           int
+	Offset         int
+	Data           []byte
 }
 
 // DecisionKind is what the host is to do.
@@ -105,44 +107,44 @@
 
 // Decision is one thing for the host to do.
 type Decision struct {
-	Kind    DecisionKind
-	Message Message
-	Records [][]byte
-	Whole   bool
-	No      uint64
-	Result  Outcome
-	After   int64
-	Text    string
+	Kind       DecisionKind
+	Message    Message
+	Records    [][]byte
+	ReplaceAll bool
+	ProposalNo uint64
+	Result     Outcome
+	After      int64
+	Text       string
 }
 
 // Agreement is one gateway's part.
 type Agreement struct {
-	terms  Terms
-	now    int64
-	rng    *rand.Rand
-	out    []Decision
-	local  []Message // to itself
-	wakeAt int64
-	voter  *voter // nil where it does not vote
-	holder holder
-	texts  texts
-	asks   []*ask
-	asked  uint64
-	comes  []Message // wishes whose text is being fetched
-	survey survey
+	config         Config
+	now            int64
+	rng            *rand.Rand
+	decisions      []Decision
+	loopback       []Message // to itself
+	wakeAt         int64
+	voter          *voter // nil where it does not vote
+	holder         holder
+	texts          texts
+	pending        []*pendingProposal
+	lastProposalNo uint64
+	awaitingText   []Message // wishes whose text is being fetched
+	survey         survey
 }
 
 // New makes one of what was saved, nothing for a gateway that does not vote or never did.
-func New(t Terms, records [][]byte) (*Agreement, error) {
-	if err := t.Check(); err != nil {
+func New(t Config, records [][]byte) (*Agreement, error) {
+	if err := t.Validate(); err != nil {
 		return nil, err
 	}
-	a := &Agreement{terms: t, rng: rand.New(rand.NewPCG(t.Seed, uint64(t.Self))), asked: t.Epoch}
+	a := &Agreement{config: t, rng: rand.New(rand.NewPCG(t.Seed, uint64(t.Self))), lastProposalNo: t.Epoch}
 	a.texts.a, a.holder.a = a, a
 	a.texts.held = map[Digest][]byte{}
 	a.holder.voters = t.Seeds
 	if len(records) > 0 {
-		v, err := recallVoter(a, records)
+		v, err := restoreVoter(a, records)
 		if err != nil {
 			return nil, err
 		}
@@ -153,12 +155,12 @@
 
 // Found begins a fleet with this gateway as its one voter. It is asked for once in a fleet's life, and not by a start:
 // a gateway that lost its disk would found a second one beside the first.
-func (a *Agreement) Found(self Gateway) error {
+func (a *Agreement) Bootstrap(self Gateway) error {
 	if a.voter != nil {
 		return errors.New("this gateway votes already")
 	}
-	self.ID, self.Vote = a.terms.Self, true
-	v, err := foundVoter(a, self)
+	self.ID, self.Vote = a.config.Self, true
+	v, err := bootstrapVoter(a, self)
 	if err == nil {
 		a.voter = v
 	}
@@ -168,44 +170,44 @@
 // Clock begins a round.
 func (a *Agreement) Clock(now int64) {
 	if a.now == 0 && a.voter != nil {
-		a.voter.starts(now)
+		a.voter.initTimers(now)
 	}
 	a.now = now
 }
 
 // Heard takes a message.
-func (a *Agreement) Heard(m Message) {
-	if m.From == 0 || m.To != a.terms.Self {
+func (a *Agreement) Receive(m Message) {
+	if m.From == 0 || m.To != a.config.Self {
 		return
 	}
 	switch m.Kind {
 	case Grant:
-		a.holder.granted(&m)
+		a.holder.handleGrant(&m)
 	case Fetch:
-		a.texts.asked(&m)
+		a.texts.handleFetch(&m)
 	case Page:
-		a.texts.page(&m)
+		a.texts.handlePage(&m)
 	case Propose:
-		a.proposed(&m)
+		a.handlePropose(&m)
 	case Result:
-		a.resulted(m.Data)
+		a.handleResult(m.Data)
 	case Raft:
-		a.steps(&m)
-	case Counted:
-		a.counted(&m)
-	case Beat, Promise, Renew, Census:
+		a.handleRaft(&m)
+	case SurveyResponse:
+		a.handleSurveyResponse(&m)
+	case Heartbeat, Promise, Renew, SurveyRequest:
 		if a.voter == nil {
 			return
 		}
 		switch m.Kind {
-		case Beat:
-			a.voter.beat(&m)
+		case Heartbeat:
+			a.voter.handleHeartbeat(&m)
 		case Promise:
-			a.voter.promised(&m)
+			a.voter.handlePromise(&m)
 		case Renew:
-			a.voter.renew(&m)
-		case Census:
-			a.voter.surveyed(&m)
+			a.voter.handleRenew(&m)
+		case SurveyRequest:
+			a.voter.handleSurvey(&m)
 		}
 	}
 }
@@ -220,10 +222,10 @@
 // Next gives one decision of this round, or says that there is none left.
 func (a *Agreement) Next() (Decision, bool) {
 	for {
-		for len(a.local) > 0 {
-			m := a.local[0]
-			a.local = a.local[1:]
-			a.Heard(m)
+		for len(a.loopback) > 0 {
+			m := a.loopback[0]
+			a.loopback = a.loopback[1:]
+			a.Receive(m)
 		}
 		if a.voter != nil {
 			a.voter.round()
@@ -231,17 +233,17 @@
 		a.holder.round()
 		a.survey.round(a)
 		a.texts.round()
-		a.repeatAsks()
-		a.texted()
-		if len(a.local) > 0 {
+		a.retryPending()
+		a.resumeProposals()
+		if len(a.loopback) > 0 {
 			continue
 		}
-		if len(a.out) > 0 {
-			d := a.out[0]
-			a.out = a.out[1:]
+		if len(a.decisions) > 0 {
+			d := a.decisions[0]
+			a.decisions = a.decisions[1:]
 			return d, true
 		}
-		if at := max(a.due(), a.now+1e6); a.wakeAt <= a.now || at < a.wakeAt {
+		if at := max(a.nextDeadline(), a.now+1e6); a.wakeAt <= a.now || at < a.wakeAt {
 			a.wakeAt = at
 			return Decision{Kind: Wake, After: at - a.now}, true
 		}
@@ -250,29 +252,29 @@
 }
 
 // due is when the next round is needed.
-func (a *Agreement) due() int64 {
-	at := min(a.holder.due(), a.texts.due())
+func (a *Agreement) nextDeadline() int64 {
+	at := min(a.holder.nextDeadline(), a.texts.nextDeadline())
 	if a.voter != nil {
-		at = min(at, a.voter.due())
+		at = min(at, a.voter.nextDeadline())
 	}
-	if len(a.asks) > 0 {
-		at = min(at, a.asks[0].againAt, a.asks[0].until)
+	if len(a.pending) > 0 {
+		at = min(at, a.pending[0].retryAt, a.pending[0].until)
 	}
 	return at
 }
 
 func (a *Agreement) send(m Message) {
-	m.From = a.terms.Self
-	if m.To == a.terms.Self {
-		a.local = append(a.local, m)
+	m.From = a.config.Self
+	if m.To == a.config.Self {
+		a.loopback = append(a.loopback, m)
 		return
 	}
-	a.out = append(a.out, Decision{Kind: Send, Message: m})
+	a.decisions = append(a.decisions, Decision{Kind: Send, Message: m})
 }
 
 func (a *Agreement) log(format string, x ...any) {
-	a.out = append(a.out, Decision{Kind: Log, Text: fmt.Sprintf(format, x...)})
+	a.decisions = append(a.decisions, Decision{Kind: Log, Text: fmt.Sprintf(format, x...)})
 }
 
 // chance is a time by chance, up to a span.
-func (a *Agreement) chance(span int64) int64 { return int64(a.rng.Float64() * float64(span)) }
+func (a *Agreement) jitter(span int64) int64 { return int64(a.rng.Float64() * float64(span)) }
--- a/agreement/fleet_test.go
+++ b/agreement/fleet_test.go
@@ -15,56 +15,56 @@
 
 // world is a fleet on a virtual clock: processes with clocks that run unlike, disks, and a network that loses, delays and
 // repeats. It checks, again and again, that no two gateways act on what contradicts each other.
-type world struct {
+type simulation struct {
 	t   testing.TB
 	rng *rand.Rand
 	agenda.Agenda
-	nodes   []*process
-	byID    map[ID]*process
-	cut     func(from, to *process) bool
-	loss    float64
-	ids     ID
-	books   map[uint64]string // by entry, as the first voter had it
-	agreed  map[string]int64  // when a version was first applied, by subject and number
-	clashes map[string]bool   // versions that contradict their predecessors
-	ops     []porcupine.Operation
-	out     []string // what happened, for transcripts
-	trace   bool
-	leases  map[string]bool // who has one, as it was told
-	share   float64         // of the next version that is asked for
-	lists   map[uint64]map[ID]bool
-	seated  int   // times that one was looked at that takes itself for known of
-	longest int64 // that a former version was acted on after a contradicting one was agreed on
-	sent    int
-	bytes   int
+	nodes       []*process
+	byID        map[ID]*process
+	cut         func(from, to *process) bool
+	loss        float64
+	ids         ID
+	books       map[uint64]string // by entry, as the first voter had it
+	agreed      map[string]int64  // when a version was first applied, by subject and number
+	clashes     map[string]bool   // versions that contradict their predecessors
+	ops         []porcupine.Operation
+	out         []string // what happened, for transcripts
+	trace       bool
+	leases      map[string]bool // who has one, as it was told
+	share       float64         // of the next version that is asked for
+	lists       map[uint64]map[ID]bool
+	knownChecks int   // times that one was looked at that takes itself for known of
+	longest     int64 // that a former version was acted on after a contradicting one was agreed on
+	sent        int
+	bytes       int
 }
 
 type process struct {
-	w        *world
-	name     string
-	id       ID
-	a        *Agreement
-	rate     float64
-	offset   int64 // of its clock, another one at each start
-	disk     [][]byte
-	epoch    uint64
-	down     bool
-	paused   bool
-	held     []func() // what came while it was paused
-	wakeSeq  int
-	answers  map[uint64]func(Outcome)
-	tries    uint64 // the version that it tries
-	slow     int64  // of its disk, at the most, beside some ms
-	fullTill int64  // until when its disk takes nothing
-	leaving  bool   // it was taken out, and has not joined again
-	acted    bool   // it might act on a list that has it, since its start
-	joining  bool   // it asks at each start until it is in the list
+	w             *simulation
+	name          string
+	id            ID
+	a             *Agreement
+	rate          float64
+	offset        int64 // of its clock, another one at each start
+	disk          [][]byte
+	epoch         uint64
+	down          bool
+	paused        bool
+	queued        []func() // what came while it was paused
+	wakeSeq       int
+	answers       map[uint64]func(Outcome)
+	canaryVersion uint64 // the version that it tries
+	maxDiskDelay  int64  // of its disk, at the most, beside some ms
+	diskFullUntil int64  // until when its disk takes nothing
+	leaving       bool   // it was taken out, and has not joined again
+	acted         bool   // it might act on a list that has it, since its start
+	joining       bool   // it asks at each start until it is in the list
 }
 
 const second = int64(1e9)
 
-func newWorld(t testing.TB, seed uint64, gateways int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ID]*process{}, books: map[uint64]string{}, agreed: map[string]int64{},
+func newSimulation(t testing.TB, seed uint64, gateways int) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ID]*process{}, books: map[uint64]string{}, agreed: map[string]int64{},
 		clashes: map[string]bool{}, lists: map[uint64]map[ID]bool{}, cut: func(_, _ *process) bool { return false }, Agenda: agenda.Agenda{Now: second}}
 	for i := range gateways {
 		p := &process{w: w, name: fmt.Sprintf("g%d", i+1), rate: 1 + (w.rng.Float64()-0.5)*0.02}
@@ -76,10 +76,10 @@
 }
 
 // run lets time pass.
-func (w *world) run(span int64) { w.Run(w.Now + span) }
+func (w *simulation) run(span int64) { w.Run(w.Now + span) }
 
 // until lets time pass until something holds.
-func (w *world) until(limit int64, f func() bool) bool {
+func (w *simulation) until(limit int64, f func() bool) bool {
 	for end := w.Now + limit; w.Now < end; w.run(second / 100) {
 		if f() {
 			return true
@@ -88,7 +88,7 @@
 	return f()
 }
 
-func (w *world) say(format string, x ...any) {
+func (w *simulation) record(format string, x ...any) {
 	if w.trace {
 		w.out = append(w.out, fmt.Sprintf("%7.3f  ", float64(w.Now-second)/1e9)+fmt.Sprintf(format, x...))
 	}
@@ -104,9 +104,9 @@
 		w.byID[p.id] = p
 	}
 	p.epoch++
-	p.tries = 0
+	p.canaryVersion = 0
 	p.offset = int64(w.rng.Float64() * 1000e9)
-	t := UsualTerms()
+	t := DefaultConfig()
 	t.Self, t.Epoch, t.Seed = p.id, p.epoch<<32, uint64(w.rng.Uint32())
 	for _, o := range w.nodes[:min(3, len(w.nodes))] {
 		if o != p {
@@ -117,9 +117,9 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	p.a, p.down, p.paused, p.held, p.acted = a, false, false, nil, false
+	p.a, p.down, p.paused, p.queued, p.acted = a, false, false, nil, false
 	p.answers = map[uint64]func(Outcome){}
-	p.turn(func() {})
+	p.step(func() {})
 	if p.joining {
 		p.leaving = false
 		p.join(nil)
@@ -129,12 +129,12 @@
 func (p *process) clock() int64 { return int64(float64(p.w.Now)*p.rate) + p.offset }
 
 // turn has it take something and do what it decides.
-func (p *process) turn(f func()) {
+func (p *process) step(f func()) {
 	if p.down {
 		return
 	}
 	if p.paused {
-		p.held = append(p.held, f)
+		p.queued = append(p.queued, f)
 		return
 	}
 	w, epoch := p.w, p.epoch
@@ -145,13 +145,13 @@
 		case Send:
 			w.deliver(p, d.Message)
 		case Save:
-			records, whole := d.Records, d.Whole
+			records, whole := d.Records, d.ReplaceAll
 			var written func()
 			written = func() {
 				switch {
 				case p.epoch != epoch || p.down:
 					return
-				case w.Now < p.fullTill:
+				case w.Now < p.diskFullUntil:
 					w.After(second/10, written)
 					return
 				}
@@ -159,35 +159,35 @@
 					p.disk = nil
 				}
 				p.disk = append(p.disk, records...)
-				p.turn(p.a.Saved)
+				p.step(p.a.Saved)
 			}
-			w.After(int64(w.rng.Float64()*(3e6+float64(p.slow))), written)
+			w.After(int64(w.rng.Float64()*(3e6+float64(p.maxDiskDelay))), written)
 		case Answer:
-			if f := p.answers[d.No]; f != nil {
+			if f := p.answers[d.ProposalNo]; f != nil {
 				f(d.Result)
 			}
 		case Prepare:
-			stamp := p.a.Coming().Stamp
+			stamp := p.a.Pending().Revision
 			w.After(int64(w.rng.Float64()*5e6), func() {
 				if p.epoch != epoch || p.down {
 					return
 				}
-				p.turn(func() {
-					before := p.a.Held().Stamp
-					if p.a.Adopt(stamp); p.a.Held().Stamp > before {
-						w.say("%s holds %s", p.name, words(p.a.Held()))
+				p.step(func() {
+					before := p.a.Manifest().Revision
+					if p.a.Adopt(stamp); p.a.Manifest().Revision > before {
+						w.record("%s holds %s", p.name, describeManifest(p.a.Manifest()))
 					}
-					p.try(epoch)
+					p.reportCanary(epoch)
 				})
 			})
 		case Log:
-			w.say("%s %s", p.name, d.Text)
+			w.record("%s %s", p.name, d.Text)
 		case Wake:
 			p.wakeSeq++
 			no := p.wakeSeq
 			w.After(int64(float64(d.After)/p.rate)+1000, func() { // no earlier than asked, whatever is rounded
 				if p.epoch == epoch && p.wakeSeq == no {
-					p.turn(func() {})
+					p.step(func() {})
 				}
 			})
 		}
@@ -196,22 +196,22 @@
 }
 
 // try has it be well with a version that it tries, after a while.
-func (p *process) try(epoch uint64) {
-	for _, s := range p.a.Held().Subjects {
-		if s.Tries(p.id) && p.tries != s.Next.No {
+func (p *process) reportCanary(epoch uint64) {
+	for _, s := range p.a.Manifest().Subjects {
+		if s.InCanary(p.id) && p.canaryVersion != s.Next.No {
 			no := s.Next.No
-			p.tries = no
-			p.w.say("%s tries version %d of %s", p.name, no, s.Name)
+			p.canaryVersion = no
+			p.w.record("%s tries version %d of %s", p.name, no, s.Name)
 			p.w.After(int64(p.w.rng.Float64()*1e9), func() {
 				if p.epoch == epoch && !p.down {
-					p.turn(func() { p.a.Well(no) })
+					p.step(func() { p.a.ReportHealthy(no) })
 				}
 			})
 		}
 	}
 }
 
-func words(m *Manifest) string {
+func describeManifest(m *Manifest) string {
 	var all []string
 	for _, s := range m.Subjects {
 		text := s.Name
@@ -232,7 +232,7 @@
 	return strings.Join(append(all, fmt.Sprintf("%d gateways, %d to vote", len(m.Gateways), votes)), "; ")
 }
 
-func (w *world) deliver(from *process, m Message) {
+func (w *simulation) deliver(from *process, m Message) {
 	to := w.byID[m.To]
 	w.sent++
 	w.bytes += 60 + len(m.Data)
@@ -250,7 +250,7 @@
 		}
 		w.After(delay, func() {
 			if w.byID[m.To] == to && !to.down && !w.cut(from, to) {
-				to.turn(func() { to.a.Heard(m) })
+				to.step(func() { to.a.Receive(m) })
 			}
 		})
 	}
@@ -259,34 +259,34 @@
 // kill ends a process; what it was saving may or may not be on its disk.
 func (p *process) kill() {
 	p.down, p.epoch = true, p.epoch+1
-	p.w.say("%s is killed", p.name)
+	p.w.record("%s is killed", p.name)
 }
 
 func (p *process) pause(on bool) {
 	p.paused = on
 	if !on {
-		held := p.held
-		p.held = nil
+		held := p.queued
+		p.queued = nil
 		for _, f := range held {
-			p.turn(f)
+			p.step(f)
 		}
 	}
 }
 
 // check: all voters that applied the same part of the log have the same book.
-func (w *world) check(p *process) {
+func (w *simulation) check(p *process) {
 	v := p.a.voter
-	if v == nil || v.book.Stamp == 0 {
+	if v == nil || v.state.Revision == 0 {
 		return
 	}
-	for i := range v.book.Subjects {
-		s := &v.book.Subjects[i]
+	for i := range v.state.Subjects {
+		s := &v.state.Subjects[i]
 		for _, x := range s.Versions {
 			key := fmt.Sprint(s.Name, x.No)
 			if w.agreed[key] == 0 {
 				w.agreed[key] = w.Now
-				w.clashes[key] = len(x.Clashes) > 0
-				w.say("agreed on: version %d of %s by %s, contradicting %v", x.No, x.Subject, x.Who, len(x.Clashes) > 0)
+				w.clashes[key] = len(x.Conflicts) > 0
+				w.record("agreed on: version %d of %s by %s, contradicting %v", x.No, x.Subject, x.Who, len(x.Conflicts) > 0)
 			}
 		}
 	}
@@ -297,7 +297,7 @@
 	if w.rng.IntN(seldom) > 0 {
 		return
 	}
-	text := string(v.book.encode())
+	text := string(v.state.encode())
 	if before, ok := w.books[v.applied]; !ok {
 		w.books[v.applied] = text
 	} else if before != text {
@@ -306,30 +306,30 @@
 }
 
 // sample looks at who acts on what at this moment.
-func (w *world) sample() {
+func (w *simulation) sample() {
 	w.After(10e6, w.sample)
 	for _, p := range w.nodes {
-		has := !p.down && !p.paused && p.clock() < p.a.Leased()
+		has := !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
 		if w.trace && !p.down && !p.paused && w.leases[p.name] == has { // kept as who has none, all have to begin with
 			if w.leases[p.name] = !has; has {
-				w.say("%s may act again", p.name)
+				w.record("%s may act again", p.name)
 			} else {
-				w.say("%s is careful: its lease has run out", p.name)
+				w.record("%s is careful: its lease has run out", p.name)
 			}
 		}
 	}
-	w.seats()
+	w.checkKnownToAll()
 	type acting struct {
 		p *process
-		s Standing
+		s SubjectStatus
 	}
 	by := map[string][]acting{}
 	for _, p := range w.nodes {
-		if p.down || p.paused || p.clock() >= p.a.Leased() {
+		if p.down || p.paused || p.clock() >= p.a.LeaseUntil() {
 			continue
 		}
-		for _, s := range p.a.Held().Subjects {
-			if s.Tries(p.id) {
+		for _, s := range p.a.Manifest().Subjects {
+			if s.InCanary(p.id) {
 				s.InForce, s.Next = s.Next, nil
 			} else if s.Step > 0 {
 				s.Next = nil
@@ -362,7 +362,7 @@
 		for no := alone + 1; w.agreed[fmt.Sprint(name, no)] > 0; no++ {
 			if w.clashes[fmt.Sprint(name, no)] {
 				d := w.Now - w.agreed[fmt.Sprint(name, no)]
-				if w.longest = max(w.longest, d); d > usualStated {
+				if w.longest = max(w.longest, d); d > defaultMaxDivergence {
 					w.t.Fatalf("at %d: version %d of %s is acted on %d ms after %d was agreed on", w.Now, alone, name, d/1e6, no)
 				}
 			}
@@ -372,55 +372,55 @@
 
 // seats: whoever takes itself for known of, be it careful or not, is known of by all that may act, in the list or as a ghost.
 // What sessions rest on: docs/sessions.md.
-func (w *world) seats() {
+func (w *simulation) checkKnownToAll() {
 	for i, p := range w.nodes {
 		if len(w.nodes) > 20 && int(w.Now/10e6)%len(w.nodes) != i { // one after another
 			continue
 		}
-		g := p.entry(p.a.Held())
-		p.acted = p.acted || g != nil && !p.down && !p.paused && p.clock() < p.a.Leased()
+		g := p.entry(p.a.Manifest())
+		p.acted = p.acted || g != nil && !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
 		// Of a list that it never might act on since its start it may have been taken out long ago: session.Notes.
-		if p.down || g == nil || !g.Seated || !p.acted {
+		if p.down || g == nil || !g.KnownToAll || !p.acted {
 			continue
 		}
 		for _, q := range w.nodes {
-			if q.down || q.paused || q.clock() >= q.a.Leased() {
+			if q.down || q.paused || q.clock() >= q.a.LeaseUntil() {
 				continue
 			}
-			m := q.a.Held()
-			if !w.listed(m)[p.id] && !slices.ContainsFunc(m.Ghosts, func(x Gateway) bool { return x.ID == p.id }) {
+			m := q.a.Manifest()
+			if !w.listed(m)[p.id] && !slices.ContainsFunc(m.Departed, func(x Gateway) bool { return x.ID == p.id }) {
 				w.t.Fatalf("at %d: %s takes itself for known of, and %s does not know it", w.Now, p.name, q.name)
 			}
 		}
-		w.seated++
+		w.knownChecks++
 	}
 }
 
 // listed are those of a list, worked out once for each.
-func (w *world) listed(m *Manifest) map[ID]bool {
-	if w.lists[m.Stamp] == nil {
+func (w *simulation) listed(m *Manifest) map[ID]bool {
+	if w.lists[m.Revision] == nil {
 		if len(w.lists) > 64 {
 			clear(w.lists)
 		}
-		w.lists[m.Stamp] = map[ID]bool{}
+		w.lists[m.Revision] = map[ID]bool{}
 		for i := range m.Gateways {
-			w.lists[m.Stamp][m.Gateways[i].ID] = true
+			w.lists[m.Revision][m.Gateways[i].ID] = true
 		}
 	}
-	return w.lists[m.Stamp]
+	return w.lists[m.Revision]
 }
 
 // entry is that of a process in what somebody holds.
 func (p *process) entry(m *Manifest) *Gateway {
-	return (&Book{Gateways: m.Gateways}).Gateway(p.id)
+	return (&State{Gateways: m.Gateways}).Gateway(p.id)
 }
 
-var usualStated = func() int64 { t := UsualTerms(); return t.Stated() }()
+var defaultMaxDivergence = func() int64 { t := DefaultConfig(); return t.MaxDivergence() }()
 
 // ask has a gateway ask for something.
-func (p *process) ask(wish Wish, text string, patience int64, f func(Outcome)) {
-	p.turn(func() {
-		no, err := p.a.Ask(wish, []byte(text), patience)
+func (p *process) propose(wish Proposal, text string, patience int64, f func(Outcome)) {
+	p.step(func() {
+		no, err := p.a.Propose(wish, []byte(text), patience)
 		if err != nil {
 			f(Outcome{Why: err.Error()})
 			return
@@ -430,19 +430,19 @@
 }
 
 // put asks for a version and keeps what became of it for the check of all of them.
-func (p *process) put(subject string, predecessor uint64, text string, clashes []string, f func(Outcome)) {
+func (p *process) proposeVersion(subject string, predecessor uint64, text string, clashes []string, f func(Outcome)) {
 	w, began := p.w, p.w.Now
-	w.say("%s asks for a version of %s after %d", p.name, subject, predecessor)
+	w.record("%s asks for a version of %s after %d", p.name, subject, predecessor)
 	done := false
 	n := len(w.ops)
 	w.ops = append(w.ops, porcupine.Operation{ClientId: n, Input: predecessor, Call: began, Output: Outcome{Wait: true}, Return: 1 << 60})
-	v := Version{Subject: subject, Predecessor: predecessor, Who: p.name, Clashes: clashes, Share: w.share}
-	p.ask(Wish{Version: &v}, text, 8*second, func(o Outcome) {
+	v := Version{Subject: subject, Predecessor: predecessor, Who: p.name, Conflicts: clashes, CanaryFraction: w.share}
+	p.propose(Proposal{Version: &v}, text, 8*second, func(o Outcome) {
 		if done {
 			w.t.Fatal("two outcomes")
 		}
 		done = true
-		w.say("%s is told: %+v", p.name, o)
+		w.record("%s is told: %+v", p.name, o)
 		if !o.Wait { // else it may be done or not, now or later
 			w.ops[n].Output, w.ops[n].Return = o, w.Now
 		}
@@ -470,17 +470,17 @@
 	},
 }
 
-func (w *world) linearizable() {
+func (w *simulation) linearizable() {
 	if r := porcupine.CheckOperations(register, w.ops); !r {
 		w.t.Fatalf("the outcomes fit no order: %+v", w.ops)
 	}
 }
 
 // found has the first gateway begin a fleet, all join, and so many vote.
-func (w *world) found(voters int) {
+func (w *simulation) found(voters int) {
 	first := w.nodes[0]
-	first.turn(func() {
-		if err := first.a.Found(Gateway{Name: first.name, Address: first.name}); err != nil {
+	first.step(func() {
+		if err := first.a.Bootstrap(Gateway{Name: first.name, Address: first.name}); err != nil {
 			w.t.Fatal(err)
 		}
 	})
@@ -492,7 +492,7 @@
 		w.t.Fatal("not all have joined: ", joined)
 	}
 	for _, p := range w.nodes[1:voters] {
-		first.ask(Wish{Vote: &Voting{p.id, true}}, "", 20*second, func(o Outcome) {
+		first.propose(Proposal{VoterChange: &VoterChange{p.id, true}}, "", 20*second, func(o Outcome) {
 			if !o.Done {
 				w.t.Fatal(o)
 			}
@@ -505,16 +505,16 @@
 
 func (p *process) join(f func()) {
 	p.joining = true
-	p.ask(Wish{Join: &Gateway{ID: p.id, Name: p.name, Address: p.name}}, "", 60*second, func(o Outcome) {
+	p.propose(Proposal{Join: &Gateway{ID: p.id, Name: p.name, Address: p.name}}, "", 60*second, func(o Outcome) {
 		if p.joining = !o.Done; o.Done && f != nil {
 			f()
 		}
 	})
 }
 
-func (w *world) leased() (n int) {
+func (w *simulation) leased() (n int) {
 	for _, p := range w.nodes {
-		if !p.down && p.clock() < p.a.Leased() {
+		if !p.down && p.clock() < p.a.LeaseUntil() {
 			n++
 		}
 	}
@@ -522,10 +522,10 @@
 }
 
 // inForce counts the gateways that act on a version.
-func (w *world) inForce(subject string, no uint64) (n int) {
+func (w *simulation) inForce(subject string, no uint64) (n int) {
 	for _, p := range w.nodes {
-		for _, s := range p.a.Held().Subjects {
-			if s.Name == subject && s.InForce != nil && s.InForce.No == no && s.Next == nil && p.clock() < p.a.Leased() && !p.down {
+		for _, s := range p.a.Manifest().Subjects {
+			if s.Name == subject && s.InForce != nil && s.InForce.No == no && s.Next == nil && p.clock() < p.a.LeaseUntil() && !p.down {
 				n++
 			}
 		}
@@ -533,24 +533,24 @@
 	return n
 }
 
-func (w *world) leader() *process {
+func (w *simulation) leader() *process {
 	for _, p := range w.nodes {
-		if v := p.a.voter; v != nil && !p.down && !p.paused && v.leading() && v.until() > p.clock() {
+		if v := p.a.voter; v != nil && !p.down && !p.paused && v.isLeading() && v.leaderUntil() > p.clock() {
 			return p
 		}
 	}
 	return nil
 }
 
-func TestCalmFleet(t *testing.T) {
-	w := newWorld(t, 1, 5)
+func TestChangesWithoutFaults(t *testing.T) {
+	w := newSimulation(t, 1, 5)
 	w.found(3)
 	for no, clashes := range [][]string{{"a bound"}, nil, {"a drain"}} {
 		began := w.Now
 		var got Outcome
-		w.nodes[no].put("routes", uint64(no), fmt.Sprint("text ", no), clashes, func(o Outcome) { got = o })
+		w.nodes[no].proposeVersion("routes", uint64(no), fmt.Sprint("text ", no), clashes, func(o Outcome) { got = o })
 		if !w.until(5*second, func() bool { return w.inForce("routes", uint64(no+1)) == 5 }) {
-			t.Fatal("it does not come in force", got, words(w.nodes[0].a.Held()))
+			t.Fatal("it does not come in force", got, describeManifest(w.nodes[0].a.Manifest()))
 		}
 		t.Logf("in force at all after %d ms", (w.Now-began)/1e6)
 		w.run(second)
@@ -566,26 +566,26 @@
 // Days of faults by chance: killed, stopped, cut one way, both ways and by halves, lost disks, lost messages, while
 // operators ask for changes at any gateway. There is one history, no two act on what contradicts each other, none acts on
 // a former version past the stated time, and once all can talk again a change comes in force.
-func TestFaultsByChance(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	longest, done, asked, seated := int64(0), 0, 0, 0
 	for seed := range uint64(*seeds) {
 		w := faults(t, seed, 5, 3+2*int(seed%2), 30*second)
 		longest = max(longest, w.longest)
-		seated += w.seated
+		seated += w.knownChecks
 		for _, o := range w.ops {
 			if asked++; o.Output.(Outcome).Done {
 				done++
 			}
 		}
 	}
-	t.Logf("a former version was acted on for %d ms at most, %d ms are stated; %d of %d changes were agreed on; %d looks at who is known of", longest/1e6, usualStated/1e6, done, asked, seated)
+	t.Logf("a former version was acted on for %d ms at most, %d ms are stated; %d of %d changes were agreed on; %d looks at who is known of", longest/1e6, defaultMaxDivergence/1e6, done, asked, seated)
 	if seated < *seeds*100 {
 		t.Fatal("hardly anybody is known of: ", seated)
 	}
 }
 
-func faults(t testing.TB, seed uint64, gateways, voters int, span int64) *world {
-	w := newWorld(t, seed, gateways)
+func faults(t testing.TB, seed uint64, gateways, voters int, span int64) *simulation {
+	w := newSimulation(t, seed, gateways)
 	defer func() {
 		if t.Failed() {
 			t.Logf("seed %d", seed)
@@ -604,52 +604,52 @@
 			}
 		case 1:
 			if !p.down && !p.paused {
-				w.say("%s is stopped for %d ms", p.name, d/1e6)
+				w.record("%s is stopped for %d ms", p.name, d/1e6)
 				p.pause(true)
 				w.After(d, func() { p.pause(false) })
 			}
 		case 2:
-			w.say("%s hears nobody for %d ms", p.name, d/1e6)
-			w.severs(d, func(_, to *process) bool { return to == p })
+			w.record("%s hears nobody for %d ms", p.name, d/1e6)
+			w.partition(d, func(_, to *process) bool { return to == p })
 		case 3:
-			w.say("nobody hears %s for %d ms", p.name, d/1e6)
-			w.severs(d, func(from, _ *process) bool { return from == p })
+			w.record("nobody hears %s for %d ms", p.name, d/1e6)
+			w.partition(d, func(from, _ *process) bool { return from == p })
 		case 4:
 			half := map[*process]bool{}
 			for _, x := range w.nodes {
 				half[x] = w.rng.IntN(2) == 0
 			}
-			w.say("two halves for %d ms", d/1e6)
-			w.severs(d, func(from, to *process) bool { return half[from] != half[to] })
+			w.record("two halves for %d ms", d/1e6)
+			w.partition(d, func(from, to *process) bool { return half[from] != half[to] })
 		case 5:
 			w.loss = w.rng.Float64() * 0.3
 			w.After(d, func() { w.loss = 0 })
 		case 6:
 			if !wiped && !p.down && seed%3 == 0 {
 				wiped = true
-				w.say("%s has lost its disk", p.name)
+				w.record("%s has lost its disk", p.name)
 				p.kill()
 				p.start(true)
 				p.join(nil)
 			}
 		case 7: // taken out, as a rule wrongly: it serves on until it hears, says that it has ended, and joins again
 			q := any()
-			if q.down || q.paused || p.a.voter != nil || p.leaving || p.entry(q.a.Held()) == nil {
+			if q.down || q.paused || p.a.voter != nil || p.leaving || p.entry(q.a.Manifest()) == nil {
 				break
 			}
-			w.say("%s is taken out", p.name)
+			w.record("%s is taken out", p.name)
 			p.leaving = true // until it has joined again: who joins does not say that it has ended
-			q.ask(Wish{Leave: p.id}, "", 5*second, func(Outcome) {})
+			q.propose(Proposal{Leave: p.id}, "", 5*second, func(Outcome) {})
 			var back func()
 			back = func() {
 				switch {
 				case !p.leaving:
 					return
-				case p.down || p.paused || p.a.Held().Stamp == 0 || p.entry(p.a.Held()) != nil:
+				case p.down || p.paused || p.a.Manifest().Revision == 0 || p.entry(p.a.Manifest()) != nil:
 					w.After(second, back)
 					return
 				}
-				p.ask(Wish{Leave: p.id, Ended: true}, "", 5*second, func(Outcome) {})
+				p.propose(Proposal{Leave: p.id, Ended: true}, "", 5*second, func(Outcome) {})
 				w.After(second, func() {
 					if p.leaving && !p.down {
 						p.leaving = false
@@ -659,22 +659,22 @@
 			}
 			w.After(d, back)
 		case 8:
-			w.say("the disk of %s takes nothing for %d ms", p.name, d/1e6)
-			p.fullTill = w.Now + d
+			w.record("the disk of %s takes nothing for %d ms", p.name, d/1e6)
+			p.diskFullUntil = w.Now + d
 		case 9:
-			p.slow = int64(w.rng.Float64() * 1e9)
-			w.After(d, func() { p.slow = 0 })
+			p.maxDiskDelay = int64(w.rng.Float64() * 1e9)
+			w.After(d, func() { p.maxDiskDelay = 0 })
 		default:
 			if p.down || p.paused {
 				break
 			}
 			after := uint64(0)
-			for _, s := range p.a.Held().Subjects {
+			for _, s := range p.a.Manifest().Subjects {
 				if s.InForce != nil {
 					after = s.InForce.No
 				}
 				if after = s.Last; s.Step > 0 && w.rng.IntN(4) == 0 {
-					p.ask(Wish{Drop: &Dropping{s.Name, s.Next.No, "health"}}, "", 5*second, func(Outcome) {})
+					p.propose(Proposal{Abort: &Abort{s.Name, s.Next.No, "health"}}, "", 5*second, func(Outcome) {})
 				}
 			}
 			var clashes []string
@@ -686,14 +686,14 @@
 				w.share = 0.4
 			}
 			no++
-			p.put("routes", after, strings.Repeat(fmt.Sprint("text ", no, " "), 1+w.rng.IntN(300)), clashes, nil)
+			p.proposeVersion("routes", after, strings.Repeat(fmt.Sprint("text ", no, " "), 1+w.rng.IntN(300)), clashes, nil)
 		}
 	}
 	w.cut, w.loss = func(_, _ *process) bool { return false }, 0
 	w.run(7 * second) // stopped ones go on, killed ones have started
 	last := func() (no uint64) {
 		for _, p := range w.nodes {
-			if b := p.a.Book(); b != nil && b.Subject("routes") != nil {
+			if b := p.a.State(); b != nil && b.Subject("routes") != nil {
 				s := b.Subject("routes")
 				no = max(no, s.Versions[len(s.Versions)-1].No)
 			}
@@ -704,14 +704,14 @@
 	w.share = 0
 	w.run(4 * second) // what is tried comes in force
 	for _, p := range w.nodes {
-		if p.leaving = false; w.leader() != nil && p.entry(&Manifest{Gateways: w.leader().a.Book().Gateways}) == nil {
+		if p.leaving = false; w.leader() != nil && p.entry(&Manifest{Gateways: w.leader().a.State().Gateways}) == nil {
 			p.join(nil)
 			w.run(2 * second)
 		}
 	}
 	for try := 0; try < 4 && !ok; try++ { // one that was given up may come in between
 		was := last()
-		any().put("routes", was, fmt.Sprint("the last ", try), []string{"a bound"}, func(o Outcome) { ok = ok || o.Done })
+		any().proposeVersion("routes", was, fmt.Sprint("the last ", try), []string{"a bound"}, func(o Outcome) { ok = ok || o.Done })
 		ok = w.until(10*second, func() bool { return w.inForce("routes", was+1) == len(w.nodes) }) && ok
 	}
 	if !ok {
@@ -722,7 +722,7 @@
 }
 
 // severs cuts who may not reach whom, for a time, beside what is cut already.
-func (w *world) severs(d int64, f func(from, to *process) bool) {
+func (w *simulation) partition(d int64, f func(from, to *process) bool) {
 	over, before := false, w.cut
 	w.cut = func(from, to *process) bool { return !over && f(from, to) || before(from, to) }
 	w.After(d, func() { over = true })
@@ -731,7 +731,7 @@
 // Where many join at once, as after a mass restart, they come into the list together: nobody is without a lease for it, and
 // what it costs grows with the gateways, not with their square.
 func TestManyJoinAtOnce(t *testing.T) {
-	w := newWorld(t, 5, 400)
+	w := newSimulation(t, 5, 400)
 	all := w.nodes
 	w.nodes = all[:40]
 	w.found(3)
@@ -742,8 +742,8 @@
 		p.join(func() { joined++ })
 	}
 	seated := func() (n int) {
-		for _, g := range w.leader().a.Book().Gateways {
-			if g.Seated {
+		for _, g := range w.leader().a.State().Gateways {
+			if g.KnownToAll {
 				n++
 			}
 		}
@@ -751,7 +751,7 @@
 	}
 	done := w.until(10*second, func() bool {
 		for _, p := range all[:40] {
-			if p.clock() >= p.a.Leased() {
+			if p.clock() >= p.a.LeaseUntil() {
 				without++
 			}
 		}
@@ -766,23 +766,23 @@
 // A version that goes by steps comes in force at all after one that voted has left for good, as the last thing that it
 // was let do stays on the leader's record.
 func TestStepsEndAfterAVoterLeft(t *testing.T) {
-	w := newWorld(t, 3, 5)
+	w := newSimulation(t, 3, 5)
 	w.found(5)
 	gone := w.nodes[4]
 	if gone == w.leader() {
 		gone = w.nodes[3]
 	}
 	w.share = 0.4
-	w.leader().put("routes", 0, "first", nil, nil)
-	w.until(5*second, func() bool { p := w.leader().a.voter.peers[gone.id]; return p != nil && p.well == 1 })
+	w.leader().proposeVersion("routes", 0, "first", nil, nil)
+	w.until(5*second, func() bool { p := w.leader().a.voter.peers[gone.id]; return p != nil && p.healthyVersion == 1 })
 	gone.kill()
-	w.leader().ask(Wish{Leave: gone.id, Ended: true}, "", 10*second, func(o Outcome) {
+	w.leader().propose(Proposal{Leave: gone.id, Ended: true}, "", 10*second, func(o Outcome) {
 		if !o.Done {
 			t.Error(o)
 		}
 	})
 	w.run(4 * second)
-	w.leader().put("routes", 1, "by steps", nil, nil)
+	w.leader().proposeVersion("routes", 1, "by steps", nil, nil)
 	if !w.until(20*second, func() bool { return w.inForce("routes", 2) == 4 }) {
 		t.Fatal("it is tried for ever")
 	}
@@ -790,18 +790,18 @@
 
 // A gateway that is taken out while its wish is under way, and asks again, is told that it was done, not that somebody
 // else was first.
-func TestAnswerOutlivesThePlace(t *testing.T) {
-	b := newBook()
+func TestOutcomeKeptAfterRemoval(t *testing.T) {
+	b := newState()
 	for no, id := range []ID{7, 17} {
-		b.apply(uint64(no+1), &entry{Wish: &proposal{id, 1, Wish{Join: &Gateway{ID: id, Name: fmt.Sprint("g", id)}}}})
+		b.apply(uint64(no+1), &entry{Proposal: &proposalRecord{id, 1, Proposal{Join: &Gateway{ID: id, Name: fmt.Sprint("g", id)}}}})
 	}
 	text := []byte("text")
-	b.apply(3, &entry{Part: &part{DigestOf(text), len(text), 0, text}})
-	wish := proposal{17, 2, Wish{Version: &Version{Subject: "routes", Digest: DigestOf(text), Size: len(text)}}}
-	b.apply(4, &entry{Wish: &wish})
-	b.apply(5, &entry{Wish: &proposal{7, 2, Wish{Leave: 17}}})
-	b.apply(6, &entry{Wish: &wish})
-	if o, done := b.answer(17, 2); !done || !o.Done || o.Version != 1 {
+	b.apply(3, &entry{Part: &textPart{DigestOf(text), len(text), 0, text}})
+	wish := proposalRecord{17, 2, Proposal{Version: &Version{Subject: "routes", Digest: DigestOf(text), Size: len(text)}}}
+	b.apply(4, &entry{Proposal: &wish})
+	b.apply(5, &entry{Proposal: &proposalRecord{7, 2, Proposal{Leave: 17}}})
+	b.apply(6, &entry{Proposal: &wish})
+	if o, done := b.outcome(17, 2); !done || !o.Done || o.Version != 1 {
 		t.Fatal(o, done)
 	}
 }
@@ -809,27 +809,27 @@
 // A leader whose disk takes nothing makes way: within some leases another one leads and a change comes in force at all,
 // and the former takes part again once there is room.
 func TestLeaderWithAFullDisk(t *testing.T) {
-	w := newWorld(t, 11, 5)
+	w := newSimulation(t, 11, 5)
 	w.found(3)
 	w.run(3 * second)
 	p := w.leader()
-	p.fullTill = 1 << 62
-	p.put("routes", 0, "stuck, or done by another", []string{"a bound"}, nil)
-	w.run(4 * usualStated)
+	p.diskFullUntil = 1 << 62
+	p.proposeVersion("routes", 0, "stuck, or done by another", []string{"a bound"}, nil)
+	w.run(4 * defaultMaxDivergence)
 	now := w.leader()
 	if now == nil || now == p {
 		t.Fatal("nobody else leads")
 	}
 	was := uint64(0)
-	if s := now.a.Book().Subject("routes"); s != nil {
-		was = s.last()
+	if s := now.a.State().Subject("routes"); s != nil {
+		was = s.latest()
 	}
-	now.put("routes", was, "goes on", []string{"a bound"}, nil)
-	if !w.until(3*usualStated, func() bool { return w.inForce("routes", was+1) >= 4 }) {
+	now.proposeVersion("routes", was, "goes on", []string{"a bound"}, nil)
+	if !w.until(3*defaultMaxDivergence, func() bool { return w.inForce("routes", was+1) >= 4 }) {
 		t.Fatal("no change comes in force")
 	}
-	p.fullTill = 0
-	if !w.until(3*usualStated, func() bool { return w.inForce("routes", was+1) == 5 }) {
+	p.diskFullUntil = 0
+	if !w.until(3*defaultMaxDivergence, func() bool { return w.inForce("routes", was+1) == 5 }) {
 		t.Fatal("the one whose disk was full does not come back")
 	}
 	w.linearizable()
--- a/agreement/survey.go
+++ b/agreement/survey.go
@@ -9,98 +9,98 @@
 
 // surveyWait is how long a survey waits for voters. Ours: some ways there and back, within what somebody at a terminal
 // takes for at once.
-const surveyWait = 400e6
+const surveyTimeout = 400e6
 
 // Seen is what voters know of one gateway that asks them for its lease.
-type Seen struct {
-	ID    ID     `json:"id"`
-	By    ID     `json:"by"`    // the voter that it asked last
-	Known uint64 `json:"known"` // the stamp of what it holds
-	Left  int64  `json:"left"`  // of its lease, nanoseconds, at the voter's answer; 0 or less: it may not act by this voter's word
+type GatewayLease struct {
+	ID            ID     `json:"id"`
+	Voter         ID     `json:"by"`    // the voter that it asked last
+	KnownRevision uint64 `json:"known"` // the stamp of what it holds
+	Remaining     int64  `json:"left"`  // of its lease, nanoseconds, at the voter's answer; 0 or less: it may not act by this voter's word
 }
 
 // survey is a question to all voters for what they know of the others. Nothing is decided by it.
 type survey struct {
-	began int64 // 0 while there is none
-	open  map[ID]*Message
-	seen  map[ID]Seen
+	startedAt   int64 // 0 while there is none
+	outstanding map[ID]*Message
+	leases      map[ID]GatewayLease
 }
 
 // Survey asks all voters what they know of the gateways that ask them; Surveyed tells when it is over. One that is under way
 // goes on.
 func (a *Agreement) Survey() {
 	s := &a.survey
-	if s.began != 0 && a.now-s.began < surveyWait {
+	if s.startedAt != 0 && a.now-s.startedAt < surveyTimeout {
 		return
 	}
-	*s = survey{began: a.now, open: map[ID]*Message{}, seen: map[ID]Seen{}}
+	*s = survey{startedAt: a.now, outstanding: map[ID]*Message{}, leases: map[ID]GatewayLease{}}
 	for _, g := range a.holder.manifest.Gateways {
 		if g.Vote {
-			s.open[g.ID] = nil
-			a.send(Message{Kind: Census, To: g.ID, No: a.now})
+			s.outstanding[g.ID] = nil
+			a.send(Message{Kind: SurveyRequest, To: g.ID, SentAt: a.now})
 		}
 	}
 }
 
 // Surveyed gives what voters told, by ID, and whether all of them did or time is up.
-func (a *Agreement) Surveyed() (all []Seen, over bool) {
+func (a *Agreement) SurveyResult() (all []GatewayLease, over bool) {
 	s := &a.survey
-	return slices.SortedFunc(maps.Values(s.seen), func(x, y Seen) int { return cmp.Compare(x.ID, y.ID) }),
-		len(s.open) == 0 || a.now-s.began >= surveyWait
+	return slices.SortedFunc(maps.Values(s.leases), func(x, y GatewayLease) int { return cmp.Compare(x.ID, y.ID) }),
+		len(s.outstanding) == 0 || a.now-s.startedAt >= surveyTimeout
 }
 
 // SurveyedByMost tells whether most of those that vote have answered the survey: who hears of nobody may be cut off itself.
-func (a *Agreement) SurveyedByMost() bool {
-	voters, silent := 0, len(a.survey.open)
+func (a *Agreement) SurveyHasQuorum() bool {
+	voters, silent := 0, len(a.survey.outstanding)
 	for _, g := range a.holder.manifest.Gateways {
 		if g.Vote {
 			voters++
 		}
 	}
-	return a.survey.began != 0 && (voters-silent)*2 > voters
+	return a.survey.startedAt != 0 && (voters-silent)*2 > voters
 }
 
 // surveyed answers a survey at a voter.
-func (v *voter) surveyed(m *Message) {
-	all := []Seen{}
+func (v *voter) handleSurvey(m *Message) {
+	all := []GatewayLease{}
 	for _, id := range slices.Sorted(maps.Keys(v.grants)) {
 		g := v.grants[id]
-		all = append(all, Seen{id, v.a.terms.Self, g.known, g.until - v.a.now})
+		all = append(all, GatewayLease{id, v.a.config.Self, g.knownRevision, g.until - v.a.now})
 	}
 	text, err := json.Marshal(all)
 	if err == nil {
-		v.a.send(Message{Kind: Counted, To: m.From, Echo: m.No, Digest: v.a.texts.offer(text), Size: len(text)})
+		v.a.send(Message{Kind: SurveyResponse, To: m.From, Echo: m.SentAt, Digest: v.a.texts.offer(text), Size: len(text)})
 	}
 }
 
 // counted takes a voter's answer, whose text is to be fetched.
-func (a *Agreement) counted(m *Message) {
-	if _, asked := a.survey.open[m.From]; asked && m.Echo == a.survey.began {
-		a.survey.open[m.From] = m
+func (a *Agreement) handleSurveyResponse(m *Message) {
+	if _, asked := a.survey.outstanding[m.From]; asked && m.Echo == a.survey.startedAt {
+		a.survey.outstanding[m.From] = m
 	}
 }
 
 func (s *survey) round(a *Agreement) {
-	if s.began == 0 || a.now-s.began >= surveyWait {
+	if s.startedAt == 0 || a.now-s.startedAt >= surveyTimeout {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.open)) {
-		m := s.open[id]
+	for _, id := range slices.Sorted(maps.Keys(s.outstanding)) {
+		m := s.outstanding[id]
 		if m == nil {
 			continue
 		}
-		text := a.texts.want(m.From, m.Digest, m.Size)
+		text := a.texts.getOrFetch(m.From, m.Digest, m.Size)
 		if text == nil {
 			continue
 		}
-		var all []Seen
+		var all []GatewayLease
 		if json.Unmarshal(text, &all) == nil {
 			for _, x := range all {
-				if before, ok := s.seen[x.ID]; !ok || x.Left > before.Left {
-					s.seen[x.ID] = x
+				if before, ok := s.leases[x.ID]; !ok || x.Remaining > before.Remaining {
+					s.leases[x.ID] = x
 				}
 			}
 		}
-		delete(s.open, id)
+		delete(s.outstanding, id)
 	}
 }
--- a/agreement/texts.go
+++ b/agreement/texts.go
@@ -7,10 +7,10 @@
 
 // Spans and sizes of fetching. Sources: ours.
 const (
-	pageWait  = 60e6 // what did not come is asked for again
-	pageTries = 25   // without any page between them, after which a text is given up
-	pagesOut  = 32   // that are asked for at a time
-	mostOffer = 64   // texts that are offered beside those held, the latest
+	pageTimeout      = 60e6 // what did not come is asked for again
+	maxPageAttempts  = 25   // without any page between them, after which a text is given up
+	maxPagesInFlight = 32   // that are asked for at a time
+	maxOfferedTexts  = 64   // texts that are offered beside those held, the latest
 )
 
 // texts gets texts from one gateway to another, by pages: whoever wants one asks whoever told of it.
@@ -18,7 +18,7 @@
 	a       *Agreement
 	held    map[Digest][]byte // of versions that this gateway holds
 	offered []offered
-	wanted  []*wanted
+	fetches []*textFetch
 }
 
 type offered struct {
@@ -27,17 +27,17 @@
 }
 
 // wanted is a text that comes.
-type wanted struct {
-	digest  Digest
-	from    ID
-	text    []byte
-	got     []bool
-	missing int
-	askedAt int64
-	usedAt  int64 // when it was last wanted
-	tries   int
-	whole   bool
-	gone    bool
+type textFetch struct {
+	digest       Digest
+	from         ID
+	text         []byte
+	received     []bool
+	missing      int
+	requestedAt  int64
+	lastWantedAt int64 // when it was last wanted
+	attempts     int
+	complete     bool
+	failed       bool
 }
 
 // offer keeps a text for who is told of it.
@@ -47,7 +47,7 @@
 		t.offered = append(slices.Delete(t.offered, i, i+1), offered{d, text})
 		return d
 	}
-	if len(t.offered) == mostOffer {
+	if len(t.offered) == maxOfferedTexts {
 		t.offered = t.offered[1:]
 	}
 	t.offered = append(t.offered, offered{d, text})
@@ -65,12 +65,12 @@
 		}
 	}
 	if v := t.a.voter; v != nil {
-		if text := v.book.text(d); text != nil {
+		if text := v.state.text(d); text != nil {
 			return text
 		}
 	}
-	for _, w := range t.wanted {
-		if w.digest == d && w.whole {
+	for _, w := range t.fetches {
+		if w.digest == d && w.complete {
 			return w.text
 		}
 	}
@@ -78,106 +78,106 @@
 }
 
 // want gives a text, or has it fetched.
-func (t *texts) want(from ID, d Digest, size int) []byte {
+func (t *texts) getOrFetch(from ID, d Digest, size int) []byte {
 	if text := t.get(d); text != nil {
 		return text
 	}
-	if size <= 0 || size > 16*MostText {
+	if size <= 0 || size > 16*MaxTextSize {
 		return nil
 	}
-	i := slices.IndexFunc(t.wanted, func(w *wanted) bool { return w.digest == d })
+	i := slices.IndexFunc(t.fetches, func(w *textFetch) bool { return w.digest == d })
 	if i < 0 {
-		n := (size + t.a.terms.Page - 1) / t.a.terms.Page
-		t.wanted = append(t.wanted, &wanted{digest: d, text: make([]byte, size), got: make([]bool, n), missing: n, askedAt: t.a.now - pageWait})
-		i = len(t.wanted) - 1
+		n := (size + t.a.config.PageSize - 1) / t.a.config.PageSize
+		t.fetches = append(t.fetches, &textFetch{digest: d, text: make([]byte, size), received: make([]bool, n), missing: n, requestedAt: t.a.now - pageTimeout})
+		i = len(t.fetches) - 1
 	}
-	w := t.wanted[i]
-	if w.usedAt = t.a.now; w.from != from {
-		w.from, w.tries, w.gone = from, 0, false
+	w := t.fetches[i]
+	if w.lastWantedAt = t.a.now; w.from != from {
+		w.from, w.attempts, w.failed = from, 0, false
 	}
 	return nil
 }
 
 // lacks tells how many bytes of a text that is being fetched are still to come, and whether they do come.
-func (t *texts) lacks(d Digest) (bytes int, comes bool) {
-	for _, w := range t.wanted {
+func (t *texts) missingBytes(d Digest) (bytes int, comes bool) {
+	for _, w := range t.fetches {
 		if w.digest == d {
-			return min(len(w.text), w.missing*t.a.terms.Page), w.tries < 2 && !w.gone
+			return min(len(w.text), w.missing*t.a.config.PageSize), w.attempts < 2 && !w.failed
 		}
 	}
 	return 0, false
 }
 
 // failed tells, once, that a text was given up.
-func (t *texts) failed(d Digest) bool {
-	i := slices.IndexFunc(t.wanted, func(w *wanted) bool { return w.digest == d && w.gone })
+func (t *texts) takeFailed(d Digest) bool {
+	i := slices.IndexFunc(t.fetches, func(w *textFetch) bool { return w.digest == d && w.failed })
 	if i < 0 {
 		return false
 	}
-	t.wanted = slices.Delete(t.wanted, i, i+1)
+	t.fetches = slices.Delete(t.fetches, i, i+1)
 	return true
 }
 
 // asked answers a question for a page.
-func (t *texts) asked(m *Message) {
+func (t *texts) handleFetch(m *Message) {
 	text := t.get(m.Digest)
 	if text == nil || m.Offset < 0 || m.Offset >= len(text) {
 		return
 	}
 	t.a.send(Message{Kind: Page, To: m.From, Digest: m.Digest, Offset: m.Offset, Size: len(text),
-		Data: text[m.Offset:min(m.Offset+t.a.terms.Page, len(text))]})
+		Data: text[m.Offset:min(m.Offset+t.a.config.PageSize, len(text))]})
 }
 
 // page takes one.
-func (t *texts) page(m *Message) {
-	i := slices.IndexFunc(t.wanted, func(w *wanted) bool { return w.digest == m.Digest })
-	page := t.a.terms.Page
+func (t *texts) handlePage(m *Message) {
+	i := slices.IndexFunc(t.fetches, func(w *textFetch) bool { return w.digest == m.Digest })
+	page := t.a.config.PageSize
 	if i < 0 {
 		return
 	}
-	w := t.wanted[i]
-	if w.whole || m.Offset < 0 || m.Offset%page != 0 || m.Offset >= len(w.text) || len(m.Data) != min(page, len(w.text)-m.Offset) || w.got[m.Offset/page] {
+	w := t.fetches[i]
+	if w.complete || m.Offset < 0 || m.Offset%page != 0 || m.Offset >= len(w.text) || len(m.Data) != min(page, len(w.text)-m.Offset) || w.received[m.Offset/page] {
 		return
 	}
 	copy(w.text[m.Offset:], m.Data)
-	w.got[m.Offset/page] = true
-	w.tries = 0
-	if w.missing--; w.missing > 0 && w.missing%pagesOut == 0 {
-		w.askedAt = t.a.now - pageWait // the next ones at once
+	w.received[m.Offset/page] = true
+	w.attempts = 0
+	if w.missing--; w.missing > 0 && w.missing%maxPagesInFlight == 0 {
+		w.requestedAt = t.a.now - pageTimeout // the next ones at once
 	}
 	if w.missing > 0 {
 		return
 	}
-	if w.whole = DigestOf(w.text) == w.digest; !w.whole { // spoilt: from the beginning
-		clear(w.got)
-		w.missing = len(w.got)
+	if w.complete = DigestOf(w.text) == w.digest; !w.complete { // spoilt: from the beginning
+		clear(w.received)
+		w.missing = len(w.received)
 	}
 }
 
 // round asks for what is missing, and forgets what nobody wants any more.
 func (t *texts) round() {
-	t.wanted = slices.DeleteFunc(t.wanted, func(w *wanted) bool { return t.a.now-w.usedAt > 4*t.a.terms.Lease })
-	for _, w := range t.wanted {
-		if w.whole || w.gone || t.a.now-w.askedAt < pageWait {
+	t.fetches = slices.DeleteFunc(t.fetches, func(w *textFetch) bool { return t.a.now-w.lastWantedAt > 4*t.a.config.Lease })
+	for _, w := range t.fetches {
+		if w.complete || w.failed || t.a.now-w.requestedAt < pageTimeout {
 			continue
 		}
-		w.askedAt = t.a.now
-		if w.tries++; w.tries > pageTries {
-			w.gone = true
+		w.requestedAt = t.a.now
+		if w.attempts++; w.attempts > maxPageAttempts {
+			w.failed = true
 			continue
 		}
 		n := 0
-		for i := range w.got {
-			if !w.got[i] && n < pagesOut {
+		for i := range w.received {
+			if !w.received[i] && n < maxPagesInFlight {
 				n++
-				t.a.send(Message{Kind: Fetch, To: w.from, Digest: w.digest, Offset: i * t.a.terms.Page})
+				t.a.send(Message{Kind: Fetch, To: w.from, Digest: w.digest, Offset: i * t.a.config.PageSize})
 			}
 		}
 	}
 }
 
 // keep holds the texts of a manifest, and no others.
-func (t *texts) keep(m *Manifest) {
+func (t *texts) retain(m *Manifest) {
 	before := maps.Clone(t.held)
 	clear(t.held)
 	for _, s := range m.Subjects {
@@ -192,14 +192,14 @@
 			t.held[v.Digest] = text
 		}
 	}
-	t.wanted = slices.DeleteFunc(t.wanted, func(w *wanted) bool { return t.held[w.digest] != nil })
+	t.fetches = slices.DeleteFunc(t.fetches, func(w *textFetch) bool { return t.held[w.digest] != nil })
 }
 
-func (t *texts) due() int64 {
-	at := t.a.now + t.a.terms.Lease
-	for _, w := range t.wanted {
-		if !w.whole && !w.gone {
-			at = min(at, w.askedAt+pageWait)
+func (t *texts) nextDeadline() int64 {
+	at := t.a.now + t.a.config.Lease
+	for _, w := range t.fetches {
+		if !w.complete && !w.failed {
+			at = min(at, w.requestedAt+pageTimeout)
 		}
 	}
 	return at
--- a/agreement/transcripts_test.go
+++ b/agreement/transcripts_test.go
@@ -13,76 +13,76 @@
 // when leases run out and come back, who leads. `go test ./agreement -run Transcripts -update` writes them anew.
 func TestTranscripts(t *testing.T) {
 	tell := func(o Outcome) {}
-	cases := map[string]func(w *world){
-		"calm": func(w *world) {
-			w.nodes[3].put("routes", 0, "first", []string{"a bound"}, tell)
+	cases := map[string]func(w *simulation){
+		"calm": func(w *simulation) {
+			w.nodes[3].proposeVersion("routes", 0, "first", []string{"a bound"}, tell)
 			w.run(3 * second)
-			w.nodes[4].put("routes", 1, "second", nil, tell)
+			w.nodes[4].proposeVersion("routes", 1, "second", nil, tell)
 			w.run(2 * second)
-			w.nodes[3].put("routes", 2, "third", []string{"a drain"}, tell)
+			w.nodes[3].proposeVersion("routes", 2, "third", []string{"a drain"}, tell)
 			w.run(2 * second)
 		},
-		"leader-killed": func(w *world) {
-			w.nodes[3].put("routes", 0, "first", []string{"a bound"}, tell)
+		"leader-killed": func(w *simulation) {
+			w.nodes[3].proposeVersion("routes", 0, "first", []string{"a bound"}, tell)
 			p := w.leader()
 			w.until(second, func() bool { return w.agreed["routes1"] > 0 })
 			p.kill()
 			w.run(8 * second)
 			p.start(false)
-			w.say("%s is started again", p.name)
+			w.record("%s is started again", p.name)
 			w.run(5 * second)
 		},
-		"cut": func(w *world) {
-			w.say("g4 and g5 are cut off from the others")
+		"cut": func(w *simulation) {
+			w.record("g4 and g5 are cut off from the others")
 			w.cut = func(from, to *process) bool { return (from.name >= "g4") != (to.name >= "g4") }
-			w.nodes[0].put("routes", 0, "of the many", []string{"a tenant moved"}, tell)
-			w.nodes[3].put("routes", 0, "of the few", []string{"a tenant moved"}, tell)
+			w.nodes[0].proposeVersion("routes", 0, "of the many", []string{"a tenant moved"}, tell)
+			w.nodes[3].proposeVersion("routes", 0, "of the few", []string{"a tenant moved"}, tell)
 			w.run(9 * second)
-			w.say("all can talk again")
+			w.record("all can talk again")
 			w.cut = func(_, _ *process) bool { return false }
 			w.run(4 * second)
-			w.nodes[3].put("routes", 0, "of the few", []string{"a tenant moved"}, tell)
+			w.nodes[3].proposeVersion("routes", 0, "of the few", []string{"a tenant moved"}, tell)
 			w.run(2 * second)
 		},
-		"stopped": func(w *world) {
-			w.nodes[0].put("routes", 0, "first", []string{"a bound"}, tell)
+		"stopped": func(w *simulation) {
+			w.nodes[0].proposeVersion("routes", 0, "first", []string{"a bound"}, tell)
 			w.run(3 * second)
-			w.say("g5 is stopped")
+			w.record("g5 is stopped")
 			w.nodes[4].pause(true)
 			w.run(second)
-			w.nodes[0].put("routes", 1, "second", []string{"a drain"}, tell)
+			w.nodes[0].proposeVersion("routes", 1, "second", []string{"a drain"}, tell)
 			w.run(6 * second)
-			w.say("g5 goes on")
+			w.record("g5 goes on")
 			w.nodes[4].pause(false)
 			w.run(second)
 		},
-		"two-operators": func(w *world) {
-			w.nodes[3].put("routes", 0, "of one", []string{"a bound"}, tell)
-			w.nodes[4].put("routes", 0, "of the other", []string{"a bound"}, tell)
+		"two-operators": func(w *simulation) {
+			w.nodes[3].proposeVersion("routes", 0, "of one", []string{"a bound"}, tell)
+			w.nodes[4].proposeVersion("routes", 0, "of the other", []string{"a bound"}, tell)
 			w.run(10 * second)
 		},
-		"steps": func(w *world) {
+		"steps": func(w *simulation) {
 			w.share = 0.4
-			w.nodes[4].put("routes", 0, "tried", nil, tell)
+			w.nodes[4].proposeVersion("routes", 0, "tried", nil, tell)
 			w.run(4 * second)
-			w.nodes[3].put("routes", 1, "tried and dropped", nil, tell)
+			w.nodes[3].proposeVersion("routes", 1, "tried and dropped", nil, tell)
 			w.run(second / 10)
-			w.nodes[3].ask(Wish{Drop: &Dropping{"routes", 2, "health worsened"}}, "", 5*second, func(o Outcome) { w.say("g4 is told: %+v", o) })
+			w.nodes[3].propose(Proposal{Abort: &Abort{"routes", 2, "health worsened"}}, "", 5*second, func(o Outcome) { w.record("g4 is told: %+v", o) })
 			w.run(2 * second)
-			w.nodes[3].put("routes", 2, "another", []string{"a bound"}, tell)
+			w.nodes[3].proposeVersion("routes", 2, "another", []string{"a bound"}, tell)
 			w.run(2 * second)
 		},
-		"new-voter": func(w *world) {
-			w.nodes[3].ask(Wish{Vote: &Voting{w.nodes[3].id, true}}, "", 5*second, func(o Outcome) { w.say("g4 is told: %+v", o) })
+		"new-voter": func(w *simulation) {
+			w.nodes[3].propose(Proposal{VoterChange: &VoterChange{w.nodes[3].id, true}}, "", 5*second, func(o Outcome) { w.record("g4 is told: %+v", o) })
 			w.run(4 * second)
-			w.nodes[3].ask(Wish{Vote: &Voting{w.nodes[1].id, false}}, "", 5*second, func(o Outcome) { w.say("g4 is told: %+v", o) })
+			w.nodes[3].propose(Proposal{VoterChange: &VoterChange{w.nodes[1].id, false}}, "", 5*second, func(o Outcome) { w.record("g4 is told: %+v", o) })
 			w.run(4 * second)
-			w.say("votes: g2 %v, g4 %v", w.nodes[1].a.voter.votes(), w.nodes[3].a.voter.votes())
+			w.record("votes: g2 %v, g4 %v", w.nodes[1].a.voter.isVoter(), w.nodes[3].a.voter.isVoter())
 		},
 	}
 	for name, play := range cases {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 7, 5)
+			w := newSimulation(t, 7, 5)
 			w.found(3)
 			w.run(3 * second)
 			w.trace, w.leases = true, map[string]bool{}
@@ -102,7 +102,7 @@
 func BenchmarkElection(b *testing.B) {
 	var leads, all []int64
 	for seed := range uint64(300) {
-		w := newWorld(b, seed, 5)
+		w := newSimulation(b, seed, 5)
 		w.found(3)
 		w.run(3*second + int64(seed)*7e6)
 		p, began := w.leader(), w.Now
@@ -126,7 +126,7 @@
 		for _, away := range []int{0, 1, n / 5} {
 			b.Run(fmt.Sprintf("%d gateways, %d away", n, away), func(b *testing.B) {
 				for range b.N {
-					w := newWorld(b, 1, n)
+					w := newSimulation(b, 1, n)
 					w.found(3)
 					b.ReportMetric(float64(w.Now-second)/1e6, "ms/found")
 					w.run(5 * second)
@@ -140,7 +140,7 @@
 					b.ReportMetric(float64(w.bytes-bytes)/10/float64(n), "B/gateway/s")
 					for no := range uint64(2) { // the second, as nothing contradicts the first
 						began := w.Now
-						w.nodes[0].put("routes", no, strings.Repeat(fmt.Sprint("text ", no), 1000), []string{"a bound"}, nil)
+						w.nodes[0].proposeVersion("routes", no, strings.Repeat(fmt.Sprint("text ", no), 1000), []string{"a bound"}, nil)
 						w.until(20*second, func() bool { return w.inForce("routes", no+1) == n-away })
 						b.ReportMetric(float64(w.Now-began)/1e6, "ms/change")
 						w.run(5 * second)
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -86,7 +86,7 @@
 		switch {
 		case x.Next != nil && x.Step > 0:
 			where := "elsewhere"
-			if x.Tries(s.Self) {
+			if x.InCanary(s.Self) {
 				where = "here too"
 			}
 			fmt.Fprintf(out, ", step %d of 2 tries %s, %s", x.Step, versionOf(x.Next), where)
@@ -99,11 +99,11 @@
 	fmt.Fprintf(table, "gateway\taddress\tzone\tbuild\tvotes\tlease\tholds\n")
 	for _, g := range s.Held.Gateways {
 		left, holds := "-", "-" // no voter heard of it of late: it is careful, away, or its voter is
-		if i := slices.IndexFunc(s.Seen, func(x agreement.Seen) bool { return x.ID == g.ID }); i >= 0 {
-			if x := s.Seen[i]; x.Left > 0 {
-				left = fmt.Sprintf("%.1fs", float64(x.Left)/1e9)
+		if i := slices.IndexFunc(s.Seen, func(x agreement.GatewayLease) bool { return x.ID == g.ID }); i >= 0 {
+			if x := s.Seen[i]; x.Remaining > 0 {
+				left = fmt.Sprintf("%.1fs", float64(x.Remaining)/1e9)
 			}
-			if holds = "all"; s.Seen[i].Known < s.Held.Stamp {
+			if holds = "all"; s.Seen[i].KnownRevision < s.Held.Revision {
 				holds = "an earlier state"
 			}
 		}
@@ -112,7 +112,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, g := range s.Held.Ghosts {
+	for _, g := range s.Held.Departed {
 		fmt.Fprintf(out, "%s at %s was taken out and may serve clients yet: reads of sessions ask it too, until it says that it has ended or fleet evict %s --ended does\n", g.Name, g.Address, g.Name)
 	}
 	return nil
@@ -148,7 +148,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "version\tdigest\twho\twhen\twhy\tcontradicts its predecessor")
 	for _, v := range all {
-		clashes := cmp.Or(strings.Join(v.Clashes, "; "), "no")
+		clashes := cmp.Or(strings.Join(v.Conflicts, "; "), "no")
 		if v.Dropped != "" {
 			clashes += "; dropped: " + v.Dropped
 		}
@@ -206,9 +206,9 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	all := slices.Concat(r.Fleet.Held.Gateways, r.Fleet.Held.Ghosts)
+	all := slices.Concat(r.Fleet.Held.Gateways, r.Fleet.Held.Departed)
 	if ended {
-		all = slices.Concat(r.Fleet.Held.Ghosts, r.Fleet.Held.Gateways)
+		all = slices.Concat(r.Fleet.Held.Departed, r.Fleet.Held.Gateways)
 	}
 	i := slices.IndexFunc(all, func(g agreement.Gateway) bool { return g.Name == name })
 	if name != "" && i < 0 {
@@ -235,7 +235,7 @@
 		for _, name := range x.names {
 			id, _, err := v.byName(name, false)
 			if err == nil {
-				_, err = v.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Wish{Vote: &agreement.Voting{ID: id, On: x.on}}})
+				_, err = v.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{VoterChange: &agreement.VoterChange{ID: id, Enabled: x.on}}})
 			}
 			if err != nil {
 				return err
@@ -251,7 +251,7 @@
 func (l *leave) Run(out io.Writer) error {
 	_, self, err := l.byName("", false)
 	if err == nil {
-		_, err = l.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Wish{Leave: self}})
+		_, err = l.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: self}})
 	}
 	return err
 }
@@ -266,7 +266,7 @@
 func (e *evict) Run(out io.Writer) error {
 	id, _, err := e.byName(e.Gateway, e.Ended)
 	if err == nil {
-		_, err = e.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Wish{Leave: id, Ended: e.Ended}})
+		_, err = e.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: id, Ended: e.Ended}})
 	}
 	return err
 }
--- a/fleet/coordination.go
+++ b/fleet/coordination.go
@@ -142,17 +142,17 @@
 // list takes the list of gateways, if it has changed.
 func (c *Coordination) list() {
 	held := c.f.Held()
-	if held.Stamp == c.stamp {
+	if held.Revision == c.stamp {
 		return
 	}
-	c.stamp = held.Stamp
+	c.stamp = held.Revision
 	clear(c.places)
 	clear(c.names)
 	c.gateways, c.numbers = c.gateways[:0:0], nil
 	var others []uint32
 	self, in := c.self, false
 	for _, g := range held.Gateways {
-		no := uint32(g.Place)
+		no := uint32(g.Number)
 		c.places[no], c.names[no] = g.ID, g.Name
 		c.numbers = append(c.numbers, no)
 		c.gateways = append(c.gateways, subset.Gateway{ID: uint64(g.ID), Zone: g.Zone})
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -25,8 +25,8 @@
 
 // Plan is what the operator says of the agreement.
 type Plan struct {
-	Terms   agreement.Terms // Self, Epoch, Seed and Seeds are set by New
-	Name    string          // of this gateway, in the list
+	Terms   agreement.Config // Self, Epoch, Seed and Seeds are set by New
+	Name    string           // of this gateway, in the list
 	Zone    string
 	Listen  netip.AddrPort // where this gateway takes what others send
 	Build   string
@@ -57,7 +57,7 @@
 	if err := p.Keys.Check(); err != nil {
 		return fmt.Errorf("agreement: %w", err)
 	}
-	return t.Check()
+	return t.Validate()
 }
 
 // Host is what it needs of the event loop.
@@ -183,7 +183,7 @@
 		f.known[m.From] = d.From
 	}
 	f.stir()
-	f.module.Heard(m)
+	f.module.Receive(m)
 }
 
 // stir has the module take something, and Turn ask it.
@@ -207,16 +207,16 @@
 		case agreement.Send:
 			f.send(&d.Message)
 		case agreement.Save:
-			f.save(d.Records, d.Whole)
+			f.save(d.Records, d.ReplaceAll)
 		case agreement.Prepare:
-			f.host.Prepare(f.module.Coming())
+			f.host.Prepare(f.module.Pending())
 		case agreement.Answer:
-			if d.No == f.joinNo {
+			if d.ProposalNo == f.joinNo {
 				f.joinNo, f.joined = 0, d.Result.Done
 				continue
 			}
-			if f.quotas == nil || !f.quotas.outcome(d.No, d.Result) {
-				f.host.Outcome(d.No, d.Result)
+			if f.quotas == nil || !f.quotas.outcome(d.ProposalNo, d.Result) {
+				f.host.Outcome(d.ProposalNo, d.Result)
 			}
 		case agreement.Wake:
 			f.wakeAt = now + d.After
@@ -235,11 +235,11 @@
 	if v, _, _, _ := f.module.Role(); !v && len(f.plan.Ask) == 0 {
 		return // nobody has founded the fleet yet
 	}
-	f.joinNo, _ = f.module.Ask(agreement.Wish{Join: f.entry()}, nil, f.plan.Terms.Settling())
+	f.joinNo, _ = f.module.Propose(agreement.Proposal{Join: f.entry()}, nil, f.plan.Terms.StartupWait())
 }
 
 func (f *Fleet) entry() *agreement.Gateway {
-	return &agreement.Gateway{ID: f.me.ID, Name: f.plan.Name, Address: f.plan.Address.String(), Zone: f.plan.Zone, Build: f.plan.Build, Form: f.plan.Form}
+	return &agreement.Gateway{ID: f.me.ID, Name: f.plan.Name, Address: f.plan.Address.String(), Zone: f.plan.Zone, Build: f.plan.Build, FormatVersion: f.plan.Form}
 }
 
 func (f *Fleet) send(m *agreement.Message) {
@@ -303,13 +303,13 @@
 // Adopt tells that txns are decided by what was prepared, if that was of this stamp.
 func (f *Fleet) Adopt(stamp uint64) {
 	f.stir()
-	if m := f.module.Coming(); f.quotas != nil && m != nil && m.Stamp == stamp { // before it is said that this gateway knows
+	if m := f.module.Pending(); f.quotas != nil && m != nil && m.Revision == stamp { // before it is said that this gateway knows
 		f.quotas.offices(m, f.module.Text)
 	}
 	f.module.Adopt(stamp)
 	f.inList = false
 	listed := map[agreement.ID]bool{}
-	for _, g := range f.module.Held().Gateways {
+	for _, g := range f.module.Manifest().Gateways {
 		listed[g.ID] = true
 		if g.ID == f.me.ID {
 			f.inList, f.listed = true, true
@@ -326,9 +326,9 @@
 }
 
 // Ask has the fleet agree on something; Host.Outcome tells what became of it.
-func (f *Fleet) Ask(w agreement.Wish, text []byte, patience time.Duration) (uint64, error) {
+func (f *Fleet) Ask(w agreement.Proposal, text []byte, patience time.Duration) (uint64, error) {
 	f.stir()
-	return f.module.Ask(w, text, int64(patience))
+	return f.module.Propose(w, text, int64(patience))
 }
 
 // Found begins a fleet with this gateway as its one voter.
@@ -337,7 +337,7 @@
 		return errors.New("this gateway has no folder to keep the log in")
 	}
 	f.stir()
-	if err := f.module.Found(*f.entry()); err != nil {
+	if err := f.module.Bootstrap(*f.entry()); err != nil {
 		return err
 	}
 	f.joined = true
@@ -350,27 +350,27 @@
 // Well tells that.
 func (f *Fleet) Well(version uint64) {
 	f.stir()
-	f.module.Well(version)
+	f.module.ReportHealthy(version)
 }
 
 // Leased is until when this gateway may act on what it holds.
-func (f *Fleet) Leased() int64 { return f.module.Leased() }
+func (f *Fleet) Leased() int64 { return f.module.LeaseUntil() }
 
 // Held is what it holds, and Text the text of one of its versions.
-func (f *Fleet) Held() *agreement.Manifest { return f.module.Held() }
+func (f *Fleet) Held() *agreement.Manifest { return f.module.Manifest() }
 
 // Awaits tells whether a manifest of this stamp is what it waits to act on: a later one may have taken its place.
 func (f *Fleet) Awaits(stamp uint64) bool {
-	m := f.module.Coming()
-	return m != nil && m.Stamp == stamp
+	m := f.module.Pending()
+	return m != nil && m.Revision == stamp
 }
 
 // Coming is what it waits to act on.
-func (f *Fleet) Coming() *agreement.Manifest { return f.module.Coming() }
+func (f *Fleet) Coming() *agreement.Manifest { return f.module.Pending() }
 
 // Out tells that this gateway was taken out of the list.
 func (f *Fleet) Out() bool {
-	return f.module.Held().Stamp > 0 && f.joined && f.listed && f.joinNo == 0 && !f.inList
+	return f.module.Manifest().Revision > 0 && f.joined && f.listed && f.joinNo == 0 && !f.inList
 }
 
 // Text gives a version's.
@@ -388,8 +388,8 @@
 	Left    int64 // of its lease; below 0 it is careful
 	Stated  int64
 	Held    agreement.Manifest
-	History []agreement.Subject // at one that votes
-	Seen    []agreement.Seen    // what voters know of all gateways, where they were asked
+	History []agreement.Subject      // at one that votes
+	Seen    []agreement.GatewayLease // what voters know of all gateways, where they were asked
 }
 
 // Survey asks all voters what they know of the others; Surveyed gives what has come and whether it is all.
@@ -399,16 +399,16 @@
 }
 
 // Surveyed gives it.
-func (f *Fleet) Surveyed() ([]agreement.Seen, bool) {
+func (f *Fleet) Surveyed() ([]agreement.GatewayLease, bool) {
 	f.stir()
-	return f.module.Surveyed()
+	return f.module.SurveyResult()
 }
 
 // Status tells it.
 func (f *Fleet) Status() Status {
-	s := Status{Self: f.me.ID, Left: f.Leased() - f.host.Now(), Stated: f.plan.Terms.Stated(), Held: *f.Held()}
+	s := Status{Self: f.me.ID, Left: f.Leased() - f.host.Now(), Stated: f.plan.Terms.MaxDivergence(), Held: *f.Held()}
 	s.Votes, s.Leader, s.Term, _ = f.module.Role()
-	if b := f.module.Book(); b != nil {
+	if b := f.module.State(); b != nil {
 		s.History = slices.Clone(b.Subjects)
 	}
 	return s
--- a/fleet/quotas.go
+++ b/fleet/quotas.go
@@ -36,7 +36,7 @@
 // NewQuotas prepares it. linger is the longest time of any txn type.
 func NewQuotas(f *Fleet, linger int64) (*Quotas, error) {
 	t := f.plan.Terms
-	q := &Quotas{f: f, terms: quota.Terms{Self: f.me.ID, Run: f.me.Epoch, Lease: t.Lease, ClockError: t.ClockError, Turn: t.Turn, Linger: linger}}
+	q := &Quotas{f: f, terms: quota.Terms{Self: f.me.ID, Run: f.me.Epoch, Lease: t.Lease, ClockError: t.ClockError, Turn: t.EffectDelay, Linger: linger}}
 	m, err := quota.New(q.terms)
 	q.Module = m
 	f.quotas = q
@@ -152,10 +152,10 @@
 	}
 	var list []quota.Candidate
 	for _, g := range held.Gateways {
-		i := slices.IndexFunc(seen, func(s agreement.Seen) bool { return s.ID == g.ID })
-		list = append(list, quota.Candidate{ID: g.ID, Seated: g.Seated, Heard: i >= 0 && seen[i].Left > 0})
+		i := slices.IndexFunc(seen, func(s agreement.GatewayLease) bool { return s.ID == g.ID })
+		list = append(list, quota.Candidate{ID: g.ID, Seated: g.KnownToAll, Heard: i >= 0 && seen[i].Remaining > 0})
 	}
-	next, ok := quota.Successors(before, keeper, list, q.f.module.SurveyedByMost())
+	next, ok := quota.Successors(before, keeper, list, q.f.module.SurveyHasQuorum())
 	if !ok {
 		return
 	}
@@ -163,9 +163,9 @@
 	if keeper != 0 {
 		why = fmt.Sprintf("gateway %s does not answer, and no voter hears of it", q.f.nameOf(keeper))
 	}
-	v := agreement.Version{Subject: subjectOffices, Predecessor: q.version, Who: "gateway " + q.f.plan.Name, At: time.Now().UnixNano(), Why: why, Form: 1,
-		Clashes: []string{"a bound's keeper"}}
-	q.wish, _ = q.f.Ask(agreement.Wish{Version: &v}, quota.Text(next), time.Duration(q.terms.Patience()))
+	v := agreement.Version{Subject: subjectOffices, Predecessor: q.version, Who: "gateway " + q.f.plan.Name, At: time.Now().UnixNano(), Why: why, FormatVersion: 1,
+		Conflicts: []string{"a bound's keeper"}}
+	q.wish, _ = q.f.Ask(agreement.Proposal{Version: &v}, quota.Text(next), time.Duration(q.terms.Patience()))
 }
 
 // outcome takes what became of a wish of its own.
--- a/fleet/sessions.go
+++ b/fleet/sessions.go
@@ -78,17 +78,17 @@
 
 // Listed takes the fleet's list, before this gateway says that it holds it.
 func (s *Sessions) Listed(m *agreement.Manifest) {
-	l := session.List{Self: -1, Ended: m.Ended}
+	l := session.List{Self: -1, Ended: m.LastEnded}
 	others := map[int]netip.AddrPort{}
-	for _, all := range [][]agreement.Gateway{m.Gateways, m.Ghosts} {
+	for _, all := range [][]agreement.Gateway{m.Gateways, m.Departed} {
 		for _, g := range all {
 			if g.ID == s.agreed.Self() {
-				l.Self, l.Seated = g.Place, g.Seated // a ghost is not
+				l.Self, l.Seated = g.Number, g.KnownToAll // a ghost is not
 				continue
 			}
-			l.Others = append(l.Others, g.Place)
+			l.Others = append(l.Others, g.Number)
 			if a, err := netip.ParseAddrPort(g.Address); err == nil {
-				others[g.Place] = a
+				others[g.Number] = a
 			}
 		}
 	}
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -23,8 +23,8 @@
 var errMessage = errors.New("malformed message of the agreement")
 
 func appendMessage(dst []byte, m *agreement.Message) ([]byte, error) {
-	dst, err := binary.Append(dst, binary.BigEndian, &wired{uint8(m.Kind), uint64(m.To), m.Term, m.Run, m.No, m.Echo, m.Left,
-		m.Stamp, m.Known, m.Well, m.Digest, uint32(m.Size), uint32(m.Offset)})
+	dst, err := binary.Append(dst, binary.BigEndian, &wired{uint8(m.Kind), uint64(m.To), m.Term, m.Epoch, m.SentAt, m.Echo, m.Remaining,
+		m.Revision, m.KnownRevision, m.HealthyVersion, m.Digest, uint32(m.Size), uint32(m.Offset)})
 	return append(dst, m.Data...), err
 }
 
@@ -36,8 +36,8 @@
 	if _, err := binary.Decode(text, binary.BigEndian, &w); err != nil {
 		return m, errMessage
 	}
-	m = agreement.Message{Kind: agreement.Kind(w.Kind), To: agreement.ID(w.To), Term: w.Term, Run: w.Run, No: w.No, Echo: w.Echo, Left: w.Left,
-		Stamp: w.Stamp, Known: w.Known, Well: w.Well, Digest: w.Digest, Size: int(w.Size), Offset: int(w.Offset)}
+	m = agreement.Message{Kind: agreement.Kind(w.Kind), To: agreement.ID(w.To), Term: w.Term, Epoch: w.Run, SentAt: w.No, Echo: w.Echo, Remaining: w.Left,
+		Revision: w.Stamp, KnownRevision: w.Known, HealthyVersion: w.Well, Digest: w.Digest, Size: int(w.Size), Offset: int(w.Offset)}
 	if len(text) > wiredSize {
 		m.Data = append([]byte(nil), text[wiredSize:]...)
 	}
--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -74,7 +74,7 @@
 
 // Prepare compiles what is new of a manifest beside the loop.
 func (a *agreed) Prepare(m *agreement.Manifest) {
-	p := &prepared{stamp: m.Stamp}
+	p := &prepared{stamp: m.Revision}
 	type todo struct {
 		v    *agreement.Version
 		text []byte
@@ -93,7 +93,7 @@
 				continue
 			}
 			if s.Step > 0 { // of a version that is tried by steps one of both holds here, not both
-				if tries := s.Tries(a.f.Self()); tries != (x.v == s.Next) {
+				if tries := s.InCanary(a.f.Self()); tries != (x.v == s.Next) {
 					continue
 				}
 				x.to = &p.inForce
@@ -166,7 +166,7 @@
 			p.staged = true
 			if want.no != 0 && gs.all[want.no] == nil || want.no == 0 && p.inForce != nil {
 				a.former = gs.inForce
-				_ = gs.module.KeepBy(rollout.ByFleet) // what is still watched is over: the fleet has gone on
+				_ = gs.module.KeepWithReason(rollout.ByFleet) // what is still watched is over: the fleet has gone on
 				if _, err := gs.propose(want, Change{Digest: want.digest, Watch: want.watch, Again: true}); err != nil {
 					a.g.log.Error("a version of the fleet is not taken", "why", err)
 				}
@@ -203,7 +203,7 @@
 			return
 		}
 	}
-	no, err := a.f.Ask(agreement.Wish{Leave: a.f.Self(), Ended: true}, nil, askPatience)
+	no, err := a.f.Ask(agreement.Proposal{Leave: a.f.Self(), Ended: true}, nil, askPatience)
 	if err != nil {
 		return
 	}
@@ -240,7 +240,7 @@
 // one is on its way, whether both come to the same. It looks at the clock itself: a gateway that stood still is careful
 // from its first decision on.
 func (a *agreed) may(t *txn, x *routes.Txn, group int) (routes.Why, int64) {
-	stated := a.f.Plan().Terms.Stated()
+	stated := a.f.Plan().Terms.MaxDivergence()
 	gs := a.g.generations
 	usual := a.f.Plan().Serve
 	if !a.held {
@@ -291,11 +291,11 @@
 // ready tells whether clients may come: not before it knows what holds, or has asked for it long enough.
 func (a *agreed) ready() bool {
 	known := a.held && (a.g.sessions == nil || a.g.sessions.Module.Notes())
-	return known || a.f.Plan().Serve || a.g.clock.passed() > time.Duration(a.f.Plan().Terms.Settling())
+	return known || a.f.Plan().Serve || a.g.clock.passed() > time.Duration(a.f.Plan().Terms.StartupWait())
 }
 
 // ask has the fleet agree on something and waits for what becomes of it.
-func (g *Gateway) ask(ctx context.Context, f func() (agreement.Wish, []byte, error)) (o agreement.Outcome, err error) {
+func (g *Gateway) ask(ctx context.Context, f func() (agreement.Proposal, []byte, error)) (o agreement.Outcome, err error) {
 	done := make(chan agreement.Outcome, 1)
 	err = g.inLoop(ctx, func() error {
 		if g.agreed == nil {
@@ -326,8 +326,8 @@
 }
 
 // propose has the fleet agree on a change as the version that follows the one held here.
-func (a *agreed) propose(c Change) (agreement.Wish, []byte, error) {
-	v := agreement.Version{Subject: SubjectRoutes, Who: c.Who, At: time.Now().UnixNano(), Why: c.Why, Form: c.Document.Needs(), Watch: c.Watch}
+func (a *agreed) propose(c Change) (agreement.Proposal, []byte, error) {
+	v := agreement.Version{Subject: SubjectRoutes, Who: c.Who, At: time.Now().UnixNano(), Why: c.Why, FormatVersion: c.Document.Needs(), Watch: c.Watch}
 	var before *routes.Document
 	for _, s := range a.f.Held().Subjects {
 		if s.Name != SubjectRoutes {
@@ -343,18 +343,18 @@
 		}
 	}
 	if !a.held {
-		return agreement.Wish{}, nil, errors.New("this gateway does not hold what the fleet agreed on yet")
+		return agreement.Proposal{}, nil, errors.New("this gateway does not hold what the fleet agreed on yet")
 	}
-	if v.Clashes = routes.Clashes(before, c.Document); len(v.Clashes) == 0 {
-		v.Share = a.f.Plan().Share
+	if v.Conflicts = routes.Clashes(before, c.Document); len(v.Conflicts) == 0 {
+		v.CanaryFraction = a.f.Plan().Share
 	}
-	return agreement.Wish{Version: &v}, c.Text, nil
+	return agreement.Proposal{Version: &v}, c.Text, nil
 }
 
 // tries tells whether a version is tried here by steps.
 func (a *agreed) tries(x *generation) bool {
 	for _, s := range a.f.Held().Subjects {
-		if s.Name == SubjectRoutes && s.Tries(a.f.Self()) && s.Next.No == x.version {
+		if s.Name == SubjectRoutes && s.InCanary(a.f.Self()) && s.Next.No == x.version {
 			return true
 		}
 	}
@@ -382,11 +382,11 @@
 	if all := a.g.generations.module.Status().Finished; len(all) > 0 {
 		why = string(all[len(all)-1].Why) + all[len(all)-1].Text
 	}
-	wish := agreement.Wish{Drop: &agreement.Dropping{Subject: SubjectRoutes, No: x.version, Why: "gateway " + a.g.config.Name + ": " + why}}
-	v := agreement.Version{Subject: SubjectRoutes, Predecessor: x.version, Undoes: x.version, Who: "gateway " + a.g.config.Name,
-		At: time.Now().UnixNano(), Why: why, Form: before.Needs(), Clashes: routes.Clashes(x.document, before)}
+	wish := agreement.Proposal{Abort: &agreement.Abort{Subject: SubjectRoutes, No: x.version, Why: "gateway " + a.g.config.Name + ": " + why}}
+	v := agreement.Version{Subject: SubjectRoutes, Predecessor: x.version, Reverts: x.version, Who: "gateway " + a.g.config.Name,
+		At: time.Now().UnixNano(), Why: why, FormatVersion: before.Needs(), Conflicts: routes.Clashes(x.document, before)}
 	if !a.tries(x) {
-		wish = agreement.Wish{Version: &v}
+		wish = agreement.Proposal{Version: &v}
 	} else {
 		text = nil
 	}
@@ -411,8 +411,8 @@
 }
 
 // AskFleet has the fleet take a gateway out of its list, or let one vote or no longer.
-func (g *Gateway) AskFleet(ctx context.Context, w agreement.Wish) error {
-	_, err := g.ask(ctx, func() (agreement.Wish, []byte, error) { return w, nil, nil })
+func (g *Gateway) AskFleet(ctx context.Context, w agreement.Proposal) error {
+	_, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return w, nil, nil })
 	return err
 }
 
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -319,7 +319,7 @@
 	for _, e := range n.list.Hosts {
 		h, ok := ds.list.hosts[e.Host]
 		if n.scope != decide.CachedList && (!ok && e.Health != "left" || ok && (h.entry.Health != e.Health || h.entry.BornMs != e.BornMs)) {
-			ds.g.generations.module.Disturbed() // no change of ours brought it about
+			ds.g.generations.module.ReportDisturbance() // no change of ours brought it about
 		}
 		if ok && (e.Health == "left" || h.entry.Dial != e.Dial) {
 			ds.leaves(e.Host, h)
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -110,7 +110,7 @@
 		if c.Alone {
 			return 0, findings, errors.New("the gateways of a fleet act on one version: nothing is applied at one alone")
 		}
-		o, err := g.ask(ctx, func() (agreement.Wish, []byte, error) { return g.agreed.propose(c) })
+		o, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return g.agreed.propose(c) })
 		return rollout.Generation(o.Version), findings, err
 	}
 	err = g.inLoop(ctx, func() error {
@@ -452,7 +452,7 @@
 	if t.generation == gs.inForce {
 		route = t.route.Route
 	}
-	gs.module.Served(route, c.Worth, got)
+	gs.module.RecordTxn(route, c.Worth, got)
 }
 
 // mayRepeat tells whether a repeatable txn may be sent once more, by its route's budget.
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -51,10 +51,10 @@
 // held takes the books of what this gateway holds; a new one is read beside the loop.
 func (r *reserved) held() {
 	m := r.g.agreed.f.Held()
-	if m.Stamp == r.stamp {
+	if m.Revision == r.stamp {
 		return
 	}
-	r.stamp = m.Stamp
+	r.stamp = m.Revision
 	r.inForce, r.next = nil, nil
 	live := map[agreement.Digest]*contracts.Book{}
 	for _, s := range m.Subjects {
@@ -268,7 +268,7 @@
 	for range contractTries {
 		var b *contracts.Book
 		var f contracts.Fleet
-		v := agreement.Version{Subject: SubjectContracts, Who: w.Who, Why: w.Why, Form: 1}
+		v := agreement.Version{Subject: SubjectContracts, Who: w.Who, Why: w.Why, FormatVersion: 1}
 		if err = g.inLoop(ctx, func() (err error) {
 			if g.reserved == nil {
 				return errors.New("this gateway agrees on nothing with others")
@@ -284,9 +284,9 @@
 			}
 			text := next.Text()
 			if v.At = w.At; w.Reserves(b) {
-				v.Clashes = []string{"a reserved share"}
+				v.Conflicts = []string{"a reserved share"}
 			}
-			_, err = g.ask(ctx, func() (agreement.Wish, []byte, error) { return agreement.Wish{Version: &v}, text, nil })
+			_, err = g.ask(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &v}, text, nil })
 		}
 		if err == nil || !errors.Is(err, errNoBook) && !strings.Contains(err.Error(), "it follows version") {
 			return err
--- a/internal/operator/agreement.go
+++ b/internal/operator/agreement.go
@@ -18,7 +18,7 @@
 // agreement takes how this gateway agrees with the others on what holds for all.
 func (r *reader) agreement(b *hcl.Block) *fleet.Plan {
 	in := r.block(b, []string{"listen", "address", "ask", "folder", "zone", "lease", "clock_error", "turn", "share", "without_agreement"}, "key")
-	p := &fleet.Plan{Terms: agreement.UsualTerms()}
+	p := &fleet.Plan{Terms: agreement.DefaultConfig()}
 	in.address("listen", &p.Listen)
 	if !p.Listen.IsValid() && in.Attrs["listen"] == nil {
 		r.Wrong(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway: listen = \"10.0.0.4:7946\".")
@@ -43,7 +43,7 @@
 	in.Decode("zone", &p.Zone)
 	in.Span("lease", &p.Terms.Lease, 100*time.Millisecond)
 	in.Span("clock_error", &p.Terms.ClockError, time.Millisecond)
-	in.Span("turn", &p.Terms.Turn, time.Millisecond)
+	in.Span("turn", &p.Terms.EffectDelay, time.Millisecond)
 	in.Number("share", &p.Share, 0, 1)
 	without := routes.Decline
 	in.OneOf("without_agreement", &without, routes.Decline, routes.Serve)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	r := newReader(filepath.Dir(path))
-	f := &File{Watch: time.Duration(rollout.UsualWatch), Digest: digest(text), Text: text}
+	f := &File{Watch: time.Duration(rollout.DefaultWatch), Digest: digest(text), Text: text}
 	top := r.top(body)
 	top.Span("clock_error", (*int64)(&f.ClockError), 0)
 	top.Span("watch", (*int64)(&f.Watch), 0)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -46,25 +46,25 @@
 }
 
 // Why a change ended, or was not begun.
-type Why string
+type Reason string
 
 const (
-	ByHealth   Why = "health worsened"
-	ByHand     Why = "by hand"
-	ByWatch    Why = "its watch is over"
-	ByCrash    Why = "the gateway ended while it was watched"
-	Unjudged   Why = "its watch went by without a quiet moment to judge it by"
-	Replaced   Why = "a newer one took its place"
-	ByFleet    Why = "the fleet decided"
-	UndoneOnce Why = "it was undone before"
+	ByHealth     Reason = "health worsened"
+	ByHand       Reason = "by hand"
+	ByWatch      Reason = "its watch is over"
+	ByCrash      Reason = "the gateway ended while it was watched"
+	NotJudged    Reason = "its watch went by without a quiet moment to judge it by"
+	Replaced     Reason = "a newer one took its place"
+	ByFleet      Reason = "the fleet decided"
+	UndoneBefore Reason = "it was undone before"
 )
 
 // Ended is a change that is over.
-type Ended struct {
+type FinishedChange struct {
 	Generation Generation
 	Digest     uint64
 	Kept       bool
-	Why        Why
+	Why        Reason
 	At         int64
 	Text       string // figures
 }
@@ -87,30 +87,30 @@
 }
 
 // UsualWatch is how long a change is watched that does not say. Ours: most drops are told within a tenth of it.
-const UsualWatch = int64(30e9)
+const DefaultWatch = int64(30e9)
 
 // Spans and counts. Sources: ours, by the tests in rollout_test.go.
 const (
-	stretch    = 3  // a watch that is disturbed lasts this many times as long at the most
-	mostUndone = 64 // digests that are remembered
-	mostEnded  = 100
-	judgedPart = 0.5 // part of a watch that must have been judged for a change to be kept
+	maxWatchFactor    = 3  // a watch that is disturbed lasts this many times as long at the most
+	maxUndone         = 64 // digests that are remembered
+	maxFinished       = 100
+	minJudgedFraction = 0.5 // part of a watch that must have been judged for a change to be kept
 )
 
 // Rollout is one instance.
 type Rollout struct {
-	now     int64
-	stage   Stage
-	kept    Generation
-	change  Change // that is watched
-	began   int64
-	staged  *Change
-	judge   judge
-	undone  []uint64
-	crashes int
-	ended   []Ended
-	out     []Decision
-	wakeAt  int64
+	now       int64
+	stage     Stage
+	kept      Generation
+	change    Change // that is watched
+	startedAt int64
+	staged    *Change
+	judge     healthMonitor
+	undone    []uint64
+	crashes   int
+	finished  []FinishedChange
+	out       []Decision
+	wakeAt    int64
 }
 
 // New begins with what the last run left. A change that was watched when it ended is not in force: the last kept one
@@ -119,7 +119,7 @@
 	r := &Rollout{kept: s.Kept, undone: s.Undone, crashes: s.Crashes}
 	if s.Watching != 0 {
 		r.crashes++
-		r.finish(Ended{Generation: s.Watching, Digest: s.Digest, Why: ByCrash})
+		r.finish(FinishedChange{Generation: s.Watching, Digest: s.Digest, Why: ByCrash})
 		r.out = append(r.out, Decision{Kind: Save})
 		r.log("generation %d: undone, %s; %d is in force", s.Watching, ByCrash, s.Kept)
 	}
@@ -146,22 +146,22 @@
 	if !c.Again {
 		for _, d := range r.undone {
 			if d == c.Digest {
-				return fmt.Errorf("generation %d is not applied: %s; apply it with --again", c.Generation, UndoneOnce)
+				return fmt.Errorf("generation %d is not applied: %s; apply it with --again", c.Generation, UndoneBefore)
 			}
 		}
 	}
 	if r.staged != nil {
-		r.finish(Ended{Generation: r.staged.Generation, Digest: r.staged.Digest, Why: Replaced})
+		r.finish(FinishedChange{Generation: r.staged.Generation, Digest: r.staged.Digest, Why: Replaced})
 	}
 	r.staged = &c
 	return nil
 }
 
 // KeepNow keeps the watched change by hand.
-func (r *Rollout) KeepNow() error { return r.KeepBy(ByHand) }
+func (r *Rollout) KeepNow() error { return r.KeepWithReason(ByHand) }
 
 // KeepBy keeps it for another reason.
-func (r *Rollout) KeepBy(why Why) error {
+func (r *Rollout) KeepWithReason(why Reason) error {
 	if r.stage != Watched {
 		return fmt.Errorf("no change is watched")
 	}
@@ -175,7 +175,7 @@
 	case r.stage == Watched:
 		r.undo(ByHand, "")
 	case r.staged != nil:
-		r.finish(Ended{Generation: r.staged.Generation, Digest: r.staged.Digest, Why: ByHand})
+		r.finish(FinishedChange{Generation: r.staged.Generation, Digest: r.staged.Digest, Why: ByHand})
 		r.staged = nil
 	default:
 		return fmt.Errorf("no change is watched or staged")
@@ -184,11 +184,11 @@
 }
 
 // Served takes a txn's end: its route, what it was worth, and how much of that it was served for.
-func (r *Rollout) Served(route int32, worth, served float64) { r.judge.add(route, worth, served) }
+func (r *Rollout) RecordTxn(route int32, worth, served float64) { r.judge.add(route, worth, served) }
 
 // Disturbed tells that something happened from outside that no change is responsible for: a member went, came or
 // restarted. Health is not judged by the time around it.
-func (r *Rollout) Disturbed() { r.judge.disturb() }
+func (r *Rollout) ReportDisturbance() { r.judge.disturb() }
 
 // Next gives one decision of this round, or says that there is none left.
 func (r *Rollout) Next() (Decision, bool) {
@@ -207,17 +207,17 @@
 
 func (r *Rollout) step() {
 	if r.stage == Watched {
-		watch := r.now - r.began
+		watch := r.now - r.startedAt
 		judged := r.judge.judged
 		if v := r.judge.verdict(); v.worse {
 			r.undo(ByHealth, v.text)
-		} else if watch >= r.change.Watch && float64(judged) >= judgedPart*float64(r.change.Watch) {
+		} else if watch >= r.change.Watch && float64(judged) >= minJudgedFraction*float64(r.change.Watch) {
 			r.keep(ByWatch)
-		} else if watch >= stretch*r.change.Watch {
+		} else if watch >= maxWatchFactor*r.change.Watch {
 			if r.judge.idle() { // nothing came: there is nothing to judge, and nobody was harmed
 				r.keep(ByWatch)
 			} else {
-				r.undo(Unjudged, "")
+				r.undo(NotJudged, "")
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 
 func (r *Rollout) apply(c Change) {
 	r.staged = nil
-	r.change, r.began, r.stage = c, r.now, Watched
+	r.change, r.startedAt, r.stage = c, r.now, Watched
 	r.judge.begin()
 	if c.Watch <= 0 {
 		r.out = append(r.out, Decision{Kind: Apply, Generation: c.Generation})
@@ -237,34 +237,34 @@
 	}
 	// What is saved comes first: a process that ends under a change must know of it.
 	r.out = append(r.out, Decision{Kind: Save}, Decision{Kind: Apply, Generation: c.Generation})
-	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.Watch/1e6, r.judge.before())
+	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.Watch/1e6, r.judge.describeBaseline())
 }
 
-func (r *Rollout) keep(why Why) {
+func (r *Rollout) keep(why Reason) {
 	r.kept, r.stage, r.crashes = r.change.Generation, Settled, 0
-	text := r.judge.after()
+	text := r.judge.describeResult()
 	r.judge.end()
-	r.finish(Ended{Generation: r.kept, Digest: r.change.Digest, Kept: true, Why: why, Text: text})
+	r.finish(FinishedChange{Generation: r.kept, Digest: r.change.Digest, Kept: true, Why: why, Text: text})
 	r.out = append(r.out, Decision{Kind: Keep, Generation: r.kept}, Decision{Kind: Save})
 	r.log("generation %d: kept, %s, %s", r.kept, why, text)
 }
 
-func (r *Rollout) undo(why Why, text string) {
+func (r *Rollout) undo(why Reason, text string) {
 	was := r.change
 	r.stage = Settled
 	r.judge.end()
-	r.finish(Ended{Generation: was.Generation, Digest: was.Digest, Why: why, Text: text})
+	r.finish(FinishedChange{Generation: was.Generation, Digest: was.Digest, Why: why, Text: text})
 	r.out = append(r.out, Decision{Kind: Undo, Generation: r.kept}, Decision{Kind: Save})
-	r.log("generation %d: undone after %d ms, %s; %d is in force again%s", was.Generation, (r.now-r.began)/1e6, why, r.kept, text)
+	r.log("generation %d: undone after %d ms, %s; %d is in force again%s", was.Generation, (r.now-r.startedAt)/1e6, why, r.kept, text)
 }
 
-func (r *Rollout) finish(e Ended) {
+func (r *Rollout) finish(e FinishedChange) {
 	e.At = r.now
-	if r.ended = append(r.ended, e); len(r.ended) > mostEnded {
-		r.ended = r.ended[1:]
+	if r.finished = append(r.finished, e); len(r.finished) > maxFinished {
+		r.finished = r.finished[1:]
 	}
 	if !e.Kept && e.Why != Replaced {
-		if r.undone = append(r.undone, e.Digest); len(r.undone) > mostUndone {
+		if r.undone = append(r.undone, e.Digest); len(r.undone) > maxUndone {
 			r.undone = r.undone[1:]
 		}
 	}
@@ -279,16 +279,16 @@
 	Left     int64 // nanoseconds of a watch, if it is not disturbed
 	Health   string
 	Crashes  int
-	Finished []Ended
+	Finished []FinishedChange
 }
 
 // Status tells it.
 func (r *Rollout) Status() Status {
-	s := Status{Stage: r.stage, InForce: r.kept, Kept: r.kept, Crashes: r.crashes, Finished: r.ended, Health: r.judge.before()}
+	s := Status{Stage: r.stage, InForce: r.kept, Kept: r.kept, Crashes: r.crashes, Finished: r.finished, Health: r.judge.describeBaseline()}
 	if r.stage == Watched {
 		s.InForce = r.change.Generation
-		s.Left = max(0, r.began+r.change.Watch-r.now)
-		s.Health = r.judge.after()
+		s.Left = max(0, r.startedAt+r.change.Watch-r.now)
+		s.Health = r.judge.describeResult()
 	}
 	if r.staged != nil {
 		s.Staged = r.staged.Generation
@@ -307,5 +307,5 @@
 	if r.stage != Watched {
 		return 0
 	}
-	return r.now + slot
+	return r.now + slotDuration
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -13,7 +13,7 @@
 func init() { _ = flag.Set("rapid.seed", "1") }
 
 // day drives one instance with traffic.
-type day struct {
+type scenario struct {
 	r       *Rollout
 	now     int64
 	rng     *rand.Rand
@@ -24,15 +24,15 @@
 	inForce Generation
 	kept    Generation
 	saved   State
-	said    []string
-	loud    bool
+	logged  []string
+	verbose bool
 }
 
-func newDay(seed uint64) *day {
-	return &day{r: New(State{}), now: 1e9, rng: rand.New(rand.NewPCG(seed, 3)), rate: 200, health: 0.95}
+func newScenario(seed uint64) *scenario {
+	return &scenario{r: New(State{}), now: 1e9, rng: rand.New(rand.NewPCG(seed, 3)), rate: 200, health: 0.95}
 }
 
-func (d *day) pull() {
+func (d *scenario) process() {
 	for {
 		x, ok := d.r.Next()
 		if !ok {
@@ -46,8 +46,8 @@
 		case Save:
 			d.saved = d.r.State()
 		case Log:
-			d.said = append(d.said, x.Text)
-			if d.loud {
+			d.logged = append(d.logged, x.Text)
+			if d.verbose {
 				fmt.Println(x.Text)
 			}
 		}
@@ -55,7 +55,7 @@
 }
 
 // run plays so many slots, with each txn on one of three routes; bad is taken off the health of route 1.
-func (d *day) run(slots int, bad float64) {
+func (d *scenario) run(slots int, bad float64) {
 	for range slots {
 		d.drift = 0.7*d.drift + d.noise*d.rng.NormFloat64()
 		for range int(d.rate * (0.8 + 0.4*d.rng.Float64())) {
@@ -68,24 +68,24 @@
 			if d.rng.Float64() < h {
 				served = 1
 			}
-			d.r.Served(route, 1, served)
+			d.r.RecordTxn(route, 1, served)
 		}
-		d.now += slot
+		d.now += slotDuration
 		d.r.Clock(d.now)
-		d.pull()
+		d.process()
 	}
 }
 
-func (d *day) propose(g Generation) error {
+func (d *scenario) propose(g Generation) error {
 	d.r.Clock(d.now)
 	err := d.r.Propose(Change{Generation: g, Digest: uint64(g) * 31, Watch: 30e9})
-	d.pull()
+	d.process()
 	return err
 }
 
 func Example_keptAndUndone() {
-	d := newDay(1)
-	d.loud = true
+	d := newScenario(1)
+	d.verbose = true
 	d.run(40, 0)
 	fmt.Println(d.propose(1))
 	d.run(60, 0)
@@ -105,14 +105,14 @@
 // The process ends while a change is watched: the last kept one is in force, and the change is not tried again by
 // itself.
 func Example_crash() {
-	d := newDay(1)
+	d := newScenario(1)
 	d.run(40, 0)
 	_ = d.propose(1)
 	d.run(70, 0)
 	_ = d.propose(2)
 	d.run(3, 0)
-	again := &day{r: New(d.saved), now: d.now, rng: d.rng, rate: 200, health: 0.95, loud: true}
-	again.pull()
+	again := &scenario{r: New(d.saved), now: d.now, rng: d.rng, rate: 200, health: 0.95, verbose: true}
+	again.process()
 	fmt.Println(again.propose(2))
 	fmt.Printf("%+v\n", again.r.State())
 	// Output:
@@ -123,7 +123,7 @@
 
 // By hand: a newer change waits while one is watched, takes the place of a staged one, and each can be kept or undone.
 func Example_byHand() {
-	d := newDay(1)
+	d := newScenario(1)
 	fmt.Println(d.r.KeepNow(), d.r.UndoNow())
 	d.run(40, 0)
 	_ = d.propose(1)
@@ -131,10 +131,10 @@
 	_ = d.propose(3)
 	fmt.Println(d.inForce, d.r.Status().Staged, d.r.Status().Stage)
 	fmt.Println(d.r.KeepNow())
-	d.pull()
+	d.process()
 	fmt.Println(d.inForce, d.kept)
 	fmt.Println(d.r.UndoNow())
-	d.pull()
+	d.process()
 	fmt.Println(d.inForce, d.kept)
 	for _, e := range d.r.Status().Finished {
 		fmt.Println(e.Generation, e.Kept, e.Why)
@@ -155,14 +155,14 @@
 // they cost as much as a bad change; a change that could not be judged at all is undone.
 func Example_disturbed() {
 	for _, c := range []string{"crash", "jump", "always"} {
-		d := newDay(2)
+		d := newScenario(2)
 		d.run(40, 0)
 		_ = d.propose(1)
 		d.run(10, 0)
 		switch c {
 		case "crash":
 			for range 6 {
-				d.r.Disturbed()
+				d.r.ReportDisturbance()
 				d.run(1, 0.6)
 			}
 			d.run(80, 0)
@@ -173,11 +173,11 @@
 			d.run(80, 0)
 		case "always":
 			for range 200 {
-				d.r.Disturbed()
+				d.r.ReportDisturbance()
 				d.run(1, 0)
 			}
 		}
-		fmt.Println(c, d.kept, d.said[len(d.said)-1])
+		fmt.Println(c, d.kept, d.logged[len(d.logged)-1])
 	}
 	// Output:
 	// crash 1 generation 1: kept, its watch is over, health 0.950 after, 0.947 before
@@ -187,13 +187,13 @@
 
 // A change whose txns fail at once is asked for more often: that is no jump of traffic from outside.
 func Example_retryStorm() {
-	d := newDay(3)
+	d := newScenario(3)
 	d.run(40, 0)
 	_ = d.propose(1)
 	d.rate *= 5
 	d.health = 0.05
 	d.run(10, 0)
-	fmt.Println(d.inForce, d.said[len(d.said)-1])
+	fmt.Println(d.inForce, d.logged[len(d.logged)-1])
 	// Output:
 	// 0 generation 1: undone after 1500 ms, health worsened; 0 is in force again: all served 0.046 of its worth, 0.951 before, spread 0.016
 }
@@ -204,7 +204,7 @@
 	for _, noise := range []float64{0, 0.01, 0.03} {
 		false_ := 0
 		for seed := range uint64(200) {
-			d := newDay(seed)
+			d := newScenario(seed)
 			d.noise = noise
 			d.run(60, 0)
 			_ = d.propose(1)
@@ -224,7 +224,7 @@
 	}{{0.15, 30e9}, {0.3, 5e9}, {0.9, 2e9}} {
 		worst, missed := int64(0), 0
 		for seed := range uint64(50) {
-			d := newDay(seed)
+			d := newScenario(seed)
 			d.noise = 0.01
 			d.run(60, 0)
 			_ = d.propose(1)
@@ -248,7 +248,7 @@
 // the kept one; nothing that was undone is in force again unless it was asked for.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDay(uint64(rapid.IntRange(0, 99).Draw(t, "seed")))
+		d := newScenario(uint64(rapid.IntRange(0, 99).Draw(t, "seed")))
 		d.rate = 30
 		next := Generation(0)
 		undone := map[Generation]bool{}
@@ -274,7 +274,7 @@
 				d.r = New(d.saved)
 				d.inForce = d.saved.Kept
 			}
-			d.pull()
+			d.process()
 			s := d.r.Status()
 			for _, e := range s.Finished {
 				if !e.Kept && e.Why != Replaced {
@@ -301,7 +301,7 @@
 			x = part*x + 0.01*math.Sqrt(1-part*part)*rng.NormFloat64()
 			s.learn(0.9 + x)
 		}
-		return s.spread()
+		return s.stdDev()
 	}
 	few, many, lasting := spread(12, 0), spread(100, 0), spread(100, 0.7)
 	if many < 0.009 || many > 0.014 || few < many || lasting < 1.5*many {
@@ -318,7 +318,7 @@
 		"kept by hand":   func(r *Rollout) { _ = r.KeepNow() },
 		"undone by hand": func(r *Rollout) { _ = r.UndoNow() },
 		"replaced":       func(r *Rollout) { _ = r.Propose(Change{Generation: 3, Digest: 3, Watch: 1e9}) },
-		"by the fleet":   func(r *Rollout) { _ = r.KeepBy(ByFleet) },
+		"by the fleet":   func(r *Rollout) { _ = r.KeepWithReason(ByFleet) },
 		"by its watch":   func(r *Rollout) { r.Clock(1e12) },
 	}
 	points := 0
