--- a/agreement/agreement.go
+++ b/agreement/agreement.go
@@ -1,13 +1,14 @@
-// Package agreement decides what gateways of a fleet agree on: texts of settings and lists, in versions that follow one
-// another, and until when each gateway may act on what it knows of them. Three, five or seven gateways vote; all hold
-// leases that a voter grants. It runs without input or output, clock or chance of its own.
+// Package agreement replicates the fleet's shared state: versioned texts of settings and membership lists, and the
+// leases that bound how long each gateway may act on what it knows of them. Three, five or seven gateways vote in a
+// Raft group; every gateway holds a lease that a voter grants. The package does no I/O, reads no clock and has no
+// randomness other than a seeded generator.
 //
-// How it is called: New once; then, for each round, Clock with the time, then any of Heard, Saved and Ask, which only
-// update what is known; then Next until it says there is no more. Leased and Held tell at any time what a txn may be
-// decided by. docs/agreement.md has the argument.
+// Call New once. In each round call Clock with the time, then any of Receive, Saved and Propose, which only update
+// the state, then Next until it reports that no decision is left. LeaseUntil and Manifest report at any time what a
+// txn may be decided by. docs/agreement.md has the safety argument.
 //
-// agreement.go has the interface, voter.go the log and who leads, leases.go who may act until when, book.go what is
-// agreed on, holder.go what a gateway holds of it, texts.go how texts get from one to another.
+// agreement.go holds the interface, voter.go the replicated log and leadership, leases.go the leases, book.go the
+// replicated state, holder.go a gateway's copy of it, texts.go the transfer of texts between gateways.
 package agreement
 
 import (
@@ -16,35 +17,35 @@
 	"math/rand/v2"
 )
 
-// ID is a gateway in one of its lives: one that lost its disk has another. 0 is none.
+// ID identifies one incarnation of a gateway: a gateway that lost its disk gets a new one. 0 is no gateway.
 type ID uint64
 
-// Terms are what all gateways of a fleet have alike, but for Self, Seed and Seeds. Times are nanoseconds.
+// Config is the same at all gateways of a fleet, except for Self, Seed and Seeds. Times are in nanoseconds.
 type Config struct {
 	Self        ID
-	Epoch       uint64 // another and a later one at each start
+	Epoch       uint64 // increases with each start
 	Seed        uint64
-	Lease       int64 // for which a gateway acts on what it knows without a word of a voter
-	ClockError  int64 // by which two clocks differ at most over a lease
-	EffectDelay int64 // from the moment that a gateway decides to the moment that this has its effect, at most
-	PageSize    int   // bytes of a text in one message
-	Seeds       []ID  // who is asked first for what is agreed on
+	Lease       int64 // how long a gateway may act on what it knows without hearing from a voter
+	ClockError  int64 // upper bound of the difference between two clocks over one lease
+	EffectDelay int64 // upper bound of the time from a gateway's decision to its effect
+	PageSize    int   // bytes of text per message
+	Seeds       []ID  // gateways that are asked first for the agreed state
 }
 
-// Stated is the time for which two gateways may act on rules that contradict each other, at most.
+// MaxDivergence is the longest time for which two gateways may act on contradictory rules.
 func (t *Config) MaxDivergence() int64 { return t.Lease + t.ClockError + t.EffectDelay }
 
-// Settling is how long a gateway that starts waits for the list and for a place in it before clients may come all the same: an
-// election and a lease that runs out fit in.
+// StartupWait is how long a starting gateway waits for the membership list and its own entry in it before it serves
+// clients regardless. It leaves room for an election and for a lease to expire.
 func (t *Config) StartupWait() int64 { return 2 * t.MaxDivergence() }
 
-// UsualTerms are those of who does not say: three seconds in all. Ours: a restart of a voter fits in, and a change in a
-// fleet with one gateway away is in force within what an operator waits for.
+// DefaultConfig gives a maximum divergence of three seconds: a voter can restart within it, and with one gateway
+// unavailable a change is in force within the time that an operator waits for.
 func DefaultConfig() Config {
 	return Config{Lease: 2500e6, ClockError: 250e6, EffectDelay: 250e6, PageSize: 512}
 }
 
-// Check names the first value that is wrong.
+// Validate returns an error for the first invalid value.
 func (t *Config) Validate() error {
 	switch {
 	case t.Self == 0:
@@ -59,24 +60,25 @@
 	return nil
 }
 
-// Kind is what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
-	Raft           Kind = iota + 1 // Data is of the log's protocol
-	Heartbeat                      // of the leader to a voter: No is when, Echo and Run of the promise it has, Left how long it may grant, Stamp what it must know
-	Promise                        // of a voter to its leader: Echo its beat, No and Run when, Known what all know to whom it grants
-	Renew                          // of a gateway to a voter: No and Run are when, Known what it holds
-	Grant                          // the answer: Echo and Run, Left, and Stamp with Digest and Size of what is agreed on now
-	Fetch                          // a question for what stands from Offset on in the text of Digest
-	Page                           // Data is that
+	Raft           Kind = iota + 1 // Data is a Raft message
+	Heartbeat                      // leader to voter: SentAt; Echo and Epoch of the last promise received; Remaining time it may grant; Revision it must know
+	Promise                        // voter to leader: Echo of the heartbeat; SentAt and Epoch; KnownRevision of all gateways that it granted leases
+	Renew                          // gateway to voter: SentAt and Epoch; KnownRevision that it holds
+	Grant                          // response to Renew: Echo and Epoch, Remaining, and Revision with Digest and Size of the latest state
+	Fetch                          // request for the page at Offset of the text with Digest
+	Page                           // response to Fetch: Data is the page
 	Propose                        // Data is a proposal
-	Result                         // Data is what became of one
-	SurveyRequest                  // a question of a survey to a voter
-	SurveyResponse                 // the answer: Echo is the question, Digest and Size of its text
+	Result                         // Data is the outcome of a proposal
+	SurveyRequest                  // request of a survey to a voter
+	SurveyResponse                 // response to SurveyRequest: Echo of the request, Digest and Size of the text
 )
 
-// Message is what one gateway tells another. Whoever carries it vouches for From. It may be lost, late or come twice.
+// Message is sent from one gateway to another. The transport authenticates From. Messages may be lost, delayed or
+// duplicated.
 type Message struct {
 	Kind           Kind
 	From, To       ID
@@ -86,26 +88,26 @@
 	Remaining      int64
 	Revision       uint64
 	KnownRevision  uint64
-	HealthyVersion uint64 // in a Renew the latest version that was tried here and is well, in a Promise the latest that is with all that try one
+	HealthyVersion uint64 // Renew: latest version tried and found healthy here; Promise: latest that is healthy at every gateway that tries one
 	Digest         Digest
 	Size           int
 	Offset         int
 	Data           []byte
 }
 
-// DecisionKind is what the host is to do.
+// DecisionKind is what the host has to do.
 type DecisionKind uint8
 
 const (
-	Send    DecisionKind = iota // Message
-	Save                        // Records are to be on the disk, in the place of all former ones if Whole; then Saved is called
-	Prepare                     // Coming tells what is to be acted on; once the host does, it calls Adopt
-	Answer                      // of Ask number No: Result
-	Wake                        // one more round After so many nanoseconds
+	Send    DecisionKind = iota // send Message
+	Save                        // persist Records, replacing all former ones if ReplaceAll; then call Saved
+	Prepare                     // prepare to act on Pending; then call Adopt
+	Answer                      // Result is the outcome of Propose number ProposalNo
+	Wake                        // run another round After this many nanoseconds
 	Log
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host.
 type Decision struct {
 	Kind       DecisionKind
 	Message    Message
@@ -117,24 +119,24 @@
 	Text       string
 }
 
-// Agreement is one gateway's part.
+// Agreement is the state of one gateway.
 type Agreement struct {
 	config         Config
 	now            int64
 	rng            *rand.Rand
 	decisions      []Decision
-	loopback       []Message // to itself
+	loopback       []Message // messages to itself
 	wakeAt         int64
-	voter          *voter // nil where it does not vote
+	voter          *voter // nil if this gateway does not vote
 	holder         holder
 	texts          texts
 	pending        []*pendingProposal
 	lastProposalNo uint64
-	awaitingText   []Message // wishes whose text is being fetched
+	awaitingText   []Message // proposals whose text is being fetched
 	survey         survey
 }
 
-// New makes one of what was saved, nothing for a gateway that does not vote or never did.
+// New restores a gateway from its saved records. A gateway that does not vote, or never did, has none.
 func New(t Config, records [][]byte) (*Agreement, error) {
 	if err := t.Validate(); err != nil {
 		return nil, err
@@ -153,8 +155,8 @@
 	return a, nil
 }
 
-// Found begins a fleet with this gateway as its one voter. It is asked for once in a fleet's life, and not by a start:
-// a gateway that lost its disk would found a second one beside the first.
+// Bootstrap starts a new fleet with this gateway as its only voter. An operator calls for it once in the life of a
+// fleet; a start must not, as a gateway that lost its disk would create a second fleet beside the first.
 func (a *Agreement) Bootstrap(self Gateway) error {
 	if a.voter != nil {
 		return errors.New("this gateway votes already")
@@ -167,7 +169,7 @@
 	return err
 }
 
-// Clock begins a round.
+// Clock starts a round at the given time.
 func (a *Agreement) Clock(now int64) {
 	if a.now == 0 && a.voter != nil {
 		a.voter.initTimers(now)
@@ -175,7 +177,7 @@
 	a.now = now
 }
 
-// Heard takes a message.
+// Receive handles a message.
 func (a *Agreement) Receive(m Message) {
 	if m.From == 0 || m.To != a.config.Self {
 		return
@@ -212,14 +214,14 @@
 	}
 }
 
-// Saved tells that the records of the last Save are on the disk.
+// Saved reports that the records of the last Save are on the disk.
 func (a *Agreement) Saved() {
 	if a.voter != nil {
 		a.voter.saved()
 	}
 }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns the next decision of this round; ok is false if none is left.
 func (a *Agreement) Next() (Decision, bool) {
 	for {
 		for len(a.loopback) > 0 {
@@ -251,7 +253,7 @@
 	}
 }
 
-// due is when the next round is needed.
+// nextDeadline is when the next round is needed.
 func (a *Agreement) nextDeadline() int64 {
 	at := min(a.holder.nextDeadline(), a.texts.nextDeadline())
 	if a.voter != nil {
@@ -276,5 +278,5 @@
 	a.decisions = append(a.decisions, Decision{Kind: Log, Text: fmt.Sprintf(format, x...)})
 }
 
-// chance is a time by chance, up to a span.
+// jitter returns a random duration below max.
 func (a *Agreement) jitter(span int64) int64 { return int64(a.rng.Float64() * float64(span)) }
--- a/agreement/asks.go
+++ b/agreement/asks.go
@@ -6,40 +6,41 @@
 	"slices"
 )
 
-// askAgain is after how long a wish of which nothing was heard is told again. Ours: some ways there and back.
+// proposalRetryInterval is after how long an unanswered proposal is sent again: a few round trips.
 const proposalRetryInterval = 250e6
 
-// mostAsks is how many wishes a gateway has under way.
+// maxPendingProposals limits the proposals of a gateway that are under way.
 const maxPendingProposals = 8
 
-// mostComing is how many wishes wait for their texts; others come again.
+// maxAwaitingText limits the proposals that wait for their texts; others are dropped and sent again by their
+// gateways.
 const maxAwaitingText = 16
 
-// ask is a wish of this gateway.
+// pendingProposal is a proposal of this gateway without an outcome yet.
 type pendingProposal struct {
 	no      uint64
 	data    []byte
 	text    []byte
 	retryAt int64
 	until   int64
-	why     string // it is put off
+	why     string // why it has to wait
 }
 
-// carried is a wish on its way to the leader.
+// proposeMessage is the payload of a Propose message.
 type proposeMessage struct {
 	Record proposalRecord `json:"proposal"`
 }
 
-// result is what became of one.
+// result is the payload of a Result message.
 type result struct {
 	Origin  ID      `json:"origin"`
 	No      uint64  `json:"no"`
 	Outcome Outcome `json:"outcome"`
 }
 
-// Ask has the fleet agree on something. Its outcome is an Answer decision with the number that it gives, within patience
-// at the latest: then it is not known whether it is agreed on, and what is asked for again is another wish. text is that
-// of the wish's version.
+// Propose proposes a change to the fleet. Its outcome is an Answer decision with the returned number, after patience
+// at the latest: then it is unknown whether the change was made, and proposing it again is a new proposal. text is
+// the text of the proposal's version.
 func (a *Agreement) Propose(w Proposal, text []byte, patience int64) (no uint64, err error) {
 	if len(a.pending) >= maxPendingProposals {
 		return 0, errors.New("too much is asked for at a time")
@@ -61,7 +62,8 @@
 	return a.lastProposalNo, nil
 }
 
-// repeatAsks tells the first wish again until its outcome is known: the others wait, so that they come in order.
+// retryPending sends the first proposal again until its outcome is known. The others wait, which keeps them in
+// order.
 func (a *Agreement) retryPending() {
 	for len(a.pending) > 0 && a.now >= a.pending[0].until {
 		why := "no voter answered for it in time, it may be agreed on or not"
@@ -95,7 +97,7 @@
 	if i < 0 {
 		return
 	}
-	if o.Wait && a.now < a.pending[i].until { // it is told again
+	if o.Wait && a.now < a.pending[i].until { // retried
 		a.pending[i].why = o.Why
 		return
 	}
@@ -103,7 +105,7 @@
 	a.decisions = append(a.decisions, Decision{Kind: Answer, ProposalNo: no, Result: o})
 }
 
-// proposed takes a wish: the leader brings it into the log, others tell the leader.
+// handlePropose handles a proposal: the leader appends it to the log, other voters forward it to the leader.
 func (a *Agreement) handlePropose(m *Message) {
 	var c proposeMessage
 	v := a.voter
@@ -136,7 +138,7 @@
 			}
 		}
 		v.jobs = append(v.jobs, &job{origin: p.Origin, no: p.No, wish: p.Proposal, text: text, until: a.now + 4*proposalRetryInterval})
-	case leader != 0 && leader != a.config.Self && m.From == p.Origin: // one hop: two voters that each take the other for the leader do not pass it on for ever
+	case leader != 0 && leader != a.config.Self && m.From == p.Origin: // one hop only: two voters that each take the other for the leader must not forward it forever
 		out := Message{Kind: Propose, To: leader, Data: m.Data}
 		if text != nil {
 			out.Digest, out.Size = a.texts.offer(text), len(text)
@@ -145,7 +147,8 @@
 	}
 }
 
-// texted takes wishes whose text has come; one whose text does not come is told again by its gateway.
+// resumeProposals handles proposals whose text has arrived. If the text can't be fetched the proposal is dropped;
+// its gateway sends it again.
 func (a *Agreement) resumeProposals() {
 	for i := 0; i < len(a.awaitingText); i++ {
 		m := a.awaitingText[i]
@@ -167,7 +170,7 @@
 	}
 }
 
-// resulted takes what became of a wish.
+// handleResult handles the outcome of a proposal.
 func (a *Agreement) handleResult(data []byte) {
 	var r result
 	if json.Unmarshal(data, &r) == nil && r.Origin == a.config.Self {
--- a/agreement/book.go
+++ b/agreement/book.go
@@ -13,19 +13,19 @@
 	"strings"
 )
 
-// Digest names a text by what it says (SHA-256).
+// Digest identifies a text by its SHA-256 hash.
 type Digest [sha256.Size]byte
 
-// DigestOf is that of a text.
+// DigestOf returns the digest of a text.
 func DigestOf(text []byte) Digest { return sha256.Sum256(text) }
 
-// String is its beginning, as it is shown.
+// String returns the first 12 hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// MarshalText and UnmarshalText are for JSON.
+// MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(d[:])), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(d) {
 		return fmt.Errorf("a digest has %d hexadecimal digits", 2*len(d))
@@ -34,59 +34,59 @@
 	return err
 }
 
-// Sizes of what is kept. Sources: ours.
+// Limits of the replicated state.
 const (
-	maxHistory          = 32      // versions of a subject that can be shown and brought back
-	maxPartialTexts     = 4       // texts of which not all has come
-	maxRecentChanges    = 2048    // changes of the list of gateways that are told without the others
-	maxUnlistedOutcomes = 256     // answers to gateways that are not in the list any more
-	MaxTextSize         = 1 << 18 // bytes of a text
+	maxHistory          = 32      // versions of a subject that can be shown and restored
+	maxPartialTexts     = 4       // texts that are not complete yet
+	maxRecentChanges    = 2048    // membership changes that can be sent as a delta
+	maxUnlistedOutcomes = 256     // outcomes kept for gateways that are not in the list any more
+	MaxTextSize         = 1 << 18 // bytes
 )
 
-// Version is one text of a subject that was agreed on.
+// Version is one agreed text of a subject.
 type Version struct {
 	Subject        string   `json:"subject"`
 	No             uint64   `json:"no"`
 	Predecessor    uint64   `json:"predecessor"`
 	Digest         Digest   `json:"digest"`
 	Size           int      `json:"size"`
-	FormatVersion  int      `json:"form"` // of the text; a build reads forms up to its own
+	FormatVersion  int      `json:"form"` // format of the text; a build reads formats up to its own
 	Who            string   `json:"who"`
-	At             int64    `json:"at"` // Unix nanoseconds by the clock of who proposed it
+	At             int64    `json:"at"` // Unix nanoseconds by the proposer's clock
 	Why            string   `json:"why,omitempty"`
-	Conflicts      []string `json:"clashes,omitempty"` // why it must not be in force beside its predecessor; none: it may
+	Conflicts      []string `json:"clashes,omitempty"` // reasons why it must not be in force beside its predecessor; empty if it may
 	Reverts        uint64   `json:"undoes,omitempty"`
-	Watch          int64    `json:"watch,omitempty"` // nanoseconds for which gateways watch their health by it
-	CanaryFraction float64  `json:"share,omitempty"` // of the gateways that get it before all do, after its asker alone; 0 is all at once
+	Watch          int64    `json:"watch,omitempty"` // nanoseconds for which gateways watch their health after applying it
+	CanaryFraction float64  `json:"share,omitempty"` // fraction of gateways that try it after its proposer and before all others; 0 is all at once
 	Proposer       ID       `json:"asker,omitempty"`
-	Dropped        string   `json:"dropped,omitempty"` // why it never came in force at all
+	Dropped        string   `json:"dropped,omitempty"` // why it was aborted before it came in force everywhere
 }
 
-// Gateway is an entry of the list of gateways.
+// Gateway is an entry of the membership list.
 type Gateway struct {
 	ID            ID     `json:"id"`
 	Name          string `json:"name"`
 	Address       string `json:"address"`
 	Zone          string `json:"zone,omitempty"`
 	Build         string `json:"build,omitempty"`
-	FormatVersion int    `json:"form"` // the latest that it reads
+	FormatVersion int    `json:"form"` // latest format that it reads
 	Vote          bool   `json:"vote,omitempty"`
-	Number        int    `json:"place"`            // its number, which no other gateway has or had
-	ListedAt      uint64 `json:"since"`            // the stamp at which it came into the list
-	KnownToAll    bool   `json:"seated,omitempty"` // whoever may act knows of it: Since is within SeatedTo
+	Number        int    `json:"place"`            // unique, never reused
+	ListedAt      uint64 `json:"since"`            // revision at which it was listed
+	KnownToAll    bool   `json:"seated,omitempty"` // every gateway that may act knows of it: ListedAt is not after KnownToAllUpTo
 }
 
-// Subject is what is agreed on under one name.
+// Subject is a named sequence of versions.
 type Subject struct {
 	Name     string    `json:"name"`
-	Versions []Version `json:"versions"` // the latest last
-	InForce  uint64    `json:"in_force"` // 0 is none yet
+	Versions []Version `json:"versions"` // oldest first
+	InForce  uint64    `json:"in_force"` // 0 if none is
 	Next     uint64    `json:"next,omitempty"`
-	Step     int       `json:"step,omitempty"` // of Next, if some try it: see Standing
-	Changed  uint64    `json:"changed"`        // the stamp of its last change
+	Step     int       `json:"step,omitempty"` // rollout step of Next, see SubjectStatus; 0 if it has no steps
+	Changed  uint64    `json:"changed"`        // revision of its last change
 }
 
-// Version gives one of its versions, nil where it is not kept any more.
+// Version returns the version with a number, nil if it is not kept any more.
 func (s *Subject) Version(no uint64) *Version {
 	if i := slices.IndexFunc(s.Versions, func(v Version) bool { return v.No == no }); i >= 0 {
 		return &s.Versions[i]
@@ -94,45 +94,45 @@
 	return nil
 }
 
-// Outcome is what became of something that was asked for.
+// Outcome is the result of a proposal.
 type Outcome struct {
 	Done    bool   `json:"done"`
-	Version uint64 `json:"version,omitempty"` // that it has
-	Why     string `json:"why,omitempty"`     // it was refused
-	Wait    bool   `json:"wait,omitempty"`    // for now: the same can be asked for again
+	Version uint64 `json:"version,omitempty"` // number that the new version got
+	Why     string `json:"why,omitempty"`     // reason for the refusal
+	Wait    bool   `json:"wait,omitempty"`    // refused for now; the same can be proposed again
 }
 
-// Wish is what a gateway asks to be agreed on: one of its parts.
+// Proposal is a change that a gateway proposes; exactly one of its kinds is set.
 type Proposal struct {
-	Version     *Version     `json:"version,omitempty"` // its No is given when it is agreed on
+	Version     *Version     `json:"version,omitempty"` // No is assigned when it is accepted
 	Join        *Gateway     `json:"join,omitempty"`
 	Leave       ID           `json:"leave,omitempty"`
-	Ended       bool         `json:"ended,omitempty"` // who leaves serves nobody any more: its process is known to have ended
+	Ended       bool         `json:"ended,omitempty"` // the process of the leaving gateway is known to have ended, so it serves nobody
 	VoterChange *VoterChange `json:"vote,omitempty"`
 	Abort       *Abort       `json:"drop,omitempty"`
 }
 
-// Dropping ends the steps of a version: who tries it goes back to the one in force.
+// Abort ends the rollout steps of a version: gateways that try it return to the one in force.
 type Abort struct {
 	Subject string `json:"subject"`
 	No      uint64 `json:"no"`
 	Why     string `json:"why"`
 }
 
-// Voting makes a gateway a voter, or one no more.
+// VoterChange makes a gateway a voter or removes its vote.
 type VoterChange struct {
 	ID      ID   `json:"id"`
 	Enabled bool `json:"on"`
 }
 
-// proposal is a wish of a gateway, with a number by which it is known when it comes again.
+// proposalRecord is a proposal with its origin and a number that identifies retries.
 type proposalRecord struct {
 	Origin   ID       `json:"origin"`
 	No       uint64   `json:"no"`
 	Proposal Proposal `json:"wish"`
 }
 
-// entry is one of the log: a part of a text, a wish, that a version comes in force, or who is in the list.
+// entry is a log entry; exactly one field is set.
 type entry struct {
 	Part       *textPart       `json:"part,omitempty"`
 	Proposal   *proposalRecord `json:"wish,omitempty"`
@@ -140,10 +140,11 @@
 	ListUpdate *listUpdate     `json:"list,omitempty"`
 }
 
-// listing changes the list for many at once: a list that changes with each of a thousand that join is never held by all.
+// listUpdate applies many membership changes at once: a list that changed with each of a thousand joins would never
+// be held by all gateways.
 type listUpdate struct {
-	Admit      bool   `json:"admit,omitempty"` // who has asked to join is in it
-	KnownToAll uint64 `json:"seat,omitempty"`  // whoever may act knows of who came up to this stamp
+	Admit      bool   `json:"admit,omitempty"` // add all gateways that have asked to join
+	KnownToAll uint64 `json:"seat,omitempty"`  // all gateways that may act know the list up to this revision
 }
 
 type textPart struct {
@@ -156,50 +157,50 @@
 type stepAdvance struct {
 	Subject string `json:"subject"`
 	No      uint64 `json:"no"`
-	Step    int    `json:"step,omitempty"` // to which it goes; 0 is that it is in force at all
+	Step    int    `json:"step,omitempty"` // step to enter; 0 puts the version in force
 }
 
-// partial is a text in the log of which more parts are to come.
+// partial is a text of which the log has only the first parts.
 type partial struct {
 	Digest Digest `json:"digest"`
-	Text   []byte `json:"text"` // as far as it came
+	Text   []byte `json:"text"` // received so far
 	Size   int    `json:"size"`
 }
 
-// listChange is that a gateway came into the list, or that it left.
+// listChange records that a gateway was added to or removed from the list.
 type listChange struct {
 	Revision uint64   `json:"stamp"`
 	In       *Gateway `json:"in,omitempty"`
 	Out      ID       `json:"out,omitempty"`
 }
 
-// answered is the last outcome of a gateway's wishes.
+// lastOutcome is the outcome of a gateway's latest proposal.
 type lastOutcome struct {
 	Origin  ID      `json:"origin"`
 	No      uint64  `json:"no"`
 	Outcome Outcome `json:"outcome"`
 }
 
-// Book is what is agreed on. It is the same at each voter that has applied the same part of the log.
+// State is the replicated state. It is identical at all voters that have applied the same prefix of the log.
 type State struct {
-	Revision       uint64            `json:"stamp"` // of its last change: the number of that entry
+	Revision       uint64            `json:"stamp"` // log index of the last change
 	Subjects       []Subject         `json:"subjects"`
 	Gateways       []Gateway         `json:"gateways"`
-	Departed       []Gateway         `json:"ghosts,omitempty"` // that left, and may serve somebody yet
-	LastEnded      uint64            `json:"ended,omitempty"`  // the stamp at which one was last known to have ended
-	NextNumber     int               `json:"places"`           // that were given
-	Texts          map[string][]byte `json:"texts"`            // of versions that are kept, by digest in hexadecimal
-	Recent         []listChange      `json:"recent,omitempty"` // changes of the list after Since
+	Departed       []Gateway         `json:"ghosts,omitempty"` // left the list, may still serve clients
+	LastEnded      uint64            `json:"ended,omitempty"`  // revision at which a departed gateway was last known to have ended
+	NextNumber     int               `json:"places"`           // next Gateway.Number
+	Texts          map[string][]byte `json:"texts"`            // of kept versions, by hexadecimal digest
+	Recent         []listChange      `json:"recent,omitempty"` // membership changes after RecentSince
 	RecentSince    uint64            `json:"since,omitempty"`
 	Partial        []partial         `json:"partial,omitempty"`
 	Outcomes       []lastOutcome     `json:"answers,omitempty"`
-	Joining        []proposalRecord  `json:"joining,omitempty"` // until they are admitted
+	Joining        []proposalRecord  `json:"joining,omitempty"` // not admitted yet
 	KnownToAllUpTo uint64            `json:"seated_to"`
 }
 
 func newState() *State { return &State{Texts: map[string][]byte{}} }
 
-// Subject gives one by its name, nil if nothing was agreed on under it.
+// Subject returns the subject with a name, nil if it has no version yet.
 func (b *State) Subject(name string) *Subject {
 	if i := slices.IndexFunc(b.Subjects, func(s Subject) bool { return s.Name == name }); i >= 0 {
 		return &b.Subjects[i]
@@ -207,7 +208,7 @@
 	return nil
 }
 
-// Gateway gives an entry of the list, nil where it has none.
+// Gateway returns the entry of a gateway, nil if it is not listed.
 func (b *State) Gateway(id ID) *Gateway {
 	if i := slices.IndexFunc(b.Gateways, func(g Gateway) bool { return g.ID == id }); i >= 0 {
 		return &b.Gateways[i]
@@ -217,7 +218,7 @@
 
 func (b *State) text(d Digest) []byte { return b.Texts[hex.EncodeToString(d[:])] }
 
-// answer gives what became of a wish, if the log has it.
+// outcome returns the outcome of a proposal, if it has been applied.
 func (b *State) outcome(origin ID, no uint64) (Outcome, bool) {
 	for _, x := range b.Outcomes {
 		if x.Origin == origin && x.No == no {
@@ -227,8 +228,8 @@
 	return Outcome{}, false
 }
 
-// apply carries out an entry. All voters come to the same, so it depends on nothing else. It tells whether it is a wish
-// that has to wait.
+// apply applies a log entry. All voters must reach the same result, so it depends on nothing but the state and the
+// entry. It reports whether the entry is a proposal that has to be retried.
 func (b *State) apply(index uint64, e *entry) (waits bool) {
 	switch {
 	case e.Part != nil:
@@ -251,7 +252,7 @@
 		}
 	case e.Proposal != nil:
 		if slices.ContainsFunc(b.Outcomes, func(x lastOutcome) bool { return x.Origin == e.Proposal.Origin && x.No >= e.Proposal.No }) {
-			return false // it came twice, or so late that its gateway has gone on to others
+			return false // a duplicate, or so late that its gateway has moved on to later proposals
 		}
 		if e.Proposal.Proposal.Join != nil {
 			b.Joining = slices.DeleteFunc(b.Joining, func(x proposalRecord) bool { return x.Origin == e.Proposal.Origin && x.No <= e.Proposal.No })
@@ -268,7 +269,7 @@
 	return false
 }
 
-// admit puts all into the list that have asked for it since the last time.
+// admit adds all gateways to the list that have asked to join since the last time.
 func (b *State) admit(index uint64) {
 	for i := range b.Joining {
 		w := &b.Joining[i]
@@ -280,7 +281,7 @@
 	b.pruneOutcomes()
 }
 
-// seat marks those of a list that came up to a stamp.
+// markKnownToAll sets KnownToAll on the entries listed up to a revision.
 func markKnownToAll(list []Gateway, to uint64) {
 	for i := range list {
 		list[i].KnownToAll = list[i].ListedAt <= to
@@ -292,8 +293,9 @@
 	b.Outcomes = append(b.Outcomes, lastOutcome{w.Origin, w.No, o})
 }
 
-// forgetAnswers drops the oldest answers to gateways that are not in the list. The latest stay: one that was taken out while
-// its wish was under way asks again, and was told that it is refused for want of its answer, though it was done (seed 888).
+// pruneOutcomes drops the oldest outcomes of gateways that are not listed. The latest are kept: a gateway that is
+// removed while its proposal is under way proposes it again, and without the outcome it would be refused although it
+// was done (seed 888).
 func (b *State) pruneOutcomes() {
 	if len(b.Outcomes) <= maxUnlistedOutcomes {
 		return
@@ -327,7 +329,7 @@
 	}
 }
 
-// grantWish does what is asked for, or says why not.
+// applyProposal applies a proposal or returns why it is refused.
 func (b *State) applyProposal(index uint64, w *Proposal) Outcome {
 	switch {
 	case w.Version != nil:
@@ -367,7 +369,7 @@
 	return Outcome{Done: true}
 }
 
-// list puts a gateway into the list, or in the place of its entry.
+// upsertGateway adds an entry to the list or replaces it.
 func (b *State) upsertGateway(index uint64, g Gateway) {
 	b.Gateways = slices.DeleteFunc(b.Gateways, func(x Gateway) bool { return x.ID == g.ID })
 	i, _ := slices.BinarySearchFunc(b.Gateways, g, byName)
@@ -375,7 +377,8 @@
 	b.recordChange(listChange{Revision: index, In: &g})
 }
 
-// join puts a gateway into the list, or back into it. Its number is its own for good: what others hold of it goes by that.
+// join adds a gateway to the list, or adds it again. It keeps its number for good, as other gateways refer to it by
+// that.
 func (b *State) join(index uint64, g Gateway) {
 	g.Vote, g.KnownToAll, g.ListedAt = false, false, index
 	old := b.Gateway(g.ID)
@@ -388,8 +391,8 @@
 		g.Number = b.NextNumber
 		b.NextNumber++
 	}
-	// Who comes back under its name in another life takes the place of the former one, but for its vote. Where it has the
-	// address too the former one has ended, as an address is held by one process at a time.
+	// A new incarnation replaces the former one of the same name, without its vote. If the address is the same too, the
+	// former one has ended, as only one process at a time holds an address.
 	same := func(x *Gateway) bool { return x.Name == g.Name && x.Address == g.Address && x.ID != g.ID }
 	for _, x := range slices.Clone(b.Gateways) {
 		if x.Name == g.Name && x.ID != g.ID {
@@ -400,7 +403,7 @@
 	b.upsertGateway(index, g)
 }
 
-// ends notes that gateways which had left have ended.
+// markEnded removes departed gateways that are known to have ended. It reports whether there were any.
 func (b *State) markEnded(index uint64, which func(*Gateway) bool) bool {
 	before := len(b.Departed)
 	b.Departed = slices.DeleteFunc(b.Departed, func(x Gateway) bool { return which(&x) })
@@ -411,8 +414,8 @@
 	return true
 }
 
-// remove takes a gateway out of the list. Unless it has ended it is a ghost: it may be cut off from all that vote and go
-// on to serve, so others ask it for what it noted until it has ended.
+// remove takes a gateway out of the list. Unless it has ended it is kept as departed: it may be cut off from all
+// voters and still serve clients, so others ask it for its notes until it has ended.
 func (b *State) remove(index uint64, id ID, ended bool) {
 	if g := b.Gateway(id); ended {
 		b.LastEnded = index
@@ -427,7 +430,7 @@
 }
 
 func (b *State) recordChange(c listChange) {
-	if b.Recent = append(b.Recent, c); len(b.Recent) > maxRecentChanges { // by quarters, as it is moved
+	if b.Recent = append(b.Recent, c); len(b.Recent) > maxRecentChanges { // drop a quarter at a time, as dropping copies the rest
 		b.RecentSince = b.Recent[maxRecentChanges/4].Revision
 		b.Recent = slices.Clone(b.Recent[maxRecentChanges/4+1:])
 	}
@@ -444,7 +447,8 @@
 	return n
 }
 
-// addVersion is a compare-and-set: it follows the one that it names, or is refused with who was first.
+// addVersion is a compare-and-set: the version must follow the one that it names, else it is refused with the author
+// of the one that came first.
 func (b *State) addVersion(index uint64, v Version) Outcome {
 	s := b.Subject(v.Subject)
 	if s == nil {
@@ -494,7 +498,7 @@
 	return Outcome{Done: true, Version: v.No}
 }
 
-// take gives a text that is whole in the log and takes it out of those that come.
+// takeText returns a text that is complete in the log and removes it from the partial ones.
 func (b *State) takeText(d Digest) []byte {
 	if t := b.text(d); t != nil {
 		return t
@@ -508,7 +512,7 @@
 	return text
 }
 
-// has tells whether a text needs no more parts.
+// hasText reports whether a text needs no more parts.
 func (b *State) hasText(d Digest) bool {
 	if b.text(d) != nil {
 		return true
@@ -531,23 +535,26 @@
 	}
 }
 
-// Steps of a version that does not contradict its predecessor: its asker tries it, then a share of the gateways.
+// Rollout steps of a version that does not contradict its predecessor: first its proposer tries it, then a fraction
+// of the gateways.
 const (
 	stepProposer = iota + 1
 	stepCanary
 )
 
-// Standing is a subject as gateways hold it: what is in force, and what comes next. Where that is tried by steps, those of
-// the step act on it and the others on what is in force; else both bind until it is in force.
+// SubjectStatus is the state of a subject as gateways hold it: the version in force and the next one. If the next
+// one is rolled out by steps, the gateways of the step act on it and all others on the one in force; else both are
+// binding until it is in force.
 type SubjectStatus struct {
 	Name    string   `json:"name"`
 	InForce *Version `json:"in_force,omitempty"`
 	Next    *Version `json:"next,omitempty"`
 	Step    int      `json:"step,omitempty"`
-	Last    uint64   `json:"last"` // version that the next one follows
+	Last    uint64   `json:"last"` // version that the next one has to follow
 }
 
-// Tries tells whether a gateway is of the step in which a version is tried. Shares are by IDs, which are by chance.
+// InCanary reports whether a gateway is among those that try the next version. IDs are random, so the fraction is
+// taken by a hash of the ID.
 func (s *SubjectStatus) InCanary(id ID) bool {
 	if s.Step == 0 || s.Next == nil {
 		return false
@@ -566,43 +573,43 @@
 	return 0
 }
 
-// Manifest is what a gateway holds of what is agreed on, beside the texts.
+// Manifest is a gateway's copy of the state, without the texts.
 type Manifest struct {
 	Revision       uint64          `json:"stamp"`
-	Base           uint64          `json:"base,omitempty"` // on its way: it has only what changed after that
+	Base           uint64          `json:"base,omitempty"` // set in a delta: revision that it is based on
 	Subjects       []SubjectStatus `json:"subjects"`
 	Gateways       []Gateway       `json:"gateways"`
 	Left           []ID            `json:"left,omitempty"`
-	Departed       []Gateway       `json:"ghosts,omitempty"` // that left, and may serve somebody yet
-	LastEnded      uint64          `json:"ended,omitempty"`  // the stamp at which one was last known to have ended
-	KnownToAllUpTo uint64          `json:"seated_to"`        // whoever may act knows of who came up to this stamp
+	Departed       []Gateway       `json:"ghosts,omitempty"` // left the list, may still serve clients
+	LastEnded      uint64          `json:"ended,omitempty"`  // revision at which a departed gateway was last known to have ended
+	KnownToAllUpTo uint64          `json:"seated_to"`        // all gateways that may act know the list up to this revision
 }
 
-// Sizes of manifests on their way. Sources: ours.
+// Encoding of manifests in messages.
 const (
-	minPackedSize   = 4096    // bytes from which one is packed: a list of thousands is alike in most
-	maxUnpackedSize = 1 << 24 // bytes that one may come to
-	packedMarker    = 1       // its first byte; a text begins otherwise
+	minPackedSize   = 4096    // bytes from which a manifest is compressed: a list of thousands is mostly repetitive
+	maxUnpackedSize = 1 << 24 // bytes
+	packedMarker    = 1       // first byte of a compressed manifest; JSON never begins with it
 )
 
-// pack words a manifest for its way.
+// pack encodes a manifest for sending.
 func (m *Manifest) pack() []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // it holds nothing that has no JSON
+		panic(err) // the type has no value that JSON can't encode
 	}
 	if len(text) < minPackedSize {
 		return text
 	}
 	var out bytes.Buffer
 	out.WriteByte(packedMarker)
-	w, _ := flate.NewWriter(&out, flate.BestSpeed) // the level is valid, and a buffer takes all
+	w, _ := flate.NewWriter(&out, flate.BestSpeed) // the level is valid, and writing to a buffer does not fail
 	_, _ = w.Write(text)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpack reads what pack worded.
+// unpack decodes the result of pack.
 func (m *Manifest) unpack(text []byte) error {
 	if len(text) > 0 && text[0] == packedMarker {
 		var err error
@@ -613,7 +620,8 @@
 	return json.Unmarshal(text, m)
 }
 
-// manifest gives what is new to who holds that of a stamp: in a fleet of thousands the list is long, its changes are not.
+// manifest encodes the changes after a known revision: in a fleet of thousands the list is long, its changes are
+// short.
 func (b *State) manifest(known uint64) []byte {
 	m := Manifest{Revision: b.Revision, Departed: b.Departed, LastEnded: b.LastEnded, KnownToAllUpTo: b.KnownToAllUpTo}
 	for i := range b.Subjects {
@@ -637,7 +645,7 @@
 	return m.pack()
 }
 
-// onto completes a manifest that has only what changed; ok is false where it follows another one.
+// completeFrom completes a delta with the manifest that it is based on. It returns false if that is another one.
 func (m *Manifest) completeFrom(before *Manifest) (ok bool) {
 	if m.Base == 0 {
 		return true
--- a/agreement/fleet_test.go
+++ b/agreement/fleet_test.go
@@ -13,8 +13,9 @@
 	"magpieglade/internal/agenda"
 )
 
-// world is a fleet on a virtual clock: processes with clocks that run unlike, disks, and a network that loses, delays and
-// repeats. It checks, again and again, that no two gateways act on what contradicts each other.
+// simulation runs a fleet on a virtual clock: processes whose clocks run at different rates, disks, and a network
+// that loses, delays and duplicates messages. It checks continually that no two gateways act on contradictory
+// versions.
 type simulation struct {
 	t   testing.TB
 	rng *rand.Rand
@@ -24,17 +25,17 @@
 	cut         func(from, to *process) bool
 	loss        float64
 	ids         ID
-	books       map[uint64]string // by entry, as the first voter had it
+	books       map[uint64]string // by log index, as the first voter had it
 	agreed      map[string]int64  // when a version was first applied, by subject and number
 	clashes     map[string]bool   // versions that contradict their predecessors
 	ops         []porcupine.Operation
-	out         []string // what happened, for transcripts
+	out         []string // events, for transcripts
 	trace       bool
-	leases      map[string]bool // who has one, as it was told
-	share       float64         // of the next version that is asked for
+	leases      map[string]bool // gateways that hold a lease, as last recorded
+	share       float64         // canary fraction of the next version that is proposed
 	lists       map[uint64]map[ID]bool
-	knownChecks int   // times that one was looked at that takes itself for known of
-	longest     int64 // that a former version was acted on after a contradicting one was agreed on
+	knownChecks int   // checks of a gateway that takes itself for known to all
+	longest     int64 // longest time that a former version was acted on after a contradictory one was agreed on
 	sent        int
 	bytes       int
 }
@@ -45,20 +46,20 @@
 	id            ID
 	a             *Agreement
 	rate          float64
-	offset        int64 // of its clock, another one at each start
+	offset        int64 // of its clock, different at each start
 	disk          [][]byte
 	epoch         uint64
 	down          bool
 	paused        bool
-	queued        []func() // what came while it was paused
+	queued        []func() // input received while paused
 	wakeSeq       int
 	answers       map[uint64]func(Outcome)
-	canaryVersion uint64 // the version that it tries
-	maxDiskDelay  int64  // of its disk, at the most, beside some ms
-	diskFullUntil int64  // until when its disk takes nothing
-	leaving       bool   // it was taken out, and has not joined again
-	acted         bool   // it might act on a list that has it, since its start
-	joining       bool   // it asks at each start until it is in the list
+	canaryVersion uint64 // version that it tries
+	maxDiskDelay  int64  // upper bound, in addition to a few ms
+	diskFullUntil int64  // its disk stores nothing before
+	leaving       bool   // it was removed and has not joined again
+	acted         bool   // since its start it might act on a list that has it
+	joining       bool   // repeats its request to join at each start until it is listed
 }
 
 const second = int64(1e9)
@@ -75,10 +76,10 @@
 	return w
 }
 
-// run lets time pass.
+// run advances the clock.
 func (w *simulation) run(span int64) { w.Run(w.Now + span) }
 
-// until lets time pass until something holds.
+// until advances the clock until a condition holds.
 func (w *simulation) until(limit int64, f func() bool) bool {
 	for end := w.Now + limit; w.Now < end; w.run(second / 100) {
 		if f() {
@@ -94,7 +95,7 @@
 	}
 }
 
-// start begins a life, with an empty disk a new one.
+// start starts the process; a fresh one has an empty disk and a new ID.
 func (p *process) start(fresh bool) {
 	w := p.w
 	if fresh {
@@ -128,7 +129,7 @@
 
 func (p *process) clock() int64 { return int64(float64(p.w.Now)*p.rate) + p.offset }
 
-// turn has it take something and do what it decides.
+// step gives the process an input and carries out its decisions.
 func (p *process) step(f func()) {
 	if p.down {
 		return
@@ -155,7 +156,7 @@
 					w.After(second/10, written)
 					return
 				}
-				if whole && w.rng.IntN(2) == 0 { // else it ended before what came first was taken away
+				if whole && w.rng.IntN(2) == 0 { // else it crashed before the former records were removed
 					p.disk = nil
 				}
 				p.disk = append(p.disk, records...)
@@ -185,7 +186,7 @@
 		case Wake:
 			p.wakeSeq++
 			no := p.wakeSeq
-			w.After(int64(float64(d.After)/p.rate)+1000, func() { // no earlier than asked, whatever is rounded
+			w.After(int64(float64(d.After)/p.rate)+1000, func() { // never early, whatever rounding does
 				if p.epoch == epoch && p.wakeSeq == no {
 					p.step(func() {})
 				}
@@ -195,7 +196,7 @@
 	w.check(p)
 }
 
-// try has it be well with a version that it tries, after a while.
+// reportCanary reports a version that the process tries as healthy after a while.
 func (p *process) reportCanary(epoch uint64) {
 	for _, s := range p.a.Manifest().Subjects {
 		if s.InCanary(p.id) && p.canaryVersion != s.Next.No {
@@ -273,7 +274,7 @@
 	}
 }
 
-// check: all voters that applied the same part of the log have the same book.
+// check verifies that all voters that applied the same prefix of the log have the same state.
 func (w *simulation) check(p *process) {
 	v := p.a.voter
 	if v == nil || v.state.Revision == 0 {
@@ -291,7 +292,7 @@
 		}
 	}
 	seldom := 20
-	if len(w.nodes) > 20 { // a large list takes longer to word than all else together
+	if len(w.nodes) > 20 { // encoding a large list takes longer than everything else
 		seldom = 20_000
 	}
 	if w.rng.IntN(seldom) > 0 {
@@ -305,12 +306,12 @@
 	}
 }
 
-// sample looks at who acts on what at this moment.
+// sample checks which versions gateways act on at this moment.
 func (w *simulation) sample() {
 	w.After(10e6, w.sample)
 	for _, p := range w.nodes {
 		has := !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
-		if w.trace && !p.down && !p.paused && w.leases[p.name] == has { // kept as who has none, all have to begin with
+		if w.trace && !p.down && !p.paused && w.leases[p.name] == has { // leases records the gateways without one, as all start with one
 			if w.leases[p.name] = !has; has {
 				w.record("%s may act again", p.name)
 			} else {
@@ -339,8 +340,8 @@
 	}
 	for name, all := range by {
 		alive := map[uint64]bool{}
-		alone := uint64(1 << 62) // the lowest that somebody acts on alone
-		inForce := uint64(0)     // the highest that is in force somewhere
+		alone := uint64(1 << 62) // lowest version that a gateway acts on alone
+		inForce := uint64(0)     // highest version in force at any gateway
 		for _, x := range all {
 			if x.s.InForce != nil {
 				alive[x.s.InForce.No], inForce = true, max(inForce, x.s.InForce.No)
@@ -370,16 +371,16 @@
 	}
 }
 
-// seats: whoever takes itself for known of, be it careful or not, is known of by all that may act, in the list or as a ghost.
-// What sessions rest on: docs/sessions.md.
+// checkKnownToAll verifies that a gateway that takes itself for known to all, with or without a lease, is known to
+// every gateway that may act, as listed or departed. Sessions depend on it: docs/sessions.md.
 func (w *simulation) checkKnownToAll() {
 	for i, p := range w.nodes {
-		if len(w.nodes) > 20 && int(w.Now/10e6)%len(w.nodes) != i { // one after another
+		if len(w.nodes) > 20 && int(w.Now/10e6)%len(w.nodes) != i { // check the gateways in turn
 			continue
 		}
 		g := p.entry(p.a.Manifest())
 		p.acted = p.acted || g != nil && !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
-		// Of a list that it never might act on since its start it may have been taken out long ago: session.Notes.
+		// It may have been removed long ago from a list that it could not act on since its start: session.Notes.
 		if p.down || g == nil || !g.KnownToAll || !p.acted {
 			continue
 		}
@@ -396,7 +397,7 @@
 	}
 }
 
-// listed are those of a list, worked out once for each.
+// listed returns the gateways of a list, computed once per list.
 func (w *simulation) listed(m *Manifest) map[ID]bool {
 	if w.lists[m.Revision] == nil {
 		if len(w.lists) > 64 {
@@ -410,14 +411,14 @@
 	return w.lists[m.Revision]
 }
 
-// entry is that of a process in what somebody holds.
+// entry returns the process's entry in a manifest.
 func (p *process) entry(m *Manifest) *Gateway {
 	return (&State{Gateways: m.Gateways}).Gateway(p.id)
 }
 
 var defaultMaxDivergence = func() int64 { t := DefaultConfig(); return t.MaxDivergence() }()
 
-// ask has a gateway ask for something.
+// propose has a gateway propose a change.
 func (p *process) propose(wish Proposal, text string, patience int64, f func(Outcome)) {
 	p.step(func() {
 		no, err := p.a.Propose(wish, []byte(text), patience)
@@ -429,7 +430,7 @@
 	})
 }
 
-// put asks for a version and keeps what became of it for the check of all of them.
+// proposeVersion proposes a version and records the operation for the linearizability check.
 func (p *process) proposeVersion(subject string, predecessor uint64, text string, clashes []string, f func(Outcome)) {
 	w, began := p.w, p.w.Now
 	w.record("%s asks for a version of %s after %d", p.name, subject, predecessor)
@@ -443,7 +444,7 @@
 		}
 		done = true
 		w.record("%s is told: %+v", p.name, o)
-		if !o.Wait { // else it may be done or not, now or later
+		if !o.Wait { // else it may have been done or not, now or later
 			w.ops[n].Output, w.ops[n].Return = o, w.Now
 		}
 		if f != nil {
@@ -452,13 +453,13 @@
 	})
 }
 
-// register is a compare-and-set of one subject's latest version.
+// register models the latest version of one subject as a compare-and-set register.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
 		last, after, o := state.(uint64), input.(uint64), output.(Outcome)
 		switch {
-		case o.Wait: // not known: it may have been done or not, which the two ways of a call without an end cover
+		case o.Wait: // unknown outcome: done or not, which the two results of an open call cover
 			if last == after {
 				return true, last + 1
 			}
@@ -476,7 +477,7 @@
 	}
 }
 
-// found has the first gateway begin a fleet, all join, and so many vote.
+// found bootstraps a fleet at the first gateway, has all others join, and makes the first ones voters.
 func (w *simulation) found(voters int) {
 	first := w.nodes[0]
 	first.step(func() {
@@ -563,9 +564,10 @@
 
 var seeds = flag.Int("seeds", 150, "days of faults by chance")
 
-// Days of faults by chance: killed, stopped, cut one way, both ways and by halves, lost disks, lost messages, while
-// operators ask for changes at any gateway. There is one history, no two act on what contradicts each other, none acts on
-// a former version past the stated time, and once all can talk again a change comes in force.
+// Random faults while operators propose changes at any gateway: crashes, pauses, one-way and symmetric partitions,
+// lost disks and lost messages. Checks that there is one history, that no two gateways act on contradictory
+// versions, that none acts on a former version for longer than the maximum divergence, and that a change comes in
+// force once all can communicate again.
 func TestRandomFaults(t *testing.T) {
 	longest, done, asked, seated := int64(0), 0, 0, 0
 	for seed := range uint64(*seeds) {
@@ -632,13 +634,13 @@
 				p.start(true)
 				p.join(nil)
 			}
-		case 7: // taken out, as a rule wrongly: it serves on until it hears, says that it has ended, and joins again
+		case 7: // removed, usually wrongly: it serves until it notices, reports that it has ended, and joins again
 			q := any()
 			if q.down || q.paused || p.a.voter != nil || p.leaving || p.entry(q.a.Manifest()) == nil {
 				break
 			}
 			w.record("%s is taken out", p.name)
-			p.leaving = true // until it has joined again: who joins does not say that it has ended
+			p.leaving = true // until it has joined again: a gateway that joins does not report that it has ended
 			q.propose(Proposal{Leave: p.id}, "", 5*second, func(Outcome) {})
 			var back func()
 			back = func() {
@@ -690,7 +692,7 @@
 		}
 	}
 	w.cut, w.loss = func(_, _ *process) bool { return false }, 0
-	w.run(7 * second) // stopped ones go on, killed ones have started
+	w.run(7 * second) // paused processes resume, killed ones have started
 	last := func() (no uint64) {
 		for _, p := range w.nodes {
 			if b := p.a.State(); b != nil && b.Subject("routes") != nil {
@@ -702,14 +704,14 @@
 	}
 	ok := false
 	w.share = 0
-	w.run(4 * second) // what is tried comes in force
+	w.run(4 * second) // versions that are being tried come in force
 	for _, p := range w.nodes {
 		if p.leaving = false; w.leader() != nil && p.entry(&Manifest{Gateways: w.leader().a.State().Gateways}) == nil {
 			p.join(nil)
 			w.run(2 * second)
 		}
 	}
-	for try := 0; try < 4 && !ok; try++ { // one that was given up may come in between
+	for try := 0; try < 4 && !ok; try++ { // an earlier proposal may be applied late
 		was := last()
 		any().proposeVersion("routes", was, fmt.Sprint("the last ", try), []string{"a bound"}, func(o Outcome) { ok = ok || o.Done })
 		ok = w.until(10*second, func() bool { return w.inForce("routes", was+1) == len(w.nodes) }) && ok
@@ -721,15 +723,15 @@
 	return w
 }
 
-// severs cuts who may not reach whom, for a time, beside what is cut already.
+// partition blocks some connections for a time, in addition to those already blocked.
 func (w *simulation) partition(d int64, f func(from, to *process) bool) {
 	over, before := false, w.cut
 	w.cut = func(from, to *process) bool { return !over && f(from, to) || before(from, to) }
 	w.After(d, func() { over = true })
 }
 
-// Where many join at once, as after a mass restart, they come into the list together: nobody is without a lease for it, and
-// what it costs grows with the gateways, not with their square.
+// Many gateways that join at once, as after a mass restart, are listed together: no gateway loses its lease, and the
+// cost grows linearly with the number of gateways, not quadratically.
 func TestManyJoinAtOnce(t *testing.T) {
 	w := newSimulation(t, 5, 400)
 	all := w.nodes
@@ -763,8 +765,8 @@
 	}
 }
 
-// A version that goes by steps comes in force at all after one that voted has left for good, as the last thing that it
-// was let do stays on the leader's record.
+// A rollout by steps completes after a voter has left for good. The leader still holds a record of the last grant
+// that it gave that voter, which must not block the steps.
 func TestStepsEndAfterAVoterLeft(t *testing.T) {
 	w := newSimulation(t, 3, 5)
 	w.found(5)
@@ -788,8 +790,8 @@
 	}
 }
 
-// A gateway that is taken out while its wish is under way, and asks again, is told that it was done, not that somebody
-// else was first.
+// A gateway that is removed while its proposal is under way, and sends it again, learns that it was done, not that
+// another one was first.
 func TestOutcomeKeptAfterRemoval(t *testing.T) {
 	b := newState()
 	for no, id := range []ID{7, 17} {
@@ -806,8 +808,8 @@
 	}
 }
 
-// A leader whose disk takes nothing makes way: within some leases another one leads and a change comes in force at all,
-// and the former takes part again once there is room.
+// A leader whose disk is full steps down: within a few leases another one leads and a change comes in force, and the
+// former leader takes part again once its disk has room.
 func TestLeaderWithAFullDisk(t *testing.T) {
 	w := newSimulation(t, 11, 5)
 	w.found(3)
--- a/agreement/holder.go
+++ b/agreement/holder.go
@@ -8,48 +8,49 @@
 
 type raftProgress = tracker.Progress
 
-// renewals is how often a gateway asks for its lease in the time of one: two may be lost.
+// renewalsPerLease is how often a gateway renews its lease during one: two requests may be lost.
 const renewalsPerLease = 4
 
-// urgent is how often a gateway asks that may not act: nobody in a fleet without a leader waits long for its lease once
-// there is one again.
+// urgentRenewalsPerLease applies to a gateway without a lease, so that after an election no gateway waits long for
+// one.
 const urgentRenewalsPerLease = 16
 
-// holder is what a gateway holds of what is agreed on.
+// holder is a gateway's copy of the agreed state, and its lease.
 type holder struct {
 	a              *Agreement
-	voters         []ID // that it asks, the present one first
+	voters         []ID // to ask for a lease, the current one first
 	renewAt        int64
 	lastRenewAt    int64
-	answered       bool // since it asked
+	answered       bool // since the last request
 	leaseUntil     int64
 	manifest       Manifest
-	next           *Manifest // of which texts are fetched
-	healthyVersion uint64    // the latest version that was tried here and is well
-	pending        *Manifest // that the host prepares for
-	source         ID        // from whom
-	fetchDigest    Digest    // of the manifest that is fetched
+	next           *Manifest // its texts are being fetched
+	healthyVersion uint64    // latest version that was tried here and found healthy
+	pending        *Manifest // the host prepares to act on it
+	source         ID        // gateway to fetch from
+	fetchDigest    Digest    // of the manifest that is being fetched
 	fetchSize      int
 	fetchRevision  uint64
 }
 
-// Leased tells until when this gateway may act on what it holds. It is to be asked at each decision, with the time of
-// that: past it the gateway is careful.
+// LeaseUntil is until when this gateway may act on what it holds. Check it at each decision, against the time of the
+// decision: once it has expired the gateway has to be careful.
 func (a *Agreement) LeaseUntil() (until int64) { return a.holder.leaseUntil }
 
-// Held is what this gateway holds of what is agreed on.
+// Manifest is this gateway's copy of the agreed state.
 func (a *Agreement) Manifest() *Manifest { return &a.holder.manifest }
 
-// Well tells that a version which this gateway tries is well with it.
+// ReportHealthy reports that a version that this gateway tries is healthy here.
 func (a *Agreement) ReportHealthy(no uint64) {
 	a.holder.healthyVersion = max(a.holder.healthyVersion, no)
 	a.holder.renewAt = a.now
 }
 
-// Coming is what the host is to act on next, nil if that is what Held tells.
+// Pending is the manifest that the host has to act on next, nil if there is none besides Manifest.
 func (a *Agreement) Pending() *Manifest { return a.holder.pending }
 
-// Adopt tells that the host acts on what Coming told, if that was of this stamp: then this gateway says that it knows it.
+// Adopt reports that the host acts on Pending, if it still has this revision: only then does this gateway claim to
+// know it.
 func (a *Agreement) Adopt(stamp uint64) {
 	h := &a.holder
 	if h.pending == nil || h.pending.Revision != stamp {
@@ -61,10 +62,10 @@
 	h.renew()
 }
 
-// Text gives the text of a version that Held or Coming tells of, nil if it is not kept.
+// Text returns the text of a version in Manifest or Pending, nil if it is not kept.
 func (a *Agreement) Text(d Digest) []byte { return a.texts.get(d) }
 
-// Book is all that is agreed on as this voter has it, nil at a gateway that does not vote.
+// State returns the replicated state of this voter, nil at a gateway that does not vote.
 func (a *Agreement) State() *State {
 	if a.voter == nil {
 		return nil
@@ -72,8 +73,7 @@
 	return a.voter.state
 }
 
-// Role tells how it stands to the log: whether it votes, who leads as it knows, in which term, and until when it may
-// let others act.
+// Role reports whether this gateway votes, the leader and term that it knows, and until when it may grant leases.
 func (a *Agreement) Role() (votes bool, leader ID, term uint64, grants int64) {
 	if a.voter == nil {
 		return false, 0, 0, 0
@@ -82,12 +82,12 @@
 	return a.voter.isVoter(), ID(st.Lead), st.Term, a.voter.grantUntil()
 }
 
-// asMember is this gateway's entry of the list, nil where it is none.
+// ownEntry returns this gateway's entry in the list, nil if it is not listed.
 func (h *holder) ownEntry() *Gateway {
 	return (&State{Gateways: h.manifest.Gateways}).Gateway(h.a.config.Self)
 }
 
-// round asks for the lease, and another voter where one is silent.
+// round renews the lease, and switches to another voter if one does not answer.
 func (h *holder) round() {
 	h.fetchManifest()
 	if h.a.now < h.renewAt || len(h.voters) == 0 && h.a.voter == nil {
@@ -109,7 +109,7 @@
 	h.a.send(Message{Kind: Renew, To: h.renewTarget(), SentAt: h.a.now, Epoch: h.a.config.Epoch, KnownRevision: h.manifest.Revision, HealthyVersion: h.healthyVersion})
 }
 
-// voter is whom it asks: itself, where it votes and may grant.
+// renewTarget is the voter to ask: itself, if it votes and may grant leases.
 func (h *holder) renewTarget() ID {
 	me := h.ownEntry()
 	if v := h.a.voter; v != nil && (len(h.voters) == 0 || v.grantUntil() > h.a.now && (me == nil || me.Vote)) {
@@ -118,10 +118,10 @@
 	return h.voters[0]
 }
 
-// granted takes a voter's answer, or its word that something has changed.
+// handleGrant handles a response to a renewal, or a voter's notification of a change.
 func (h *holder) handleGrant(m *Message) {
 	if m.Echo != 0 && m.Epoch != h.a.config.Epoch {
-		return // to a question of a former start
+		return // response to a request of an earlier start
 	}
 	if m.Echo != 0 && (m.Remaining > 0 || m.Revision > h.manifest.Revision) {
 		h.answered = true
@@ -130,7 +130,8 @@
 		h.leaseUntil = max(h.leaseUntil, m.Echo+m.Remaining)
 	}
 	if m.Revision > max(h.manifest.Revision, h.fetchRevision) && m.Size > 0 {
-		// What is nearly here is not given up for what comes later: while many join one after another that would be for ever.
+		// A nearly complete fetch is not dropped for a later revision: while many gateways join one after another, no fetch
+		// would ever finish.
 		if bytes, comes := h.a.texts.missingBytes(h.fetchDigest); h.fetchRevision > h.manifest.Revision && h.next == nil && comes && bytes <= m.Size {
 			return
 		}
@@ -138,7 +139,8 @@
 	}
 }
 
-// fetches gets what it lacks of the latest that it heard of: the manifest, then its texts. It holds all of it or none.
+// fetchManifest fetches the latest manifest that it was notified of, then its texts. It takes over all of it or
+// nothing.
 func (h *holder) fetchManifest() {
 	if h.fetchRevision <= h.manifest.Revision || h.pending != nil && h.fetchRevision <= h.pending.Revision {
 		return
@@ -146,7 +148,7 @@
 	if h.next == nil {
 		text := h.a.texts.getOrFetch(h.source, h.fetchDigest, h.fetchSize)
 		if text == nil {
-			if h.a.texts.takeFailed(h.fetchDigest) { // it changed again meanwhile; the next answer tells of that
+			if h.a.texts.takeFailed(h.fetchDigest) { // the state changed again meanwhile; the next response names the new one
 				h.fetchRevision = h.manifest.Revision
 			}
 			return
@@ -179,7 +181,7 @@
 	}
 }
 
-// follow takes over who votes: the one that it asks stays if it still does.
+// updateVoters takes over the voters of the manifest. The one that is asked now stays first if it still votes.
 func (h *holder) updateVoters() {
 	var ids []ID
 	for _, g := range h.manifest.Gateways {
@@ -191,7 +193,7 @@
 		return
 	}
 	slices.Sort(ids)
-	// Each begins elsewhere, so that voters share the fleet.
+	// Gateways begin at different voters, which spreads the load.
 	first := int(uint64(h.a.config.Self) % uint64(len(ids)))
 	if i := slices.Index(ids, h.firstVoter()); i >= 0 {
 		first = i
--- a/agreement/leases.go
+++ b/agreement/leases.go
@@ -9,20 +9,20 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Who may act until when. A leader acts by promises of a majority of voters, each of which promises at a beat to vote for
-// no other for a while; other voters grant no longer than the leader let them, gateways act no longer than a voter let
-// them. All of it is counted from when a question was sent, by the clock of who sent it, so that neither a message's way
-// nor what clocks show matters, only that they run alike.
+// Leases form a chain. The leader acts by promises of a majority of voters: with its answer to a heartbeat each
+// voter promises not to vote for another candidate for a while. Other voters grant leases no longer than the leader
+// allowed, and gateways act no longer than a voter granted. Each duration counts from the time a request was sent,
+// by the sender's clock, so neither network delay nor clock offset matters, only that clocks run at the same rate.
 
-// grant is that a gateway may act until a time, and what it knew when it asked last.
+// leaseGrant is until when a gateway may act, and what it knew at its last request.
 type leaseGrant struct {
 	knownRevision  uint64
 	until          int64
 	healthyVersion uint64
 }
 
-// until is until when the leader may act itself and let others: a lease from the latest beat by which a majority has
-// promised, itself among them.
+// leaderUntil is until when the leader may act and delegate: one lease after the latest heartbeat that a majority,
+// including itself, has answered.
 func (v *voter) leaderUntil() int64 {
 	if v.leadTerm == 0 {
 		return 0
@@ -49,7 +49,7 @@
 	return at + v.a.config.Lease
 }
 
-// mayGrant is until when it may grant.
+// grantUntil is until when this voter may grant leases.
 func (v *voter) grantUntil() int64 {
 	if v.isLeading() {
 		return v.leaderUntil()
@@ -57,7 +57,8 @@
 	return v.delegatedUntil
 }
 
-// sendBeats tells the others that it leads and how long they may grant, from the promise that each gave last.
+// sendHeartbeats tells the other voters who leads and how long they may grant, counted from the last promise of
+// each.
 func (v *voter) sendHeartbeats() {
 	left := v.leaderUntil() - v.a.now
 	if !v.isLeading() {
@@ -74,18 +75,18 @@
 	}
 }
 
-// note keeps what a voter may grant by: of each stamp the latest time, as long as that is not past.
+// recordSentGrant remembers until when a voter may grant: the latest time per revision, until it has expired.
 func (v *voter) recordSentGrant(p *peer, s sentGrant) {
 	p.grants = slices.DeleteFunc(p.grants, func(x sentGrant) bool { return v.expired(x.until) || x.revision == s.revision })
 	p.grants = append(p.grants, s)
 }
 
-// over tells that what could be done until a time at any gateway has had its effect.
+// expired reports whether everything that a gateway could decide until a time has taken effect.
 func (v *voter) expired(until int64) bool {
 	return v.a.now >= until+v.a.config.ClockError+v.a.config.EffectDelay
 }
 
-// beat takes a leader's word.
+// handleHeartbeat answers a heartbeat of the leader.
 func (v *voter) handleHeartbeat(m *Message) {
 	st := v.node.BasicStatus()
 	if ID(st.Lead) != m.From || st.Term != m.Term || st.RaftState != raft.StateFollower {
@@ -99,25 +100,26 @@
 	v.a.send(Message{Kind: Promise, To: m.From, Term: m.Term, Echo: m.SentAt, SentAt: v.a.now, Epoch: v.a.config.Epoch, KnownRevision: v.minKnownRevision(), HealthyVersion: v.healthyVersion()})
 }
 
-// promised takes a voter's word.
+// handlePromise handles a voter's answer to a heartbeat.
 func (v *voter) handlePromise(m *Message) {
 	if v.leadTerm == 0 || m.Term != v.leadTerm || !slices.Contains(v.others(), m.From) {
 		return
 	}
 	p := v.peer(m.From)
 	if m.Epoch < p.epoch {
-		return // of a former start, whose clock was another
+		return // from an earlier start, with another clock
 	}
 	if m.Epoch > p.epoch {
 		p.epoch, p.promisedAt = m.Epoch, 0
 	}
 	p.ackedAt, p.promisedAt = max(p.ackedAt, m.Echo), max(p.promisedAt, m.SentAt)
-	if m.KnownRevision >= p.knownRevision { // what is well is of what was known then
+	if m.KnownRevision >= p.knownRevision { // the healthy version goes with this known revision
 		p.knownRevision, p.healthyVersion = m.KnownRevision, m.HealthyVersion
 	}
 }
 
-// well is the latest version with which all are well that try one by a grant of this voter: none does, all are.
+// healthyVersion is the latest version that is healthy at every gateway that tries one under a grant of this voter;
+// the maximum if none does.
 func (v *voter) healthyVersion() uint64 {
 	well := uint64(1<<64 - 1)
 	for i := range v.state.Subjects {
@@ -131,8 +133,9 @@
 	return well
 }
 
-// allWell tells that whoever tries a version and may act is well with it. Of a voter that is none any more only what it may
-// still grant by counts: without that a version whose steps begin after one has left is tried for ever (seed 189).
+// allHealthy reports whether every gateway that tries a version and may act is healthy with it. A former voter
+// counts only while it may still grant leases: otherwise a version whose steps begin after a voter left would be
+// tried forever (seed 189).
 func (v *voter) allHealthy(no uint64) bool {
 	if v.healthyVersion() < no {
 		return false
@@ -146,7 +149,8 @@
 	return true
 }
 
-// low is what all know that may act by a grant of this voter, 0 if it can't tell.
+// minKnownRevision is the revision known to all gateways that may act under a grant of this voter, 0 if it can't
+// tell.
 func (v *voter) minKnownRevision() uint64 {
 	if v.a.now < v.unknownGrantsUntil {
 		return 0
@@ -159,10 +163,10 @@
 	return low
 }
 
-// known tells that whoever may act in the fleet knows what was agreed on up to a stamp.
+// knownToAll reports whether every gateway of the fleet that may act knows a revision.
 func (v *voter) knownToAll(stamp uint64) bool { return v.revisionKnownToAll() >= stamp }
 
-// knownTo is up to which stamp whoever may act in the fleet knows what was agreed on.
+// revisionKnownToAll is the latest revision known to every gateway of the fleet that may act.
 func (v *voter) revisionKnownToAll() uint64 {
 	if !v.isLeading() {
 		return 0
@@ -183,7 +187,8 @@
 	return to
 }
 
-// renew answers a gateway. It may act only by what this voter knows: what is newer it has to fetch first.
+// handleRenew answers a lease request. A gateway gets a lease only if it knows all that this voter knows; else it
+// has to fetch the rest first.
 func (v *voter) handleRenew(m *Message) {
 	out := Message{Kind: Grant, To: m.From, Echo: m.SentAt, Epoch: m.Epoch, Revision: v.state.Revision}
 	g, before := v.grants[m.From]
@@ -202,7 +207,7 @@
 	v.a.send(out)
 }
 
-// tells has all that may act by a grant of this voter hear at once that something has changed.
+// notifyHolders tells all gateways with a grant of this voter at once that the state has changed.
 func (v *voter) notifyHolders() {
 	if v.notifiedRevision == v.state.Revision {
 		return
@@ -214,25 +219,25 @@
 	}
 }
 
-// job is a wish that the leader brings into the log.
+// job is a proposal that the leader appends to the log.
 type job struct {
 	origin       ID
 	no           uint64
 	wish         Proposal
-	text         []byte // of its version
-	offset       int    // of what of it is in the log
-	appended     bool   // the wish is in the log
-	waitReported bool   // its gateway was told that it waits
-	until        int64  // after which it is forgotten: it comes again if it is still wanted
+	text         []byte // text of its version
+	offset       int    // bytes of the text that are in the log
+	appended     bool   // the proposal is in the log
+	waitReported bool   // its gateway was told that it has to wait
+	until        int64  // expiry; the gateway repeats the proposal if it still wants it
 }
 
-// work brings wishes into the log, puts versions in force and changes voters, one at a time.
+// processJobs appends proposals to the log, advances versions and changes voters, one at a time.
 func (v *voter) processJobs() {
 	if !v.isLeading() {
 		return
 	}
 	answers := map[ID]lastOutcome{}
-	if v.jobsCheckedAt != v.applied && len(v.jobs) > 0 { // there are none to what was asked for since
+	if v.jobsCheckedAt != v.applied && len(v.jobs) > 0 { // proposals received since the last check have no outcome yet
 		for _, x := range v.state.Outcomes {
 			answers[x.Origin] = x
 		}
@@ -264,9 +269,10 @@
 	v.changeVoters()
 }
 
-// listing admits who has asked to join, and says of who has come into the list that whoever may act knows of it. The first is
-// admitted at once, those that come right after it together: each change has all gateways fetch it, and a gateway gets no
-// lease before it has, so a list that changed with each of two thousand that join would leave the whole fleet without.
+// updateList admits gateways that have asked to join, and records which listed gateways all others know. The first
+// is admitted at once, those right after it together: after each change all gateways fetch the list, and none gets a
+// lease before it has it, so a list that changed with each of two thousand joins would leave the whole fleet without
+// leases.
 func (v *voter) updateList() {
 	if v.a.now < v.nextListUpdate {
 		return
@@ -302,7 +308,8 @@
 		j.appended = v.propose(entry{Proposal: &proposalRecord{j.origin, j.no, j.wish}})
 		return
 	}
-	// A version follows another only once whoever may act knows that one: never are more than two alive.
+	// A version may follow another only once all gateways that may act know that one, so no more than two are active at
+	// a time.
 	if s := v.state.Subject(w.Subject); s != nil && (s.Next != 0 || !v.knownToAll(s.Changed)) {
 		if !j.waitReported {
 			j.waitReported = true
@@ -322,14 +329,14 @@
 	j.appended = v.propose(entry{Proposal: &proposalRecord{j.origin, j.no, j.wish}})
 }
 
-// changeVoters brings the voters of the log to those of the list: who is to vote learns first, until it has all.
+// changeVoters aligns the Raft configuration with the list: a new voter is a learner until it has caught up.
 func (v *voter) changeVoters() {
 	if v.a.now < v.nextConfChange {
 		return
 	}
 	change := func(t raftpb.ConfChangeType, id uint64) {
 		v.nextConfChange = v.a.now + proposalRetryInterval
-		_ = v.node.ProposeConfChange(raftpb.ConfChange{Type: t, NodeID: id}) // raft lets one be under way at a time
+		_ = v.node.ProposeConfChange(raftpb.ConfChange{Type: t, NodeID: id}) // raft allows one change at a time
 	}
 	for _, g := range v.state.Gateways {
 		id := uint64(g.ID)
@@ -351,7 +358,8 @@
 	}
 }
 
-// caughtUp: who learns has all that was applied here, and has promised of late.
+// caughtUp reports whether a learner has all entries that are applied here and has sent a promise within the last
+// lease.
 func (v *voter) caughtUp(id uint64) bool {
 	p := v.peers[ID(id)]
 	if p == nil || v.a.now-p.ackedAt > v.a.config.Lease {
--- a/agreement/survey.go
+++ b/agreement/survey.go
@@ -7,27 +7,27 @@
 	"slices"
 )
 
-// surveyWait is how long a survey waits for voters. Ours: some ways there and back, within what somebody at a terminal
-// takes for at once.
+// surveyTimeout is how long a survey waits for voters: a few round trips, and short enough for somebody at a
+// terminal.
 const surveyTimeout = 400e6
 
-// Seen is what voters know of one gateway that asks them for its lease.
+// GatewayLease is what voters know of a gateway that renews its lease with them.
 type GatewayLease struct {
 	ID            ID     `json:"id"`
-	Voter         ID     `json:"by"`    // the voter that it asked last
-	KnownRevision uint64 `json:"known"` // the stamp of what it holds
-	Remaining     int64  `json:"left"`  // of its lease, nanoseconds, at the voter's answer; 0 or less: it may not act by this voter's word
+	Voter         ID     `json:"by"`    // voter that it asked last
+	KnownRevision uint64 `json:"known"` // revision that it holds
+	Remaining     int64  `json:"left"`  // nanoseconds left of its lease when the voter answered; 0 or less: this voter does not let it act
 }
 
-// survey is a question to all voters for what they know of the others. Nothing is decided by it.
+// survey collects from all voters what they know of the other gateways. No decision depends on it.
 type survey struct {
-	startedAt   int64 // 0 while there is none
+	startedAt   int64 // 0 if there was no survey
 	outstanding map[ID]*Message
 	leases      map[ID]GatewayLease
 }
 
-// Survey asks all voters what they know of the gateways that ask them; Surveyed tells when it is over. One that is under way
-// goes on.
+// Survey asks all voters which gateways renew their leases with them; SurveyResult reports when it is over. A survey
+// that is under way goes on.
 func (a *Agreement) Survey() {
 	s := &a.survey
 	if s.startedAt != 0 && a.now-s.startedAt < surveyTimeout {
@@ -42,14 +42,16 @@
 	}
 }
 
-// Surveyed gives what voters told, by ID, and whether all of them did or time is up.
+// SurveyResult returns the answers of the voters, ordered by ID, and whether all have answered or the survey has
+// timed out.
 func (a *Agreement) SurveyResult() (all []GatewayLease, over bool) {
 	s := &a.survey
 	return slices.SortedFunc(maps.Values(s.leases), func(x, y GatewayLease) int { return cmp.Compare(x.ID, y.ID) }),
 		len(s.outstanding) == 0 || a.now-s.startedAt >= surveyTimeout
 }
 
-// SurveyedByMost tells whether most of those that vote have answered the survey: who hears of nobody may be cut off itself.
+// SurveyHasQuorum reports whether a majority of voters has answered the survey: a gateway that receives no answers
+// may be cut off itself.
 func (a *Agreement) SurveyHasQuorum() bool {
 	voters, silent := 0, len(a.survey.outstanding)
 	for _, g := range a.holder.manifest.Gateways {
@@ -60,7 +62,7 @@
 	return a.survey.startedAt != 0 && (voters-silent)*2 > voters
 }
 
-// surveyed answers a survey at a voter.
+// handleSurvey answers a survey at a voter.
 func (v *voter) handleSurvey(m *Message) {
 	all := []GatewayLease{}
 	for _, id := range slices.Sorted(maps.Keys(v.grants)) {
@@ -73,7 +75,7 @@
 	}
 }
 
-// counted takes a voter's answer, whose text is to be fetched.
+// handleSurveyResponse handles a voter's answer, whose text has to be fetched.
 func (a *Agreement) handleSurveyResponse(m *Message) {
 	if _, asked := a.survey.outstanding[m.From]; asked && m.Echo == a.survey.startedAt {
 		a.survey.outstanding[m.From] = m
--- a/agreement/texts.go
+++ b/agreement/texts.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// Spans and sizes of fetching. Sources: ours.
+// Timeouts and limits of fetching.
 const (
-	pageTimeout      = 60e6 // what did not come is asked for again
-	maxPageAttempts  = 25   // without any page between them, after which a text is given up
-	maxPagesInFlight = 32   // that are asked for at a time
-	maxOfferedTexts  = 64   // texts that are offered beside those held, the latest
+	pageTimeout      = 60e6 // after which a missing page is requested again
+	maxPageAttempts  = 25   // attempts without any page received, after which the fetch fails
+	maxPagesInFlight = 32
+	maxOfferedTexts  = 64 // latest texts that are offered besides those held
 )
 
-// texts gets texts from one gateway to another, by pages: whoever wants one asks whoever told of it.
+// texts transfers texts between gateways in pages: a gateway requests them from the one that announced the text.
 type texts struct {
 	a       *Agreement
-	held    map[Digest][]byte // of versions that this gateway holds
+	held    map[Digest][]byte // texts of versions that this gateway holds
 	offered []offered
 	fetches []*textFetch
 }
@@ -26,7 +26,7 @@
 	text   []byte
 }
 
-// wanted is a text that comes.
+// textFetch is a text that is being fetched.
 type textFetch struct {
 	digest       Digest
 	from         ID
@@ -34,13 +34,13 @@
 	received     []bool
 	missing      int
 	requestedAt  int64
-	lastWantedAt int64 // when it was last wanted
+	lastWantedAt int64 // last call of getOrFetch
 	attempts     int
 	complete     bool
 	failed       bool
 }
 
-// offer keeps a text for who is told of it.
+// offer keeps a text for gateways that are told its digest.
 func (t *texts) offer(text []byte) Digest {
 	d := DigestOf(text)
 	if i := slices.IndexFunc(t.offered, func(o offered) bool { return o.digest == d }); i >= 0 {
@@ -54,7 +54,7 @@
 	return d
 }
 
-// get gives a text that is here.
+// get returns a text that is available here, or nil.
 func (t *texts) get(d Digest) []byte {
 	if text, ok := t.held[d]; ok {
 		return text
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// want gives a text, or has it fetched.
+// getOrFetch returns a text, or nil after it has started to fetch it.
 func (t *texts) getOrFetch(from ID, d Digest, size int) []byte {
 	if text := t.get(d); text != nil {
 		return text
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// lacks tells how many bytes of a text that is being fetched are still to come, and whether they do come.
+// missingBytes returns how many bytes of a fetch are missing, and whether pages are arriving.
 func (t *texts) missingBytes(d Digest) (bytes int, comes bool) {
 	for _, w := range t.fetches {
 		if w.digest == d {
@@ -108,7 +108,7 @@
 	return 0, false
 }
 
-// failed tells, once, that a text was given up.
+// takeFailed reports, once, that a fetch has failed.
 func (t *texts) takeFailed(d Digest) bool {
 	i := slices.IndexFunc(t.fetches, func(w *textFetch) bool { return w.digest == d && w.failed })
 	if i < 0 {
@@ -118,7 +118,7 @@
 	return true
 }
 
-// asked answers a question for a page.
+// handleFetch answers a request for a page.
 func (t *texts) handleFetch(m *Message) {
 	text := t.get(m.Digest)
 	if text == nil || m.Offset < 0 || m.Offset >= len(text) {
@@ -128,7 +128,7 @@
 		Data: text[m.Offset:min(m.Offset+t.a.config.PageSize, len(text))]})
 }
 
-// page takes one.
+// handlePage handles a page.
 func (t *texts) handlePage(m *Message) {
 	i := slices.IndexFunc(t.fetches, func(w *textFetch) bool { return w.digest == m.Digest })
 	page := t.a.config.PageSize
@@ -143,18 +143,18 @@
 	w.received[m.Offset/page] = true
 	w.attempts = 0
 	if w.missing--; w.missing > 0 && w.missing%maxPagesInFlight == 0 {
-		w.requestedAt = t.a.now - pageTimeout // the next ones at once
+		w.requestedAt = t.a.now - pageTimeout // request the next pages at once
 	}
 	if w.missing > 0 {
 		return
 	}
-	if w.complete = DigestOf(w.text) == w.digest; !w.complete { // spoilt: from the beginning
+	if w.complete = DigestOf(w.text) == w.digest; !w.complete { // corrupt: start again
 		clear(w.received)
 		w.missing = len(w.received)
 	}
 }
 
-// round asks for what is missing, and forgets what nobody wants any more.
+// round requests missing pages and drops fetches that are no longer wanted.
 func (t *texts) round() {
 	t.fetches = slices.DeleteFunc(t.fetches, func(w *textFetch) bool { return t.a.now-w.lastWantedAt > 4*t.a.config.Lease })
 	for _, w := range t.fetches {
@@ -176,7 +176,7 @@
 	}
 }
 
-// keep holds the texts of a manifest, and no others.
+// retain keeps the texts of a manifest and drops all others.
 func (t *texts) retain(m *Manifest) {
 	before := maps.Clone(t.held)
 	clear(t.held)
--- a/agreement/transcripts_test.go
+++ b/agreement/transcripts_test.go
@@ -9,8 +9,8 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// The files under testdata are read and approved by a person: what operators ask and are told, what each gateway holds,
-// when leases run out and come back, who leads. `go test ./agreement -run Transcripts -update` writes them anew.
+// The files under testdata are reviewed by a person: operators' requests and their outcomes, what each gateway
+// holds, when leases expire and return, who leads. `go test ./agreement -run Transcripts -update` regenerates them.
 func TestTranscripts(t *testing.T) {
 	tell := func(o Outcome) {}
 	cases := map[string]func(w *simulation){
@@ -98,7 +98,7 @@
 	}
 }
 
-// How long a fleet is without a leader after one is killed. Run by hand: -bench Election -benchtime 1x.
+// Time without a leader after the leader is killed. Run by hand: -bench Election -benchtime 1x.
 func BenchmarkElection(b *testing.B) {
 	var leads, all []int64
 	for seed := range uint64(300) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// What a fleet costs, and how long a change takes. Run by hand: -bench Fleet -benchtime 1x.
+// Messages per gateway, and the time that a change takes. Run by hand: -bench Fleet -benchtime 1x.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{5, 300, 1000, 2000} {
 		for _, away := range []int{0, 1, n / 5} {
@@ -138,7 +138,7 @@
 					w.run(10 * second)
 					b.ReportMetric(float64(w.sent-sent)/10/float64(n), "messages/gateway/s")
 					b.ReportMetric(float64(w.bytes-bytes)/10/float64(n), "B/gateway/s")
-					for no := range uint64(2) { // the second, as nothing contradicts the first
+					for no := range uint64(2) { // the second is the one that matters, as the first has no predecessor to contradict
 						began := w.Now
 						w.nodes[0].proposeVersion("routes", no, strings.Repeat(fmt.Sprint("text ", no), 1000), []string{"a bound"}, nil)
 						w.until(20*second, func() bool { return w.inForce("routes", no+1) == n-away })
--- a/agreement/voter.go
+++ b/agreement/voter.go
@@ -13,18 +13,18 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Parts of a lease, and sizes of the log. Sources: ours.
+// Divisors of a lease, and limits of the log.
 const (
-	electionJitterParts = 8   // of a lease: so far apart by chance voters campaign, some ways there and back
-	heartbeatsPerLease  = 8   // a leader is heard this often in a lease, so that one lost beat costs nothing
-	maxLogEntries       = 512 // after which a snapshot takes the place of the log
-	maxRaftMessageSize  = 900 // bytes of entries in a message: with its head it is one datagram
-	maxInflightMessages = 32  // messages to a voter that are not acknowledged
-	listUpdatesPerLease = 32  // a lease has room for so many changes of the list for many at once
+	electionJitterParts = 8   // campaigns of two voters are up to this fraction of a lease apart, several round trips
+	heartbeatsPerLease  = 8   // one lost heartbeat has no effect
+	maxLogEntries       = 512 // until a snapshot replaces the log
+	maxRaftMessageSize  = 900 // bytes of entries per message: with the header it fits one datagram
+	maxInflightMessages = 32  // unacknowledged messages to a voter
+	listUpdatesPerLease = 32  // batches of membership changes
 )
 
-// voter is the log of a gateway that votes, over raft's state machine. Who leads is decided by times of this package:
-// raft's own clock runs at the leader alone, for its heartbeats, so that none of raft's chance is in any decision.
+// voter runs the replicated log on raft's state machine. Leadership is decided by the deadlines of this package:
+// raft's own clock ticks only at the leader, for its heartbeats, so raft's randomness influences no decision.
 type voter struct {
 	a       *Agreement
 	node    *raft.RawNode
@@ -32,43 +32,43 @@
 	conf    raftpb.ConfState
 	state   *State
 	applied uint64
-	term    uint64 // of the last entry that was applied
+	term    uint64 // of the last applied entry
 
 	saving       bool
 	savingSince  int64       // since when the disk has not answered
-	suspended    bool        // it leads, and says nothing as its disk takes nothing
-	pendingReady *raft.Ready // that waits for the disk
-	snapshotDue  bool        // a snapshot is due
+	suspended    bool        // leads, but sends no heartbeats as its disk is stalled
+	pendingReady *raft.Ready // waits for the disk
+	snapshotDue  bool
 
-	promisedUntil      int64 // no other leader gets its vote before
+	promisedUntil      int64 // votes for no other candidate before
 	nextElection       int64
-	unknownGrantsUntil int64 // it may have granted before its start what it does not know of
-	delegatedUntil     int64 // until when it may grant, as its leader has said
+	unknownGrantsUntil int64 // leases granted before the last start are unknown until then
+	delegatedUntil     int64 // until when it may grant leases, as its leader allowed
 	grants             map[ID]leaseGrant
 
-	leader            uint64 // who leads as it knows
-	leadTerm          uint64 // the term that it leads in, 0 for none
+	leader            uint64 // known leader
+	leadTerm          uint64 // 0 if it does not lead
 	nextHeartbeat     int64
 	peers             map[ID]*peer
 	jobs              []*job
-	advanced          map[string]uint64 // versions, with their steps, that were put into the log to go on
-	jobsCheckedAt     uint64            // what was applied when it was last looked for answers to jobs
-	notKnownToAll     []uint64          // the stamps at which those came of whom not all know, of the list at seatAt
+	advanced          map[string]uint64 // versions with their steps whose advance was appended to the log
+	jobsCheckedAt     uint64            // applied index when outcomes of jobs were last checked
+	notKnownToAll     []uint64          // listing revisions of gateways that are not known to all, as of notKnownRevision
 	notKnownRevision  uint64
-	nextListUpdate    int64                      // when the list may be changed again for many at once
-	nextConfChange    int64                      // when a change of voters may be tried again
-	notifiedRevision  uint64                     // the stamp that its voters were last told of
-	manifests         map[uint64]encodedManifest // manifests by what is known, of the stamp wordedAt
+	nextListUpdate    int64                      // earliest time of the next batch of membership changes
+	nextConfChange    int64                      // earliest time of the next change of voters
+	notifiedRevision  uint64                     // revision that holders were last notified of
+	manifests         map[uint64]encodedManifest // by known revision, as of manifestsRevision
 	manifestsRevision uint64
 }
 
-// worded is a manifest that is offered.
+// encodedManifest identifies a manifest that is offered for fetching.
 type encodedManifest struct {
 	digest Digest
 	size   int
 }
 
-// news offers who knows what was agreed on up to a stamp what came since. Most know the same, so it is worded once.
+// changesSince offers the changes after a known revision. Most gateways know the same one, so each is encoded once.
 func (v *voter) changesSince(known uint64) encodedManifest {
 	if v.manifestsRevision != v.state.Revision {
 		v.manifestsRevision, v.manifests = v.state.Revision, map[uint64]encodedManifest{}
@@ -84,14 +84,14 @@
 
 // peer is another voter as the leader knows it.
 type peer struct {
-	ackedAt                       int64       // when the latest beat was sent that it has promised by
-	promisedAt                    int64       // its time of that promise
-	epoch                         uint64      // the start that this was in
-	knownRevision, healthyVersion uint64      // what all know, and the latest version that is well with all that try one, to whom it grants
-	grants                        []sentGrant // what it may still grant by
+	ackedAt                       int64       // send time of the latest heartbeat that it answered
+	promisedAt                    int64       // time of that answer by its clock
+	epoch                         uint64      // start that promisedAt belongs to
+	knownRevision, healthyVersion uint64      // minimum over the gateways that it granted leases
+	grants                        []sentGrant // grants that it may still issue by
 }
 
-// sent is that a voter was told that it may grant until a time, if it knows a stamp.
+// sentGrant records that a voter may grant leases until a time, to gateways that know a revision.
 type sentGrant struct {
 	revision uint64
 	until    int64
@@ -113,7 +113,7 @@
 	return v, err
 }
 
-// foundVoter begins a log with one voter, by a snapshot that holds nothing but the list with it.
+// bootstrapVoter starts a log with one voter, from a snapshot that lists only this gateway.
 func bootstrapVoter(a *Agreement, self Gateway) (*voter, error) {
 	b := newState()
 	self.ListedAt, self.KnownToAll = 1, true
@@ -128,7 +128,7 @@
 	return v, err
 }
 
-// emptyVoter has nothing, and takes what its leader sends it.
+// emptyVoter has no log and accepts what its leader sends.
 func emptyVoter(a *Agreement) (*voter, error) {
 	v, err := newVoter(a, raft.NewMemoryStorage(), 0)
 	if err == nil {
@@ -150,14 +150,14 @@
 		case recordState:
 			state.Reset()
 			err = state.Unmarshal(r[1:])
-		case recordSnapshot: // what of entries still holds is told again behind it
-			snapshot.Reset() // else lists would be read behind those of the one before
+		case recordSnapshot: // entries that still count are recorded again after a snapshot
+			snapshot.Reset() // Unmarshal would append lists to those of the former snapshot
 			err = snapshot.Unmarshal(r[1:])
 			entries, state = nil, raftpb.HardState{}
 		case recordEntry:
 			var e raftpb.Entry
 			if err = e.Unmarshal(r[1:]); err == nil {
-				// An entry takes the place of what stood there, and ends the log.
+				// An entry replaces the one at its index and all after it.
 				entries = append(slices.DeleteFunc(entries, func(x raftpb.Entry) bool { return x.Index >= e.Index }), e)
 			}
 		default:
@@ -188,7 +188,7 @@
 	return v, v.install(snapshot)
 }
 
-// install takes a snapshot as what was applied.
+// install replaces the applied state by a snapshot.
 func (v *voter) install(s raftpb.Snapshot) error {
 	if s.Metadata.Index == 0 {
 		return nil
@@ -204,7 +204,7 @@
 func (b *State) encode() []byte {
 	text, err := json.Marshal(b)
 	if err != nil {
-		panic(err) // it holds nothing that has no JSON
+		panic(err) // the type has no value that JSON can't encode
 	}
 	return text
 }
@@ -217,20 +217,20 @@
 	return b, nil
 }
 
-// starts: what it promised and granted before is forgotten, so it waits until that is over.
+// initTimers waits out the promises and grants made before the start, as they are not stored.
 func (v *voter) initTimers(now int64) {
 	v.promisedUntil = now + v.a.config.MaxDivergence()
 	v.unknownGrantsUntil = v.promisedUntil
 	v.nextElection = v.promisedUntil + v.a.jitter(v.a.config.Lease/electionJitterParts)
 }
 
-// steps takes a message of the log's protocol.
+// handleRaft handles a Raft message.
 func (a *Agreement) handleRaft(m *Message) {
 	var r raftpb.Message
 	if err := r.Unmarshal(m.Data); err != nil || ID(r.From) != m.From || ID(r.To) != a.config.Self {
 		return
 	}
-	if a.voter == nil { // it was made a voter, and has not heard
+	if a.voter == nil { // it was made a voter and does not know yet
 		if r.Type != raftpb.MsgApp && r.Type != raftpb.MsgHeartbeat && r.Type != raftpb.MsgSnap || a.holder.ownEntry() == nil {
 			return
 		}
@@ -242,22 +242,22 @@
 		a.voter = v
 	}
 	v := a.voter
-	// Who has promised votes for nobody else, nor does who leads by a promise: so no leader is elected while another's
-	// leases last.
+	// A voter that has promised votes for no other candidate, and neither does a leader while its promises last: so no
+	// leader is elected while leases of another one last.
 	if (r.Type == raftpb.MsgVote || r.Type == raftpb.MsgPreVote) && a.now < max(v.promisedUntil, v.leaderUntil()+a.config.MaxDivergence()-a.config.Lease) {
 		return
 	}
-	if r.Type == raftpb.MsgSnap { // its text comes by pages
+	if r.Type == raftpb.MsgSnap { // the data of a snapshot is fetched in pages
 		text := a.texts.getOrFetch(m.From, m.Digest, m.Size)
 		if text == nil {
-			return // it is sent again
+			return // raft sends the snapshot again
 		}
 		r.Snapshot.Data = text
 	}
-	_ = v.node.Step(r) // what it does not want is dropped
+	_ = v.node.Step(r) // raft ignores messages that do not apply
 }
 
-// round moves the log on and does what is due.
+// round advances the log and does what is due.
 func (v *voter) round() {
 	v.trackLeadership()
 	if v.leadTerm == 0 && v.a.now >= v.nextElection && v.isVoter() {
@@ -282,16 +282,17 @@
 	v.notifyHolders()
 }
 
-// stuck tells that its disk has taken nothing for the time of a lease. A leader whose disk is full agrees on nothing, as it
-// sends nothing that it could not keep; but its beats need no disk, and by them nobody else would ever lead.
+// diskStalled reports that the disk has not answered for a whole lease. A leader with a full disk commits nothing,
+// as it sends nothing that it can't store; but heartbeats need no disk, and as long as they arrive no other voter
+// would take over.
 func (v *voter) diskStalled() bool { return v.saving && v.a.now-v.savingSince > v.a.config.Lease }
 
 func (v *voter) isVoter() bool { return slices.Contains(v.conf.Voters, uint64(v.a.config.Self)) }
 
-// turnsLeader notes when it begins or ceases to lead.
+// trackLeadership detects that this voter starts or stops leading.
 func (v *voter) trackLeadership() {
 	st := v.node.BasicStatus()
-	if st.Lead != v.leader { // a new one is given the time of a few beats: the first may have come before it was known
+	if st.Lead != v.leader { // a new leader gets the time of a few heartbeats: the first may have arrived before it was known
 		if v.leader = st.Lead; st.Lead != 0 {
 			v.nextElection = max(v.nextElection, v.a.now+v.a.config.Lease/renewalsPerLease+v.a.jitter(v.a.config.Lease/electionJitterParts))
 		}
@@ -300,13 +301,13 @@
 	case leads && v.leadTerm != st.Term:
 		v.leadTerm, v.nextHeartbeat, v.nextConfChange, v.notifiedRevision = st.Term, v.a.now, 0, 0
 		v.advanced, v.jobs, v.nextListUpdate, v.notKnownRevision = map[string]uint64{}, nil, 0, 0
-		for _, p := range v.peers { // what was sent before may still be granted by
+		for _, p := range v.peers { // grants sent in an earlier term may still be in use
 			*p = peer{grants: p.grants}
 		}
 		v.a.log("leads the fleet's log, term %d", st.Term)
 	case !leads && v.leadTerm != 0:
 		v.nextElection = v.a.now + v.a.jitter(v.a.config.Lease/electionJitterParts)
-		if v.leaderUntil() != 0 { // it let others act; one that two took at once did not
+		if v.leaderUntil() != 0 { // only if it delegated; two candidates of one term did not
 			v.nextElection += v.a.config.MaxDivergence()
 		}
 		v.leadTerm = 0
@@ -314,7 +315,7 @@
 	}
 }
 
-// take has a part of the log saved, and then sent and applied.
+// handleReady stores raft's output, then sends and applies it.
 func (v *voter) handleReady(rd raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := v.storage.ApplySnapshot(rd.Snapshot); err != nil {
@@ -349,7 +350,7 @@
 	}
 }
 
-// carryOut sends and applies what was saved.
+// applyReady sends and applies what has been stored.
 func (v *voter) applyReady() {
 	rd := v.pendingReady
 	if rd == nil {
@@ -371,12 +372,12 @@
 
 func (v *voter) sendRaft(r *raftpb.Message) {
 	m := Message{Kind: Raft, To: ID(r.To)}
-	if r.Type == raftpb.MsgSnap { // its text is fetched by pages; what is sent says which
+	if r.Type == raftpb.MsgSnap { // the message names the data of the snapshot, which is fetched in pages
 		s := *r.Snapshot
 		m.Digest, m.Size = v.a.texts.offer(s.Data), len(s.Data)
 		s.Data = nil
 		r.Snapshot = &s
-		defer v.node.ReportSnapshot(r.To, raft.SnapshotFinish) // a lost one is found out by the next probe
+		defer v.node.ReportSnapshot(r.To, raft.SnapshotFinish) // raft's next probe detects a lost one
 	}
 	var err error
 	if m.Data, err = r.Marshal(); err == nil {
@@ -391,7 +392,7 @@
 		var cc raftpb.ConfChange
 		if cc.Unmarshal(e.Data) == nil {
 			v.conf = *v.node.ApplyConfChange(cc)
-			v.snapshotDue = true // who is new takes no snapshot that does not name it
+			v.snapshotDue = true // a new voter needs a snapshot that lists it
 		}
 	case raftpb.EntryNormal:
 		var x entry
@@ -409,7 +410,7 @@
 	}
 }
 
-// compacted puts a snapshot in the place of the log so far.
+// createSnapshot replaces the log up to the applied index by a snapshot.
 func (v *voter) createSnapshot() {
 	if _, err := v.storage.CreateSnapshot(v.applied, &v.conf, v.state.encode()); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 		v.a.log("no snapshot: %v", err)
@@ -422,7 +423,7 @@
 	v.a.decisions = append(v.a.decisions, Decision{Kind: Save, Records: v.records(), ReplaceAll: true})
 }
 
-// records are all that a start needs.
+// records returns everything that a restart needs.
 func (v *voter) records() [][]byte {
 	s, _ := v.storage.Snapshot()
 	state, _, _ := v.storage.InitialState()
@@ -457,7 +458,8 @@
 	return all
 }
 
-// Records are all that New needs, in the place of all that Save gave so far; none for a gateway that does not vote.
+// Records returns everything that New needs, replacing all that Save gave so far; none for a gateway that does not
+// vote.
 func (a *Agreement) Records() [][]byte {
 	if a.voter == nil {
 		return nil
@@ -465,16 +467,16 @@
 	return a.voter.records()
 }
 
-// leading tells that it leads and has applied all that was agreed on before.
+// isLeading reports whether it leads and has applied all entries of earlier terms.
 func (v *voter) isLeading() bool { return v.leadTerm != 0 && v.term == v.leadTerm }
 
-// propose puts an entry into the log.
+// propose appends an entry to the log.
 func (v *voter) propose(e entry) bool {
 	text, err := json.Marshal(e)
 	return err == nil && v.node.Propose(text) == nil
 }
 
-// others are the other voters, those that only learn too, in order.
+// others returns the other voters and learners in order.
 func (v *voter) others() (ids []ID) {
 	for _, id := range append(slices.Clone(v.conf.Voters), v.conf.Learners...) {
 		if ID(id) != v.a.config.Self {
@@ -505,5 +507,5 @@
 	return v.nextElection
 }
 
-// peersInOrder gives all voters that it ever told that they may grant.
+// peersInOrder returns all voters that were ever allowed to grant leases.
 func (v *voter) peersInOrder() []ID { return slices.Sorted(maps.Keys(v.peers)) }
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -6,40 +6,40 @@
 	"slices"
 )
 
-// Health is the value that was served in time as a share of what was asked for, over slots of time, for all txns and for
-// each route. Before a change its mean and spread are followed; after it each slot's shortfall, in spreads, is
-// added up as a CUSUM does (Page 1954): drops that noise explains drain away, a lasting one adds up, and a deep
-// one is told within a slot or two. Slots that were disturbed from outside are left out, and so are those in which
-// much more was asked for than before, while no less is served.
+// Health is the value served in time as a fraction of the value requested, per time slot, for all txns and for each
+// route. Before a change its mean and standard deviation are tracked. After the change the shortfall of each slot,
+// in standard deviations, is summed as a CUSUM (Page 1954): drops that noise explains decay, a lasting one adds up,
+// and a deep one is detected within a slot or two. Slots disturbed from outside are skipped, and so are those in
+// which much more is requested than before while no less is served.
 const (
-	slotDuration                 = int64(500e6) // long against a txn, short against the time to undo
-	cusumSlack                   = 0.75         // spreads that a slot may fall short of the mean without counting
-	cusumLimit                   = 10.0         // sum of what counts that is no noise; more by the logarithm of how many series there are
-	maxBaselineSlots             = 120          // slots that the time before remembers
-	minBaselineSlots             = 10           // slots that make a time before
-	minSlotTxns                  = 20           // in a slot: with fewer it goes on into the next
-	maxAutocorrelation           = 0.9          // of a slot that the next may be taken to keep
+	slotDuration                 = int64(500e6) // long compared to a txn, short compared to the time to undo a change
+	cusumSlack                   = 0.75         // standard deviations by which a slot may fall short of the mean without counting
+	cusumLimit                   = 10.0         // CUSUM that noise does not reach; the logarithm of the number of series is added
+	maxBaselineSlots             = 120          // slots that the baseline remembers
+	minBaselineSlots             = 10           // slots that make a baseline
+	minSlotTxns                  = 20           // a slot with fewer txns is merged into the next one
+	maxAutocorrelation           = 0.9          // upper bound of the estimate
 	minStdDev                    = 0.005        // of a series that never varies
-	maxDeviation                 = 6.0          // a slot counts for no more than this many spreads: one alone proves nothing
-	demandJumpFactor             = 1.5          // times as much asked for as before is a jump
-	minServedRatio               = 0.8          // part of what was served before that is as much
-	slotsSkippedAfterDisturbance = 2            // slots after a disturbance that are left out with it
+	maxDeviation                 = 6.0          // upper bound of a slot's shortfall in standard deviations: one slot alone proves nothing
+	demandJumpFactor             = 1.5          // ratio to the baseline's demand from which a slot is a jump of traffic
+	minServedRatio               = 0.8          // ratio to the value served in the baseline that counts as no less
+	slotsSkippedAfterDisturbance = 2
 )
 
-// series is the health of all txns, or of a route.
+// series is the health of all txns or of one route.
 type series struct {
-	requested, served             float64 // of the slot that is under way
+	requested, served             float64 // in the current slot
 	txns                          int
-	mean, variance                float64 // of the time before, and the square of the spread
-	lastDeviation, autocovariance float64 // the latest slot's distance from the mean; how slots go with the one before
-	demand                        float64 // worth that is asked for in a slot
+	mean, variance                float64 // of the baseline
+	lastDeviation, autocovariance float64 // distance of the latest slot from the mean; covariance of successive slots
+	demand                        float64 // value requested per slot
 	baselineSlots                 float64
-	cusum                         float64 // CUSUM of the time after
-	watchedServed                 float64 // what was got and asked for after
+	cusum                         float64 // since the change
+	watchedServed                 float64 // since the change, like watchedRequested
 	watchedRequested              float64
 }
 
-// verdict is what the time after shows.
+// verdict is the result since the change.
 type verdict struct {
 	worse bool
 	text  string
@@ -47,12 +47,12 @@
 
 type healthMonitor struct {
 	now         int64
-	slotEnd     int64 // of the slot under way
+	slotEnd     int64 // of the current slot
 	all         series
 	routes      map[int32]*series
 	order       []int32
 	watching    bool
-	slotsToSkip int // slots that are left out yet
+	slotsToSkip int // slots that are still to be skipped
 	judged      int64
 	worst       verdict
 	anyTxn      bool
@@ -64,7 +64,7 @@
 		j.slotEnd = now + slotDuration
 	}
 	for n := 0; now >= j.slotEnd; n++ {
-		if n > 4 { // nobody called for long: what lies between is not known
+		if n > 4 { // no call for long: what happened in between is unknown
 			j.slotEnd = now + slotDuration
 			return
 		}
@@ -100,7 +100,7 @@
 
 func (j *healthMonitor) disturb() { j.slotsToSkip = 1 + slotsSkippedAfterDisturbance }
 
-// close ends a slot.
+// closeSlot ends the current slot.
 func (j *healthMonitor) closeSlot() {
 	if j.slotsToSkip > 0 {
 		j.slotsToSkip--
@@ -110,7 +110,8 @@
 		}
 		return
 	}
-	// Clients that fail at once ask more often: a jump counts as one from outside only while as much is served as before.
+	// Clients whose requests fail at once retry more often: a jump counts as one from outside only while as much is
+	// served as before.
 	usual := j.all.demand
 	if j.watching && j.all.baselineSlots >= minBaselineSlots && j.all.requested > demandJumpFactor*usual && j.all.served >= minServedRatio*j.all.mean*usual {
 		j.all.resetSlot()
@@ -139,7 +140,7 @@
 
 func (j *healthMonitor) closeSeries(s *series, name string, bound float64) {
 	if s.txns < minSlotTxns {
-		return // it goes on into the next slot
+		return // merged into the next slot
 	}
 	share := 0.0
 	if s.requested > 0 {
@@ -159,7 +160,7 @@
 	s.resetSlot()
 }
 
-// learn follows mean and spread, with a weight that is even at first and fades later.
+// learn updates mean and variance, with equal weights at first and exponential decay later.
 func (s *series) learn(share float64) {
 	s.baselineSlots++
 	weight := 1 / min(s.baselineSlots, maxBaselineSlots)
@@ -171,9 +172,9 @@
 	s.demand += weight * (s.requested - s.demand)
 }
 
-// spread is that of a slot's share. Noise that lasts from slot to slot adds up like a lasting drop: for a series of
-// which each slot keeps a part of the one before, sums spread by the root of (1+part)/(1-part) more. Neither is known
-// well from few slots.
+// stdDev is the standard deviation of a slot's health. Noise that is correlated between slots adds up like a lasting
+// drop: with autocorrelation r, sums deviate more by the root of (1+r)/(1-r). With few slots both estimates are
+// uncertain, which widens the result.
 func (s *series) stdDev() float64 {
 	few := 1 / math.Sqrt(s.baselineSlots)
 	part := 0.0
@@ -192,7 +193,7 @@
 }
 
 func (s *series) begin() {
-	s.resetSlot() // the slot is half before, half after
+	s.resetSlot() // the slot spans the change
 	s.cusum, s.watchedServed, s.watchedRequested = 0, 0, 0
 }
 
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,43 +1,43 @@
-// Package rollout decides when a change of configuration is applied, kept and undone. A change is proposed once it has
-// been checked; it is applied to all routing at one instant, watched for a span against the time before, and kept or
-// undone.
+// Package rollout decides when a change of configuration is applied, kept and undone. A change is proposed once it
+// has been checked; it is applied to all routing at one instant, its health is compared to the time before for a
+// watch period, and it is kept or undone.
 //
-// It is called as the module in decide: New once, Clock at each round, then inputs, then Next until there is no more. It
-// does no input or output, reads no clock and starts no goroutine. judge.go has how health is judged.
+// It is driven like the module in package decide: New once, Clock in each round, then inputs, then Next until no
+// decision is left. It does no I/O, reads no clock and starts no goroutine. judge.go measures health.
 package rollout
 
 import (
 	"fmt"
 )
 
-// Generation names a configuration. 0 is what the gateway has without a document.
+// Generation identifies a configuration. 0 is the gateway's configuration without a document.
 type Generation uint64
 
-// Stage is where a change is.
+// Stage is the state of the current change.
 type Stage uint8
 
 const (
 	Settled Stage = iota // the generation in force is kept, and there is no change
 	Staged               // a change waits to be applied
-	Watched              // a change is in force, and may be undone
+	Watched              // a change is in force and may be undone
 )
 
-// String words a stage.
+// String returns the name of a stage.
 func (s Stage) String() string { return [...]string{"settled", "staged", "watched"}[s] }
 
-// Kind is what a decision asks of the host.
+// Kind is what the host has to do.
 type Kind uint8
 
 const (
-	Apply Kind = iota // put Generation in force for all that arrives from now on
-	Undo              // the same, with the one before: what it changed ends
+	Apply Kind = iota // put Generation in force for everything that arrives from now on
+	Undo              // put the former Generation in force again; the effects of the change end
 	Keep              // Generation is the one to start with from now on
-	Save              // what State says is to outlive the process
-	Wake              // a round After this span
-	Log               // Text
+	Save              // persist State
+	Wake              // run another round After this many nanoseconds
+	Log               // log Text
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host.
 type Decision struct {
 	Kind       Kind
 	Generation Generation
@@ -45,7 +45,7 @@
 	Text       string
 }
 
-// Why a change ended, or was not begun.
+// Reason is why a change ended or was not applied.
 type Reason string
 
 const (
@@ -59,50 +59,50 @@
 	UndoneBefore Reason = "it was undone before"
 )
 
-// Ended is a change that is over.
+// FinishedChange is a change that was kept, undone or replaced.
 type FinishedChange struct {
 	Generation Generation
 	Digest     uint64
 	Kept       bool
 	Why        Reason
 	At         int64
-	Text       string // figures
+	Text       string // measured health
 }
 
 // Change is a proposed generation.
 type Change struct {
 	Generation Generation
-	Digest     uint64 // of what it says: the same text has the same
-	Watch      int64  // for how long it may be undone by itself; 0 keeps it at once
-	Again      bool   // also if it was undone before
+	Digest     uint64 // of its content: equal texts have equal digests
+	Watch      int64  // nanoseconds for which it may be undone automatically; 0 keeps it at once
+	Again      bool   // accept it even if it was undone before
 }
 
-// State is what outlives a process.
+// State is what survives a restart.
 type State struct {
 	Kept     Generation
 	Watching Generation // 0 is none
-	Digest   uint64     // of the one that is watched
-	Crashes  int        // ends of the process under watched changes, in a row
+	Digest   uint64     // of the watched change
+	Crashes  int        // consecutive ends of the process under a watched change
 	Undone   []uint64   // digests, latest last
 }
 
-// UsualWatch is how long a change is watched that does not say. Ours: most drops are told within a tenth of it.
+// DefaultWatch is the watch period of a change that names none. Most drops are detected within a tenth of it.
 const DefaultWatch = int64(30e9)
 
-// Spans and counts. Sources: ours, by the tests in rollout_test.go.
+// Limits of a watch and of the history; rollout_test.go covers them.
 const (
-	maxWatchFactor    = 3  // a watch that is disturbed lasts this many times as long at the most
-	maxUndone         = 64 // digests that are remembered
+	maxWatchFactor    = 3  // a disturbed watch lasts at most this many times its period
+	maxUndone         = 64 // digests
 	maxFinished       = 100
-	minJudgedFraction = 0.5 // part of a watch that must have been judged for a change to be kept
+	minJudgedFraction = 0.5 // of the watch period that must have been measured for a change to be kept
 )
 
-// Rollout is one instance.
+// Rollout is the state of one gateway's changes.
 type Rollout struct {
 	now       int64
 	stage     Stage
 	kept      Generation
-	change    Change // that is watched
+	change    Change // watched
 	startedAt int64
 	staged    *Change
 	judge     healthMonitor
@@ -113,8 +113,8 @@
 	wakeAt    int64
 }
 
-// New begins with what the last run left. A change that was watched when it ended is not in force: the last kept one
-// is, and the change counts as undone.
+// New restores what the last run saved. A change that was watched when the process ended is not in force: the last
+// kept one is, and the change counts as undone.
 func New(s State) *Rollout {
 	r := &Rollout{kept: s.Kept, undone: s.Undone, crashes: s.Crashes}
 	if s.Watching != 0 {
@@ -126,7 +126,7 @@
 	return r
 }
 
-// State is what is to outlive the process.
+// State returns what has to survive a restart.
 func (r *Rollout) State() State {
 	s := State{Kept: r.kept, Crashes: r.crashes, Undone: r.undone}
 	if r.stage == Watched {
@@ -135,13 +135,14 @@
 	return s
 }
 
-// Clock begins a round.
+// Clock starts a round.
 func (r *Rollout) Clock(now int64) {
 	r.now = now
 	r.judge.clock(now)
 }
 
-// Propose takes a checked change. One that was undone before is refused unless it says so; a staged one makes way.
+// Propose stages a checked change, replacing a staged one. A change that was undone before is refused unless Again
+// is set.
 func (r *Rollout) Propose(c Change) error {
 	if !c.Again {
 		for _, d := range r.undone {
@@ -157,10 +158,10 @@
 	return nil
 }
 
-// KeepNow keeps the watched change by hand.
+// KeepNow keeps the watched change on an operator's request.
 func (r *Rollout) KeepNow() error { return r.KeepWithReason(ByHand) }
 
-// KeepBy keeps it for another reason.
+// KeepWithReason keeps the watched change for a given reason.
 func (r *Rollout) KeepWithReason(why Reason) error {
 	if r.stage != Watched {
 		return fmt.Errorf("no change is watched")
@@ -169,7 +170,7 @@
 	return nil
 }
 
-// UndoNow undoes the watched change by hand, or drops the staged one.
+// UndoNow undoes the watched change, or drops the staged one, on an operator's request.
 func (r *Rollout) UndoNow() error {
 	switch {
 	case r.stage == Watched:
@@ -183,14 +184,14 @@
 	return nil
 }
 
-// Served takes a txn's end: its route, what it was worth, and how much of that it was served for.
+// RecordTxn records a finished txn: its route, its value and the value that was served.
 func (r *Rollout) RecordTxn(route int32, worth, served float64) { r.judge.add(route, worth, served) }
 
-// Disturbed tells that something happened from outside that no change is responsible for: a member went, came or
-// restarted. Health is not judged by the time around it.
+// ReportDisturbance reports an external event that no change is responsible for, such as a member that left, joined
+// or restarted. Health is not measured around it.
 func (r *Rollout) ReportDisturbance() { r.judge.disturb() }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns the next decision of this round; ok is false if none is left.
 func (r *Rollout) Next() (Decision, bool) {
 	r.step()
 	if len(r.out) > 0 {
@@ -214,7 +215,7 @@
 		} else if watch >= r.change.Watch && float64(judged) >= minJudgedFraction*float64(r.change.Watch) {
 			r.keep(ByWatch)
 		} else if watch >= maxWatchFactor*r.change.Watch {
-			if r.judge.idle() { // nothing came: there is nothing to judge, and nobody was harmed
+			if r.judge.idle() { // no traffic: there is nothing to measure, and nobody was harmed
 				r.keep(ByWatch)
 			} else {
 				r.undo(NotJudged, "")
@@ -235,7 +236,7 @@
 		r.keep(ByHand)
 		return
 	}
-	// What is saved comes first: a process that ends under a change must know of it.
+	// Save comes before Apply: a process that ends under a change must find it at the next start.
 	r.out = append(r.out, Decision{Kind: Save}, Decision{Kind: Apply, Generation: c.Generation})
 	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.Watch/1e6, r.judge.describeBaseline())
 }
@@ -270,19 +271,19 @@
 	}
 }
 
-// Status is where things stand.
+// Status is a snapshot of the rollout for display.
 type Status struct {
 	Stage    Stage
 	InForce  Generation
 	Kept     Generation
 	Staged   Generation
-	Left     int64 // nanoseconds of a watch, if it is not disturbed
+	Left     int64 // nanoseconds left of the watch if it is not disturbed
 	Health   string
 	Crashes  int
 	Finished []FinishedChange
 }
 
-// Status tells it.
+// Status returns the current status.
 func (r *Rollout) Status() Status {
 	s := Status{Stage: r.stage, InForce: r.kept, Kept: r.kept, Crashes: r.crashes, Finished: r.finished, Health: r.judge.describeBaseline()}
 	if r.stage == Watched {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -12,14 +12,14 @@
 
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// day drives one instance with traffic.
+// scenario drives one Rollout with traffic.
 type scenario struct {
 	r       *Rollout
 	now     int64
 	rng     *rand.Rand
-	rate    float64 // txns a slot
+	rate    float64 // txns per slot
 	health  float64
-	drift   float64 // that noise has added, slot after slot
+	drift   float64 // accumulated noise, correlated between slots
 	noise   float64
 	inForce Generation
 	kept    Generation
@@ -54,7 +54,7 @@
 	}
 }
 
-// run plays so many slots, with each txn on one of three routes; bad is taken off the health of route 1.
+// run plays a number of slots, each txn on one of three routes; bad is subtracted from the health of route 1.
 func (d *scenario) run(slots int, bad float64) {
 	for range slots {
 		d.drift = 0.7*d.drift + d.noise*d.rng.NormFloat64()
@@ -102,8 +102,8 @@
 	// 1 1 generation 2 is not applied: it was undone before; apply it with --again
 }
 
-// The process ends while a change is watched: the last kept one is in force, and the change is not tried again by
-// itself.
+// The process ends while a change is watched: the last kept one is in force, and the change is not applied again
+// automatically.
 func Example_crash() {
 	d := newScenario(1)
 	d.run(40, 0)
@@ -121,7 +121,8 @@
 	// {Kept:1 Watching:0 Digest:0 Crashes:1 Undone:[62]}
 }
 
-// By hand: a newer change waits while one is watched, takes the place of a staged one, and each can be kept or undone.
+// Operator requests: a newer change waits while one is watched and replaces a staged one, and each can be kept or
+// undone.
 func Example_byHand() {
 	d := newScenario(1)
 	fmt.Println(d.r.KeepNow(), d.r.UndoNow())
@@ -151,8 +152,8 @@
 	// 3 false by hand
 }
 
-// What comes from outside is not held against a change: a member's crash and a jump of traffic make no undo, though
-// they cost as much as a bad change; a change that could not be judged at all is undone.
+// External events are not attributed to a change: a member's crash and a jump of traffic cause no undo, though they
+// cost as much as a bad change. A change that could not be measured at all is undone.
 func Example_disturbed() {
 	for _, c := range []string{"crash", "jump", "always"} {
 		d := newScenario(2)
@@ -185,7 +186,7 @@
 	// always 0 generation 1: undone after 90000 ms, its watch went by without a quiet moment to judge it by; 0 is in force again
 }
 
-// A change whose txns fail at once is asked for more often: that is no jump of traffic from outside.
+// Clients retry a change whose txns fail at once: that must not be taken for an external jump of traffic.
 func Example_retryStorm() {
 	d := newScenario(3)
 	d.run(40, 0)
@@ -198,8 +199,8 @@
 	// 0 generation 1: undone after 1500 ms, health worsened; 0 is in force again: all served 0.046 of its worth, 0.951 before, spread 0.016
 }
 
-// Noise alone hardly ever undoes: at most 2 in 200 runs, with noise that lasts from slot to slot; a real drop is
-// undone, the sooner the deeper.
+// Noise alone undoes at most 2 of 200 changes, even if it is correlated between slots; a real drop is undone, the
+// deeper the sooner.
 func TestFalseUndosAndTimeToUndo(t *testing.T) {
 	for _, noise := range []float64{0, 0.01, 0.03} {
 		false_ := 0
@@ -244,8 +245,8 @@
 	}
 }
 
-// For any order of events: what is in force is the kept one or the one that is watched; what a restart would find is
-// the kept one; nothing that was undone is in force again unless it was asked for.
+// For any order of events: the kept or the watched generation is in force; a restart finds the kept one; and no
+// generation that was undone is in force again unless it was requested.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newScenario(uint64(rapid.IntRange(0, 99).Draw(t, "seed")))
@@ -291,7 +292,7 @@
 	})
 }
 
-// Noise that lasts has a wider spread than noise that does not, and few slots a wider one than many.
+// Correlated noise has a larger standard deviation than uncorrelated noise, and few slots a larger one than many.
 func TestSpreadIsCareful(t *testing.T) {
 	spread := func(slots int, part float64) float64 {
 		rng := rand.New(rand.NewPCG(5, 5))
@@ -309,11 +310,11 @@
 	}
 }
 
-// A process that ends at any single point of a change, between any two decisions, starts with the last kept one as it was
-// last saved; what was watched then is not applied again by itself; and no change is in force that a restart would not
-// know of.
+// A process that ends between any two decisions of a change starts with the last kept generation that was saved;
+// what was watched then is not applied again automatically; and no change is in force that a restart would not know
+// of.
 func TestEndsAtEachPoint(t *testing.T) {
-	// Each script proposes 1, which is kept at once, then 2 with what becomes of it.
+	// Each script proposes 1, which is kept at once, then 2 with its outcome.
 	scripts := map[string]func(r *Rollout){
 		"kept by hand":   func(r *Rollout) { _ = r.KeepNow() },
 		"undone by hand": func(r *Rollout) { _ = r.UndoNow() },
@@ -325,7 +326,7 @@
 	for name, script := range scripts {
 		for stop := 0; ; stop++ {
 			r, n := New(State{}), 0
-			var saved State // what is on the disk
+			var saved State // on the disk
 			var inForce Generation
 			ended := false
 			pull := func() {
@@ -334,7 +335,7 @@
 					if !ok {
 						return
 					}
-					if ended = n == stop; ended { // before this one is carried out
+					if ended = n == stop; ended { // before this decision is carried out
 						return
 					}
 					n++
