--- a/agreement/agreement.go
+++ b/agreement/agreement.go
@@ -49,13 +49,13 @@
 func (t *Config) Validate() error {
 	switch {
 	case t.Self == 0:
-		return errors.New("agreement: self is lacking")
+		return errors.New("agreement: self is not set")
 	case t.Lease < 100e6:
 		return errors.New("agreement: lease is shorter than 100ms")
 	case t.ClockError <= 0 || t.EffectDelay <= 0:
-		return errors.New("agreement: clock_error and turn are above 0")
+		return errors.New("agreement: clock_error and turn must be above 0")
 	case t.PageSize < 64 || t.PageSize > 512:
-		return errors.New("agreement: page is from 64 to 512 bytes")
+		return errors.New("agreement: page must be from 64 to 512 bytes")
 	}
 	return nil
 }
@@ -137,14 +137,14 @@
 }
 
 // New restores a gateway from its saved records. A gateway that does not vote, or never did, has none.
-func New(t Config, records [][]byte) (*Agreement, error) {
-	if err := t.Validate(); err != nil {
+func New(config Config, records [][]byte) (*Agreement, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	a := &Agreement{config: t, rng: rand.New(rand.NewPCG(t.Seed, uint64(t.Self))), lastProposalNo: t.Epoch}
+	a := &Agreement{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self))), lastProposalNo: config.Epoch}
 	a.texts.a, a.holder.a = a, a
 	a.texts.held = map[Digest][]byte{}
-	a.holder.voters = t.Seeds
+	a.holder.voters = config.Seeds
 	if len(records) > 0 {
 		v, err := restoreVoter(a, records)
 		if err != nil {
@@ -159,7 +159,7 @@
 // fleet; a start must not, as a gateway that lost its disk would create a second fleet beside the first.
 func (a *Agreement) Bootstrap(self Gateway) error {
 	if a.voter != nil {
-		return errors.New("this gateway votes already")
+		return errors.New("this gateway is already a voter")
 	}
 	self.ID, self.Vote = a.config.Self, true
 	v, err := bootstrapVoter(a, self)
@@ -274,9 +274,9 @@
 	a.decisions = append(a.decisions, Decision{Kind: Send, Message: m})
 }
 
-func (a *Agreement) log(format string, x ...any) {
-	a.decisions = append(a.decisions, Decision{Kind: Log, Text: fmt.Sprintf(format, x...)})
+func (a *Agreement) log(format string, args ...any) {
+	a.decisions = append(a.decisions, Decision{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-// jitter returns a random duration below max.
-func (a *Agreement) jitter(span int64) int64 { return int64(a.rng.Float64() * float64(span)) }
+// jitter returns a random duration below limit.
+func (a *Agreement) jitter(limit int64) int64 { return int64(a.rng.Float64() * float64(limit)) }
--- a/agreement/asks.go
+++ b/agreement/asks.go
@@ -18,12 +18,12 @@
 
 // pendingProposal is a proposal of this gateway without an outcome yet.
 type pendingProposal struct {
-	no      uint64
-	data    []byte
-	text    []byte
-	retryAt int64
-	until   int64
-	why     string // why it has to wait
+	no         uint64
+	data       []byte
+	text       []byte
+	retryAt    int64
+	until      int64
+	waitReason string // why it has to wait
 }
 
 // proposeMessage is the payload of a Propose message.
@@ -41,24 +41,24 @@
 // Propose proposes a change to the fleet. Its outcome is an Answer decision with the returned number, after patience
 // at the latest: then it is unknown whether the change was made, and proposing it again is a new proposal. text is
 // the text of the proposal's version.
-func (a *Agreement) Propose(w Proposal, text []byte, patience int64) (no uint64, err error) {
+func (a *Agreement) Propose(p Proposal, text []byte, timeout int64) (no uint64, err error) {
 	if len(a.pending) >= maxPendingProposals {
-		return 0, errors.New("too much is asked for at a time")
+		return 0, errors.New("too many proposals are under way")
 	}
-	if w.Version != nil {
+	if p.Version != nil {
 		if len(text) == 0 || len(text) > MaxTextSize {
 			return 0, errors.New("a text has from 1 to 262144 bytes")
 		}
-		v := *w.Version
+		v := *p.Version
 		v.Digest, v.Size, v.Proposer = DigestOf(text), len(text), a.config.Self
-		w.Version = &v
+		p.Version = &v
 	}
 	a.lastProposalNo++
-	data, err := json.Marshal(proposeMessage{proposalRecord{a.config.Self, a.lastProposalNo, w}})
+	data, err := json.Marshal(proposeMessage{proposalRecord{a.config.Self, a.lastProposalNo, p}})
 	if err != nil {
 		return 0, err
 	}
-	a.pending = append(a.pending, &pendingProposal{no: a.lastProposalNo, data: data, text: text, retryAt: a.now, until: a.now + patience})
+	a.pending = append(a.pending, &pendingProposal{no: a.lastProposalNo, data: data, text: text, retryAt: a.now, until: a.now + timeout})
 	return a.lastProposalNo, nil
 }
 
@@ -66,20 +66,20 @@
 // order.
 func (a *Agreement) retryPending() {
 	for len(a.pending) > 0 && a.now >= a.pending[0].until {
-		why := "no voter answered for it in time, it may be agreed on or not"
-		if a.pending[0].why != "" {
-			why = a.pending[0].why
+		reason := "no voter answered for it in time, it may be agreed on or not"
+		if a.pending[0].waitReason != "" {
+			reason = a.pending[0].waitReason
 		}
-		a.completeProposal(a.pending[0].no, Outcome{Why: why, Wait: true})
+		a.completeProposal(a.pending[0].no, Outcome{Reason: reason, Retry: true})
 	}
 	if len(a.pending) == 0 || a.now < a.pending[0].retryAt {
 		return
 	}
-	k := a.pending[0]
-	k.retryAt = a.now + proposalRetryInterval
-	m := Message{Kind: Propose, Data: k.data}
-	if k.text != nil {
-		m.Digest, m.Size = a.texts.offer(k.text), len(k.text)
+	p := a.pending[0]
+	p.retryAt = a.now + proposalRetryInterval
+	m := Message{Kind: Propose, Data: p.data}
+	if p.text != nil {
+		m.Digest, m.Size = a.texts.offer(p.text), len(p.text)
 	}
 	switch {
 	case a.voter != nil:
@@ -97,8 +97,8 @@
 	if i < 0 {
 		return
 	}
-	if o.Wait && a.now < a.pending[i].until { // retried
-		a.pending[i].why = o.Why
+	if o.Retry && a.now < a.pending[i].until { // retried
+		a.pending[i].waitReason = o.Reason
 		return
 	}
 	a.pending = slices.Delete(a.pending, i, i+1)
@@ -128,7 +128,7 @@
 	}
 	switch _, leader, _, _ := a.Role(); {
 	case v.isLeading():
-		if w := p.Proposal.Version; w != nil && (text == nil || DigestOf(text) != w.Digest) {
+		if version := p.Proposal.Version; version != nil && (text == nil || DigestOf(text) != version.Digest) {
 			return
 		}
 		for _, j := range v.jobs {
@@ -139,11 +139,11 @@
 		}
 		v.jobs = append(v.jobs, &job{origin: p.Origin, no: p.No, wish: p.Proposal, text: text, until: a.now + 4*proposalRetryInterval})
 	case leader != 0 && leader != a.config.Self && m.From == p.Origin: // one hop only: two voters that each take the other for the leader must not forward it forever
-		out := Message{Kind: Propose, To: leader, Data: m.Data}
+		forwarded := Message{Kind: Propose, To: leader, Data: m.Data}
 		if text != nil {
-			out.Digest, out.Size = a.texts.offer(text), len(text)
+			forwarded.Digest, forwarded.Size = a.texts.offer(text), len(text)
 		}
-		a.send(out)
+		a.send(forwarded)
 	}
 }
 
@@ -152,12 +152,12 @@
 func (a *Agreement) resumeProposals() {
 	for i := 0; i < len(a.awaitingText); i++ {
 		m := a.awaitingText[i]
-		here := a.texts.get(m.Digest) != nil
-		if here || a.texts.takeFailed(m.Digest) {
+		available := a.texts.get(m.Digest) != nil
+		if available || a.texts.takeFailed(m.Digest) {
 			a.awaitingText = slices.Delete(a.awaitingText, i, i+1)
 			i--
 		}
-		if here {
+		if available {
 			a.handlePropose(&m)
 		}
 	}
--- a/agreement/book.go
+++ b/agreement/book.go
@@ -51,15 +51,15 @@
 	Digest         Digest   `json:"digest"`
 	Size           int      `json:"size"`
 	FormatVersion  int      `json:"form"` // format of the text; a build reads formats up to its own
-	Who            string   `json:"who"`
-	At             int64    `json:"at"` // Unix nanoseconds by the proposer's clock
-	Why            string   `json:"why,omitempty"`
+	Author         string   `json:"who"`
+	ProposedAt     int64    `json:"at"` // Unix nanoseconds by the proposer's clock
+	Reason         string   `json:"why,omitempty"`
 	Conflicts      []string `json:"clashes,omitempty"` // reasons why it must not be in force beside its predecessor; empty if it may
 	Reverts        uint64   `json:"undoes,omitempty"`
-	Watch          int64    `json:"watch,omitempty"` // nanoseconds for which gateways watch their health after applying it
+	WatchDuration  int64    `json:"watch,omitempty"` // nanoseconds for which gateways watch their health after applying it
 	CanaryFraction float64  `json:"share,omitempty"` // fraction of gateways that try it after its proposer and before all others; 0 is all at once
 	Proposer       ID       `json:"asker,omitempty"`
-	Dropped        string   `json:"dropped,omitempty"` // why it was aborted before it came in force everywhere
+	AbortReason    string   `json:"dropped,omitempty"` // why it was aborted before it came in force everywhere
 }
 
 // Gateway is an entry of the membership list.
@@ -78,12 +78,12 @@
 
 // Subject is a named sequence of versions.
 type Subject struct {
-	Name     string    `json:"name"`
-	Versions []Version `json:"versions"` // oldest first
-	InForce  uint64    `json:"in_force"` // 0 if none is
-	Next     uint64    `json:"next,omitempty"`
-	Step     int       `json:"step,omitempty"` // rollout step of Next, see SubjectStatus; 0 if it has no steps
-	Changed  uint64    `json:"changed"`        // revision of its last change
+	Name      string    `json:"name"`
+	Versions  []Version `json:"versions"` // oldest first
+	InForce   uint64    `json:"in_force"` // 0 if none is
+	Next      uint64    `json:"next,omitempty"`
+	Step      int       `json:"step,omitempty"` // rollout step of Next, see SubjectStatus; 0 if it has no steps
+	ChangedAt uint64    `json:"changed"`        // revision of its last change
 }
 
 // Version returns the version with a number, nil if it is not kept any more.
@@ -98,25 +98,25 @@
 type Outcome struct {
 	Done    bool   `json:"done"`
 	Version uint64 `json:"version,omitempty"` // number that the new version got
-	Why     string `json:"why,omitempty"`     // reason for the refusal
-	Wait    bool   `json:"wait,omitempty"`    // refused for now; the same can be proposed again
+	Reason  string `json:"why,omitempty"`     // reason for the refusal
+	Retry   bool   `json:"wait,omitempty"`    // refused for now; the same can be proposed again
 }
 
 // Proposal is a change that a gateway proposes; exactly one of its kinds is set.
 type Proposal struct {
-	Version     *Version     `json:"version,omitempty"` // No is assigned when it is accepted
-	Join        *Gateway     `json:"join,omitempty"`
-	Leave       ID           `json:"leave,omitempty"`
-	Ended       bool         `json:"ended,omitempty"` // the process of the leaving gateway is known to have ended, so it serves nobody
-	VoterChange *VoterChange `json:"vote,omitempty"`
-	Abort       *Abort       `json:"drop,omitempty"`
+	Version      *Version     `json:"version,omitempty"` // No is assigned when it is accepted
+	Join         *Gateway     `json:"join,omitempty"`
+	Leave        ID           `json:"leave,omitempty"`
+	ProcessEnded bool         `json:"ended,omitempty"` // the process of the leaving gateway is known to have ended, so it serves nobody
+	VoterChange  *VoterChange `json:"vote,omitempty"`
+	Abort        *Abort       `json:"drop,omitempty"`
 }
 
 // Abort ends the rollout steps of a version: gateways that try it return to the one in force.
 type Abort struct {
 	Subject string `json:"subject"`
 	No      uint64 `json:"no"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 }
 
 // VoterChange makes a gateway a voter or removes its vote.
@@ -230,7 +230,7 @@
 
 // apply applies a log entry. All voters must reach the same result, so it depends on nothing but the state and the
 // entry. It reports whether the entry is a proposal that has to be retried.
-func (b *State) apply(index uint64, e *entry) (waits bool) {
+func (b *State) apply(index uint64, e *entry) (retry bool) {
 	switch {
 	case e.Part != nil:
 		b.addPart(e.Part)
@@ -238,9 +238,9 @@
 		switch s := b.Subject(e.Advance.Subject); {
 		case s == nil || s.Next != e.Advance.No:
 		case e.Advance.Step > s.Step:
-			s.Step, s.Changed, b.Revision = e.Advance.Step, index, index
+			s.Step, s.ChangedAt, b.Revision = e.Advance.Step, index, index
 		case e.Advance.Step == 0:
-			s.InForce, s.Next, s.Step, s.Changed, b.Revision = s.Next, 0, 0, index, index
+			s.InForce, s.Next, s.Step, s.ChangedAt, b.Revision = s.Next, 0, 0, index, index
 		}
 	case e.ListUpdate != nil:
 		if e.ListUpdate.Admit {
@@ -260,7 +260,7 @@
 			return false
 		}
 		out := b.applyProposal(index, &e.Proposal.Proposal)
-		if out.Wait {
+		if out.Retry {
 			return true
 		}
 		b.recordOutcome(e.Proposal, out)
@@ -272,9 +272,9 @@
 // admit adds all gateways to the list that have asked to join since the last time.
 func (b *State) admit(index uint64) {
 	for i := range b.Joining {
-		w := &b.Joining[i]
-		b.join(index, *w.Proposal.Join)
-		b.recordOutcome(w, Outcome{Done: true})
+		p := &b.Joining[i]
+		b.join(index, *p.Proposal.Join)
+		b.recordOutcome(p, Outcome{Done: true})
 		b.Revision = index
 	}
 	b.Joining = nil
@@ -282,15 +282,15 @@
 }
 
 // markKnownToAll sets KnownToAll on the entries listed up to a revision.
-func markKnownToAll(list []Gateway, to uint64) {
-	for i := range list {
-		list[i].KnownToAll = list[i].ListedAt <= to
+func markKnownToAll(gateways []Gateway, upTo uint64) {
+	for i := range gateways {
+		gateways[i].KnownToAll = gateways[i].ListedAt <= upTo
 	}
 }
 
-func (b *State) recordOutcome(w *proposalRecord, o Outcome) {
-	b.Outcomes = slices.DeleteFunc(b.Outcomes, func(x lastOutcome) bool { return x.Origin == w.Origin })
-	b.Outcomes = append(b.Outcomes, lastOutcome{w.Origin, w.No, o})
+func (b *State) recordOutcome(p *proposalRecord, o Outcome) {
+	b.Outcomes = slices.DeleteFunc(b.Outcomes, func(x lastOutcome) bool { return x.Origin == p.Origin })
+	b.Outcomes = append(b.Outcomes, lastOutcome{p.Origin, p.No, o})
 }
 
 // pruneOutcomes drops the oldest outcomes of gateways that are not listed. The latest are kept: a gateway that is
@@ -304,12 +304,12 @@
 	for i := range b.Gateways {
 		listed[b.Gateways[i].ID] = true
 	}
-	away := 0
+	unlisted := 0
 	for i := len(b.Outcomes) - 1; i >= 0; i-- {
 		if listed[b.Outcomes[i].Origin] {
 			continue
 		}
-		if away++; away > maxUnlistedOutcomes {
+		if unlisted++; unlisted > maxUnlistedOutcomes {
 			b.Outcomes = slices.Delete(b.Outcomes, i, i+1)
 		}
 	}
@@ -336,21 +336,21 @@
 		return b.addVersion(index, *w.Version)
 	case w.Leave != 0:
 		switch g := b.Gateway(w.Leave); {
-		case g == nil && w.Ended && b.markEnded(index, func(x *Gateway) bool { return x.ID == w.Leave }):
+		case g == nil && w.ProcessEnded && b.markEnded(index, func(x *Gateway) bool { return x.ID == w.Leave }):
 		case g == nil:
-			return Outcome{Why: "no such gateway is in the list"}
+			return Outcome{Reason: "no such gateway is in the list"}
 		case g.Vote && b.countOtherVoters(g.ID) == 0:
-			return Outcome{Why: "it is the last voter"}
+			return Outcome{Reason: "it is the last voter"}
 		default:
-			b.remove(index, w.Leave, w.Ended)
+			b.remove(index, w.Leave, w.ProcessEnded)
 		}
 	case w.VoterChange != nil:
 		g := b.Gateway(w.VoterChange.ID)
 		if g == nil {
-			return Outcome{Why: "no such gateway is in the list"}
+			return Outcome{Reason: "no such gateway is in the list"}
 		}
 		if !w.VoterChange.Enabled && b.countOtherVoters(g.ID) == 0 {
-			return Outcome{Why: "it is the last voter"}
+			return Outcome{Reason: "it is the last voter"}
 		}
 		voting := *g
 		voting.Vote = w.VoterChange.Enabled
@@ -358,12 +358,12 @@
 	case w.Abort != nil:
 		s := b.Subject(w.Abort.Subject)
 		if s == nil || s.Next != w.Abort.No || s.Step == 0 {
-			return Outcome{Why: "it is not tried by steps, or no longer"}
+			return Outcome{Reason: "it is not tried by steps, or no longer"}
 		}
-		s.Version(s.Next).Dropped = w.Abort.Why
-		s.Next, s.Step, s.Changed = 0, 0, index
+		s.Version(s.Next).AbortReason = w.Abort.Reason
+		s.Next, s.Step, s.ChangedAt = 0, 0, index
 	default:
-		return Outcome{Why: "nothing was asked for"}
+		return Outcome{Reason: "nothing was asked for"}
 	}
 	b.Revision = index
 	return Outcome{Done: true}
@@ -393,20 +393,20 @@
 	}
 	// A new incarnation replaces the former one of the same name, without its vote. If the address is the same too, the
 	// former one has ended, as only one process at a time holds an address.
-	same := func(x *Gateway) bool { return x.Name == g.Name && x.Address == g.Address && x.ID != g.ID }
+	sameProcess := func(x *Gateway) bool { return x.Name == g.Name && x.Address == g.Address && x.ID != g.ID }
 	for _, x := range slices.Clone(b.Gateways) {
 		if x.Name == g.Name && x.ID != g.ID {
-			b.remove(index, x.ID, same(&x))
+			b.remove(index, x.ID, sameProcess(&x))
 		}
 	}
-	b.markEnded(index, same)
+	b.markEnded(index, sameProcess)
 	b.upsertGateway(index, g)
 }
 
 // markEnded removes departed gateways that are known to have ended. It reports whether there were any.
-func (b *State) markEnded(index uint64, which func(*Gateway) bool) bool {
+func (b *State) markEnded(index uint64, ended func(*Gateway) bool) bool {
 	before := len(b.Departed)
-	b.Departed = slices.DeleteFunc(b.Departed, func(x Gateway) bool { return which(&x) })
+	b.Departed = slices.DeleteFunc(b.Departed, func(x Gateway) bool { return ended(&x) })
 	if len(b.Departed) == before {
 		return false
 	}
@@ -420,9 +420,9 @@
 	if g := b.Gateway(id); ended {
 		b.LastEnded = index
 	} else if g != nil {
-		ghost := *g
-		ghost.Vote, ghost.KnownToAll = false, false
-		b.Departed = append(b.Departed, ghost)
+		departed := *g
+		departed.Vote, departed.KnownToAll = false, false
+		b.Departed = append(b.Departed, departed)
 		slices.SortFunc(b.Departed, func(x, y Gateway) int { return x.Number - y.Number })
 	}
 	b.Gateways = slices.DeleteFunc(b.Gateways, func(x Gateway) bool { return x.ID == id })
@@ -438,13 +438,13 @@
 
 func byName(x, y Gateway) int { return strings.Compare(x.Name, y.Name) }
 
-func (b *State) countOtherVoters(than ID) (n int) {
+func (b *State) countOtherVoters(id ID) (count int) {
 	for _, x := range b.Gateways {
-		if x.Vote && x.ID != than {
-			n++
+		if x.Vote && x.ID != id {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // addVersion is a compare-and-set: the version must follow the one that it names, else it is refused with the author
@@ -459,31 +459,31 @@
 	last := s.latest()
 	if s.Next != 0 {
 		n := s.Version(s.Next)
-		return Outcome{Wait: true, Why: fmt.Sprintf("version %d of %s by %s is on its way", n.No, s.Name, n.Who)}
+		return Outcome{Retry: true, Reason: fmt.Sprintf("version %d of %s by %s is on its way", n.No, s.Name, n.Author)}
 	}
 	if v.Predecessor != last {
 		if n := s.Version(last); n != nil {
-			return Outcome{Why: fmt.Sprintf("it follows version %d, and %s put version %d (%s) in its place", v.Predecessor, n.Who, n.No, n.Digest)}
+			return Outcome{Reason: fmt.Sprintf("it follows version %d, and %s put version %d (%s) in its place", v.Predecessor, n.Author, n.No, n.Digest)}
 		}
-		return Outcome{Why: fmt.Sprintf("it follows version %d, and there is none yet", v.Predecessor)}
+		return Outcome{Reason: fmt.Sprintf("it follows version %d, and there is none yet", v.Predecessor)}
 	}
-	var old []string
+	var outdated []string
 	for _, g := range b.Gateways {
 		if g.FormatVersion < v.FormatVersion {
-			old = append(old, g.Name)
+			outdated = append(outdated, g.Name)
 		}
 	}
-	if len(old) > 0 {
-		return Outcome{Why: fmt.Sprintf("its form %d is later than the builds read of %s", v.FormatVersion, strings.Join(old, ", "))}
+	if len(outdated) > 0 {
+		return Outcome{Reason: fmt.Sprintf("its form %d is later than the builds read of %s", v.FormatVersion, strings.Join(outdated, ", "))}
 	}
 	if text := b.takeText(v.Digest); text == nil {
-		return Outcome{Wait: true, Why: "its text is not in the log"}
+		return Outcome{Retry: true, Reason: "its text is not in the log"}
 	} else {
 		b.Texts[hex.EncodeToString(v.Digest[:])] = text
 	}
 	v.No = last + 1
 	s.Versions = append(s.Versions, v)
-	switch s.Changed, b.Revision = index, index; {
+	switch s.ChangedAt, b.Revision = index, index; {
 	case len(v.Conflicts) > 0:
 		s.Next = v.No
 	case v.CanaryFraction > 0:
@@ -546,11 +546,11 @@
 // one is rolled out by steps, the gateways of the step act on it and all others on the one in force; else both are
 // binding until it is in force.
 type SubjectStatus struct {
-	Name    string   `json:"name"`
-	InForce *Version `json:"in_force,omitempty"`
-	Next    *Version `json:"next,omitempty"`
-	Step    int      `json:"step,omitempty"`
-	Last    uint64   `json:"last"` // version that the next one has to follow
+	Name        string   `json:"name"`
+	InForce     *Version `json:"in_force,omitempty"`
+	Next        *Version `json:"next,omitempty"`
+	Step        int      `json:"step,omitempty"`
+	LastVersion uint64   `json:"last"` // version that the next one has to follow
 }
 
 // InCanary reports whether a gateway is among those that try the next version. IDs are random, so the fraction is
@@ -579,7 +579,7 @@
 	Base           uint64          `json:"base,omitempty"` // set in a delta: revision that it is based on
 	Subjects       []SubjectStatus `json:"subjects"`
 	Gateways       []Gateway       `json:"gateways"`
-	Left           []ID            `json:"left,omitempty"`
+	Removed        []ID            `json:"left,omitempty"`
 	Departed       []Gateway       `json:"ghosts,omitempty"` // left the list, may still serve clients
 	LastEnded      uint64          `json:"ended,omitempty"`  // revision at which a departed gateway was last known to have ended
 	KnownToAllUpTo uint64          `json:"seated_to"`        // all gateways that may act know the list up to this revision
@@ -629,14 +629,14 @@
 	}
 	if known > 0 && known >= b.RecentSince {
 		m.Base = known
-		for _, c := range b.Recent {
+		for _, change := range b.Recent {
 			switch {
-			case c.Revision <= known:
-			case c.In != nil:
-				m.Gateways = append(m.Gateways, *c.In)
+			case change.Revision <= known:
+			case change.In != nil:
+				m.Gateways = append(m.Gateways, *change.In)
 			default:
-				m.Gateways = slices.DeleteFunc(m.Gateways, func(x Gateway) bool { return x.ID == c.Out })
-				m.Left = append(m.Left, c.Out)
+				m.Gateways = slices.DeleteFunc(m.Gateways, func(x Gateway) bool { return x.ID == change.Out })
+				m.Removed = append(m.Removed, change.Out)
 			}
 		}
 	} else {
@@ -646,25 +646,25 @@
 }
 
 // completeFrom completes a delta with the manifest that it is based on. It returns false if that is another one.
-func (m *Manifest) completeFrom(before *Manifest) (ok bool) {
+func (m *Manifest) completeFrom(base *Manifest) (ok bool) {
 	if m.Base == 0 {
 		return true
 	}
-	if m.Base != before.Revision {
+	if m.Base != base.Revision {
 		return false
 	}
-	all := map[ID]Gateway{}
-	for _, g := range before.Gateways {
-		all[g.ID] = g
+	gateways := map[ID]Gateway{}
+	for _, g := range base.Gateways {
+		gateways[g.ID] = g
 	}
-	for _, id := range m.Left {
-		delete(all, id)
+	for _, id := range m.Removed {
+		delete(gateways, id)
 	}
 	for _, g := range m.Gateways {
-		all[g.ID] = g
+		gateways[g.ID] = g
 	}
-	m.Gateways = slices.SortedFunc(maps.Values(all), byName)
+	m.Gateways = slices.SortedFunc(maps.Values(gateways), byName)
 	markKnownToAll(m.Gateways, m.KnownToAllUpTo)
-	m.Base, m.Left = 0, nil
+	m.Base, m.Removed = 0, nil
 	return true
 }
--- a/agreement/fleet_test.go
+++ b/agreement/fleet_test.go
@@ -20,24 +20,24 @@
 	t   testing.TB
 	rng *rand.Rand
 	agenda.Agenda
-	nodes       []*process
-	byID        map[ID]*process
-	cut         func(from, to *process) bool
-	loss        float64
-	ids         ID
-	books       map[uint64]string // by log index, as the first voter had it
-	agreed      map[string]int64  // when a version was first applied, by subject and number
-	clashes     map[string]bool   // versions that contradict their predecessors
-	ops         []porcupine.Operation
-	out         []string // events, for transcripts
-	trace       bool
-	leases      map[string]bool // gateways that hold a lease, as last recorded
-	share       float64         // canary fraction of the next version that is proposed
-	lists       map[uint64]map[ID]bool
-	knownChecks int   // checks of a gateway that takes itself for known to all
-	longest     int64 // longest time that a former version was acted on after a contradictory one was agreed on
-	sent        int
-	bytes       int
+	nodes            []*process
+	byID             map[ID]*process
+	blocked          func(from, to *process) bool
+	loss             float64
+	lastID           ID
+	states           map[uint64]string // by log index, as the first voter had it
+	agreedAt         map[string]int64  // when a version was first applied, by subject and number
+	contradicts      map[string]bool   // versions that contradict their predecessors
+	ops              []porcupine.Operation
+	transcript       []string // events, for transcripts
+	trace            bool
+	leases           map[string]bool // gateways that hold a lease, as last recorded
+	canaryFraction   float64         // canary fraction of the next version that is proposed
+	listedByRevision map[uint64]map[ID]bool
+	knownChecks      int   // checks of a gateway that takes itself for known to all
+	maxDivergence    int64 // longest time that a former version was acted on after a contradictory one was agreed on
+	sent             int
+	bytes            int
 }
 
 type process struct {
@@ -45,8 +45,8 @@
 	name          string
 	id            ID
 	a             *Agreement
-	rate          float64
-	offset        int64 // of its clock, different at each start
+	clockRate     float64
+	clockOffset   int64 // of its clock, different at each start
 	disk          [][]byte
 	epoch         uint64
 	down          bool
@@ -58,17 +58,17 @@
 	maxDiskDelay  int64  // upper bound, in addition to a few ms
 	diskFullUntil int64  // its disk stores nothing before
 	leaving       bool   // it was removed and has not joined again
-	acted         bool   // since its start it might act on a list that has it
+	mayHaveActed  bool   // since its start it might act on a list that has it
 	joining       bool   // repeats its request to join at each start until it is listed
 }
 
 const second = int64(1e9)
 
 func newSimulation(t testing.TB, seed uint64, gateways int) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ID]*process{}, books: map[uint64]string{}, agreed: map[string]int64{},
-		clashes: map[string]bool{}, lists: map[uint64]map[ID]bool{}, cut: func(_, _ *process) bool { return false }, Agenda: agenda.Agenda{Now: second}}
+	w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ID]*process{}, states: map[uint64]string{}, agreedAt: map[string]int64{},
+		contradicts: map[string]bool{}, listedByRevision: map[uint64]map[ID]bool{}, blocked: func(_, _ *process) bool { return false }, Agenda: agenda.Agenda{Now: second}}
 	for i := range gateways {
-		p := &process{w: w, name: fmt.Sprintf("g%d", i+1), rate: 1 + (w.rng.Float64()-0.5)*0.02}
+		p := &process{w: w, name: fmt.Sprintf("g%d", i+1), clockRate: 1 + (w.rng.Float64()-0.5)*0.02}
 		w.nodes = append(w.nodes, p)
 		p.start(true)
 	}
@@ -77,7 +77,7 @@
 }
 
 // run advances the clock.
-func (w *simulation) run(span int64) { w.Run(w.Now + span) }
+func (w *simulation) run(duration int64) { w.Run(w.Now + duration) }
 
 // until advances the clock until a condition holds.
 func (w *simulation) until(limit int64, f func() bool) bool {
@@ -89,9 +89,9 @@
 	return f()
 }
 
-func (w *simulation) record(format string, x ...any) {
+func (w *simulation) record(format string, args ...any) {
 	if w.trace {
-		w.out = append(w.out, fmt.Sprintf("%7.3f  ", float64(w.Now-second)/1e9)+fmt.Sprintf(format, x...))
+		w.transcript = append(w.transcript, fmt.Sprintf("%7.3f  ", float64(w.Now-second)/1e9)+fmt.Sprintf(format, args...))
 	}
 }
 
@@ -100,13 +100,13 @@
 	w := p.w
 	if fresh {
 		delete(w.byID, p.id)
-		w.ids++
-		p.id, p.disk = w.ids*10+7, nil
+		w.lastID++
+		p.id, p.disk = w.lastID*10+7, nil
 		w.byID[p.id] = p
 	}
 	p.epoch++
 	p.canaryVersion = 0
-	p.offset = int64(w.rng.Float64() * 1000e9)
+	p.clockOffset = int64(w.rng.Float64() * 1000e9)
 	t := DefaultConfig()
 	t.Self, t.Epoch, t.Seed = p.id, p.epoch<<32, uint64(w.rng.Uint32())
 	for _, o := range w.nodes[:min(3, len(w.nodes))] {
@@ -118,7 +118,7 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	p.a, p.down, p.paused, p.queued, p.acted = a, false, false, nil, false
+	p.a, p.down, p.paused, p.queued, p.mayHaveActed = a, false, false, nil, false
 	p.answers = map[uint64]func(Outcome){}
 	p.step(func() {})
 	if p.joining {
@@ -127,7 +127,7 @@
 	}
 }
 
-func (p *process) clock() int64 { return int64(float64(p.w.Now)*p.rate) + p.offset }
+func (p *process) clock() int64 { return int64(float64(p.w.Now)*p.clockRate) + p.clockOffset }
 
 // step gives the process an input and carries out its decisions.
 func (p *process) step(f func()) {
@@ -186,7 +186,7 @@
 		case Wake:
 			p.wakeSeq++
 			no := p.wakeSeq
-			w.After(int64(float64(d.After)/p.rate)+1000, func() { // never early, whatever rounding does
+			w.After(int64(float64(d.After)/p.clockRate)+1000, func() { // never early, whatever rounding does
 				if p.epoch == epoch && p.wakeSeq == no {
 					p.step(func() {})
 				}
@@ -230,14 +230,14 @@
 			votes++
 		}
 	}
-	return strings.Join(append(all, fmt.Sprintf("%d gateways, %d to vote", len(m.Gateways), votes)), "; ")
+	return strings.Join(append(all, fmt.Sprintf("%d gateways, %d voters", len(m.Gateways), votes)), "; ")
 }
 
 func (w *simulation) deliver(from *process, m Message) {
 	to := w.byID[m.To]
 	w.sent++
 	w.bytes += 60 + len(m.Data)
-	if to == nil || w.cut(from, to) || w.rng.Float64() < w.loss {
+	if to == nil || w.blocked(from, to) || w.rng.Float64() < w.loss {
 		return
 	}
 	n := 1
@@ -250,7 +250,7 @@
 			delay += int64(w.rng.Float64() * 2e9)
 		}
 		w.After(delay, func() {
-			if w.byID[m.To] == to && !to.down && !w.cut(from, to) {
+			if w.byID[m.To] == to && !to.down && !w.blocked(from, to) {
 				to.step(func() { to.a.Receive(m) })
 			}
 		})
@@ -284,23 +284,23 @@
 		s := &v.state.Subjects[i]
 		for _, x := range s.Versions {
 			key := fmt.Sprint(s.Name, x.No)
-			if w.agreed[key] == 0 {
-				w.agreed[key] = w.Now
-				w.clashes[key] = len(x.Conflicts) > 0
-				w.record("agreed on: version %d of %s by %s, contradicting %v", x.No, x.Subject, x.Who, len(x.Conflicts) > 0)
+			if w.agreedAt[key] == 0 {
+				w.agreedAt[key] = w.Now
+				w.contradicts[key] = len(x.Conflicts) > 0
+				w.record("agreed on: version %d of %s by %s, contradicting %v", x.No, x.Subject, x.Author, len(x.Conflicts) > 0)
 			}
 		}
 	}
-	seldom := 20
+	checkEvery := 20
 	if len(w.nodes) > 20 { // encoding a large list takes longer than everything else
-		seldom = 20_000
+		checkEvery = 20_000
 	}
-	if w.rng.IntN(seldom) > 0 {
+	if w.rng.IntN(checkEvery) > 0 {
 		return
 	}
 	text := string(v.state.encode())
-	if before, ok := w.books[v.applied]; !ok {
-		w.books[v.applied] = text
+	if before, ok := w.states[v.applied]; !ok {
+		w.states[v.applied] = text
 	} else if before != text {
 		w.t.Fatalf("%s: two histories of entry %d:\n%s\n%s", p.name, v.applied, before, text)
 	}
@@ -313,9 +313,9 @@
 		has := !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
 		if w.trace && !p.down && !p.paused && w.leases[p.name] == has { // leases records the gateways without one, as all start with one
 			if w.leases[p.name] = !has; has {
-				w.record("%s may act again", p.name)
+				w.record("%s has a lease again", p.name)
 			} else {
-				w.record("%s is careful: its lease has run out", p.name)
+				w.record("the lease of %s has expired", p.name)
 			}
 		}
 	}
@@ -356,14 +356,14 @@
 			w.t.Fatalf("at %d: versions %v of %s are alive", w.Now, alive, name)
 		}
 		for no := alone + 1; no <= inForce; no++ {
-			if w.clashes[fmt.Sprint(name, no)] {
+			if w.contradicts[fmt.Sprint(name, no)] {
 				w.t.Fatalf("at %d: version %d of %s is in force and %d is acted on", w.Now, no, name, alone)
 			}
 		}
-		for no := alone + 1; w.agreed[fmt.Sprint(name, no)] > 0; no++ {
-			if w.clashes[fmt.Sprint(name, no)] {
-				d := w.Now - w.agreed[fmt.Sprint(name, no)]
-				if w.longest = max(w.longest, d); d > defaultMaxDivergence {
+		for no := alone + 1; w.agreedAt[fmt.Sprint(name, no)] > 0; no++ {
+			if w.contradicts[fmt.Sprint(name, no)] {
+				d := w.Now - w.agreedAt[fmt.Sprint(name, no)]
+				if w.maxDivergence = max(w.maxDivergence, d); d > defaultMaxDivergence {
 					w.t.Fatalf("at %d: version %d of %s is acted on %d ms after %d was agreed on", w.Now, alone, name, d/1e6, no)
 				}
 			}
@@ -379,9 +379,9 @@
 			continue
 		}
 		g := p.entry(p.a.Manifest())
-		p.acted = p.acted || g != nil && !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
+		p.mayHaveActed = p.mayHaveActed || g != nil && !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
 		// It may have been removed long ago from a list that it could not act on since its start: session.Notes.
-		if p.down || g == nil || !g.KnownToAll || !p.acted {
+		if p.down || g == nil || !g.KnownToAll || !p.mayHaveActed {
 			continue
 		}
 		for _, q := range w.nodes {
@@ -399,16 +399,16 @@
 
 // listed returns the gateways of a list, computed once per list.
 func (w *simulation) listed(m *Manifest) map[ID]bool {
-	if w.lists[m.Revision] == nil {
-		if len(w.lists) > 64 {
-			clear(w.lists)
+	if w.listedByRevision[m.Revision] == nil {
+		if len(w.listedByRevision) > 64 {
+			clear(w.listedByRevision)
 		}
-		w.lists[m.Revision] = map[ID]bool{}
+		w.listedByRevision[m.Revision] = map[ID]bool{}
 		for i := range m.Gateways {
-			w.lists[m.Revision][m.Gateways[i].ID] = true
+			w.listedByRevision[m.Revision][m.Gateways[i].ID] = true
 		}
 	}
-	return w.lists[m.Revision]
+	return w.listedByRevision[m.Revision]
 }
 
 // entry returns the process's entry in a manifest.
@@ -419,11 +419,11 @@
 var defaultMaxDivergence = func() int64 { t := DefaultConfig(); return t.MaxDivergence() }()
 
 // propose has a gateway propose a change.
-func (p *process) propose(wish Proposal, text string, patience int64, f func(Outcome)) {
+func (p *process) propose(proposal Proposal, text string, timeout int64, f func(Outcome)) {
 	p.step(func() {
-		no, err := p.a.Propose(wish, []byte(text), patience)
+		no, err := p.a.Propose(proposal, []byte(text), timeout)
 		if err != nil {
-			f(Outcome{Why: err.Error()})
+			f(Outcome{Reason: err.Error()})
 			return
 		}
 		p.answers[no] = f
@@ -433,18 +433,18 @@
 // proposeVersion proposes a version and records the operation for the linearizability check.
 func (p *process) proposeVersion(subject string, predecessor uint64, text string, clashes []string, f func(Outcome)) {
 	w, began := p.w, p.w.Now
-	w.record("%s asks for a version of %s after %d", p.name, subject, predecessor)
+	w.record("%s proposes a version of %s after %d", p.name, subject, predecessor)
 	done := false
 	n := len(w.ops)
-	w.ops = append(w.ops, porcupine.Operation{ClientId: n, Input: predecessor, Call: began, Output: Outcome{Wait: true}, Return: 1 << 60})
-	v := Version{Subject: subject, Predecessor: predecessor, Who: p.name, Conflicts: clashes, CanaryFraction: w.share}
+	w.ops = append(w.ops, porcupine.Operation{ClientId: n, Input: predecessor, Call: began, Output: Outcome{Retry: true}, Return: 1 << 60})
+	v := Version{Subject: subject, Predecessor: predecessor, Author: p.name, Conflicts: clashes, CanaryFraction: w.canaryFraction}
 	p.propose(Proposal{Version: &v}, text, 8*second, func(o Outcome) {
 		if done {
 			w.t.Fatal("two outcomes")
 		}
 		done = true
-		w.record("%s is told: %+v", p.name, o)
-		if !o.Wait { // else it may have been done or not, now or later
+		w.record("outcome for %s: %+v", p.name, o)
+		if !o.Retry { // else it may have been done or not, now or later
 			w.ops[n].Output, w.ops[n].Return = o, w.Now
 		}
 		if f != nil {
@@ -459,7 +459,7 @@
 	Step: func(state, input, output any) (bool, any) {
 		last, after, o := state.(uint64), input.(uint64), output.(Outcome)
 		switch {
-		case o.Wait: // unknown outcome: done or not, which the two results of an open call cover
+		case o.Retry: // unknown outcome: done or not, which the two results of an open call cover
 			if last == after {
 				return true, last + 1
 			}
@@ -569,24 +569,24 @@
 // versions, that none acts on a former version for longer than the maximum divergence, and that a change comes in
 // force once all can communicate again.
 func TestRandomFaults(t *testing.T) {
-	longest, done, asked, seated := int64(0), 0, 0, 0
+	maxDivergence, done, asked, checks := int64(0), 0, 0, 0
 	for seed := range uint64(*seeds) {
 		w := faults(t, seed, 5, 3+2*int(seed%2), 30*second)
-		longest = max(longest, w.longest)
-		seated += w.knownChecks
+		maxDivergence = max(maxDivergence, w.maxDivergence)
+		checks += w.knownChecks
 		for _, o := range w.ops {
 			if asked++; o.Output.(Outcome).Done {
 				done++
 			}
 		}
 	}
-	t.Logf("a former version was acted on for %d ms at most, %d ms are stated; %d of %d changes were agreed on; %d looks at who is known of", longest/1e6, defaultMaxDivergence/1e6, done, asked, seated)
-	if seated < *seeds*100 {
-		t.Fatal("hardly anybody is known of: ", seated)
+	t.Logf("a former version was acted on for %d ms at most, %d ms are stated; %d of %d changes were agreed on; %d looks at who is known of", maxDivergence/1e6, defaultMaxDivergence/1e6, done, asked, checks)
+	if checks < *seeds*100 {
+		t.Fatal("hardly anybody is known of: ", checks)
 	}
 }
 
-func faults(t testing.TB, seed uint64, gateways, voters int, span int64) *simulation {
+func faults(t testing.TB, seed uint64, gateways, voters int, duration int64) *simulation {
 	w := newSimulation(t, seed, gateways)
 	defer func() {
 		if t.Failed() {
@@ -596,7 +596,7 @@
 	w.found(voters)
 	any := func() *process { return w.nodes[w.rng.IntN(len(w.nodes))] }
 	wiped, no := false, 0
-	for end := w.Now + span; w.Now < end; w.run(int64(w.rng.Float64() * 1.5e9)) {
+	for end := w.Now + duration; w.Now < end; w.run(int64(w.rng.Float64() * 1.5e9)) {
 		p, d := any(), int64(w.rng.Float64()*6e9)
 		switch w.rng.IntN(12) {
 		case 0:
@@ -606,22 +606,22 @@
 			}
 		case 1:
 			if !p.down && !p.paused {
-				w.record("%s is stopped for %d ms", p.name, d/1e6)
+				w.record("%s is paused for %d ms", p.name, d/1e6)
 				p.pause(true)
 				w.After(d, func() { p.pause(false) })
 			}
 		case 2:
-			w.record("%s hears nobody for %d ms", p.name, d/1e6)
+			w.record("%s receives nothing for %d ms", p.name, d/1e6)
 			w.partition(d, func(_, to *process) bool { return to == p })
 		case 3:
-			w.record("nobody hears %s for %d ms", p.name, d/1e6)
+			w.record("nothing from %s arrives for %d ms", p.name, d/1e6)
 			w.partition(d, func(from, _ *process) bool { return from == p })
 		case 4:
 			half := map[*process]bool{}
 			for _, x := range w.nodes {
 				half[x] = w.rng.IntN(2) == 0
 			}
-			w.record("two halves for %d ms", d/1e6)
+			w.record("partitioned into two halves for %d ms", d/1e6)
 			w.partition(d, func(from, to *process) bool { return half[from] != half[to] })
 		case 5:
 			w.loss = w.rng.Float64() * 0.3
@@ -639,7 +639,7 @@
 			if q.down || q.paused || p.a.voter != nil || p.leaving || p.entry(q.a.Manifest()) == nil {
 				break
 			}
-			w.record("%s is taken out", p.name)
+			w.record("%s is removed from the list", p.name)
 			p.leaving = true // until it has joined again: a gateway that joins does not report that it has ended
 			q.propose(Proposal{Leave: p.id}, "", 5*second, func(Outcome) {})
 			var back func()
@@ -651,7 +651,7 @@
 					w.After(second, back)
 					return
 				}
-				p.propose(Proposal{Leave: p.id, Ended: true}, "", 5*second, func(Outcome) {})
+				p.propose(Proposal{Leave: p.id, ProcessEnded: true}, "", 5*second, func(Outcome) {})
 				w.After(second, func() {
 					if p.leaving && !p.down {
 						p.leaving = false
@@ -661,7 +661,7 @@
 			}
 			w.After(d, back)
 		case 8:
-			w.record("the disk of %s takes nothing for %d ms", p.name, d/1e6)
+			w.record("the disk of %s stores nothing for %d ms", p.name, d/1e6)
 			p.diskFullUntil = w.Now + d
 		case 9:
 			p.maxDiskDelay = int64(w.rng.Float64() * 1e9)
@@ -675,23 +675,23 @@
 				if s.InForce != nil {
 					after = s.InForce.No
 				}
-				if after = s.Last; s.Step > 0 && w.rng.IntN(4) == 0 {
+				if after = s.LastVersion; s.Step > 0 && w.rng.IntN(4) == 0 {
 					p.propose(Proposal{Abort: &Abort{s.Name, s.Next.No, "health"}}, "", 5*second, func(Outcome) {})
 				}
 			}
 			var clashes []string
-			w.share = 0
+			w.canaryFraction = 0
 			switch w.rng.IntN(3) {
 			case 0:
 				clashes = []string{"a bound"}
 			case 1:
-				w.share = 0.4
+				w.canaryFraction = 0.4
 			}
 			no++
 			p.proposeVersion("routes", after, strings.Repeat(fmt.Sprint("text ", no, " "), 1+w.rng.IntN(300)), clashes, nil)
 		}
 	}
-	w.cut, w.loss = func(_, _ *process) bool { return false }, 0
+	w.blocked, w.loss = func(_, _ *process) bool { return false }, 0
 	w.run(7 * second) // paused processes resume, killed ones have started
 	last := func() (no uint64) {
 		for _, p := range w.nodes {
@@ -703,7 +703,7 @@
 		return no
 	}
 	ok := false
-	w.share = 0
+	w.canaryFraction = 0
 	w.run(4 * second) // versions that are being tried come in force
 	for _, p := range w.nodes {
 		if p.leaving = false; w.leader() != nil && p.entry(&Manifest{Gateways: w.leader().a.State().Gateways}) == nil {
@@ -725,9 +725,9 @@
 
 // partition blocks some connections for a time, in addition to those already blocked.
 func (w *simulation) partition(d int64, f func(from, to *process) bool) {
-	over, before := false, w.cut
-	w.cut = func(from, to *process) bool { return !over && f(from, to) || before(from, to) }
-	w.After(d, func() { over = true })
+	healed, previous := false, w.blocked
+	w.blocked = func(from, to *process) bool { return !healed && f(from, to) || previous(from, to) }
+	w.After(d, func() { healed = true })
 }
 
 // Many gateways that join at once, as after a mass restart, are listed together: no gateway loses its lease, and the
@@ -739,11 +739,11 @@
 	w.found(3)
 	w.run(2 * second)
 	w.nodes = all
-	began, sent, joined, without := w.Now, w.sent, 0, 0
+	began, sent, joined, withoutLease := w.Now, w.sent, 0, 0
 	for _, p := range all[40:] {
 		p.join(func() { joined++ })
 	}
-	seated := func() (n int) {
+	knownToAll := func() (n int) {
 		for _, g := range w.leader().a.State().Gateways {
 			if g.KnownToAll {
 				n++
@@ -754,14 +754,14 @@
 	done := w.until(10*second, func() bool {
 		for _, p := range all[:40] {
 			if p.clock() >= p.a.LeaseUntil() {
-				without++
+				withoutLease++
 			}
 		}
-		return joined == 360 && w.leased() == 400 && seated() == 400
+		return joined == 360 && w.leased() == 400 && knownToAll() == 400
 	})
 	t.Logf("360 have joined 40 in %d ms, with %d messages each", (w.Now-began)/1e6, (w.sent-sent)/360)
-	if !done || without > 0 || (w.sent-sent)/360 > 300 {
-		t.Fatal(done, joined, w.leased(), seated(), without, "looks at one without a lease")
+	if !done || withoutLease > 0 || (w.sent-sent)/360 > 300 {
+		t.Fatal(done, joined, w.leased(), knownToAll(), withoutLease, "looks at one without a lease")
 	}
 }
 
@@ -774,11 +774,11 @@
 	if gone == w.leader() {
 		gone = w.nodes[3]
 	}
-	w.share = 0.4
+	w.canaryFraction = 0.4
 	w.leader().proposeVersion("routes", 0, "first", nil, nil)
 	w.until(5*second, func() bool { p := w.leader().a.voter.peers[gone.id]; return p != nil && p.healthyVersion == 1 })
 	gone.kill()
-	w.leader().propose(Proposal{Leave: gone.id, Ended: true}, "", 10*second, func(o Outcome) {
+	w.leader().propose(Proposal{Leave: gone.id, ProcessEnded: true}, "", 10*second, func(o Outcome) {
 		if !o.Done {
 			t.Error(o)
 		}
--- a/agreement/holder.go
+++ b/agreement/holder.go
@@ -93,15 +93,15 @@
 	if h.a.now < h.renewAt || len(h.voters) == 0 && h.a.voter == nil {
 		return
 	}
-	span := h.a.config.Lease / renewalsPerLease
+	interval := h.a.config.Lease / renewalsPerLease
 	if h.a.now >= h.leaseUntil {
-		span = h.a.config.Lease / urgentRenewalsPerLease
+		interval = h.a.config.Lease / urgentRenewalsPerLease
 	}
 	if !h.answered && h.lastRenewAt > 0 && len(h.voters) > 1 {
 		h.voters = append(h.voters[1:], h.voters[0])
 	}
 	h.renew()
-	h.renewAt = h.a.now + span*3/4 + h.a.jitter(span/4)
+	h.renewAt = h.a.now + interval*3/4 + h.a.jitter(interval/4)
 }
 
 func (h *holder) renew() {
@@ -111,8 +111,8 @@
 
 // renewTarget is the voter to ask: itself, if it votes and may grant leases.
 func (h *holder) renewTarget() ID {
-	me := h.ownEntry()
-	if v := h.a.voter; v != nil && (len(h.voters) == 0 || v.grantUntil() > h.a.now && (me == nil || me.Vote)) {
+	own := h.ownEntry()
+	if v := h.a.voter; v != nil && (len(h.voters) == 0 || v.grantUntil() > h.a.now && (own == nil || own.Vote)) {
 		return h.a.config.Self
 	}
 	return h.voters[0]
@@ -132,7 +132,7 @@
 	if m.Revision > max(h.manifest.Revision, h.fetchRevision) && m.Size > 0 {
 		// A nearly complete fetch is not dropped for a later revision: while many gateways join one after another, no fetch
 		// would ever finish.
-		if bytes, comes := h.a.texts.missingBytes(h.fetchDigest); h.fetchRevision > h.manifest.Revision && h.next == nil && comes && bytes <= m.Size {
+		if missing, arriving := h.a.texts.missingBytes(h.fetchDigest); h.fetchRevision > h.manifest.Revision && h.next == nil && arriving && missing <= m.Size {
 			return
 		}
 		h.source, h.fetchDigest, h.fetchSize, h.fetchRevision, h.next = m.From, m.Digest, m.Size, m.Revision, nil
@@ -160,11 +160,11 @@
 		}
 		h.next = &m
 	}
-	whole := true
+	complete := true
 	for _, s := range h.next.Subjects {
 		for _, v := range []*Version{s.InForce, s.Next} {
 			if v != nil && h.a.texts.getOrFetch(h.source, v.Digest, v.Size) == nil {
-				whole = false
+				complete = false
 				if h.a.texts.takeFailed(v.Digest) {
 					h.fetchRevision = h.manifest.Revision
 					return
@@ -172,7 +172,7 @@
 			}
 		}
 	}
-	if !whole {
+	if !complete {
 		return
 	}
 	if h.pending == nil || h.pending.Revision < h.next.Revision {
--- a/agreement/leases.go
+++ b/agreement/leases.go
@@ -42,11 +42,11 @@
 	if len(times) == 0 {
 		return 0
 	}
-	at := times[(len(times)-1)/2]
-	if at == 0 {
+	ackedAt := times[(len(times)-1)/2]
+	if ackedAt == 0 {
 		return 0
 	}
-	return at + v.a.config.Lease
+	return ackedAt + v.a.config.Lease
 }
 
 // grantUntil is until when this voter may grant leases.
@@ -60,16 +60,16 @@
 // sendHeartbeats tells the other voters who leads and how long they may grant, counted from the last promise of
 // each.
 func (v *voter) sendHeartbeats() {
-	left := v.leaderUntil() - v.a.now
+	remaining := v.leaderUntil() - v.a.now
 	if !v.isLeading() {
-		left = 0
+		remaining = 0
 	}
 	for _, id := range v.others() {
 		p := v.peer(id)
 		m := Message{Kind: Heartbeat, To: id, Term: v.leadTerm, SentAt: v.a.now, Echo: p.promisedAt, Epoch: p.epoch, Revision: v.state.Revision}
-		if left > 0 && p.promisedAt != 0 {
-			m.Remaining = left
-			v.recordSentGrant(p, sentGrant{v.state.Revision, v.a.now + left})
+		if remaining > 0 && p.promisedAt != 0 {
+			m.Remaining = remaining
+			v.recordSentGrant(p, sentGrant{v.state.Revision, v.a.now + remaining})
 		}
 		v.a.send(m)
 	}
@@ -121,16 +121,16 @@
 // healthyVersion is the latest version that is healthy at every gateway that tries one under a grant of this voter;
 // the maximum if none does.
 func (v *voter) healthyVersion() uint64 {
-	well := uint64(1<<64 - 1)
+	version := uint64(1<<64 - 1)
 	for i := range v.state.Subjects {
 		s := v.state.Subjects[i].status()
 		for id, g := range v.grants {
 			if s.InCanary(id) && !v.expired(g.until) {
-				well = min(well, g.healthyVersion)
+				version = min(version, g.healthyVersion)
 			}
 		}
 	}
-	return well
+	return version
 }
 
 // allHealthy reports whether every gateway that tries a version and may act is healthy with it. A former voter
@@ -155,12 +155,12 @@
 	if v.a.now < v.unknownGrantsUntil {
 		return 0
 	}
-	low := v.state.Revision
+	revision := v.state.Revision
 	maps.DeleteFunc(v.grants, func(_ ID, g leaseGrant) bool { return v.expired(g.until) })
 	for _, g := range v.grants {
-		low = min(low, g.knownRevision)
+		revision = min(revision, g.knownRevision)
 	}
-	return low
+	return revision
 }
 
 // knownToAll reports whether every gateway of the fleet that may act knows a revision.
@@ -171,40 +171,40 @@
 	if !v.isLeading() {
 		return 0
 	}
-	to := uint64(1<<64 - 1)
+	revision := uint64(1<<64 - 1)
 	if v.a.now >= v.unknownGrantsUntil {
-		to = v.minKnownRevision()
+		revision = v.minKnownRevision()
 	}
 	for _, p := range v.peers {
-		least := uint64(1<<64 - 1)
+		minSent := uint64(1<<64 - 1)
 		for _, s := range p.grants {
 			if !v.expired(s.until) {
-				least = min(least, s.revision)
+				minSent = min(minSent, s.revision)
 			}
 		}
-		to = min(to, max(p.knownRevision, least))
+		revision = min(revision, max(p.knownRevision, minSent))
 	}
-	return to
+	return revision
 }
 
 // handleRenew answers a lease request. A gateway gets a lease only if it knows all that this voter knows; else it
 // has to fetch the rest first.
 func (v *voter) handleRenew(m *Message) {
-	out := Message{Kind: Grant, To: m.From, Echo: m.SentAt, Epoch: m.Epoch, Revision: v.state.Revision}
-	g, before := v.grants[m.From]
+	response := Message{Kind: Grant, To: m.From, Echo: m.SentAt, Epoch: m.Epoch, Revision: v.state.Revision}
+	g, exists := v.grants[m.From]
 	g.knownRevision, g.healthyVersion = max(g.knownRevision, m.KnownRevision), max(g.healthyVersion, m.HealthyVersion)
-	if left := v.grantUntil() - v.a.now; left > 0 && m.KnownRevision >= v.state.Revision && v.state.Gateway(m.From) != nil {
-		out.Remaining = min(left, v.a.config.Lease)
-		g.until = max(g.until, v.a.now+out.Remaining)
+	if remaining := v.grantUntil() - v.a.now; remaining > 0 && m.KnownRevision >= v.state.Revision && v.state.Gateway(m.From) != nil {
+		response.Remaining = min(remaining, v.a.config.Lease)
+		g.until = max(g.until, v.a.now+response.Remaining)
 		v.grants[m.From] = g
-	} else if before {
+	} else if exists {
 		v.grants[m.From] = g
 	}
 	if m.KnownRevision < v.state.Revision {
-		w := v.changesSince(m.KnownRevision)
-		out.Digest, out.Size = w.digest, w.size
+		encoded := v.changesSince(m.KnownRevision)
+		response.Digest, response.Size = encoded.digest, encoded.size
 	}
-	v.a.send(out)
+	v.a.send(response)
 }
 
 // notifyHolders tells all gateways with a grant of this voter at once that the state has changed.
@@ -214,8 +214,8 @@
 	}
 	v.notifiedRevision = v.state.Revision
 	for _, id := range slices.Sorted(maps.Keys(v.grants)) {
-		w := v.changesSince(v.grants[id].knownRevision)
-		v.a.send(Message{Kind: Grant, To: id, Revision: v.state.Revision, Digest: w.digest, Size: w.size})
+		encoded := v.changesSince(v.grants[id].knownRevision)
+		v.a.send(Message{Kind: Grant, To: id, Revision: v.state.Revision, Digest: encoded.digest, Size: encoded.size})
 	}
 }
 
@@ -236,15 +236,15 @@
 	if !v.isLeading() {
 		return
 	}
-	answers := map[ID]lastOutcome{}
+	outcomes := map[ID]lastOutcome{}
 	if v.jobsCheckedAt != v.applied && len(v.jobs) > 0 { // proposals received since the last check have no outcome yet
 		for _, x := range v.state.Outcomes {
-			answers[x.Origin] = x
+			outcomes[x.Origin] = x
 		}
 	}
 	v.jobsCheckedAt = v.applied
 	v.jobs = slices.DeleteFunc(v.jobs, func(j *job) bool {
-		x, done := answers[j.origin]
+		x, done := outcomes[j.origin]
 		if done = done && x.No == j.no; done {
 			v.a.sendResult(j.origin, result{j.origin, j.no, x.Outcome})
 		}
@@ -255,12 +255,12 @@
 	}
 	for i := range v.state.Subjects {
 		s := &v.state.Subjects[i]
-		if at := s.Next*4 + uint64(s.Step); s.Next != 0 && v.advanced[s.Name] != at && v.knownToAll(s.Changed) && (s.Step == 0 || v.allHealthy(s.Next)) {
-			o := stepAdvance{s.Name, s.Next, 0}
+		if at := s.Next*4 + uint64(s.Step); s.Next != 0 && v.advanced[s.Name] != at && v.knownToAll(s.ChangedAt) && (s.Step == 0 || v.allHealthy(s.Next)) {
+			advance := stepAdvance{s.Name, s.Next, 0}
 			if s.Step == stepProposer {
-				o.Step = stepCanary
+				advance.Step = stepCanary
 			}
-			if v.propose(entry{Advance: &o}) {
+			if v.propose(entry{Advance: &advance}) {
 				v.advanced[s.Name] = at
 			}
 		}
@@ -285,16 +285,16 @@
 			}
 		}
 	}
-	l := listUpdate{Admit: len(v.state.Joining) > 0}
+	update := listUpdate{Admit: len(v.state.Joining) > 0}
 	if len(v.notKnownToAll) > 0 {
-		to := v.revisionKnownToAll()
+		known := v.revisionKnownToAll()
 		for _, since := range v.notKnownToAll {
-			if since <= to {
-				l.KnownToAll = max(l.KnownToAll, since)
+			if since <= known {
+				update.KnownToAll = max(update.KnownToAll, since)
 			}
 		}
 	}
-	if (l.Admit || l.KnownToAll > 0) && v.propose(entry{ListUpdate: &l}) {
+	if (update.Admit || update.KnownToAll > 0) && v.propose(entry{ListUpdate: &update}) {
 		v.nextListUpdate = v.a.now + v.a.config.Lease/listUpdatesPerLease
 	}
 }
@@ -303,25 +303,25 @@
 	if j.appended {
 		return
 	}
-	w := j.wish.Version
-	if w == nil {
+	version := j.wish.Version
+	if version == nil {
 		j.appended = v.propose(entry{Proposal: &proposalRecord{j.origin, j.no, j.wish}})
 		return
 	}
 	// A version may follow another only once all gateways that may act know that one, so no more than two are active at
 	// a time.
-	if s := v.state.Subject(w.Subject); s != nil && (s.Next != 0 || !v.knownToAll(s.Changed)) {
+	if s := v.state.Subject(version.Subject); s != nil && (s.Next != 0 || !v.knownToAll(s.ChangedAt)) {
 		if !j.waitReported {
 			j.waitReported = true
 			last := s.Versions[len(s.Versions)-1]
-			v.a.sendResult(j.origin, result{j.origin, j.no, Outcome{Wait: true,
-				Why: fmt.Sprintf("version %d of %s by %s is not yet held by all that may act", last.No, s.Name, last.Who)}})
+			v.a.sendResult(j.origin, result{j.origin, j.no, Outcome{Retry: true,
+				Reason: fmt.Sprintf("version %d of %s by %s is not yet held by all that may act", last.No, s.Name, last.Author)}})
 		}
 		return
 	}
-	for !v.state.hasText(w.Digest) && j.offset < len(j.text) {
+	for !v.state.hasText(version.Digest) && j.offset < len(j.text) {
 		n := min(v.a.config.PageSize, len(j.text)-j.offset)
-		if !v.propose(entry{Part: &textPart{w.Digest, len(j.text), j.offset, j.text[j.offset : j.offset+n]}}) {
+		if !v.propose(entry{Part: &textPart{version.Digest, len(j.text), j.offset, j.text[j.offset : j.offset+n]}}) {
 			return
 		}
 		j.offset += n
@@ -334,7 +334,7 @@
 	if v.a.now < v.nextConfChange {
 		return
 	}
-	change := func(t raftpb.ConfChangeType, id uint64) {
+	proposeChange := func(t raftpb.ConfChangeType, id uint64) {
 		v.nextConfChange = v.a.now + proposalRetryInterval
 		_ = v.node.ProposeConfChange(raftpb.ConfChange{Type: t, NodeID: id}) // raft allows one change at a time
 	}
@@ -343,16 +343,16 @@
 		switch {
 		case !g.Vote || slices.Contains(v.conf.Voters, id):
 		case !slices.Contains(v.conf.Learners, id):
-			change(raftpb.ConfChangeAddLearnerNode, id)
+			proposeChange(raftpb.ConfChangeAddLearnerNode, id)
 			return
 		case v.caughtUp(id):
-			change(raftpb.ConfChangeAddNode, id)
+			proposeChange(raftpb.ConfChangeAddNode, id)
 			return
 		}
 	}
 	for _, id := range append(slices.Clone(v.conf.Voters), v.conf.Learners...) {
 		if g := v.state.Gateway(ID(id)); g == nil || !g.Vote {
-			change(raftpb.ConfChangeRemoveNode, id)
+			proposeChange(raftpb.ConfChangeRemoveNode, id)
 			return
 		}
 	}
--- a/agreement/survey.go
+++ b/agreement/survey.go
@@ -44,7 +44,7 @@
 
 // SurveyResult returns the answers of the voters, ordered by ID, and whether all have answered or the survey has
 // timed out.
-func (a *Agreement) SurveyResult() (all []GatewayLease, over bool) {
+func (a *Agreement) SurveyResult() (leases []GatewayLease, done bool) {
 	s := &a.survey
 	return slices.SortedFunc(maps.Values(s.leases), func(x, y GatewayLease) int { return cmp.Compare(x.ID, y.ID) }),
 		len(s.outstanding) == 0 || a.now-s.startedAt >= surveyTimeout
@@ -53,23 +53,23 @@
 // SurveyHasQuorum reports whether a majority of voters has answered the survey: a gateway that receives no answers
 // may be cut off itself.
 func (a *Agreement) SurveyHasQuorum() bool {
-	voters, silent := 0, len(a.survey.outstanding)
+	voters, unanswered := 0, len(a.survey.outstanding)
 	for _, g := range a.holder.manifest.Gateways {
 		if g.Vote {
 			voters++
 		}
 	}
-	return a.survey.startedAt != 0 && (voters-silent)*2 > voters
+	return a.survey.startedAt != 0 && (voters-unanswered)*2 > voters
 }
 
 // handleSurvey answers a survey at a voter.
 func (v *voter) handleSurvey(m *Message) {
-	all := []GatewayLease{}
+	leases := []GatewayLease{}
 	for _, id := range slices.Sorted(maps.Keys(v.grants)) {
 		g := v.grants[id]
-		all = append(all, GatewayLease{id, v.a.config.Self, g.knownRevision, g.until - v.a.now})
+		leases = append(leases, GatewayLease{id, v.a.config.Self, g.knownRevision, g.until - v.a.now})
 	}
-	text, err := json.Marshal(all)
+	text, err := json.Marshal(leases)
 	if err == nil {
 		v.a.send(Message{Kind: SurveyResponse, To: m.From, Echo: m.SentAt, Digest: v.a.texts.offer(text), Size: len(text)})
 	}
@@ -95,9 +95,9 @@
 		if text == nil {
 			continue
 		}
-		var all []GatewayLease
-		if json.Unmarshal(text, &all) == nil {
-			for _, x := range all {
+		var leases []GatewayLease
+		if json.Unmarshal(text, &leases) == nil {
+			for _, x := range leases {
 				if before, ok := s.leases[x.ID]; !ok || x.Remaining > before.Remaining {
 					s.leases[x.ID] = x
 				}
--- a/agreement/texts.go
+++ b/agreement/texts.go
@@ -99,7 +99,7 @@
 }
 
 // missingBytes returns how many bytes of a fetch are missing, and whether pages are arriving.
-func (t *texts) missingBytes(d Digest) (bytes int, comes bool) {
+func (t *texts) missingBytes(d Digest) (bytes int, arriving bool) {
 	for _, w := range t.fetches {
 		if w.digest == d {
 			return min(len(w.text), w.missing*t.a.config.PageSize), w.attempts < 2 && !w.failed
@@ -178,14 +178,14 @@
 
 // retain keeps the texts of a manifest and drops all others.
 func (t *texts) retain(m *Manifest) {
-	before := maps.Clone(t.held)
+	previous := maps.Clone(t.held)
 	clear(t.held)
 	for _, s := range m.Subjects {
 		for _, v := range []*Version{s.InForce, s.Next} {
 			if v == nil {
 				continue
 			}
-			text := before[v.Digest]
+			text := previous[v.Digest]
 			if text == nil {
 				text = t.get(v.Digest)
 			}
--- a/agreement/transcripts_test.go
+++ b/agreement/transcripts_test.go
@@ -12,88 +12,88 @@
 // The files under testdata are reviewed by a person: operators' requests and their outcomes, what each gateway
 // holds, when leases expire and return, who leads. `go test ./agreement -run Transcripts -update` regenerates them.
 func TestTranscripts(t *testing.T) {
-	tell := func(o Outcome) {}
+	ignore := func(o Outcome) {}
 	cases := map[string]func(w *simulation){
 		"calm": func(w *simulation) {
-			w.nodes[3].proposeVersion("routes", 0, "first", []string{"a bound"}, tell)
+			w.nodes[3].proposeVersion("routes", 0, "first", []string{"a bound"}, ignore)
 			w.run(3 * second)
-			w.nodes[4].proposeVersion("routes", 1, "second", nil, tell)
+			w.nodes[4].proposeVersion("routes", 1, "second", nil, ignore)
 			w.run(2 * second)
-			w.nodes[3].proposeVersion("routes", 2, "third", []string{"a drain"}, tell)
+			w.nodes[3].proposeVersion("routes", 2, "third", []string{"a drain"}, ignore)
 			w.run(2 * second)
 		},
 		"leader-killed": func(w *simulation) {
-			w.nodes[3].proposeVersion("routes", 0, "first", []string{"a bound"}, tell)
+			w.nodes[3].proposeVersion("routes", 0, "first", []string{"a bound"}, ignore)
 			p := w.leader()
-			w.until(second, func() bool { return w.agreed["routes1"] > 0 })
+			w.until(second, func() bool { return w.agreedAt["routes1"] > 0 })
 			p.kill()
 			w.run(8 * second)
 			p.start(false)
-			w.record("%s is started again", p.name)
+			w.record("%s is restarted", p.name)
 			w.run(5 * second)
 		},
 		"cut": func(w *simulation) {
 			w.record("g4 and g5 are cut off from the others")
-			w.cut = func(from, to *process) bool { return (from.name >= "g4") != (to.name >= "g4") }
-			w.nodes[0].proposeVersion("routes", 0, "of the many", []string{"a tenant moved"}, tell)
-			w.nodes[3].proposeVersion("routes", 0, "of the few", []string{"a tenant moved"}, tell)
+			w.blocked = func(from, to *process) bool { return (from.name >= "g4") != (to.name >= "g4") }
+			w.nodes[0].proposeVersion("routes", 0, "of the many", []string{"a tenant moved"}, ignore)
+			w.nodes[3].proposeVersion("routes", 0, "of the few", []string{"a tenant moved"}, ignore)
 			w.run(9 * second)
-			w.record("all can talk again")
-			w.cut = func(_, _ *process) bool { return false }
+			w.record("the partition is healed")
+			w.blocked = func(_, _ *process) bool { return false }
 			w.run(4 * second)
-			w.nodes[3].proposeVersion("routes", 0, "of the few", []string{"a tenant moved"}, tell)
+			w.nodes[3].proposeVersion("routes", 0, "of the few", []string{"a tenant moved"}, ignore)
 			w.run(2 * second)
 		},
 		"stopped": func(w *simulation) {
-			w.nodes[0].proposeVersion("routes", 0, "first", []string{"a bound"}, tell)
+			w.nodes[0].proposeVersion("routes", 0, "first", []string{"a bound"}, ignore)
 			w.run(3 * second)
-			w.record("g5 is stopped")
+			w.record("g5 is paused")
 			w.nodes[4].pause(true)
 			w.run(second)
-			w.nodes[0].proposeVersion("routes", 1, "second", []string{"a drain"}, tell)
+			w.nodes[0].proposeVersion("routes", 1, "second", []string{"a drain"}, ignore)
 			w.run(6 * second)
-			w.record("g5 goes on")
+			w.record("g5 resumes")
 			w.nodes[4].pause(false)
 			w.run(second)
 		},
 		"two-operators": func(w *simulation) {
-			w.nodes[3].proposeVersion("routes", 0, "of one", []string{"a bound"}, tell)
-			w.nodes[4].proposeVersion("routes", 0, "of the other", []string{"a bound"}, tell)
+			w.nodes[3].proposeVersion("routes", 0, "of one", []string{"a bound"}, ignore)
+			w.nodes[4].proposeVersion("routes", 0, "of the other", []string{"a bound"}, ignore)
 			w.run(10 * second)
 		},
 		"steps": func(w *simulation) {
-			w.share = 0.4
-			w.nodes[4].proposeVersion("routes", 0, "tried", nil, tell)
+			w.canaryFraction = 0.4
+			w.nodes[4].proposeVersion("routes", 0, "tried", nil, ignore)
 			w.run(4 * second)
-			w.nodes[3].proposeVersion("routes", 1, "tried and dropped", nil, tell)
+			w.nodes[3].proposeVersion("routes", 1, "tried and dropped", nil, ignore)
 			w.run(second / 10)
-			w.nodes[3].propose(Proposal{Abort: &Abort{"routes", 2, "health worsened"}}, "", 5*second, func(o Outcome) { w.record("g4 is told: %+v", o) })
+			w.nodes[3].propose(Proposal{Abort: &Abort{"routes", 2, "health worsened"}}, "", 5*second, func(o Outcome) { w.record("outcome for g4: %+v", o) })
 			w.run(2 * second)
-			w.nodes[3].proposeVersion("routes", 2, "another", []string{"a bound"}, tell)
+			w.nodes[3].proposeVersion("routes", 2, "another", []string{"a bound"}, ignore)
 			w.run(2 * second)
 		},
 		"new-voter": func(w *simulation) {
-			w.nodes[3].propose(Proposal{VoterChange: &VoterChange{w.nodes[3].id, true}}, "", 5*second, func(o Outcome) { w.record("g4 is told: %+v", o) })
+			w.nodes[3].propose(Proposal{VoterChange: &VoterChange{w.nodes[3].id, true}}, "", 5*second, func(o Outcome) { w.record("outcome for g4: %+v", o) })
 			w.run(4 * second)
-			w.nodes[3].propose(Proposal{VoterChange: &VoterChange{w.nodes[1].id, false}}, "", 5*second, func(o Outcome) { w.record("g4 is told: %+v", o) })
+			w.nodes[3].propose(Proposal{VoterChange: &VoterChange{w.nodes[1].id, false}}, "", 5*second, func(o Outcome) { w.record("outcome for g4: %+v", o) })
 			w.run(4 * second)
-			w.record("votes: g2 %v, g4 %v", w.nodes[1].a.voter.isVoter(), w.nodes[3].a.voter.isVoter())
+			w.record("voters: g2 %v, g4 %v", w.nodes[1].a.voter.isVoter(), w.nodes[3].a.voter.isVoter())
 		},
 	}
-	for name, play := range cases {
+	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newSimulation(t, 7, 5)
 			w.found(3)
 			w.run(3 * second)
 			w.trace, w.leases = true, map[string]bool{}
-			began := w.Now
-			play(w)
-			for i, line := range w.out {
+			startedAt := w.Now
+			run(w)
+			for i, line := range w.transcript {
 				at := 0.0
 				_, _ = fmt.Sscanf(line, "%f", &at)
-				w.out[i] = fmt.Sprintf("%7.3f%s", at-float64(began-second)/1e9, line[7:])
+				w.transcript[i] = fmt.Sprintf("%7.3f%s", at-float64(startedAt-second)/1e9, line[7:])
 			}
-			goldie.New(t, goldie.WithNameSuffix(".txt")).Assert(t, name, []byte(strings.Join(w.out, "\n")+"\n"))
+			goldie.New(t, goldie.WithNameSuffix(".txt")).Assert(t, name, []byte(strings.Join(w.transcript, "\n")+"\n"))
 		})
 	}
 }
@@ -123,14 +123,14 @@
 // Messages per gateway, and the time that a change takes. Run by hand: -bench Fleet -benchtime 1x.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{5, 300, 1000, 2000} {
-		for _, away := range []int{0, 1, n / 5} {
-			b.Run(fmt.Sprintf("%d gateways, %d away", n, away), func(b *testing.B) {
+		for _, down := range []int{0, 1, n / 5} {
+			b.Run(fmt.Sprintf("%d gateways, %d away", n, down), func(b *testing.B) {
 				for range b.N {
 					w := newSimulation(b, 1, n)
 					w.found(3)
 					b.ReportMetric(float64(w.Now-second)/1e6, "ms/found")
 					w.run(5 * second)
-					for _, p := range w.nodes[n-away:] {
+					for _, p := range w.nodes[n-down:] {
 						p.pause(true)
 					}
 					w.run(5 * second)
@@ -141,7 +141,7 @@
 					for no := range uint64(2) { // the second is the one that matters, as the first has no predecessor to contradict
 						began := w.Now
 						w.nodes[0].proposeVersion("routes", no, strings.Repeat(fmt.Sprint("text ", no), 1000), []string{"a bound"}, nil)
-						w.until(20*second, func() bool { return w.inForce("routes", no+1) == n-away })
+						w.until(20*second, func() bool { return w.inForce("routes", no+1) == n-down })
 						b.ReportMetric(float64(w.Now-began)/1e6, "ms/change")
 						w.run(5 * second)
 					}
--- a/agreement/voter.go
+++ b/agreement/voter.go
@@ -73,13 +73,13 @@
 	if v.manifestsRevision != v.state.Revision {
 		v.manifestsRevision, v.manifests = v.state.Revision, map[uint64]encodedManifest{}
 	}
-	w, ok := v.manifests[known]
-	if !ok || v.a.texts.get(w.digest) == nil {
+	encoded, ok := v.manifests[known]
+	if !ok || v.a.texts.get(encoded.digest) == nil {
 		text := v.state.manifest(known)
-		w = encodedManifest{v.a.texts.offer(text), len(text)}
-		v.manifests[known] = w
+		encoded = encodedManifest{v.a.texts.offer(text), len(text)}
+		v.manifests[known] = encoded
 	}
-	return w
+	return encoded
 }
 
 // peer is another voter as the leader knows it.
@@ -161,7 +161,7 @@
 				entries = append(slices.DeleteFunc(entries, func(x raftpb.Entry) bool { return x.Index >= e.Index }), e)
 			}
 		default:
-			err = fmt.Errorf("kind %d", r[0])
+			err = fmt.Errorf("unknown kind %d", r[0])
 		}
 		if err != nil {
 			return nil, fmt.Errorf("agreement: a record can't be read: %w", err)
@@ -236,7 +236,7 @@
 		}
 		v, err := emptyVoter(a)
 		if err != nil {
-			a.log("it can't vote: %v", err)
+			a.log("can't become a voter: %v", err)
 			return
 		}
 		a.voter = v
@@ -268,7 +268,7 @@
 		v.nextHeartbeat = v.a.now + v.a.config.Lease/heartbeatsPerLease
 		if v.diskStalled() != v.suspended {
 			v.suspended = !v.suspended
-			v.a.log("its disk takes nothing: %v; while it does not it does not lead", v.suspended)
+			v.a.log("disk stalled: %v; a leader sends no heartbeats while it is", v.suspended)
 		}
 		if !v.suspended {
 			v.node.Tick()
@@ -297,21 +297,21 @@
 			v.nextElection = max(v.nextElection, v.a.now+v.a.config.Lease/renewalsPerLease+v.a.jitter(v.a.config.Lease/electionJitterParts))
 		}
 	}
-	switch leads := st.RaftState == raft.StateLeader; {
-	case leads && v.leadTerm != st.Term:
+	switch leading := st.RaftState == raft.StateLeader; {
+	case leading && v.leadTerm != st.Term:
 		v.leadTerm, v.nextHeartbeat, v.nextConfChange, v.notifiedRevision = st.Term, v.a.now, 0, 0
 		v.advanced, v.jobs, v.nextListUpdate, v.notKnownRevision = map[string]uint64{}, nil, 0, 0
 		for _, p := range v.peers { // grants sent in an earlier term may still be in use
 			*p = peer{grants: p.grants}
 		}
-		v.a.log("leads the fleet's log, term %d", st.Term)
-	case !leads && v.leadTerm != 0:
+		v.a.log("became leader in term %d", st.Term)
+	case !leading && v.leadTerm != 0:
 		v.nextElection = v.a.now + v.a.jitter(v.a.config.Lease/electionJitterParts)
 		if v.leaderUntil() != 0 { // only if it delegated; two candidates of one term did not
 			v.nextElection += v.a.config.MaxDivergence()
 		}
 		v.leadTerm = 0
-		v.a.log("no longer leads the fleet's log, term %d", st.Term)
+		v.a.log("lost leadership in term %d", st.Term)
 	}
 }
 
@@ -319,16 +319,16 @@
 func (v *voter) handleReady(rd raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := v.storage.ApplySnapshot(rd.Snapshot); err != nil {
-			v.a.log("a snapshot is not taken: %v", err)
+			v.a.log("can't store a snapshot: %v", err)
 		} else if err = v.install(rd.Snapshot); err != nil {
-			v.a.log("a snapshot is not taken: %v", err)
+			v.a.log("can't apply a snapshot: %v", err)
 		}
 	}
 	if !raft.IsEmptyHardState(rd.HardState) {
 		_ = v.storage.SetHardState(rd.HardState)
 	}
 	if err := v.storage.Append(rd.Entries); err != nil {
-		v.a.log("the log is not taken: %v", err)
+		v.a.log("can't append to the log: %v", err)
 	}
 	v.pendingReady = &rd
 	if rd.MustSync || !raft.IsEmptySnap(rd.Snapshot) {
@@ -413,11 +413,11 @@
 // createSnapshot replaces the log up to the applied index by a snapshot.
 func (v *voter) createSnapshot() {
 	if _, err := v.storage.CreateSnapshot(v.applied, &v.conf, v.state.encode()); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
-		v.a.log("no snapshot: %v", err)
+		v.a.log("can't create a snapshot: %v", err)
 		return
 	}
 	if err := v.storage.Compact(v.applied); err != nil && !errors.Is(err, raft.ErrCompacted) {
-		v.a.log("no snapshot: %v", err)
+		v.a.log("can't compact the log: %v", err)
 	}
 	v.saving, v.savingSince = true, v.a.now
 	v.a.decisions = append(v.a.decisions, Decision{Kind: Save, Records: v.records(), ReplaceAll: true})
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -122,7 +122,7 @@
 	if v == nil {
 		return "none"
 	}
-	return fmt.Sprintf("version %d (%s) by %s", v.No, v.Digest, cmp.Or(v.Who, "-"))
+	return fmt.Sprintf("version %d (%s) by %s", v.No, v.Digest, cmp.Or(v.Author, "-"))
 }
 
 // versionsTo lists the versions that are kept, or at a gateway that does not vote those that are alive.
@@ -149,10 +149,10 @@
 	fmt.Fprintln(table, "version\tdigest\twho\twhen\twhy\tcontradicts its predecessor")
 	for _, v := range all {
 		clashes := cmp.Or(strings.Join(v.Conflicts, "; "), "no")
-		if v.Dropped != "" {
-			clashes += "; dropped: " + v.Dropped
+		if v.AbortReason != "" {
+			clashes += "; dropped: " + v.AbortReason
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", v.No, v.Digest, v.Who, time.Unix(0, v.At).UTC().Format(time.DateTime), cmp.Or(v.Why, "-"), clashes)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", v.No, v.Digest, v.Author, time.Unix(0, v.ProposedAt).UTC().Format(time.DateTime), cmp.Or(v.Reason, "-"), clashes)
 	}
 	return table.Flush()
 }
@@ -266,7 +266,7 @@
 func (e *evict) Run(out io.Writer) error {
 	id, _, err := e.byName(e.Gateway, e.Ended)
 	if err == nil {
-		_, err = e.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: id, Ended: e.Ended}})
+		_, err = e.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: id, ProcessEnded: e.Ended}})
 	}
 	return err
 }
--- a/cli/watch_test.go
+++ b/cli/watch_test.go
@@ -21,9 +21,9 @@
 			fmt.Println(strings.TrimRight(line, " "))
 		}
 	}
-	v := &agreement.Version{No: 3, Who: "ann"}
+	v := &agreement.Version{No: 3, Author: "ann"}
 	show(looked{status: &fleet.Status{Self: 1, Votes: true, Leader: 2, Term: 4, Left: 15e8, Stated: 3e9, Held: agreement.Manifest{
-		Subjects: []agreement.SubjectStatus{{Name: "routes", InForce: v, Next: &agreement.Version{No: 4, Who: "bob"}}},
+		Subjects: []agreement.SubjectStatus{{Name: "routes", InForce: v, Next: &agreement.Version{No: 4, Author: "bob"}}},
 		Gateways: []agreement.Gateway{{ID: 1, Name: "n1", Address: "10.0.0.4:7946", Zone: "a", Vote: true}, {ID: 2, Name: "n2", Address: "10.0.0.5:7946", Vote: true}}},
 		Seen: []agreement.GatewayLease{{ID: 1, Voter: 1, Remaining: 15e8}}}, shares: []fleet.Part{{Name: "portal, rate", Rate: true, Amount: 20000, Keeper: "n1", Part: 5000, Want: 4000, Left: 2e9,
 		Loans: []quota.Loan{{Holder: 1, Part: 5000, Want: 4000, Left: 3e9}}, Names: []string{"n1"}}}})
--- a/fleet/quotas.go
+++ b/fleet/quotas.go
@@ -118,7 +118,7 @@
 		if s.InForce != nil {
 			o.No = s.InForce.No
 		}
-		q.version = s.Last
+		q.version = s.LastVersion
 	}
 	q.Clock()
 	q.stirred = true
@@ -163,7 +163,7 @@
 	if keeper != 0 {
 		why = fmt.Sprintf("gateway %s does not answer, and no voter hears of it", q.f.nameOf(keeper))
 	}
-	v := agreement.Version{Subject: subjectOffices, Predecessor: q.version, Who: "gateway " + q.f.plan.Name, At: time.Now().UnixNano(), Why: why, FormatVersion: 1,
+	v := agreement.Version{Subject: subjectOffices, Predecessor: q.version, Author: "gateway " + q.f.plan.Name, ProposedAt: time.Now().UnixNano(), Reason: why, FormatVersion: 1,
 		Conflicts: []string{"a bound's keeper"}}
 	q.wish, _ = q.f.Ask(agreement.Proposal{Version: &v}, quota.Text(next), time.Duration(q.terms.Patience()))
 }
@@ -175,7 +175,7 @@
 	}
 	q.wish = 0
 	if !o.Done {
-		q.f.host.Logger().Info("the keepers of bounds are not changed by this gateway", "why", o.Why)
+		q.f.host.Logger().Info("the keepers of bounds are not changed by this gateway", "why", o.Reason)
 	}
 	return true
 }
--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -124,7 +124,7 @@
 				err = fmt.Errorf("%w: %v", err, findings)
 				break
 			}
-			x.version, x.watch = t.v.No, t.v.Watch
+			x.version, x.watch = t.v.No, t.v.WatchDuration
 			made[t.v.Digest] = x
 			*t.to = x
 		}
@@ -203,12 +203,12 @@
 			return
 		}
 	}
-	no, err := a.f.Ask(agreement.Proposal{Leave: a.f.Self(), Ended: true}, nil, askPatience)
+	no, err := a.f.Ask(agreement.Proposal{Leave: a.f.Self(), ProcessEnded: true}, nil, askPatience)
 	if err != nil {
 		return
 	}
 	a.saidEnded = true
-	a.waits[no] = func(o agreement.Outcome) { a.saidEnded = o.Done || !o.Wait }
+	a.waits[no] = func(o agreement.Outcome) { a.saidEnded = o.Done || !o.Retry }
 }
 
 func (a *agreed) log(p *prepared) {
@@ -320,20 +320,20 @@
 		return o, ctx.Err()
 	}
 	if !o.Done {
-		return o, errors.New(o.Why)
+		return o, errors.New(o.Reason)
 	}
 	return o, nil
 }
 
 // propose has the fleet agree on a change as the version that follows the one held here.
 func (a *agreed) propose(c Change) (agreement.Proposal, []byte, error) {
-	v := agreement.Version{Subject: SubjectRoutes, Who: c.Who, At: time.Now().UnixNano(), Why: c.Why, FormatVersion: c.Document.Needs(), Watch: c.Watch}
+	v := agreement.Version{Subject: SubjectRoutes, Author: c.Who, ProposedAt: time.Now().UnixNano(), Reason: c.Why, FormatVersion: c.Document.Needs(), WatchDuration: c.Watch}
 	var before *routes.Document
 	for _, s := range a.f.Held().Subjects {
 		if s.Name != SubjectRoutes {
 			continue
 		}
-		v.Predecessor = s.Last
+		v.Predecessor = s.LastVersion
 		for _, x := range []*agreement.Version{s.InForce, s.Next} {
 			if x != nil {
 				if g := a.known[x.Digest]; g != nil {
@@ -382,9 +382,9 @@
 	if all := a.g.generations.module.Status().Finished; len(all) > 0 {
 		why = string(all[len(all)-1].Why) + all[len(all)-1].Text
 	}
-	wish := agreement.Proposal{Abort: &agreement.Abort{Subject: SubjectRoutes, No: x.version, Why: "gateway " + a.g.config.Name + ": " + why}}
-	v := agreement.Version{Subject: SubjectRoutes, Predecessor: x.version, Reverts: x.version, Who: "gateway " + a.g.config.Name,
-		At: time.Now().UnixNano(), Why: why, FormatVersion: before.Needs(), Conflicts: routes.Clashes(x.document, before)}
+	wish := agreement.Proposal{Abort: &agreement.Abort{Subject: SubjectRoutes, No: x.version, Reason: "gateway " + a.g.config.Name + ": " + why}}
+	v := agreement.Version{Subject: SubjectRoutes, Predecessor: x.version, Reverts: x.version, Author: "gateway " + a.g.config.Name,
+		ProposedAt: time.Now().UnixNano(), Reason: why, FormatVersion: before.Needs(), Conflicts: routes.Clashes(x.document, before)}
 	if !a.tries(x) {
 		wish = agreement.Proposal{Version: &v}
 	} else {
@@ -396,7 +396,7 @@
 		return
 	}
 	a.waits[no] = func(o agreement.Outcome) {
-		a.g.log.Info("undo of a version", "version", x.version, "agreed", o.Done, "why", o.Why)
+		a.g.log.Info("undo of a version", "version", x.version, "agreed", o.Done, "why", o.Reason)
 	}
 }
 
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -61,7 +61,7 @@
 		if s.Name != SubjectContracts {
 			continue
 		}
-		r.last = s.Last
+		r.last = s.LastVersion
 		for _, x := range []struct {
 			v  *agreement.Version
 			to **contracts.Book
@@ -268,7 +268,7 @@
 	for range contractTries {
 		var b *contracts.Book
 		var f contracts.Fleet
-		v := agreement.Version{Subject: SubjectContracts, Who: w.Who, Why: w.Why, FormatVersion: 1}
+		v := agreement.Version{Subject: SubjectContracts, Author: w.Who, Reason: w.Why, FormatVersion: 1}
 		if err = g.inLoop(ctx, func() (err error) {
 			if g.reserved == nil {
 				return errors.New("this gateway agrees on nothing with others")
@@ -283,7 +283,7 @@
 				return wrong
 			}
 			text := next.Text()
-			if v.At = w.At; w.Reserves(b) {
+			if v.ProposedAt = w.At; w.Reserves(b) {
 				v.Conflicts = []string{"a reserved share"}
 			}
 			_, err = g.ask(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &v}, text, nil })
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -73,9 +73,9 @@
 	}
 }
 
-func (j *healthMonitor) add(route int32, worth, served float64) {
+func (j *healthMonitor) add(route int32, value, served float64) {
 	j.anyTxn = true
-	j.all.add(worth, served)
+	j.all.add(value, served)
 	if route < 0 {
 		return
 	}
@@ -89,11 +89,11 @@
 		at, _ := slices.BinarySearch(j.order, route)
 		j.order = slices.Insert(j.order, at, route)
 	}
-	s.add(worth, served)
+	s.add(value, served)
 }
 
-func (s *series) add(worth, served float64) {
-	s.requested += worth
+func (s *series) add(value, served float64) {
+	s.requested += value
 	s.served += served
 	s.txns++
 }
@@ -112,24 +112,24 @@
 	}
 	// Clients whose requests fail at once retry more often: a jump counts as one from outside only while as much is
 	// served as before.
-	usual := j.all.demand
-	if j.watching && j.all.baselineSlots >= minBaselineSlots && j.all.requested > demandJumpFactor*usual && j.all.served >= minServedRatio*j.all.mean*usual {
+	baseline := j.all.demand
+	if j.watching && j.all.baselineSlots >= minBaselineSlots && j.all.requested > demandJumpFactor*baseline && j.all.served >= minServedRatio*j.all.mean*baseline {
 		j.all.resetSlot()
 		for _, id := range j.order {
 			j.routes[id].resetSlot()
 		}
 		return
 	}
-	series := 1
+	count := 1
 	for _, id := range j.order {
 		if j.routes[id].baselineSlots >= minBaselineSlots {
-			series++
+			count++
 		}
 	}
-	bound := cusumLimit + math.Log(float64(series))
-	j.closeSeries(&j.all, "all", bound)
+	limit := cusumLimit + math.Log(float64(count))
+	j.closeSeries(&j.all, "all", limit)
 	for _, id := range j.order {
-		j.closeSeries(j.routes[id], fmt.Sprint("route ", id), bound)
+		j.closeSeries(j.routes[id], fmt.Sprint("route ", id), limit)
 	}
 	if j.watching {
 		j.judged += slotDuration
@@ -138,37 +138,37 @@
 
 func (s *series) resetSlot() { s.requested, s.served, s.txns = 0, 0, 0 }
 
-func (j *healthMonitor) closeSeries(s *series, name string, bound float64) {
+func (j *healthMonitor) closeSeries(s *series, name string, limit float64) {
 	if s.txns < minSlotTxns {
 		return // merged into the next slot
 	}
-	share := 0.0
+	health := 0.0
 	if s.requested > 0 {
-		share = s.served / s.requested
+		health = s.served / s.requested
 	}
 	if !j.watching {
-		s.learn(share)
+		s.learn(health)
 	} else if s.baselineSlots >= minBaselineSlots {
-		sd := s.stdDev()
+		stdDev := s.stdDev()
 		s.watchedServed += s.served
 		s.watchedRequested += s.requested
-		s.cusum = max(0, s.cusum+min(maxDeviation, (s.mean-share)/sd)-cusumSlack)
-		if s.cusum > bound && !j.worst.worse {
-			j.worst = verdict{true, fmt.Sprintf(": %s served %.3f of its worth, %.3f before, spread %.3f", name, s.watchedServed/max(1e-9, s.watchedRequested), s.mean, sd)}
+		s.cusum = max(0, s.cusum+min(maxDeviation, (s.mean-health)/stdDev)-cusumSlack)
+		if s.cusum > limit && !j.worst.worse {
+			j.worst = verdict{true, fmt.Sprintf(": %s served %.3f of its worth, %.3f before, spread %.3f", name, s.watchedServed/max(1e-9, s.watchedRequested), s.mean, stdDev)}
 		}
 	}
 	s.resetSlot()
 }
 
 // learn updates mean and variance, with equal weights at first and exponential decay later.
-func (s *series) learn(share float64) {
+func (s *series) learn(health float64) {
 	s.baselineSlots++
 	weight := 1 / min(s.baselineSlots, maxBaselineSlots)
-	d := share - s.mean
-	s.mean += weight * d
-	s.variance += weight * (d*(share-s.mean) - s.variance)
-	s.autocovariance += weight * (d*s.lastDeviation - s.autocovariance)
-	s.lastDeviation = share - s.mean
+	deviation := health - s.mean
+	s.mean += weight * deviation
+	s.variance += weight * (deviation*(health-s.mean) - s.variance)
+	s.autocovariance += weight * (deviation*s.lastDeviation - s.autocovariance)
+	s.lastDeviation = health - s.mean
 	s.demand += weight * (s.requested - s.demand)
 }
 
@@ -176,12 +176,12 @@
 // drop: with autocorrelation r, sums deviate more by the root of (1+r)/(1-r). With few slots both estimates are
 // uncertain, which widens the result.
 func (s *series) stdDev() float64 {
-	few := 1 / math.Sqrt(s.baselineSlots)
-	part := 0.0
+	uncertainty := 1 / math.Sqrt(s.baselineSlots)
+	correlation := 0.0
 	if s.variance > 0 {
-		part = min(maxAutocorrelation, max(0, s.autocovariance/s.variance+few))
+		correlation = min(maxAutocorrelation, max(0, s.autocovariance/s.variance+uncertainty))
 	}
-	return max(minStdDev, math.Sqrt(s.variance*(1+part)/(1-part))*(1+few))
+	return max(minStdDev, math.Sqrt(s.variance*(1+correlation)/(1-correlation))*(1+uncertainty))
 }
 
 func (j *healthMonitor) begin() {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -162,11 +162,11 @@
 func (r *Rollout) KeepNow() error { return r.KeepWithReason(ByHand) }
 
 // KeepWithReason keeps the watched change for a given reason.
-func (r *Rollout) KeepWithReason(why Reason) error {
+func (r *Rollout) KeepWithReason(reason Reason) error {
 	if r.stage != Watched {
 		return fmt.Errorf("no change is watched")
 	}
-	r.keep(why)
+	r.keep(reason)
 	return nil
 }
 
@@ -185,7 +185,7 @@
 }
 
 // RecordTxn records a finished txn: its route, its value and the value that was served.
-func (r *Rollout) RecordTxn(route int32, worth, served float64) { r.judge.add(route, worth, served) }
+func (r *Rollout) RecordTxn(route int32, value, served float64) { r.judge.add(route, value, served) }
 
 // ReportDisturbance reports an external event that no change is responsible for, such as a member that left, joined
 // or restarted. Health is not measured around it.
@@ -208,13 +208,13 @@
 
 func (r *Rollout) step() {
 	if r.stage == Watched {
-		watch := r.now - r.startedAt
+		elapsed := r.now - r.startedAt
 		judged := r.judge.judged
 		if v := r.judge.verdict(); v.worse {
 			r.undo(ByHealth, v.text)
-		} else if watch >= r.change.Watch && float64(judged) >= minJudgedFraction*float64(r.change.Watch) {
+		} else if elapsed >= r.change.Watch && float64(judged) >= minJudgedFraction*float64(r.change.Watch) {
 			r.keep(ByWatch)
-		} else if watch >= maxWatchFactor*r.change.Watch {
+		} else if elapsed >= maxWatchFactor*r.change.Watch {
 			if r.judge.idle() { // no traffic: there is nothing to measure, and nobody was harmed
 				r.keep(ByWatch)
 			} else {
@@ -241,22 +241,22 @@
 	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.Watch/1e6, r.judge.describeBaseline())
 }
 
-func (r *Rollout) keep(why Reason) {
+func (r *Rollout) keep(reason Reason) {
 	r.kept, r.stage, r.crashes = r.change.Generation, Settled, 0
 	text := r.judge.describeResult()
 	r.judge.end()
-	r.finish(FinishedChange{Generation: r.kept, Digest: r.change.Digest, Kept: true, Why: why, Text: text})
+	r.finish(FinishedChange{Generation: r.kept, Digest: r.change.Digest, Kept: true, Why: reason, Text: text})
 	r.out = append(r.out, Decision{Kind: Keep, Generation: r.kept}, Decision{Kind: Save})
-	r.log("generation %d: kept, %s, %s", r.kept, why, text)
+	r.log("generation %d: kept, %s, %s", r.kept, reason, text)
 }
 
-func (r *Rollout) undo(why Reason, text string) {
-	was := r.change
+func (r *Rollout) undo(reason Reason, text string) {
+	change := r.change
 	r.stage = Settled
 	r.judge.end()
-	r.finish(FinishedChange{Generation: was.Generation, Digest: was.Digest, Why: why, Text: text})
+	r.finish(FinishedChange{Generation: change.Generation, Digest: change.Digest, Why: reason, Text: text})
 	r.out = append(r.out, Decision{Kind: Undo, Generation: r.kept}, Decision{Kind: Save})
-	r.log("generation %d: undone after %d ms, %s; %d is in force again%s", was.Generation, (r.now-r.startedAt)/1e6, why, r.kept, text)
+	r.log("generation %d: undone after %d ms, %s; %d is in force again%s", change.Generation, (r.now-r.startedAt)/1e6, reason, r.kept, text)
 }
 
 func (r *Rollout) finish(e FinishedChange) {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -203,7 +203,7 @@
 // deeper the sooner.
 func TestFalseUndosAndTimeToUndo(t *testing.T) {
 	for _, noise := range []float64{0, 0.01, 0.03} {
-		false_ := 0
+		falseUndos := 0
 		for seed := range uint64(200) {
 			d := newScenario(seed)
 			d.noise = noise
@@ -211,12 +211,12 @@
 			_ = d.propose(1)
 			d.run(70, 0)
 			if d.kept != 1 {
-				false_++
+				falseUndos++
 			}
 		}
-		t.Logf("noise %.2f: %d of 200 undone without a cause", noise, false_)
-		if false_ > 2 {
-			t.Errorf("noise %.2f: %d of 200 undone without a cause", noise, false_)
+		t.Logf("noise %.2f: %d of 200 undone without a cause", noise, falseUndos)
+		if falseUndos > 2 {
+			t.Errorf("noise %.2f: %d of 200 undone without a cause", noise, falseUndos)
 		}
 	}
 	for _, c := range []struct {
@@ -229,14 +229,14 @@
 			d.noise = 0.01
 			d.run(60, 0)
 			_ = d.propose(1)
-			from := d.now
+			startedAt := d.now
 			for d.inForce == 1 && d.kept != 1 {
 				d.run(1, c.drop)
 			}
 			if d.kept == 1 {
 				missed++
 			}
-			worst = max(worst, d.now-from)
+			worst = max(worst, d.now-startedAt)
 		}
 		t.Logf("a third of the txns lose %.2f: undone within %d ms, %d of 50 missed", c.drop, worst/1e6, missed)
 		if missed > 0 || worst > c.most {
@@ -293,18 +293,18 @@
 }
 
 // Correlated noise has a larger standard deviation than uncorrelated noise, and few slots a larger one than many.
-func TestSpreadIsCareful(t *testing.T) {
-	spread := func(slots int, part float64) float64 {
+func TestStdDevIsConservative(t *testing.T) {
+	stdDev := func(slots int, correlation float64) float64 {
 		rng := rand.New(rand.NewPCG(5, 5))
 		var s series
 		x := 0.0
 		for range slots {
-			x = part*x + 0.01*math.Sqrt(1-part*part)*rng.NormFloat64()
+			x = correlation*x + 0.01*math.Sqrt(1-correlation*correlation)*rng.NormFloat64()
 			s.learn(0.9 + x)
 		}
 		return s.stdDev()
 	}
-	few, many, lasting := spread(12, 0), spread(100, 0), spread(100, 0.7)
+	few, many, lasting := stdDev(12, 0), stdDev(100, 0), stdDev(100, 0.7)
 	if many < 0.009 || many > 0.014 || few < many || lasting < 1.5*many {
 		t.Fatal(few, many, lasting)
 	}
