--- a/agreement/agreement.go
+++ b/agreement/agreement.go
@@ -33,11 +33,11 @@
 }
 
 // MaxDivergence is the longest time for which two gateways may act on contradictory rules.
-func (t *Config) MaxDivergence() int64 { return t.Lease + t.ClockError + t.EffectDelay }
+func (c *Config) MaxDivergence() int64 { return c.Lease + c.ClockError + c.EffectDelay }
 
 // StartupWait is how long a starting gateway waits for the membership list and its own entry in it before it serves
 // clients regardless. It leaves room for an election and for a lease to expire.
-func (t *Config) StartupWait() int64 { return 2 * t.MaxDivergence() }
+func (c *Config) StartupWait() int64 { return 2 * c.MaxDivergence() }
 
 // DefaultConfig gives a maximum divergence of three seconds: a voter can restart within it, and with one gateway
 // unavailable a change is in force within the time that an operator waits for.
@@ -46,15 +46,15 @@
 }
 
 // Validate returns an error for the first invalid value.
-func (t *Config) Validate() error {
+func (c *Config) Validate() error {
 	switch {
-	case t.Self == 0:
+	case c.Self == 0:
 		return errors.New("agreement: self is not set")
-	case t.Lease < 100e6:
+	case c.Lease < 100e6:
 		return errors.New("agreement: lease is shorter than 100ms")
-	case t.ClockError <= 0 || t.EffectDelay <= 0:
+	case c.ClockError <= 0 || c.EffectDelay <= 0:
 		return errors.New("agreement: clock_error and turn must be above 0")
-	case t.PageSize < 64 || t.PageSize > 512:
+	case c.PageSize < 64 || c.PageSize > 512:
 		return errors.New("agreement: page must be from 64 to 512 bytes")
 	}
 	return nil
--- a/agreement/book.go
+++ b/agreement/book.go
@@ -161,7 +161,7 @@
 }
 
 // partial is a text of which the log has only the first parts.
-type partial struct {
+type partialText struct {
 	Digest Digest `json:"digest"`
 	Text   []byte `json:"text"` // received so far
 	Size   int    `json:"size"`
@@ -170,8 +170,8 @@
 // listChange records that a gateway was added to or removed from the list.
 type listChange struct {
 	Revision uint64   `json:"stamp"`
-	In       *Gateway `json:"in,omitempty"`
-	Out      ID       `json:"out,omitempty"`
+	Added    *Gateway `json:"in,omitempty"`
+	Removed  ID       `json:"out,omitempty"`
 }
 
 // lastOutcome is the outcome of a gateway's latest proposal.
@@ -192,7 +192,7 @@
 	Texts          map[string][]byte `json:"texts"`            // of kept versions, by hexadecimal digest
 	Recent         []listChange      `json:"recent,omitempty"` // membership changes after RecentSince
 	RecentSince    uint64            `json:"since,omitempty"`
-	Partial        []partial         `json:"partial,omitempty"`
+	Partial        []partialText     `json:"partial,omitempty"`
 	Outcomes       []lastOutcome     `json:"answers,omitempty"`
 	Joining        []proposalRecord  `json:"joining,omitempty"` // not admitted yet
 	KnownToAllUpTo uint64            `json:"seated_to"`
@@ -201,26 +201,26 @@
 func newState() *State { return &State{Texts: map[string][]byte{}} }
 
 // Subject returns the subject with a name, nil if it has no version yet.
-func (b *State) Subject(name string) *Subject {
-	if i := slices.IndexFunc(b.Subjects, func(s Subject) bool { return s.Name == name }); i >= 0 {
-		return &b.Subjects[i]
+func (st *State) Subject(name string) *Subject {
+	if i := slices.IndexFunc(st.Subjects, func(s Subject) bool { return s.Name == name }); i >= 0 {
+		return &st.Subjects[i]
 	}
 	return nil
 }
 
 // Gateway returns the entry of a gateway, nil if it is not listed.
-func (b *State) Gateway(id ID) *Gateway {
-	if i := slices.IndexFunc(b.Gateways, func(g Gateway) bool { return g.ID == id }); i >= 0 {
-		return &b.Gateways[i]
+func (st *State) Gateway(id ID) *Gateway {
+	if i := slices.IndexFunc(st.Gateways, func(g Gateway) bool { return g.ID == id }); i >= 0 {
+		return &st.Gateways[i]
 	}
 	return nil
 }
 
-func (b *State) text(d Digest) []byte { return b.Texts[hex.EncodeToString(d[:])] }
+func (st *State) text(d Digest) []byte { return st.Texts[hex.EncodeToString(d[:])] }
 
 // outcome returns the outcome of a proposal, if it has been applied.
-func (b *State) outcome(origin ID, no uint64) (Outcome, bool) {
-	for _, x := range b.Outcomes {
+func (st *State) outcome(origin ID, no uint64) (Outcome, bool) {
+	for _, x := range st.Outcomes {
 		if x.Origin == origin && x.No == no {
 			return x.Outcome, true
 		}
@@ -230,55 +230,55 @@
 
 // apply applies a log entry. All voters must reach the same result, so it depends on nothing but the state and the
 // entry. It reports whether the entry is a proposal that has to be retried.
-func (b *State) apply(index uint64, e *entry) (retry bool) {
+func (st *State) apply(index uint64, e *entry) (retry bool) {
 	switch {
 	case e.Part != nil:
-		b.addPart(e.Part)
+		st.addPart(e.Part)
 	case e.Advance != nil:
-		switch s := b.Subject(e.Advance.Subject); {
+		switch s := st.Subject(e.Advance.Subject); {
 		case s == nil || s.Next != e.Advance.No:
 		case e.Advance.Step > s.Step:
-			s.Step, s.ChangedAt, b.Revision = e.Advance.Step, index, index
+			s.Step, s.ChangedAt, st.Revision = e.Advance.Step, index, index
 		case e.Advance.Step == 0:
-			s.InForce, s.Next, s.Step, s.ChangedAt, b.Revision = s.Next, 0, 0, index, index
+			s.InForce, s.Next, s.Step, s.ChangedAt, st.Revision = s.Next, 0, 0, index, index
 		}
 	case e.ListUpdate != nil:
 		if e.ListUpdate.Admit {
-			b.admit(index)
+			st.admit(index)
 		}
-		if e.ListUpdate.KnownToAll > b.KnownToAllUpTo {
-			b.KnownToAllUpTo, b.Revision = e.ListUpdate.KnownToAll, index
-			markKnownToAll(b.Gateways, b.KnownToAllUpTo)
+		if e.ListUpdate.KnownToAll > st.KnownToAllUpTo {
+			st.KnownToAllUpTo, st.Revision = e.ListUpdate.KnownToAll, index
+			markKnownToAll(st.Gateways, st.KnownToAllUpTo)
 		}
 	case e.Proposal != nil:
-		if slices.ContainsFunc(b.Outcomes, func(x lastOutcome) bool { return x.Origin == e.Proposal.Origin && x.No >= e.Proposal.No }) {
+		if slices.ContainsFunc(st.Outcomes, func(x lastOutcome) bool { return x.Origin == e.Proposal.Origin && x.No >= e.Proposal.No }) {
 			return false // a duplicate, or so late that its gateway has moved on to later proposals
 		}
 		if e.Proposal.Proposal.Join != nil {
-			b.Joining = slices.DeleteFunc(b.Joining, func(x proposalRecord) bool { return x.Origin == e.Proposal.Origin && x.No <= e.Proposal.No })
-			b.Joining = append(b.Joining, *e.Proposal)
+			st.Joining = slices.DeleteFunc(st.Joining, func(x proposalRecord) bool { return x.Origin == e.Proposal.Origin && x.No <= e.Proposal.No })
+			st.Joining = append(st.Joining, *e.Proposal)
 			return false
 		}
-		out := b.applyProposal(index, &e.Proposal.Proposal)
-		if out.Retry {
+		o := st.applyProposal(index, &e.Proposal.Proposal)
+		if o.Retry {
 			return true
 		}
-		b.recordOutcome(e.Proposal, out)
-		b.pruneOutcomes()
+		st.recordOutcome(e.Proposal, o)
+		st.pruneOutcomes()
 	}
 	return false
 }
 
 // admit adds all gateways to the list that have asked to join since the last time.
-func (b *State) admit(index uint64) {
-	for i := range b.Joining {
-		p := &b.Joining[i]
-		b.join(index, *p.Proposal.Join)
-		b.recordOutcome(p, Outcome{Done: true})
-		b.Revision = index
+func (st *State) admit(index uint64) {
+	for i := range st.Joining {
+		p := &st.Joining[i]
+		st.join(index, *p.Proposal.Join)
+		st.recordOutcome(p, Outcome{Done: true})
+		st.Revision = index
 	}
-	b.Joining = nil
-	b.pruneOutcomes()
+	st.Joining = nil
+	st.pruneOutcomes()
 }
 
 // markKnownToAll sets KnownToAll on the entries listed up to a revision.
@@ -288,158 +288,158 @@
 	}
 }
 
-func (b *State) recordOutcome(p *proposalRecord, o Outcome) {
-	b.Outcomes = slices.DeleteFunc(b.Outcomes, func(x lastOutcome) bool { return x.Origin == p.Origin })
-	b.Outcomes = append(b.Outcomes, lastOutcome{p.Origin, p.No, o})
+func (st *State) recordOutcome(p *proposalRecord, o Outcome) {
+	st.Outcomes = slices.DeleteFunc(st.Outcomes, func(x lastOutcome) bool { return x.Origin == p.Origin })
+	st.Outcomes = append(st.Outcomes, lastOutcome{p.Origin, p.No, o})
 }
 
 // pruneOutcomes drops the oldest outcomes of gateways that are not listed. The latest are kept: a gateway that is
 // removed while its proposal is under way proposes it again, and without the outcome it would be refused although it
 // was done (seed 888).
-func (b *State) pruneOutcomes() {
-	if len(b.Outcomes) <= maxUnlistedOutcomes {
+func (st *State) pruneOutcomes() {
+	if len(st.Outcomes) <= maxUnlistedOutcomes {
 		return
 	}
 	listed := map[ID]bool{}
-	for i := range b.Gateways {
-		listed[b.Gateways[i].ID] = true
+	for i := range st.Gateways {
+		listed[st.Gateways[i].ID] = true
 	}
 	unlisted := 0
-	for i := len(b.Outcomes) - 1; i >= 0; i-- {
-		if listed[b.Outcomes[i].Origin] {
+	for i := len(st.Outcomes) - 1; i >= 0; i-- {
+		if listed[st.Outcomes[i].Origin] {
 			continue
 		}
 		if unlisted++; unlisted > maxUnlistedOutcomes {
-			b.Outcomes = slices.Delete(b.Outcomes, i, i+1)
+			st.Outcomes = slices.Delete(st.Outcomes, i, i+1)
 		}
 	}
 }
 
-func (b *State) addPart(p *textPart) {
-	i := slices.IndexFunc(b.Partial, func(x partial) bool { return x.Digest == p.Digest })
+func (st *State) addPart(p *textPart) {
+	i := slices.IndexFunc(st.Partial, func(x partialText) bool { return x.Digest == p.Digest })
 	if i < 0 {
-		if len(b.Partial) == maxPartialTexts {
-			b.Partial = b.Partial[1:]
+		if len(st.Partial) == maxPartialTexts {
+			st.Partial = st.Partial[1:]
 		}
-		b.Partial = append(b.Partial, partial{Digest: p.Digest, Size: p.Size})
-		i = len(b.Partial) - 1
+		st.Partial = append(st.Partial, partialText{Digest: p.Digest, Size: p.Size})
+		i = len(st.Partial) - 1
 	}
-	if x := &b.Partial[i]; p.Offset == len(x.Text) {
+	if x := &st.Partial[i]; p.Offset == len(x.Text) {
 		x.Text = append(x.Text, p.Data...)
 	}
 }
 
 // applyProposal applies a proposal or returns why it is refused.
-func (b *State) applyProposal(index uint64, w *Proposal) Outcome {
+func (st *State) applyProposal(index uint64, p *Proposal) Outcome {
 	switch {
-	case w.Version != nil:
-		return b.addVersion(index, *w.Version)
-	case w.Leave != 0:
-		switch g := b.Gateway(w.Leave); {
-		case g == nil && w.ProcessEnded && b.markEnded(index, func(x *Gateway) bool { return x.ID == w.Leave }):
+	case p.Version != nil:
+		return st.addVersion(index, *p.Version)
+	case p.Leave != 0:
+		switch g := st.Gateway(p.Leave); {
+		case g == nil && p.ProcessEnded && st.markEnded(index, func(x *Gateway) bool { return x.ID == p.Leave }):
 		case g == nil:
 			return Outcome{Reason: "no such gateway is in the list"}
-		case g.Vote && b.countOtherVoters(g.ID) == 0:
+		case g.Vote && st.countOtherVoters(g.ID) == 0:
 			return Outcome{Reason: "it is the last voter"}
 		default:
-			b.remove(index, w.Leave, w.ProcessEnded)
+			st.remove(index, p.Leave, p.ProcessEnded)
 		}
-	case w.VoterChange != nil:
-		g := b.Gateway(w.VoterChange.ID)
+	case p.VoterChange != nil:
+		g := st.Gateway(p.VoterChange.ID)
 		if g == nil {
 			return Outcome{Reason: "no such gateway is in the list"}
 		}
-		if !w.VoterChange.Enabled && b.countOtherVoters(g.ID) == 0 {
+		if !p.VoterChange.Enabled && st.countOtherVoters(g.ID) == 0 {
 			return Outcome{Reason: "it is the last voter"}
 		}
 		voting := *g
-		voting.Vote = w.VoterChange.Enabled
-		b.upsertGateway(index, voting)
-	case w.Abort != nil:
-		s := b.Subject(w.Abort.Subject)
-		if s == nil || s.Next != w.Abort.No || s.Step == 0 {
+		voting.Vote = p.VoterChange.Enabled
+		st.upsertGateway(index, voting)
+	case p.Abort != nil:
+		s := st.Subject(p.Abort.Subject)
+		if s == nil || s.Next != p.Abort.No || s.Step == 0 {
 			return Outcome{Reason: "it is not tried by steps, or no longer"}
 		}
-		s.Version(s.Next).AbortReason = w.Abort.Reason
+		s.Version(s.Next).AbortReason = p.Abort.Reason
 		s.Next, s.Step, s.ChangedAt = 0, 0, index
 	default:
 		return Outcome{Reason: "nothing was asked for"}
 	}
-	b.Revision = index
+	st.Revision = index
 	return Outcome{Done: true}
 }
 
 // upsertGateway adds an entry to the list or replaces it.
-func (b *State) upsertGateway(index uint64, g Gateway) {
-	b.Gateways = slices.DeleteFunc(b.Gateways, func(x Gateway) bool { return x.ID == g.ID })
-	i, _ := slices.BinarySearchFunc(b.Gateways, g, byName)
-	b.Gateways = slices.Insert(b.Gateways, i, g)
-	b.recordChange(listChange{Revision: index, In: &g})
+func (st *State) upsertGateway(index uint64, g Gateway) {
+	st.Gateways = slices.DeleteFunc(st.Gateways, func(x Gateway) bool { return x.ID == g.ID })
+	i, _ := slices.BinarySearchFunc(st.Gateways, g, byName)
+	st.Gateways = slices.Insert(st.Gateways, i, g)
+	st.recordChange(listChange{Revision: index, Added: &g})
 }
 
 // join adds a gateway to the list, or adds it again. It keeps its number for good, as other gateways refer to it by
 // that.
-func (b *State) join(index uint64, g Gateway) {
+func (st *State) join(index uint64, g Gateway) {
 	g.Vote, g.KnownToAll, g.ListedAt = false, false, index
-	old := b.Gateway(g.ID)
-	if i := slices.IndexFunc(b.Departed, func(x Gateway) bool { return x.ID == g.ID }); old == nil && i >= 0 {
-		g.Number = b.Departed[i].Number
-		b.Departed = slices.Delete(b.Departed, i, i+1)
+	old := st.Gateway(g.ID)
+	if i := slices.IndexFunc(st.Departed, func(x Gateway) bool { return x.ID == g.ID }); old == nil && i >= 0 {
+		g.Number = st.Departed[i].Number
+		st.Departed = slices.Delete(st.Departed, i, i+1)
 	} else if old != nil {
 		g.Vote, g.Number, g.ListedAt, g.KnownToAll = old.Vote, old.Number, old.ListedAt, old.KnownToAll
 	} else {
-		g.Number = b.NextNumber
-		b.NextNumber++
+		g.Number = st.NextNumber
+		st.NextNumber++
 	}
 	// A new incarnation replaces the former one of the same name, without its vote. If the address is the same too, the
 	// former one has ended, as only one process at a time holds an address.
 	sameProcess := func(x *Gateway) bool { return x.Name == g.Name && x.Address == g.Address && x.ID != g.ID }
-	for _, x := range slices.Clone(b.Gateways) {
+	for _, x := range slices.Clone(st.Gateways) {
 		if x.Name == g.Name && x.ID != g.ID {
-			b.remove(index, x.ID, sameProcess(&x))
+			st.remove(index, x.ID, sameProcess(&x))
 		}
 	}
-	b.markEnded(index, sameProcess)
-	b.upsertGateway(index, g)
+	st.markEnded(index, sameProcess)
+	st.upsertGateway(index, g)
 }
 
 // markEnded removes departed gateways that are known to have ended. It reports whether there were any.
-func (b *State) markEnded(index uint64, ended func(*Gateway) bool) bool {
-	before := len(b.Departed)
-	b.Departed = slices.DeleteFunc(b.Departed, func(x Gateway) bool { return ended(&x) })
-	if len(b.Departed) == before {
+func (st *State) markEnded(index uint64, ended func(*Gateway) bool) bool {
+	before := len(st.Departed)
+	st.Departed = slices.DeleteFunc(st.Departed, func(x Gateway) bool { return ended(&x) })
+	if len(st.Departed) == before {
 		return false
 	}
-	b.LastEnded = index
+	st.LastEnded = index
 	return true
 }
 
 // remove takes a gateway out of the list. Unless it has ended it is kept as departed: it may be cut off from all
 // voters and still serve clients, so others ask it for its notes until it has ended.
-func (b *State) remove(index uint64, id ID, ended bool) {
-	if g := b.Gateway(id); ended {
-		b.LastEnded = index
+func (st *State) remove(index uint64, id ID, ended bool) {
+	if g := st.Gateway(id); ended {
+		st.LastEnded = index
 	} else if g != nil {
 		departed := *g
 		departed.Vote, departed.KnownToAll = false, false
-		b.Departed = append(b.Departed, departed)
-		slices.SortFunc(b.Departed, func(x, y Gateway) int { return x.Number - y.Number })
+		st.Departed = append(st.Departed, departed)
+		slices.SortFunc(st.Departed, func(x, y Gateway) int { return x.Number - y.Number })
 	}
-	b.Gateways = slices.DeleteFunc(b.Gateways, func(x Gateway) bool { return x.ID == id })
-	b.recordChange(listChange{Revision: index, Out: id})
+	st.Gateways = slices.DeleteFunc(st.Gateways, func(x Gateway) bool { return x.ID == id })
+	st.recordChange(listChange{Revision: index, Removed: id})
 }
 
-func (b *State) recordChange(c listChange) {
-	if b.Recent = append(b.Recent, c); len(b.Recent) > maxRecentChanges { // drop a quarter at a time, as dropping copies the rest
-		b.RecentSince = b.Recent[maxRecentChanges/4].Revision
-		b.Recent = slices.Clone(b.Recent[maxRecentChanges/4+1:])
+func (st *State) recordChange(c listChange) {
+	if st.Recent = append(st.Recent, c); len(st.Recent) > maxRecentChanges { // drop a quarter at a time, as dropping copies the rest
+		st.RecentSince = st.Recent[maxRecentChanges/4].Revision
+		st.Recent = slices.Clone(st.Recent[maxRecentChanges/4+1:])
 	}
 }
 
 func byName(x, y Gateway) int { return strings.Compare(x.Name, y.Name) }
 
-func (b *State) countOtherVoters(id ID) (count int) {
-	for _, x := range b.Gateways {
+func (st *State) countOtherVoters(id ID) (count int) {
+	for _, x := range st.Gateways {
 		if x.Vote && x.ID != id {
 			count++
 		}
@@ -449,26 +449,26 @@
 
 // addVersion is a compare-and-set: the version must follow the one that it names, else it is refused with the author
 // of the one that came first.
-func (b *State) addVersion(index uint64, v Version) Outcome {
-	s := b.Subject(v.Subject)
+func (st *State) addVersion(index uint64, v Version) Outcome {
+	s := st.Subject(v.Subject)
 	if s == nil {
-		b.Subjects = append(b.Subjects, Subject{Name: v.Subject})
-		slices.SortFunc(b.Subjects, func(x, y Subject) int { return strings.Compare(x.Name, y.Name) })
-		s = b.Subject(v.Subject)
+		st.Subjects = append(st.Subjects, Subject{Name: v.Subject})
+		slices.SortFunc(st.Subjects, func(x, y Subject) int { return strings.Compare(x.Name, y.Name) })
+		s = st.Subject(v.Subject)
 	}
 	last := s.latest()
 	if s.Next != 0 {
-		n := s.Version(s.Next)
-		return Outcome{Retry: true, Reason: fmt.Sprintf("version %d of %s by %s is on its way", n.No, s.Name, n.Author)}
+		conflicting := s.Version(s.Next)
+		return Outcome{Retry: true, Reason: fmt.Sprintf("version %d of %s by %s is on its way", conflicting.No, s.Name, conflicting.Author)}
 	}
 	if v.Predecessor != last {
-		if n := s.Version(last); n != nil {
-			return Outcome{Reason: fmt.Sprintf("it follows version %d, and %s put version %d (%s) in its place", v.Predecessor, n.Author, n.No, n.Digest)}
+		if conflicting := s.Version(last); conflicting != nil {
+			return Outcome{Reason: fmt.Sprintf("it follows version %d, and %s put version %d (%s) in its place", v.Predecessor, conflicting.Author, conflicting.No, conflicting.Digest)}
 		}
 		return Outcome{Reason: fmt.Sprintf("it follows version %d, and there is none yet", v.Predecessor)}
 	}
 	var outdated []string
-	for _, g := range b.Gateways {
+	for _, g := range st.Gateways {
 		if g.FormatVersion < v.FormatVersion {
 			outdated = append(outdated, g.Name)
 		}
@@ -476,14 +476,14 @@
 	if len(outdated) > 0 {
 		return Outcome{Reason: fmt.Sprintf("its form %d is later than the builds read of %s", v.FormatVersion, strings.Join(outdated, ", "))}
 	}
-	if text := b.takeText(v.Digest); text == nil {
+	if text := st.takeText(v.Digest); text == nil {
 		return Outcome{Retry: true, Reason: "its text is not in the log"}
 	} else {
-		b.Texts[hex.EncodeToString(v.Digest[:])] = text
+		st.Texts[hex.EncodeToString(v.Digest[:])] = text
 	}
 	v.No = last + 1
 	s.Versions = append(s.Versions, v)
-	switch s.ChangedAt, b.Revision = index, index; {
+	switch s.ChangedAt, st.Revision = index, index; {
 	case len(v.Conflicts) > 0:
 		s.Next = v.No
 	case v.CanaryFraction > 0:
@@ -494,43 +494,43 @@
 	if len(s.Versions) > maxHistory {
 		s.Versions = slices.Delete(s.Versions, 0, len(s.Versions)-maxHistory)
 	}
-	b.pruneTexts()
+	st.pruneTexts()
 	return Outcome{Done: true, Version: v.No}
 }
 
 // takeText returns a text that is complete in the log and removes it from the partial ones.
-func (b *State) takeText(d Digest) []byte {
-	if t := b.text(d); t != nil {
+func (st *State) takeText(d Digest) []byte {
+	if t := st.text(d); t != nil {
 		return t
 	}
-	i := slices.IndexFunc(b.Partial, func(x partial) bool { return x.Digest == d })
-	if i < 0 || len(b.Partial[i].Text) != b.Partial[i].Size || DigestOf(b.Partial[i].Text) != d {
+	i := slices.IndexFunc(st.Partial, func(x partialText) bool { return x.Digest == d })
+	if i < 0 || len(st.Partial[i].Text) != st.Partial[i].Size || DigestOf(st.Partial[i].Text) != d {
 		return nil
 	}
-	text := append([]byte{}, b.Partial[i].Text...)
-	b.Partial = slices.Delete(b.Partial, i, i+1)
+	text := append([]byte{}, st.Partial[i].Text...)
+	st.Partial = slices.Delete(st.Partial, i, i+1)
 	return text
 }
 
 // hasText reports whether a text needs no more parts.
-func (b *State) hasText(d Digest) bool {
-	if b.text(d) != nil {
+func (st *State) hasText(d Digest) bool {
+	if st.text(d) != nil {
 		return true
 	}
-	i := slices.IndexFunc(b.Partial, func(x partial) bool { return x.Digest == d })
-	return i >= 0 && len(b.Partial[i].Text) == b.Partial[i].Size
+	i := slices.IndexFunc(st.Partial, func(x partialText) bool { return x.Digest == d })
+	return i >= 0 && len(st.Partial[i].Text) == st.Partial[i].Size
 }
 
-func (b *State) pruneTexts() {
+func (st *State) pruneTexts() {
 	used := map[string]bool{}
-	for _, s := range b.Subjects {
+	for _, s := range st.Subjects {
 		for _, v := range s.Versions {
 			used[hex.EncodeToString(v.Digest[:])] = true
 		}
 	}
-	for d := range b.Texts {
+	for d := range st.Texts {
 		if !used[d] {
-			delete(b.Texts, d)
+			delete(st.Texts, d)
 		}
 	}
 }
@@ -622,25 +622,25 @@
 
 // manifest encodes the changes after a known revision: in a fleet of thousands the list is long, its changes are
 // short.
-func (b *State) manifest(known uint64) []byte {
-	m := Manifest{Revision: b.Revision, Departed: b.Departed, LastEnded: b.LastEnded, KnownToAllUpTo: b.KnownToAllUpTo}
-	for i := range b.Subjects {
-		m.Subjects = append(m.Subjects, b.Subjects[i].status())
+func (st *State) manifest(known uint64) []byte {
+	m := Manifest{Revision: st.Revision, Departed: st.Departed, LastEnded: st.LastEnded, KnownToAllUpTo: st.KnownToAllUpTo}
+	for i := range st.Subjects {
+		m.Subjects = append(m.Subjects, st.Subjects[i].status())
 	}
-	if known > 0 && known >= b.RecentSince {
+	if known > 0 && known >= st.RecentSince {
 		m.Base = known
-		for _, change := range b.Recent {
+		for _, change := range st.Recent {
 			switch {
 			case change.Revision <= known:
-			case change.In != nil:
-				m.Gateways = append(m.Gateways, *change.In)
+			case change.Added != nil:
+				m.Gateways = append(m.Gateways, *change.Added)
 			default:
-				m.Gateways = slices.DeleteFunc(m.Gateways, func(x Gateway) bool { return x.ID == change.Out })
-				m.Removed = append(m.Removed, change.Out)
+				m.Gateways = slices.DeleteFunc(m.Gateways, func(x Gateway) bool { return x.ID == change.Removed })
+				m.Removed = append(m.Removed, change.Removed)
 			}
 		}
 	} else {
-		m.Gateways = b.Gateways
+		m.Gateways = st.Gateways
 	}
 	return m.pack()
 }
--- a/agreement/fleet_test.go
+++ b/agreement/fleet_test.go
@@ -302,7 +302,7 @@
 	if before, ok := w.states[v.applied]; !ok {
 		w.states[v.applied] = text
 	} else if before != text {
-		w.t.Fatalf("%s: two histories of entry %d:\n%s\n%s", p.name, v.applied, before, text)
+		w.t.Fatalf("%s: states differ at log index %d:\n%s\n%s", p.name, v.applied, before, text)
 	}
 }
 
@@ -353,7 +353,7 @@
 			}
 		}
 		if len(alive) > 2 {
-			w.t.Fatalf("at %d: versions %v of %s are alive", w.Now, alive, name)
+			w.t.Fatalf("at %d: versions %v of %s are active", w.Now, alive, name)
 		}
 		for no := alone + 1; no <= inForce; no++ {
 			if w.contradicts[fmt.Sprint(name, no)] {
@@ -390,7 +390,7 @@
 			}
 			m := q.a.Manifest()
 			if !w.listed(m)[p.id] && !slices.ContainsFunc(m.Departed, func(x Gateway) bool { return x.ID == p.id }) {
-				w.t.Fatalf("at %d: %s takes itself for known of, and %s does not know it", w.Now, p.name, q.name)
+				w.t.Fatalf("at %d: %s takes itself for known to all, but %s does not know it", w.Now, p.name, q.name)
 			}
 		}
 		w.knownChecks++
@@ -473,7 +473,7 @@
 
 func (w *simulation) linearizable() {
 	if r := porcupine.CheckOperations(register, w.ops); !r {
-		w.t.Fatalf("the outcomes fit no order: %+v", w.ops)
+		w.t.Fatalf("the outcomes are not linearizable: %+v", w.ops)
 	}
 }
 
@@ -500,7 +500,7 @@
 		})
 	}
 	if !w.until(60*second, func() bool { return len(first.a.voter.conf.Voters) == voters && w.leased() == len(w.nodes) }) {
-		w.t.Fatal("no fleet of so many voters: ", first.a.voter.conf, w.leased())
+		w.t.Fatal("the fleet does not reach its number of voters: ", first.a.voter.conf, w.leased())
 	}
 }
 
@@ -551,7 +551,7 @@
 		var got Outcome
 		w.nodes[no].proposeVersion("routes", uint64(no), fmt.Sprint("text ", no), clashes, func(o Outcome) { got = o })
 		if !w.until(5*second, func() bool { return w.inForce("routes", uint64(no+1)) == 5 }) {
-			t.Fatal("it does not come in force", got, describeManifest(w.nodes[0].a.Manifest()))
+			t.Fatal("the version does not come in force", got, describeManifest(w.nodes[0].a.Manifest()))
 		}
 		t.Logf("in force at all after %d ms", (w.Now-began)/1e6)
 		w.run(second)
@@ -562,7 +562,7 @@
 	w.linearizable()
 }
 
-var seeds = flag.Int("seeds", 150, "days of faults by chance")
+var seeds = flag.Int("seeds", 150, "number of runs with random faults")
 
 // Random faults while operators propose changes at any gateway: crashes, pauses, one-way and symmetric partitions,
 // lost disks and lost messages. Checks that there is one history, that no two gateways act on contradictory
@@ -580,9 +580,9 @@
 			}
 		}
 	}
-	t.Logf("a former version was acted on for %d ms at most, %d ms are stated; %d of %d changes were agreed on; %d looks at who is known of", maxDivergence/1e6, defaultMaxDivergence/1e6, done, asked, checks)
+	t.Logf("a former version was acted on for at most %d ms, limit %d ms; %d of %d changes were agreed on; %d checks of gateways known to all", maxDivergence/1e6, defaultMaxDivergence/1e6, done, asked, checks)
 	if checks < *seeds*100 {
-		t.Fatal("hardly anybody is known of: ", checks)
+		t.Fatal("too few checks of gateways known to all: ", checks)
 	}
 }
 
@@ -761,7 +761,7 @@
 	})
 	t.Logf("360 have joined 40 in %d ms, with %d messages each", (w.Now-began)/1e6, (w.sent-sent)/360)
 	if !done || withoutLease > 0 || (w.sent-sent)/360 > 300 {
-		t.Fatal(done, joined, w.leased(), knownToAll(), withoutLease, "looks at one without a lease")
+		t.Fatal(done, joined, w.leased(), knownToAll(), withoutLease, "samples of a gateway without a lease")
 	}
 }
 
@@ -786,24 +786,24 @@
 	w.run(4 * second)
 	w.leader().proposeVersion("routes", 1, "by steps", nil, nil)
 	if !w.until(20*second, func() bool { return w.inForce("routes", 2) == 4 }) {
-		t.Fatal("it is tried for ever")
+		t.Fatal("the rollout by steps does not complete")
 	}
 }
 
 // A gateway that is removed while its proposal is under way, and sends it again, learns that it was done, not that
 // another one was first.
 func TestOutcomeKeptAfterRemoval(t *testing.T) {
-	b := newState()
+	st := newState()
 	for no, id := range []ID{7, 17} {
-		b.apply(uint64(no+1), &entry{Proposal: &proposalRecord{id, 1, Proposal{Join: &Gateway{ID: id, Name: fmt.Sprint("g", id)}}}})
+		st.apply(uint64(no+1), &entry{Proposal: &proposalRecord{id, 1, Proposal{Join: &Gateway{ID: id, Name: fmt.Sprint("g", id)}}}})
 	}
 	text := []byte("text")
-	b.apply(3, &entry{Part: &textPart{DigestOf(text), len(text), 0, text}})
+	st.apply(3, &entry{Part: &textPart{DigestOf(text), len(text), 0, text}})
 	wish := proposalRecord{17, 2, Proposal{Version: &Version{Subject: "routes", Digest: DigestOf(text), Size: len(text)}}}
-	b.apply(4, &entry{Proposal: &wish})
-	b.apply(5, &entry{Proposal: &proposalRecord{7, 2, Proposal{Leave: 17}}})
-	b.apply(6, &entry{Proposal: &wish})
-	if o, done := b.outcome(17, 2); !done || !o.Done || o.Version != 1 {
+	st.apply(4, &entry{Proposal: &wish})
+	st.apply(5, &entry{Proposal: &proposalRecord{7, 2, Proposal{Leave: 17}}})
+	st.apply(6, &entry{Proposal: &wish})
+	if o, done := st.outcome(17, 2); !done || !o.Done || o.Version != 1 {
 		t.Fatal(o, done)
 	}
 }
@@ -820,7 +820,7 @@
 	w.run(4 * defaultMaxDivergence)
 	now := w.leader()
 	if now == nil || now == p {
-		t.Fatal("nobody else leads")
+		t.Fatal("no other gateway leads")
 	}
 	was := uint64(0)
 	if s := now.a.State().Subject("routes"); s != nil {
@@ -832,7 +832,7 @@
 	}
 	p.diskFullUntil = 0
 	if !w.until(3*defaultMaxDivergence, func() bool { return w.inForce("routes", was+1) == 5 }) {
-		t.Fatal("the one whose disk was full does not come back")
+		t.Fatal("the former leader does not recover once its disk has room")
 	}
 	w.linearizable()
 }
--- a/agreement/holder.go
+++ b/agreement/holder.go
@@ -51,9 +51,9 @@
 
 // Adopt reports that the host acts on Pending, if it still has this revision: only then does this gateway claim to
 // know it.
-func (a *Agreement) Adopt(stamp uint64) {
+func (a *Agreement) Adopt(revision uint64) {
 	h := &a.holder
-	if h.pending == nil || h.pending.Revision != stamp {
+	if h.pending == nil || h.pending.Revision != revision {
 		return
 	}
 	h.manifest, h.pending, h.next = *h.pending, nil, nil
--- a/agreement/leases.go
+++ b/agreement/leases.go
@@ -164,7 +164,7 @@
 }
 
 // knownToAll reports whether every gateway of the fleet that may act knows a revision.
-func (v *voter) knownToAll(stamp uint64) bool { return v.revisionKnownToAll() >= stamp }
+func (v *voter) knownToAll(revision uint64) bool { return v.revisionKnownToAll() >= revision }
 
 // revisionKnownToAll is the latest revision known to every gateway of the fleet that may act.
 func (v *voter) revisionKnownToAll() uint64 {
--- a/agreement/voter.go
+++ b/agreement/voter.go
@@ -115,10 +115,10 @@
 
 // bootstrapVoter starts a log with one voter, from a snapshot that lists only this gateway.
 func bootstrapVoter(a *Agreement, self Gateway) (*voter, error) {
-	b := newState()
+	st := newState()
 	self.ListedAt, self.KnownToAll = 1, true
-	b.Revision, b.Gateways, b.NextNumber, b.KnownToAllUpTo = 1, []Gateway{self}, 1, 1
-	v, err := voterFromState(a, raftpb.Snapshot{Data: b.encode(), Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1,
+	st.Revision, st.Gateways, st.NextNumber, st.KnownToAllUpTo = 1, []Gateway{self}, 1, 1
+	v, err := voterFromState(a, raftpb.Snapshot{Data: st.encode(), Metadata: raftpb.SnapshotMetadata{Index: 1, Term: 1,
 		ConfState: raftpb.ConfState{Voters: []uint64{uint64(self.ID)}}}}, raftpb.HardState{Term: 1, Commit: 1}, nil)
 	if err == nil {
 		v.initTimers(a.now)
@@ -193,16 +193,16 @@
 	if s.Metadata.Index == 0 {
 		return nil
 	}
-	b, err := decodeState(s.Data)
+	st, err := decodeState(s.Data)
 	if err != nil {
 		return err
 	}
-	v.state, v.applied, v.term, v.conf = b, s.Metadata.Index, s.Metadata.Term, s.Metadata.ConfState
+	v.state, v.applied, v.term, v.conf = st, s.Metadata.Index, s.Metadata.Term, s.Metadata.ConfState
 	return nil
 }
 
-func (b *State) encode() []byte {
-	text, err := json.Marshal(b)
+func (st *State) encode() []byte {
+	text, err := json.Marshal(st)
 	if err != nil {
 		panic(err) // the type has no value that JSON can't encode
 	}
@@ -210,11 +210,11 @@
 }
 
 func decodeState(text []byte) (*State, error) {
-	b := newState()
-	if err := json.Unmarshal(text, b); err != nil {
+	st := newState()
+	if err := json.Unmarshal(text, st); err != nil {
 		return nil, fmt.Errorf("agreement: a snapshot can't be read: %w", err)
 	}
-	return b, nil
+	return st, nil
 }
 
 // initTimers waits out the promises and grants made before the start, as they are not stored.
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -58,36 +58,36 @@
 	anyTxn      bool
 }
 
-func (j *healthMonitor) clock(now int64) {
-	j.now = now
-	if j.slotEnd == 0 {
-		j.slotEnd = now + slotDuration
+func (m *healthMonitor) clock(now int64) {
+	m.now = now
+	if m.slotEnd == 0 {
+		m.slotEnd = now + slotDuration
 	}
-	for n := 0; now >= j.slotEnd; n++ {
+	for n := 0; now >= m.slotEnd; n++ {
 		if n > 4 { // no call for long: what happened in between is unknown
-			j.slotEnd = now + slotDuration
+			m.slotEnd = now + slotDuration
 			return
 		}
-		j.closeSlot()
-		j.slotEnd += slotDuration
+		m.closeSlot()
+		m.slotEnd += slotDuration
 	}
 }
 
-func (j *healthMonitor) add(route int32, value, served float64) {
-	j.anyTxn = true
-	j.all.add(value, served)
+func (m *healthMonitor) add(route int32, value, served float64) {
+	m.anyTxn = true
+	m.all.add(value, served)
 	if route < 0 {
 		return
 	}
-	s := j.routes[route]
+	s := m.routes[route]
 	if s == nil {
-		if j.routes == nil {
-			j.routes = map[int32]*series{}
+		if m.routes == nil {
+			m.routes = map[int32]*series{}
 		}
 		s = new(series)
-		j.routes[route] = s
-		at, _ := slices.BinarySearch(j.order, route)
-		j.order = slices.Insert(j.order, at, route)
+		m.routes[route] = s
+		at, _ := slices.BinarySearch(m.order, route)
+		m.order = slices.Insert(m.order, at, route)
 	}
 	s.add(value, served)
 }
@@ -98,47 +98,47 @@
 	s.txns++
 }
 
-func (j *healthMonitor) disturb() { j.slotsToSkip = 1 + slotsSkippedAfterDisturbance }
+func (m *healthMonitor) disturb() { m.slotsToSkip = 1 + slotsSkippedAfterDisturbance }
 
 // closeSlot ends the current slot.
-func (j *healthMonitor) closeSlot() {
-	if j.slotsToSkip > 0 {
-		j.slotsToSkip--
-		j.all.resetSlot()
-		for _, id := range j.order {
-			j.routes[id].resetSlot()
+func (m *healthMonitor) closeSlot() {
+	if m.slotsToSkip > 0 {
+		m.slotsToSkip--
+		m.all.resetSlot()
+		for _, id := range m.order {
+			m.routes[id].resetSlot()
 		}
 		return
 	}
 	// Clients whose requests fail at once retry more often: a jump counts as one from outside only while as much is
 	// served as before.
-	baseline := j.all.demand
-	if j.watching && j.all.baselineSlots >= minBaselineSlots && j.all.requested > demandJumpFactor*baseline && j.all.served >= minServedRatio*j.all.mean*baseline {
-		j.all.resetSlot()
-		for _, id := range j.order {
-			j.routes[id].resetSlot()
+	baseline := m.all.demand
+	if m.watching && m.all.baselineSlots >= minBaselineSlots && m.all.requested > demandJumpFactor*baseline && m.all.served >= minServedRatio*m.all.mean*baseline {
+		m.all.resetSlot()
+		for _, id := range m.order {
+			m.routes[id].resetSlot()
 		}
 		return
 	}
 	count := 1
-	for _, id := range j.order {
-		if j.routes[id].baselineSlots >= minBaselineSlots {
+	for _, id := range m.order {
+		if m.routes[id].baselineSlots >= minBaselineSlots {
 			count++
 		}
 	}
 	limit := cusumLimit + math.Log(float64(count))
-	j.closeSeries(&j.all, "all", limit)
-	for _, id := range j.order {
-		j.closeSeries(j.routes[id], fmt.Sprint("route ", id), limit)
+	m.closeSeries(&m.all, "all", limit)
+	for _, id := range m.order {
+		m.closeSeries(m.routes[id], fmt.Sprint("route ", id), limit)
 	}
-	if j.watching {
-		j.judged += slotDuration
+	if m.watching {
+		m.judged += slotDuration
 	}
 }
 
 func (s *series) resetSlot() { s.requested, s.served, s.txns = 0, 0, 0 }
 
-func (j *healthMonitor) closeSeries(s *series, name string, limit float64) {
+func (m *healthMonitor) closeSeries(s *series, name string, limit float64) {
 	if s.txns < minSlotTxns {
 		return // merged into the next slot
 	}
@@ -146,15 +146,15 @@
 	if s.requested > 0 {
 		health = s.served / s.requested
 	}
-	if !j.watching {
+	if !m.watching {
 		s.learn(health)
 	} else if s.baselineSlots >= minBaselineSlots {
 		stdDev := s.stdDev()
 		s.watchedServed += s.served
 		s.watchedRequested += s.requested
 		s.cusum = max(0, s.cusum+min(maxDeviation, (s.mean-health)/stdDev)-cusumSlack)
-		if s.cusum > limit && !j.worst.worse {
-			j.worst = verdict{true, fmt.Sprintf(": %s served %.3f of its worth, %.3f before, spread %.3f", name, s.watchedServed/max(1e-9, s.watchedRequested), s.mean, stdDev)}
+		if s.cusum > limit && !m.worst.worse {
+			m.worst = verdict{true, fmt.Sprintf(": %s served %.3f of its worth, %.3f before, spread %.3f", name, s.watchedServed/max(1e-9, s.watchedRequested), s.mean, stdDev)}
 		}
 	}
 	s.resetSlot()
@@ -184,11 +184,11 @@
 	return max(minStdDev, math.Sqrt(s.variance*(1+correlation)/(1-correlation))*(1+uncertainty))
 }
 
-func (j *healthMonitor) begin() {
-	j.watching, j.judged, j.worst, j.anyTxn = true, 0, verdict{}, false
-	j.all.begin()
-	for _, id := range j.order {
-		j.routes[id].begin()
+func (m *healthMonitor) begin() {
+	m.watching, m.judged, m.worst, m.anyTxn = true, 0, verdict{}, false
+	m.all.begin()
+	for _, id := range m.order {
+		m.routes[id].begin()
 	}
 }
 
@@ -197,28 +197,28 @@
 	s.cusum, s.watchedServed, s.watchedRequested = 0, 0, 0
 }
 
-func (j *healthMonitor) end() {
-	j.watching = false
-	j.all.resetSlot()
-	for _, id := range j.order {
-		j.routes[id].resetSlot()
+func (m *healthMonitor) end() {
+	m.watching = false
+	m.all.resetSlot()
+	for _, id := range m.order {
+		m.routes[id].resetSlot()
 	}
 }
 
-func (j *healthMonitor) verdict() verdict { return j.worst }
+func (m *healthMonitor) verdict() verdict { return m.worst }
 
-func (j *healthMonitor) idle() bool { return !j.anyTxn }
+func (m *healthMonitor) idle() bool { return !m.anyTxn }
 
-func (j *healthMonitor) describeBaseline() string {
-	if j.all.baselineSlots < minBaselineSlots {
+func (m *healthMonitor) describeBaseline() string {
+	if m.all.baselineSlots < minBaselineSlots {
 		return "health not known yet"
 	}
-	return fmt.Sprintf("health %.3f, spread %.3f", j.all.mean, j.all.stdDev())
+	return fmt.Sprintf("health %.3f, spread %.3f", m.all.mean, m.all.stdDev())
 }
 
-func (j *healthMonitor) describeResult() string {
-	if j.all.watchedRequested == 0 {
-		return "nothing judged, " + j.describeBaseline()
+func (m *healthMonitor) describeResult() string {
+	if m.all.watchedRequested == 0 {
+		return "nothing judged, " + m.describeBaseline()
 	}
-	return fmt.Sprintf("health %.3f after, %.3f before", j.all.watchedServed/j.all.watchedRequested, j.all.mean)
+	return fmt.Sprintf("health %.3f after, %.3f before", m.all.watchedServed/m.all.watchedRequested, m.all.mean)
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -50,7 +50,7 @@
 
 const (
 	ByHealth     Reason = "health worsened"
-	ByHand       Reason = "by hand"
+	ByOperator   Reason = "by hand"
 	ByWatch      Reason = "its watch is over"
 	ByCrash      Reason = "the gateway ended while it was watched"
 	NotJudged    Reason = "its watch went by without a quiet moment to judge it by"
@@ -74,7 +74,7 @@
 	Generation Generation
 	Digest     uint64 // of its content: equal texts have equal digests
 	Watch      int64  // nanoseconds for which it may be undone automatically; 0 keeps it at once
-	Again      bool   // accept it even if it was undone before
+	Reapply    bool   // accept it even if it was undone before
 }
 
 // State is what survives a restart.
@@ -105,7 +105,7 @@
 	change    Change // watched
 	startedAt int64
 	staged    *Change
-	judge     healthMonitor
+	health    healthMonitor
 	undone    []uint64
 	crashes   int
 	finished  []FinishedChange
@@ -138,13 +138,13 @@
 // Clock starts a round.
 func (r *Rollout) Clock(now int64) {
 	r.now = now
-	r.judge.clock(now)
+	r.health.clock(now)
 }
 
 // Propose stages a checked change, replacing a staged one. A change that was undone before is refused unless Again
 // is set.
 func (r *Rollout) Propose(c Change) error {
-	if !c.Again {
+	if !c.Reapply {
 		for _, d := range r.undone {
 			if d == c.Digest {
 				return fmt.Errorf("generation %d is not applied: %s; apply it with --again", c.Generation, UndoneBefore)
@@ -159,7 +159,7 @@
 }
 
 // KeepNow keeps the watched change on an operator's request.
-func (r *Rollout) KeepNow() error { return r.KeepWithReason(ByHand) }
+func (r *Rollout) KeepNow() error { return r.KeepWithReason(ByOperator) }
 
 // KeepWithReason keeps the watched change for a given reason.
 func (r *Rollout) KeepWithReason(reason Reason) error {
@@ -174,9 +174,9 @@
 func (r *Rollout) UndoNow() error {
 	switch {
 	case r.stage == Watched:
-		r.undo(ByHand, "")
+		r.undo(ByOperator, "")
 	case r.staged != nil:
-		r.finish(FinishedChange{Generation: r.staged.Generation, Digest: r.staged.Digest, Why: ByHand})
+		r.finish(FinishedChange{Generation: r.staged.Generation, Digest: r.staged.Digest, Why: ByOperator})
 		r.staged = nil
 	default:
 		return fmt.Errorf("no change is watched or staged")
@@ -185,11 +185,11 @@
 }
 
 // RecordTxn records a finished txn: its route, its value and the value that was served.
-func (r *Rollout) RecordTxn(route int32, value, served float64) { r.judge.add(route, value, served) }
+func (r *Rollout) RecordTxn(route int32, value, served float64) { r.health.add(route, value, served) }
 
 // ReportDisturbance reports an external event that no change is responsible for, such as a member that left, joined
 // or restarted. Health is not measured around it.
-func (r *Rollout) ReportDisturbance() { r.judge.disturb() }
+func (r *Rollout) ReportDisturbance() { r.health.disturb() }
 
 // Next returns the next decision of this round; ok is false if none is left.
 func (r *Rollout) Next() (Decision, bool) {
@@ -209,13 +209,13 @@
 func (r *Rollout) step() {
 	if r.stage == Watched {
 		elapsed := r.now - r.startedAt
-		judged := r.judge.judged
-		if v := r.judge.verdict(); v.worse {
+		judged := r.health.judged
+		if v := r.health.verdict(); v.worse {
 			r.undo(ByHealth, v.text)
 		} else if elapsed >= r.change.Watch && float64(judged) >= minJudgedFraction*float64(r.change.Watch) {
 			r.keep(ByWatch)
 		} else if elapsed >= maxWatchFactor*r.change.Watch {
-			if r.judge.idle() { // no traffic: there is nothing to measure, and nobody was harmed
+			if r.health.idle() { // no traffic: there is nothing to measure, and nobody was harmed
 				r.keep(ByWatch)
 			} else {
 				r.undo(NotJudged, "")
@@ -230,21 +230,21 @@
 func (r *Rollout) apply(c Change) {
 	r.staged = nil
 	r.change, r.startedAt, r.stage = c, r.now, Watched
-	r.judge.begin()
+	r.health.begin()
 	if c.Watch <= 0 {
 		r.out = append(r.out, Decision{Kind: Apply, Generation: c.Generation})
-		r.keep(ByHand)
+		r.keep(ByOperator)
 		return
 	}
 	// Save comes before Apply: a process that ends under a change must find it at the next start.
 	r.out = append(r.out, Decision{Kind: Save}, Decision{Kind: Apply, Generation: c.Generation})
-	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.Watch/1e6, r.judge.describeBaseline())
+	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.Watch/1e6, r.health.describeBaseline())
 }
 
 func (r *Rollout) keep(reason Reason) {
 	r.kept, r.stage, r.crashes = r.change.Generation, Settled, 0
-	text := r.judge.describeResult()
-	r.judge.end()
+	text := r.health.describeResult()
+	r.health.end()
 	r.finish(FinishedChange{Generation: r.kept, Digest: r.change.Digest, Kept: true, Why: reason, Text: text})
 	r.out = append(r.out, Decision{Kind: Keep, Generation: r.kept}, Decision{Kind: Save})
 	r.log("generation %d: kept, %s, %s", r.kept, reason, text)
@@ -253,7 +253,7 @@
 func (r *Rollout) undo(reason Reason, text string) {
 	change := r.change
 	r.stage = Settled
-	r.judge.end()
+	r.health.end()
 	r.finish(FinishedChange{Generation: change.Generation, Digest: change.Digest, Why: reason, Text: text})
 	r.out = append(r.out, Decision{Kind: Undo, Generation: r.kept}, Decision{Kind: Save})
 	r.log("generation %d: undone after %d ms, %s; %d is in force again%s", change.Generation, (r.now-r.startedAt)/1e6, reason, r.kept, text)
@@ -285,11 +285,11 @@
 
 // Status returns the current status.
 func (r *Rollout) Status() Status {
-	s := Status{Stage: r.stage, InForce: r.kept, Kept: r.kept, Crashes: r.crashes, Finished: r.finished, Health: r.judge.describeBaseline()}
+	s := Status{Stage: r.stage, InForce: r.kept, Kept: r.kept, Crashes: r.crashes, Finished: r.finished, Health: r.health.describeBaseline()}
 	if r.stage == Watched {
 		s.InForce = r.change.Generation
 		s.Left = max(0, r.startedAt+r.change.Watch-r.now)
-		s.Health = r.judge.describeResult()
+		s.Health = r.health.describeResult()
 	}
 	if r.staged != nil {
 		s.Staged = r.staged.Generation
