--- a/agreement/agreement.go
+++ b/agreement/agreement.go
@@ -104,7 +104,7 @@
 	Prepare                     // prepare to act on Pending; then call Adopt
 	Answer                      // Result is the outcome of Propose number ProposalNo
 	Wake                        // run another round After this many nanoseconds
-	Log
+	Log                         // log Text
 )
 
 // Decision is one action for the host.
--- a/agreement/asks.go
+++ b/agreement/asks.go
@@ -38,7 +38,7 @@
 	Outcome Outcome `json:"outcome"`
 }
 
-// Propose proposes a change to the fleet. Its outcome is an Answer decision with the returned number, after patience
+// Propose proposes a change to the fleet. Its outcome is an Answer decision with the returned number, after timeout
 // at the latest: then it is unknown whether the change was made, and proposing it again is a new proposal. text is
 // the text of the proposal's version.
 func (a *Agreement) Propose(p Proposal, text []byte, timeout int64) (no uint64, err error) {
@@ -97,7 +97,7 @@
 	if i < 0 {
 		return
 	}
-	if o.Retry && a.now < a.pending[i].until { // retried
+	if o.Retry && a.now < a.pending[i].until { // retryPending sends it again
 		a.pending[i].waitReason = o.Reason
 		return
 	}
@@ -137,7 +137,7 @@
 				return
 			}
 		}
-		v.jobs = append(v.jobs, &job{origin: p.Origin, no: p.No, wish: p.Proposal, text: text, until: a.now + 4*proposalRetryInterval})
+		v.jobs = append(v.jobs, &job{origin: p.Origin, no: p.No, proposal: p.Proposal, text: text, until: a.now + 4*proposalRetryInterval})
 	case leader != 0 && leader != a.config.Self && m.From == p.Origin: // one hop only: two voters that each take the other for the leader must not forward it forever
 		forwarded := Message{Kind: Propose, To: leader, Data: m.Data}
 		if text != nil {
--- a/agreement/book.go
+++ b/agreement/book.go
@@ -147,6 +147,7 @@
 	KnownToAll uint64 `json:"seat,omitempty"`  // all gateways that may act know the list up to this revision
 }
 
+// textPart is a part of a text, in a log entry.
 type textPart struct {
 	Digest Digest `json:"d"`
 	Size   int    `json:"s"`
@@ -154,13 +155,14 @@
 	Data   []byte `json:"b"`
 }
 
+// stepAdvance moves a version to its next rollout step or puts it in force.
 type stepAdvance struct {
 	Subject string `json:"subject"`
 	No      uint64 `json:"no"`
 	Step    int    `json:"step,omitempty"` // step to enter; 0 puts the version in force
 }
 
-// partial is a text of which the log has only the first parts.
+// partialText is a text of which the log has only the first parts.
 type partialText struct {
 	Digest Digest `json:"digest"`
 	Text   []byte `json:"text"` // received so far
--- a/agreement/fleet_test.go
+++ b/agreement/fleet_test.go
@@ -40,6 +40,7 @@
 	bytes            int
 }
 
+// process is a gateway with its clock and disk in a simulation.
 type process struct {
 	w             *simulation
 	name          string
@@ -53,7 +54,7 @@
 	paused        bool
 	queued        []func() // input received while paused
 	wakeSeq       int
-	answers       map[uint64]func(Outcome)
+	onOutcome     map[uint64]func(Outcome)
 	canaryVersion uint64 // version that it tries
 	maxDiskDelay  int64  // upper bound, in addition to a few ms
 	diskFullUntil int64  // its disk stores nothing before
@@ -72,7 +73,7 @@
 		w.nodes = append(w.nodes, p)
 		p.start(true)
 	}
-	w.After(0, w.sample)
+	w.After(0, w.checkActing)
 	return w
 }
 
@@ -119,7 +120,7 @@
 		w.t.Fatal(err)
 	}
 	p.a, p.down, p.paused, p.queued, p.mayHaveActed = a, false, false, nil, false
-	p.answers = map[uint64]func(Outcome){}
+	p.onOutcome = map[uint64]func(Outcome){}
 	p.step(func() {})
 	if p.joining {
 		p.leaving = false
@@ -164,7 +165,7 @@
 			}
 			w.After(int64(w.rng.Float64()*(3e6+float64(p.maxDiskDelay))), written)
 		case Answer:
-			if f := p.answers[d.ProposalNo]; f != nil {
+			if f := p.onOutcome[d.ProposalNo]; f != nil {
 				f(d.Result)
 			}
 		case Prepare:
@@ -193,7 +194,7 @@
 			})
 		}
 	}
-	w.check(p)
+	w.checkState(p)
 }
 
 // reportCanary reports a version that the process tries as healthy after a while.
@@ -274,8 +275,8 @@
 	}
 }
 
-// check verifies that all voters that applied the same prefix of the log have the same state.
-func (w *simulation) check(p *process) {
+// checkState verifies that all voters that applied the same prefix of the log have the same state.
+func (w *simulation) checkState(p *process) {
 	v := p.a.voter
 	if v == nil || v.state.Revision == 0 {
 		return
@@ -306,9 +307,9 @@
 	}
 }
 
-// sample checks which versions gateways act on at this moment.
-func (w *simulation) sample() {
-	w.After(10e6, w.sample)
+// checkActing checks which versions gateways act on at this moment.
+func (w *simulation) checkActing() {
+	w.After(10e6, w.checkActing)
 	for _, p := range w.nodes {
 		has := !p.down && !p.paused && p.clock() < p.a.LeaseUntil()
 		if w.trace && !p.down && !p.paused && w.leases[p.name] == has { // leases records the gateways without one, as all start with one
@@ -324,7 +325,7 @@
 		p *process
 		s SubjectStatus
 	}
-	by := map[string][]acting{}
+	actingBySubject := map[string][]acting{}
 	for _, p := range w.nodes {
 		if p.down || p.paused || p.clock() >= p.a.LeaseUntil() {
 			continue
@@ -335,36 +336,36 @@
 			} else if s.Step > 0 {
 				s.Next = nil
 			}
-			by[s.Name] = append(by[s.Name], acting{p, s})
+			actingBySubject[s.Name] = append(actingBySubject[s.Name], acting{p, s})
 		}
 	}
-	for name, all := range by {
-		alive := map[uint64]bool{}
-		alone := uint64(1 << 62) // lowest version that a gateway acts on alone
-		inForce := uint64(0)     // highest version in force at any gateway
+	for name, all := range actingBySubject {
+		active := map[uint64]bool{}
+		lowestAlone := uint64(1 << 62) // lowest version that a gateway acts on alone
+		inForce := uint64(0)           // highest version in force at any gateway
 		for _, x := range all {
 			if x.s.InForce != nil {
-				alive[x.s.InForce.No], inForce = true, max(inForce, x.s.InForce.No)
+				active[x.s.InForce.No], inForce = true, max(inForce, x.s.InForce.No)
 			}
 			if x.s.Next != nil {
-				alive[x.s.Next.No] = true
+				active[x.s.Next.No] = true
 			} else if x.s.InForce != nil {
-				alone = min(alone, x.s.InForce.No)
+				lowestAlone = min(lowestAlone, x.s.InForce.No)
 			}
 		}
-		if len(alive) > 2 {
-			w.t.Fatalf("at %d: versions %v of %s are active", w.Now, alive, name)
+		if len(active) > 2 {
+			w.t.Fatalf("at %d: versions %v of %s are active", w.Now, active, name)
 		}
-		for no := alone + 1; no <= inForce; no++ {
+		for no := lowestAlone + 1; no <= inForce; no++ {
 			if w.contradicts[fmt.Sprint(name, no)] {
-				w.t.Fatalf("at %d: version %d of %s is in force and %d is acted on", w.Now, no, name, alone)
+				w.t.Fatalf("at %d: version %d of %s is in force and %d is acted on", w.Now, no, name, lowestAlone)
 			}
 		}
-		for no := alone + 1; w.agreedAt[fmt.Sprint(name, no)] > 0; no++ {
+		for no := lowestAlone + 1; w.agreedAt[fmt.Sprint(name, no)] > 0; no++ {
 			if w.contradicts[fmt.Sprint(name, no)] {
 				d := w.Now - w.agreedAt[fmt.Sprint(name, no)]
 				if w.maxDivergence = max(w.maxDivergence, d); d > defaultMaxDivergence {
-					w.t.Fatalf("at %d: version %d of %s is acted on %d ms after %d was agreed on", w.Now, alone, name, d/1e6, no)
+					w.t.Fatalf("at %d: version %d of %s is acted on %d ms after %d was agreed on", w.Now, lowestAlone, name, d/1e6, no)
 				}
 			}
 		}
@@ -426,18 +427,18 @@
 			f(Outcome{Reason: err.Error()})
 			return
 		}
-		p.answers[no] = f
+		p.onOutcome[no] = f
 	})
 }
 
 // proposeVersion proposes a version and records the operation for the linearizability check.
-func (p *process) proposeVersion(subject string, predecessor uint64, text string, clashes []string, f func(Outcome)) {
-	w, began := p.w, p.w.Now
+func (p *process) proposeVersion(subject string, predecessor uint64, text string, conflicts []string, f func(Outcome)) {
+	w, calledAt := p.w, p.w.Now
 	w.record("%s proposes a version of %s after %d", p.name, subject, predecessor)
 	done := false
 	n := len(w.ops)
-	w.ops = append(w.ops, porcupine.Operation{ClientId: n, Input: predecessor, Call: began, Output: Outcome{Retry: true}, Return: 1 << 60})
-	v := Version{Subject: subject, Predecessor: predecessor, Author: p.name, Conflicts: clashes, CanaryFraction: w.canaryFraction}
+	w.ops = append(w.ops, porcupine.Operation{ClientId: n, Input: predecessor, Call: calledAt, Output: Outcome{Retry: true}, Return: 1 << 60})
+	v := Version{Subject: subject, Predecessor: predecessor, Author: p.name, Conflicts: conflicts, CanaryFraction: w.canaryFraction}
 	p.propose(Proposal{Version: &v}, text, 8*second, func(o Outcome) {
 		if done {
 			w.t.Fatal("two outcomes")
@@ -477,8 +478,8 @@
 	}
 }
 
-// found bootstraps a fleet at the first gateway, has all others join, and makes the first ones voters.
-func (w *simulation) found(voters int) {
+// bootstrap starts a fleet at the first gateway, has all others join, and makes the first ones voters.
+func (w *simulation) bootstrap(voters int) {
 	first := w.nodes[0]
 	first.step(func() {
 		if err := first.a.Bootstrap(Gateway{Name: first.name, Address: first.name}); err != nil {
@@ -499,8 +500,8 @@
 			}
 		})
 	}
-	if !w.until(60*second, func() bool { return len(first.a.voter.conf.Voters) == voters && w.leased() == len(w.nodes) }) {
-		w.t.Fatal("the fleet does not reach its number of voters: ", first.a.voter.conf, w.leased())
+	if !w.until(60*second, func() bool { return len(first.a.voter.conf.Voters) == voters && w.countLeased() == len(w.nodes) }) {
+		w.t.Fatal("the fleet does not reach its number of voters: ", first.a.voter.conf, w.countLeased())
 	}
 }
 
@@ -513,7 +514,7 @@
 	})
 }
 
-func (w *simulation) leased() (n int) {
+func (w *simulation) countLeased() (n int) {
 	for _, p := range w.nodes {
 		if !p.down && p.clock() < p.a.LeaseUntil() {
 			n++
@@ -522,8 +523,8 @@
 	return n
 }
 
-// inForce counts the gateways that act on a version.
-func (w *simulation) inForce(subject string, no uint64) (n int) {
+// countInForce counts the gateways that act on a version.
+func (w *simulation) countInForce(subject string, no uint64) (n int) {
 	for _, p := range w.nodes {
 		for _, s := range p.a.Manifest().Subjects {
 			if s.Name == subject && s.InForce != nil && s.InForce.No == no && s.Next == nil && p.clock() < p.a.LeaseUntil() && !p.down {
@@ -545,15 +546,15 @@
 
 func TestChangesWithoutFaults(t *testing.T) {
 	w := newSimulation(t, 1, 5)
-	w.found(3)
-	for no, clashes := range [][]string{{"a bound"}, nil, {"a drain"}} {
-		began := w.Now
+	w.bootstrap(3)
+	for no, conflicts := range [][]string{{"a bound"}, nil, {"a drain"}} {
+		startedAt := w.Now
 		var got Outcome
-		w.nodes[no].proposeVersion("routes", uint64(no), fmt.Sprint("text ", no), clashes, func(o Outcome) { got = o })
-		if !w.until(5*second, func() bool { return w.inForce("routes", uint64(no+1)) == 5 }) {
+		w.nodes[no].proposeVersion("routes", uint64(no), fmt.Sprint("text ", no), conflicts, func(o Outcome) { got = o })
+		if !w.until(5*second, func() bool { return w.countInForce("routes", uint64(no+1)) == 5 }) {
 			t.Fatal("the version does not come in force", got, describeManifest(w.nodes[0].a.Manifest()))
 		}
-		t.Logf("in force at all after %d ms", (w.Now-began)/1e6)
+		t.Logf("in force at all gateways after %d ms", (w.Now-startedAt)/1e6)
 		w.run(second)
 		if !got.Done || got.Version != uint64(no+1) {
 			t.Fatal(got)
@@ -593,7 +594,7 @@
 			t.Logf("seed %d", seed)
 		}
 	}()
-	w.found(voters)
+	w.bootstrap(voters)
 	any := func() *process { return w.nodes[w.rng.IntN(len(w.nodes))] }
 	wiped, no := false, 0
 	for end := w.Now + duration; w.Now < end; w.run(int64(w.rng.Float64() * 1.5e9)) {
@@ -670,25 +671,25 @@
 			if p.down || p.paused {
 				break
 			}
-			after := uint64(0)
+			predecessor := uint64(0)
 			for _, s := range p.a.Manifest().Subjects {
 				if s.InForce != nil {
-					after = s.InForce.No
+					predecessor = s.InForce.No
 				}
-				if after = s.LastVersion; s.Step > 0 && w.rng.IntN(4) == 0 {
+				if predecessor = s.LastVersion; s.Step > 0 && w.rng.IntN(4) == 0 {
 					p.propose(Proposal{Abort: &Abort{s.Name, s.Next.No, "health"}}, "", 5*second, func(Outcome) {})
 				}
 			}
-			var clashes []string
+			var conflicts []string
 			w.canaryFraction = 0
 			switch w.rng.IntN(3) {
 			case 0:
-				clashes = []string{"a bound"}
+				conflicts = []string{"a bound"}
 			case 1:
 				w.canaryFraction = 0.4
 			}
 			no++
-			p.proposeVersion("routes", after, strings.Repeat(fmt.Sprint("text ", no, " "), 1+w.rng.IntN(300)), clashes, nil)
+			p.proposeVersion("routes", predecessor, strings.Repeat(fmt.Sprint("text ", no, " "), 1+w.rng.IntN(300)), conflicts, nil)
 		}
 	}
 	w.blocked, w.loss = func(_, _ *process) bool { return false }, 0
@@ -714,10 +715,10 @@
 	for try := 0; try < 4 && !ok; try++ { // an earlier proposal may be applied late
 		was := last()
 		any().proposeVersion("routes", was, fmt.Sprint("the last ", try), []string{"a bound"}, func(o Outcome) { ok = ok || o.Done })
-		ok = w.until(10*second, func() bool { return w.inForce("routes", was+1) == len(w.nodes) }) && ok
+		ok = w.until(10*second, func() bool { return w.countInForce("routes", was+1) == len(w.nodes) }) && ok
 	}
 	if !ok {
-		t.Fatalf("seed %d: no change comes in force: %d of %d gateways may act, leader %v", seed, w.leased(), len(w.nodes), w.leader() != nil)
+		t.Fatalf("seed %d: no change comes in force: %d of %d gateways may act, leader %v", seed, w.countLeased(), len(w.nodes), w.leader() != nil)
 	}
 	w.linearizable()
 	return w
@@ -736,10 +737,10 @@
 	w := newSimulation(t, 5, 400)
 	all := w.nodes
 	w.nodes = all[:40]
-	w.found(3)
+	w.bootstrap(3)
 	w.run(2 * second)
 	w.nodes = all
-	began, sent, joined, withoutLease := w.Now, w.sent, 0, 0
+	startedAt, sent, joined, withoutLease := w.Now, w.sent, 0, 0
 	for _, p := range all[40:] {
 		p.join(func() { joined++ })
 	}
@@ -757,11 +758,11 @@
 				withoutLease++
 			}
 		}
-		return joined == 360 && w.leased() == 400 && knownToAll() == 400
+		return joined == 360 && w.countLeased() == 400 && knownToAll() == 400
 	})
-	t.Logf("360 have joined 40 in %d ms, with %d messages each", (w.Now-began)/1e6, (w.sent-sent)/360)
+	t.Logf("360 have joined 40 in %d ms, with %d messages each", (w.Now-startedAt)/1e6, (w.sent-sent)/360)
 	if !done || withoutLease > 0 || (w.sent-sent)/360 > 300 {
-		t.Fatal(done, joined, w.leased(), knownToAll(), withoutLease, "samples of a gateway without a lease")
+		t.Fatal(done, joined, w.countLeased(), knownToAll(), withoutLease, "samples of a gateway without a lease")
 	}
 }
 
@@ -769,7 +770,7 @@
 // that it gave that voter, which must not block the steps.
 func TestStepsEndAfterAVoterLeft(t *testing.T) {
 	w := newSimulation(t, 3, 5)
-	w.found(5)
+	w.bootstrap(5)
 	gone := w.nodes[4]
 	if gone == w.leader() {
 		gone = w.nodes[3]
@@ -785,7 +786,7 @@
 	})
 	w.run(4 * second)
 	w.leader().proposeVersion("routes", 1, "by steps", nil, nil)
-	if !w.until(20*second, func() bool { return w.inForce("routes", 2) == 4 }) {
+	if !w.until(20*second, func() bool { return w.countInForce("routes", 2) == 4 }) {
 		t.Fatal("the rollout by steps does not complete")
 	}
 }
@@ -799,10 +800,10 @@
 	}
 	text := []byte("text")
 	st.apply(3, &entry{Part: &textPart{DigestOf(text), len(text), 0, text}})
-	wish := proposalRecord{17, 2, Proposal{Version: &Version{Subject: "routes", Digest: DigestOf(text), Size: len(text)}}}
-	st.apply(4, &entry{Proposal: &wish})
+	record := proposalRecord{17, 2, Proposal{Version: &Version{Subject: "routes", Digest: DigestOf(text), Size: len(text)}}}
+	st.apply(4, &entry{Proposal: &record})
 	st.apply(5, &entry{Proposal: &proposalRecord{7, 2, Proposal{Leave: 17}}})
-	st.apply(6, &entry{Proposal: &wish})
+	st.apply(6, &entry{Proposal: &record})
 	if o, done := st.outcome(17, 2); !done || !o.Done || o.Version != 1 {
 		t.Fatal(o, done)
 	}
@@ -812,7 +813,7 @@
 // former leader takes part again once its disk has room.
 func TestLeaderWithAFullDisk(t *testing.T) {
 	w := newSimulation(t, 11, 5)
-	w.found(3)
+	w.bootstrap(3)
 	w.run(3 * second)
 	p := w.leader()
 	p.diskFullUntil = 1 << 62
@@ -827,11 +828,11 @@
 		was = s.latest()
 	}
 	now.proposeVersion("routes", was, "goes on", []string{"a bound"}, nil)
-	if !w.until(3*defaultMaxDivergence, func() bool { return w.inForce("routes", was+1) >= 4 }) {
+	if !w.until(3*defaultMaxDivergence, func() bool { return w.countInForce("routes", was+1) >= 4 }) {
 		t.Fatal("no change comes in force")
 	}
 	p.diskFullUntil = 0
-	if !w.until(3*defaultMaxDivergence, func() bool { return w.inForce("routes", was+1) == 5 }) {
+	if !w.until(3*defaultMaxDivergence, func() bool { return w.countInForce("routes", was+1) == 5 }) {
 		t.Fatal("the former leader does not recover once its disk has room")
 	}
 	w.linearizable()
--- a/agreement/holder.go
+++ b/agreement/holder.go
@@ -34,7 +34,7 @@
 }
 
 // LeaseUntil is until when this gateway may act on what it holds. Check it at each decision, against the time of the
-// decision: once it has expired the gateway has to be careful.
+// decision: once it has expired the gateway may decide only what needs no lease.
 func (a *Agreement) LeaseUntil() (until int64) { return a.holder.leaseUntil }
 
 // Manifest is this gateway's copy of the agreed state.
--- a/agreement/leases.go
+++ b/agreement/leases.go
@@ -140,7 +140,7 @@
 	if v.healthyVersion() < no {
 		return false
 	}
-	for _, id := range v.peersInOrder() {
+	for _, id := range v.sortedPeers() {
 		p := v.peers[id]
 		if p.healthyVersion < no && slices.ContainsFunc(p.grants, func(s sentGrant) bool { return !v.expired(s.until) }) {
 			return false
@@ -223,7 +223,7 @@
 type job struct {
 	origin       ID
 	no           uint64
-	wish         Proposal
+	proposal     Proposal
 	text         []byte // text of its version
 	offset       int    // bytes of the text that are in the log
 	appended     bool   // the proposal is in the log
@@ -255,13 +255,13 @@
 	}
 	for i := range v.state.Subjects {
 		s := &v.state.Subjects[i]
-		if at := s.Next*4 + uint64(s.Step); s.Next != 0 && v.advanced[s.Name] != at && v.knownToAll(s.ChangedAt) && (s.Step == 0 || v.allHealthy(s.Next)) {
+		if stepKey := s.Next*4 + uint64(s.Step); s.Next != 0 && v.advanced[s.Name] != stepKey && v.knownToAll(s.ChangedAt) && (s.Step == 0 || v.allHealthy(s.Next)) {
 			advance := stepAdvance{s.Name, s.Next, 0}
 			if s.Step == stepProposer {
 				advance.Step = stepCanary
 			}
 			if v.propose(entry{Advance: &advance}) {
-				v.advanced[s.Name] = at
+				v.advanced[s.Name] = stepKey
 			}
 		}
 	}
@@ -277,8 +277,8 @@
 	if v.a.now < v.nextListUpdate {
 		return
 	}
-	if v.notKnownRevision != v.state.Revision {
-		v.notKnownRevision, v.notKnownToAll = v.state.Revision, nil
+	if v.notKnownToAllAt != v.state.Revision {
+		v.notKnownToAllAt, v.notKnownToAll = v.state.Revision, nil
 		for i := range v.state.Gateways {
 			if g := &v.state.Gateways[i]; !g.KnownToAll {
 				v.notKnownToAll = append(v.notKnownToAll, g.ListedAt)
@@ -288,9 +288,9 @@
 	update := listUpdate{Admit: len(v.state.Joining) > 0}
 	if len(v.notKnownToAll) > 0 {
 		known := v.revisionKnownToAll()
-		for _, since := range v.notKnownToAll {
-			if since <= known {
-				update.KnownToAll = max(update.KnownToAll, since)
+		for _, listedAt := range v.notKnownToAll {
+			if listedAt <= known {
+				update.KnownToAll = max(update.KnownToAll, listedAt)
 			}
 		}
 	}
@@ -303,9 +303,9 @@
 	if j.appended {
 		return
 	}
-	version := j.wish.Version
+	version := j.proposal.Version
 	if version == nil {
-		j.appended = v.propose(entry{Proposal: &proposalRecord{j.origin, j.no, j.wish}})
+		j.appended = v.propose(entry{Proposal: &proposalRecord{j.origin, j.no, j.proposal}})
 		return
 	}
 	// A version may follow another only once all gateways that may act know that one, so no more than two are active at
@@ -326,7 +326,7 @@
 		}
 		j.offset += n
 	}
-	j.appended = v.propose(entry{Proposal: &proposalRecord{j.origin, j.no, j.wish}})
+	j.appended = v.propose(entry{Proposal: &proposalRecord{j.origin, j.no, j.proposal}})
 }
 
 // changeVoters aligns the Raft configuration with the list: a new voter is a learner until it has caught up.
--- a/agreement/texts.go
+++ b/agreement/texts.go
@@ -17,11 +17,12 @@
 type texts struct {
 	a       *Agreement
 	held    map[Digest][]byte // texts of versions that this gateway holds
-	offered []offered
+	offered []offeredText
 	fetches []*textFetch
 }
 
-type offered struct {
+// offeredText is a text that other gateways may fetch.
+type offeredText struct {
 	digest Digest
 	text   []byte
 }
@@ -43,14 +44,14 @@
 // offer keeps a text for gateways that are told its digest.
 func (t *texts) offer(text []byte) Digest {
 	d := DigestOf(text)
-	if i := slices.IndexFunc(t.offered, func(o offered) bool { return o.digest == d }); i >= 0 {
-		t.offered = append(slices.Delete(t.offered, i, i+1), offered{d, text})
+	if i := slices.IndexFunc(t.offered, func(o offeredText) bool { return o.digest == d }); i >= 0 {
+		t.offered = append(slices.Delete(t.offered, i, i+1), offeredText{d, text})
 		return d
 	}
 	if len(t.offered) == maxOfferedTexts {
 		t.offered = t.offered[1:]
 	}
-	t.offered = append(t.offered, offered{d, text})
+	t.offered = append(t.offered, offeredText{d, text})
 	return d
 }
 
--- a/agreement/transcripts_test.go
+++ b/agreement/transcripts_test.go
@@ -83,7 +83,7 @@
 	for name, run := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newSimulation(t, 7, 5)
-			w.found(3)
+			w.bootstrap(3)
 			w.run(3 * second)
 			w.trace, w.leases = true, map[string]bool{}
 			startedAt := w.Now
@@ -100,23 +100,23 @@
 
 // Time without a leader after the leader is killed. Run by hand: -bench Election -benchtime 1x.
 func BenchmarkElection(b *testing.B) {
-	var leads, all []int64
+	var electionTimes, allLeasedTimes []int64
 	for seed := range uint64(300) {
 		w := newSimulation(b, seed, 5)
-		w.found(3)
+		w.bootstrap(3)
 		w.run(3*second + int64(seed)*7e6)
-		p, began := w.leader(), w.Now
+		p, killedAt := w.leader(), w.Now
 		p.kill()
 		w.until(20*second, func() bool { return w.leader() != nil })
-		leads = append(leads, w.Now-began)
-		w.until(20*second, func() bool { return w.leased() == 4 })
-		all = append(all, w.Now-began)
+		electionTimes = append(electionTimes, w.Now-killedAt)
+		w.until(20*second, func() bool { return w.countLeased() == 4 })
+		allLeasedTimes = append(allLeasedTimes, w.Now-killedAt)
 	}
-	slices.Sort(leads)
-	slices.Sort(all)
-	for part, at := range map[string]int{"p50": 150, "p99": 297} {
-		b.ReportMetric(float64(leads[at])/1e6, part+"-leader-ms")
-		b.ReportMetric(float64(all[at])/1e6, part+"-all-act-ms")
+	slices.Sort(electionTimes)
+	slices.Sort(allLeasedTimes)
+	for percentile, index := range map[string]int{"p50": 150, "p99": 297} {
+		b.ReportMetric(float64(electionTimes[index])/1e6, percentile+"-leader-ms")
+		b.ReportMetric(float64(allLeasedTimes[index])/1e6, percentile+"-all-act-ms")
 	}
 }
 
@@ -127,7 +127,7 @@
 			b.Run(fmt.Sprintf("%d gateways, %d away", n, down), func(b *testing.B) {
 				for range b.N {
 					w := newSimulation(b, 1, n)
-					w.found(3)
+					w.bootstrap(3)
 					b.ReportMetric(float64(w.Now-second)/1e6, "ms/found")
 					w.run(5 * second)
 					for _, p := range w.nodes[n-down:] {
@@ -139,10 +139,10 @@
 					b.ReportMetric(float64(w.sent-sent)/10/float64(n), "messages/gateway/s")
 					b.ReportMetric(float64(w.bytes-bytes)/10/float64(n), "B/gateway/s")
 					for no := range uint64(2) { // the second is the one that matters, as the first has no predecessor to contradict
-						began := w.Now
+						startedAt := w.Now
 						w.nodes[0].proposeVersion("routes", no, strings.Repeat(fmt.Sprint("text ", no), 1000), []string{"a bound"}, nil)
-						w.until(20*second, func() bool { return w.inForce("routes", no+1) == n-down })
-						b.ReportMetric(float64(w.Now-began)/1e6, "ms/change")
+						w.until(20*second, func() bool { return w.countInForce("routes", no+1) == n-down })
+						b.ReportMetric(float64(w.Now-startedAt)/1e6, "ms/change")
 						w.run(5 * second)
 					}
 				}
--- a/agreement/voter.go
+++ b/agreement/voter.go
@@ -53,8 +53,8 @@
 	jobs              []*job
 	advanced          map[string]uint64 // versions with their steps whose advance was appended to the log
 	jobsCheckedAt     uint64            // applied index when outcomes of jobs were last checked
-	notKnownToAll     []uint64          // listing revisions of gateways that are not known to all, as of notKnownRevision
-	notKnownRevision  uint64
+	notKnownToAll     []uint64          // listing revisions of gateways that are not known to all, as of notKnownToAllAt
+	notKnownToAllAt   uint64
 	nextListUpdate    int64                      // earliest time of the next batch of membership changes
 	nextConfChange    int64                      // earliest time of the next change of voters
 	notifiedRevision  uint64                     // revision that holders were last notified of
@@ -300,7 +300,7 @@
 	switch leading := st.RaftState == raft.StateLeader; {
 	case leading && v.leadTerm != st.Term:
 		v.leadTerm, v.nextHeartbeat, v.nextConfChange, v.notifiedRevision = st.Term, v.a.now, 0, 0
-		v.advanced, v.jobs, v.nextListUpdate, v.notKnownRevision = map[string]uint64{}, nil, 0, 0
+		v.advanced, v.jobs, v.nextListUpdate, v.notKnownToAllAt = map[string]uint64{}, nil, 0, 0
 		for _, p := range v.peers { // grants sent in an earlier term may still be in use
 			*p = peer{grants: p.grants}
 		}
@@ -507,5 +507,5 @@
 	return v.nextElection
 }
 
-// peersInOrder returns all voters that were ever allowed to grant leases.
-func (v *voter) peersInOrder() []ID { return slices.Sorted(maps.Keys(v.peers)) }
+// sortedPeers returns all voters that were ever allowed to grant leases.
+func (v *voter) sortedPeers() []ID { return slices.Sorted(maps.Keys(v.peers)) }
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -203,7 +203,7 @@
 // propose stages a change.
 func (gs *generations) propose(x *generation, c Change) (rollout.Generation, error) {
 	x.no = gs.next + 1
-	p := rollout.Change{Generation: x.no, Digest: c.Digest, Watch: c.Watch, Reapply: c.Again}
+	p := rollout.Change{Generation: x.no, Digest: c.Digest, WatchDuration: c.Watch, Reapply: c.Again}
 	if err := gs.module.Propose(p); err != nil {
 		return 0, err
 	}
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -45,6 +45,7 @@
 	text  string
 }
 
+// healthMonitor measures health and detects that it worsens.
 type healthMonitor struct {
 	now         int64
 	slotEnd     int64 // of the current slot
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -71,10 +71,10 @@
 
 // Change is a proposed generation.
 type Change struct {
-	Generation Generation
-	Digest     uint64 // of its content: equal texts have equal digests
-	Watch      int64  // nanoseconds for which it may be undone automatically; 0 keeps it at once
-	Reapply    bool   // accept it even if it was undone before
+	Generation    Generation
+	Digest        uint64 // of its content: equal texts have equal digests
+	WatchDuration int64  // nanoseconds for which it may be undone automatically; 0 keeps it at once
+	Reapply       bool   // accept it even if it was undone before
 }
 
 // State is what survives a restart.
@@ -212,9 +212,9 @@
 		judged := r.health.judged
 		if v := r.health.verdict(); v.worse {
 			r.undo(ByHealth, v.text)
-		} else if elapsed >= r.change.Watch && float64(judged) >= minJudgedFraction*float64(r.change.Watch) {
+		} else if elapsed >= r.change.WatchDuration && float64(judged) >= minJudgedFraction*float64(r.change.WatchDuration) {
 			r.keep(ByWatch)
-		} else if elapsed >= maxWatchFactor*r.change.Watch {
+		} else if elapsed >= maxWatchFactor*r.change.WatchDuration {
 			if r.health.idle() { // no traffic: there is nothing to measure, and nobody was harmed
 				r.keep(ByWatch)
 			} else {
@@ -231,14 +231,14 @@
 	r.staged = nil
 	r.change, r.startedAt, r.stage = c, r.now, Watched
 	r.health.begin()
-	if c.Watch <= 0 {
+	if c.WatchDuration <= 0 {
 		r.out = append(r.out, Decision{Kind: Apply, Generation: c.Generation})
 		r.keep(ByOperator)
 		return
 	}
 	// Save comes before Apply: a process that ends under a change must find it at the next start.
 	r.out = append(r.out, Decision{Kind: Save}, Decision{Kind: Apply, Generation: c.Generation})
-	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.Watch/1e6, r.health.describeBaseline())
+	r.log("generation %d: applied, watched for %d ms, %s", c.Generation, c.WatchDuration/1e6, r.health.describeBaseline())
 }
 
 func (r *Rollout) keep(reason Reason) {
@@ -288,7 +288,7 @@
 	s := Status{Stage: r.stage, InForce: r.kept, Kept: r.kept, Crashes: r.crashes, Finished: r.finished, Health: r.health.describeBaseline()}
 	if r.stage == Watched {
 		s.InForce = r.change.Generation
-		s.Left = max(0, r.startedAt+r.change.Watch-r.now)
+		s.Left = max(0, r.startedAt+r.change.WatchDuration-r.now)
 		s.Health = r.health.describeResult()
 	}
 	if r.staged != nil {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -78,7 +78,7 @@
 
 func (d *scenario) propose(g Generation) error {
 	d.r.Clock(d.now)
-	err := d.r.Propose(Change{Generation: g, Digest: uint64(g) * 31, Watch: 30e9})
+	err := d.r.Propose(Change{Generation: g, Digest: uint64(g) * 31, WatchDuration: 30e9})
 	d.process()
 	return err
 }
@@ -247,7 +247,7 @@
 
 // For any order of events: the kept or the watched generation is in force; a restart finds the kept one; and no
 // generation that was undone is in force again unless it was requested.
-func TestAnyOrder(t *testing.T) {
+func TestRandomEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newScenario(uint64(rapid.IntRange(0, 99).Draw(t, "seed")))
 		d.rate = 30
@@ -313,12 +313,12 @@
 // A process that ends between any two decisions of a change starts with the last kept generation that was saved;
 // what was watched then is not applied again automatically; and no change is in force that a restart would not know
 // of.
-func TestEndsAtEachPoint(t *testing.T) {
+func TestCrashBetweenDecisions(t *testing.T) {
 	// Each script proposes 1, which is kept at once, then 2 with its outcome.
 	scripts := map[string]func(r *Rollout){
 		"kept by hand":   func(r *Rollout) { _ = r.KeepNow() },
 		"undone by hand": func(r *Rollout) { _ = r.UndoNow() },
-		"replaced":       func(r *Rollout) { _ = r.Propose(Change{Generation: 3, Digest: 3, Watch: 1e9}) },
+		"replaced":       func(r *Rollout) { _ = r.Propose(Change{Generation: 3, Digest: 3, WatchDuration: 1e9}) },
 		"by the fleet":   func(r *Rollout) { _ = r.KeepWithReason(ByFleet) },
 		"by its watch":   func(r *Rollout) { r.Clock(1e12) },
 	}
@@ -353,7 +353,7 @@
 			r.Clock(1e9)
 			_ = r.Propose(Change{Generation: 1, Digest: 1})
 			pull()
-			_ = r.Propose(Change{Generation: 2, Digest: 2, Watch: 1e9})
+			_ = r.Propose(Change{Generation: 2, Digest: 2, WatchDuration: 1e9})
 			pull()
 			if !ended {
 				script(r)
