--- a/agreement/voter.go
+++ b/agreement/voter.go
@@ -15,7 +15,7 @@
 
 // Divisors of a lease, and limits of the log.
 const (
-	electionJitterParts = 8   // campaigns of two voters are up to this fraction of a lease apart, several round trips
+	electionJitterParts = 8   // random delays of campaigns spread over this part of a lease, several round trips
 	heartbeatsPerLease  = 8   // one lost heartbeat has no effect
 	maxLogEntries       = 512 // until a snapshot replaces the log
 	maxRaftMessageSize  = 900 // bytes of entries per message: with the header it fits one datagram
--- a/fleet/sessions.go
+++ b/fleet/sessions.go
@@ -83,7 +83,7 @@
 	for _, all := range [][]agreement.Gateway{m.Gateways, m.Departed} {
 		for _, g := range all {
 			if g.ID == s.agreed.Self() {
-				l.Self, l.Seated = g.Number, g.KnownToAll // a ghost is not
+				l.Self, l.Seated = g.Number, g.KnownToAll // a departed gateway is not
 				continue
 			}
 			l.Others = append(l.Others, g.Number)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -141,8 +141,8 @@
 	r.health.clock(now)
 }
 
-// Propose stages a checked change, replacing a staged one. A change that was undone before is refused unless Again
-// is set.
+// Propose stages a checked change, replacing a staged one. A change that was undone before is refused unless
+// Reapply is set.
 func (r *Rollout) Propose(c Change) error {
 	if !c.Reapply {
 		for _, d := range r.undone {
