--- a/agreement/agreement.go
+++ b/agreement/agreement.go
@@ -1,13 +1,14 @@
-// Package agreement decides what gateways of a fleet agree on: texts of settings and lists, in versions that follow one
-// another, and until when each gateway may act on what it knows of them. Three, five or seven gateways vote; all hold
-// leases that a voter grants. It runs without input or output, clock or chance of its own.
+// Package agreement replicates the fleet's shared state: versioned texts of settings and membership lists, and the
+// leases that bound how long each gateway may act on what it knows of them. Three, five or seven gateways vote in a
+// Raft group; every gateway holds a lease that a voter grants. The package does no I/O, reads no clock and has no
+// randomness other than a seeded generator.
 //
-// How it is called: New once; then, for each round, Clock with the time, then any of Heard, Saved and Ask, which only
-// update what is known; then Next until it says there is no more. Leased and Held tell at any time what a txn may be
-// decided by. docs/agreement.md has the argument.
+// Call New once. In each round call Clock with the time, then any of Receive, Saved and Propose, which only update
+// the state, then Next until it reports that no decision is left. LeaseUntil and Manifest report at any time what a
+// txn may be decided by. docs/agreement.md has the safety argument.
 //
-// agreement.go has the interface, voter.go the log and who leads, leases.go who may act until when, book.go what is
-// agreed on, holder.go what a gateway holds of it, texts.go how texts get from one to another.
+// agreement.go holds the interface, voter.go the replicated log and leadership, leases.go the leases, book.go the
+// replicated state, holder.go a gateway's copy of it, texts.go the transfer of texts between gateways.
 package agreement
 
 import (
@@ -16,133 +17,136 @@
 	"math/rand/v2"
 )
 
-// ID is a gateway in one of its lives: one that lost its disk has another. 0 is none.
+// ID identifies one incarnation of a gateway: a gateway that lost its disk gets a new one. 0 is no gateway.
 type ID uint64
 
-// Terms are what all gateways of a fleet have alike, but for Self, Seed and Seeds. Times are nanoseconds.
-type Terms struct {
-	Self       ID
-	Epoch      uint64 // another and a later one at each start
-	Seed       uint64
-	Lease      int64 // for which a gateway acts on what it knows without a word of a voter
-	ClockError int64 // by which two clocks differ at most over a lease
-	Turn       int64 // from the moment that a gateway decides to the moment that this has its effect, at most
-	Page       int   // bytes of a text in one message
-	Seeds      []ID  // who is asked first for what is agreed on
+// Config is the same at all gateways of a fleet, except for Self, Seed and Seeds. Times are in nanoseconds.
+type Config struct {
+	Self        ID
+	Epoch       uint64 // increases with each start
+	Seed        uint64
+	Lease       int64 // how long a gateway may act on what it knows without hearing from a voter
+	ClockError  int64 // upper bound of the difference between two clocks over one lease
+	EffectDelay int64 // upper bound of the time from a gateway's decision to its effect
+	PageSize    int   // bytes of text per message
+	Seeds       []ID  // gateways that are asked first for the agreed state
 }
 
-// Stated is the time for which two gateways may act on rules that contradict each other, at most.
-func (t *Terms) Stated() int64 { return t.Lease + t.ClockError + t.Turn }
+// MaxDivergence is the longest time for which two gateways may act on contradictory rules.
+func (c *Config) MaxDivergence() int64 { return c.Lease + c.ClockError + c.EffectDelay }
 
-// Settling is how long a gateway that starts waits for the list and for a place in it before clients may come all the same: an
-// election and a lease that runs out fit in.
-func (t *Terms) Settling() int64 { return 2 * t.Stated() }
+// StartupWait is how long a starting gateway waits for the membership list and its own entry in it before it serves
+// clients regardless. It leaves room for an election and for a lease to expire.
+func (c *Config) StartupWait() int64 { return 2 * c.MaxDivergence() }
 
-// UsualTerms are those of who does not say: three seconds in all. Ours: a restart of a voter fits in, and a change in a
-// fleet with one gateway away is in force within what an operator waits for.
-func UsualTerms() Terms { return Terms{Lease: 2500e6, ClockError: 250e6, Turn: 250e6, Page: 512} }
+// DefaultConfig gives a maximum divergence of three seconds: a voter can restart within it, and with one gateway
+// unavailable a change is in force within the time that an operator waits for.
+func DefaultConfig() Config {
+	return Config{Lease: 2500e6, ClockError: 250e6, EffectDelay: 250e6, PageSize: 512}
+}
 
-// Check names the first value that is wrong.
-func (t *Terms) Check() error {
+// Validate returns an error for the first invalid value.
+func (c *Config) Validate() error {
 	switch {
-	case t.Self == 0:
-		return errors.New("agreement: self is lacking")
-	case t.Lease < 100e6:
+	case c.Self == 0:
+		return errors.New("agreement: self is not set")
+	case c.Lease < 100e6:
 		return errors.New("agreement: lease is shorter than 100ms")
-	case t.ClockError <= 0 || t.Turn <= 0:
-		return errors.New("agreement: clock_error and turn are above 0")
-	case t.Page < 64 || t.Page > 512:
-		return errors.New("agreement: page is from 64 to 512 bytes")
+	case c.ClockError <= 0 || c.EffectDelay <= 0:
+		return errors.New("agreement: clock_error and turn must be above 0")
+	case c.PageSize < 64 || c.PageSize > 512:
+		return errors.New("agreement: page must be from 64 to 512 bytes")
 	}
 	return nil
 }
 
-// Kind is what a message is.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
-	Raft    Kind = iota + 1 // Data is of the log's protocol
-	Beat                    // of the leader to a voter: No is when, Echo and Run of the promise it has, Left how long it may grant, Stamp what it must know
-	Promise                 // of a voter to its leader: Echo its beat, No and Run when, Known what all know to whom it grants
-	Renew                   // of a gateway to a voter: No and Run are when, Known what it holds
-	Grant                   // the answer: Echo and Run, Left, and Stamp with Digest and Size of what is agreed on now
-	Fetch                   // a question for what stands from Offset on in the text of Digest
-	Page                    // Data is that
-	Propose                 // Data is a proposal
-	Result                  // Data is what became of one
-	Census                  // a question of a survey to a voter
-	Counted                 // the answer: Echo is the question, Digest and Size of its text
+	Raft           Kind = iota + 1 // Data is a Raft message
+	Heartbeat                      // leader to voter: SentAt; Echo and Epoch of the last promise received; Remaining time it may grant; Revision it must know
+	Promise                        // voter to leader: Echo of the heartbeat; SentAt and Epoch; KnownRevision of all gateways that it granted leases
+	Renew                          // gateway to voter: SentAt and Epoch; KnownRevision that it holds
+	Grant                          // response to Renew: Echo and Epoch, Remaining, and Revision with Digest and Size of the latest state
+	Fetch                          // request for the page at Offset of the text with Digest
+	Page                           // response to Fetch: Data is the page
+	Propose                        // Data is a proposal
+	Result                         // Data is the outcome of a proposal
+	SurveyRequest                  // request of a survey to a voter
+	SurveyResponse                 // response to SurveyRequest: Echo of the request, Digest and Size of the text
 )
 
-// Message is what one gateway tells another. Whoever carries it vouches for From. It may be lost, late or come twice.
+// Message is sent from one gateway to another. The transport authenticates From. Messages may be lost, delayed or
+// duplicated.
 type Message struct {
-	Kind     Kind
-	From, To ID
-	Term     uint64
-	Run      uint64
-	No, Echo int64
-	Left     int64
-	Stamp    uint64
-	Known    uint64
-	Well     uint64 // in a Renew the latest version that was tried here and is well, in a Promise the latest that is with all that try one
-	Digest   Digest
-	Size     int
-	Offset   int
-	Data     []byte
+	Kind           Kind
+	From, To       ID
+	Term           uint64
+	Epoch          uint64
+	SentAt, Echo   int64
+	Remaining      int64
+	Revision       uint64
+	KnownRevision  uint64
+	HealthyVersion uint64 // Renew: latest version tried and found healthy here; Promise: latest that is healthy at every gateway that tries one
+	Digest         Digest
+	Size           int
+	Offset         int
+	Data           []byte
 }
 
-// DecisionKind is what the host is to do.
+// DecisionKind is what the host has to do.
 type DecisionKind uint8
 
 const (
-	Send    DecisionKind = iota // Message
-	Save                        // Records are to be on the disk, in the place of all former ones if Whole; then Saved is called
-	Prepare                     // Coming tells what is to be acted on; once the host does, it calls Adopt
-	Answer                      // of Ask number No: Result
-	Wake                        // one more round After so many nanoseconds
-	Log
+	Send    DecisionKind = iota // send Message
+	Save                        // persist Records, replacing all former ones if ReplaceAll; then call Saved
+	Prepare                     // prepare to act on Pending; then call Adopt
+	Answer                      // Result is the outcome of Propose number ProposalNo
+	Wake                        // run another round After this many nanoseconds
+	Log                         // log Text
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host.
 type Decision struct {
-	Kind    DecisionKind
-	Message Message
-	Records [][]byte
-	Whole   bool
-	No      uint64
-	Result  Outcome
-	After   int64
-	Text    string
+	Kind       DecisionKind
+	Message    Message
+	Records    [][]byte
+	ReplaceAll bool
+	ProposalNo uint64
+	Result     Outcome
+	After      int64
+	Text       string
 }
 
-// Agreement is one gateway's part.
+// Agreement is the state of one gateway.
 type Agreement struct {
-	terms  Terms
-	now    int64
-	rng    *rand.Rand
-	out    []Decision
-	local  []Message // to itself
-	wakeAt int64
-	voter  *voter // nil where it does not vote
-	holder holder
-	texts  texts
-	asks   []*ask
-	asked  uint64
-	comes  []Message // wishes whose text is being fetched
-	survey survey
+	config         Config
+	now            int64
+	rng            *rand.Rand
+	decisions      []Decision
+	loopback       []Message // messages to itself
+	wakeAt         int64
+	voter          *voter // nil if this gateway does not vote
+	holder         holder
+	texts          texts
+	pending        []*pendingProposal
+	lastProposalNo uint64
+	awaitingText   []Message // proposals whose text is being fetched
+	survey         survey
 }
 
-// New makes one of what was saved, nothing for a gateway that does not vote or never did.
-func New(t Terms, records [][]byte) (*Agreement, error) {
-	if err := t.Check(); err != nil {
+// New restores a gateway from its saved records. A gateway that does not vote, or never did, has none.
+func New(config Config, records [][]byte) (*Agreement, error) {
+	if err := config.Validate(); err != nil {
 		return nil, err
 	}
-	a := &Agreement{terms: t, rng: rand.New(rand.NewPCG(t.Seed, uint64(t.Self))), asked: t.Epoch}
+	a := &Agreement{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self))), lastProposalNo: config.Epoch}
 	a.texts.a, a.holder.a = a, a
 	a.texts.held = map[Digest][]byte{}
-	a.holder.voters = t.Seeds
+	a.holder.voters = config.Seeds
 	if len(records) > 0 {
-		v, err := recallVoter(a, records)
+		v, err := restoreVoter(a, records)
 		if err != nil {
 			return nil, err
 		}
@@ -151,79 +155,79 @@
 	return a, nil
 }
 
-// Found begins a fleet with this gateway as its one voter. It is asked for once in a fleet's life, and not by a start:
-// a gateway that lost its disk would found a second one beside the first.
-func (a *Agreement) Found(self Gateway) error {
+// Bootstrap starts a new fleet with this gateway as its only voter. An operator calls for it once in the life of a
+// fleet; a start must not, as a gateway that lost its disk would create a second fleet beside the first.
+func (a *Agreement) Bootstrap(self Gateway) error {
 	if a.voter != nil {
-		return errors.New("this gateway votes already")
+		return errors.New("this gateway is already a voter")
 	}
-	self.ID, self.Vote = a.terms.Self, true
-	v, err := foundVoter(a, self)
+	self.ID, self.Vote = a.config.Self, true
+	v, err := bootstrapVoter(a, self)
 	if err == nil {
 		a.voter = v
 	}
 	return err
 }
 
-// Clock begins a round.
+// Clock starts a round at the given time.
 func (a *Agreement) Clock(now int64) {
 	if a.now == 0 && a.voter != nil {
-		a.voter.starts(now)
+		a.voter.initTimers(now)
 	}
 	a.now = now
 }
 
-// Heard takes a message.
-func (a *Agreement) Heard(m Message) {
-	if m.From == 0 || m.To != a.terms.Self {
+// Receive handles a message.
+func (a *Agreement) Receive(m Message) {
+	if m.From == 0 || m.To != a.config.Self {
 		return
 	}
 	switch m.Kind {
 	case Grant:
-		a.holder.granted(&m)
+		a.holder.handleGrant(&m)
 	case Fetch:
-		a.texts.asked(&m)
+		a.texts.handleFetch(&m)
 	case Page:
-		a.texts.page(&m)
+		a.texts.handlePage(&m)
 	case Propose:
-		a.proposed(&m)
+		a.handlePropose(&m)
 	case Result:
-		a.resulted(m.Data)
+		a.handleResult(m.Data)
 	case Raft:
-		a.steps(&m)
-	case Counted:
-		a.counted(&m)
-	case Beat, Promise, Renew, Census:
+		a.handleRaft(&m)
+	case SurveyResponse:
+		a.handleSurveyResponse(&m)
+	case Heartbeat, Promise, Renew, SurveyRequest:
 		if a.voter == nil {
 			return
 		}
 		switch m.Kind {
-		case Beat:
-			a.voter.beat(&m)
+		case Heartbeat:
+			a.voter.handleHeartbeat(&m)
 		case Promise:
-			a.voter.promised(&m)
+			a.voter.handlePromise(&m)
 		case Renew:
-			a.voter.renew(&m)
-		case Census:
-			a.voter.surveyed(&m)
+			a.voter.handleRenew(&m)
+		case SurveyRequest:
+			a.voter.handleSurvey(&m)
 		}
 	}
 }
 
-// Saved tells that the records of the last Save are on the disk.
+// Saved reports that the records of the last Save are on the disk.
 func (a *Agreement) Saved() {
 	if a.voter != nil {
 		a.voter.saved()
 	}
 }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns the next decision of this round; ok is false if none is left.
 func (a *Agreement) Next() (Decision, bool) {
 	for {
-		for len(a.local) > 0 {
-			m := a.local[0]
-			a.local = a.local[1:]
-			a.Heard(m)
+		for len(a.loopback) > 0 {
+			m := a.loopback[0]
+			a.loopback = a.loopback[1:]
+			a.Receive(m)
 		}
 		if a.voter != nil {
 			a.voter.round()
@@ -231,17 +235,17 @@
 		a.holder.round()
 		a.survey.round(a)
 		a.texts.round()
-		a.repeatAsks()
-		a.texted()
-		if len(a.local) > 0 {
+		a.retryPending()
+		a.resumeProposals()
+		if len(a.loopback) > 0 {
 			continue
 		}
-		if len(a.out) > 0 {
-			d := a.out[0]
-			a.out = a.out[1:]
+		if len(a.decisions) > 0 {
+			d := a.decisions[0]
+			a.decisions = a.decisions[1:]
 			return d, true
 		}
-		if at := max(a.due(), a.now+1e6); a.wakeAt <= a.now || at < a.wakeAt {
+		if at := max(a.nextDeadline(), a.now+1e6); a.wakeAt <= a.now || at < a.wakeAt {
 			a.wakeAt = at
 			return Decision{Kind: Wake, After: at - a.now}, true
 		}
@@ -249,30 +253,30 @@
 	}
 }
 
-// due is when the next round is needed.
-func (a *Agreement) due() int64 {
-	at := min(a.holder.due(), a.texts.due())
+// nextDeadline is when the next round is needed.
+func (a *Agreement) nextDeadline() int64 {
+	at := min(a.holder.nextDeadline(), a.texts.nextDeadline())
 	if a.voter != nil {
-		at = min(at, a.voter.due())
+		at = min(at, a.voter.nextDeadline())
 	}
-	if len(a.asks) > 0 {
-		at = min(at, a.asks[0].againAt, a.asks[0].until)
+	if len(a.pending) > 0 {
+		at = min(at, a.pending[0].retryAt, a.pending[0].until)
 	}
 	return at
 }
 
 func (a *Agreement) send(m Message) {
-	m.From = a.terms.Self
-	if m.To == a.terms.Self {
-		a.local = append(a.local, m)
+	m.From = a.config.Self
+	if m.To == a.config.Self {
+		a.loopback = append(a.loopback, m)
 		return
 	}
-	a.out = append(a.out, Decision{Kind: Send, Message: m})
+	a.decisions = append(a.decisions, Decision{Kind: Send, Message: m})
 }
 
-func (a *Agreement) log(format string, x ...any) {
-	a.out = append(a.out, Decision{Kind: Log, Text: fmt.Sprintf(format, x...)})
+func (a *Agreement) log(format string, args ...any) {
+	a.decisions = append(a.decisions, Decision{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-// chance is a time by chance, up to a span.
-func (a *Agreement) chance(span int64) int64 { return int64(a.rng.Float64() * float64(span)) }
+// jitter returns a random duration below limit.
+func (a *Agreement) jitter(limit int64) int64 { return int64(a.rng.Float64() * float64(limit)) }
--- a/agreement/book.go
+++ b/agreement/book.go
@@ -13,19 +13,19 @@
 	"strings"
 )
 
-// Digest names a text by what it says (SHA-256).
+// Digest identifies a text by its SHA-256 hash.
 type Digest [sha256.Size]byte
 
-// DigestOf is that of a text.
+// DigestOf returns the digest of a text.
 func DigestOf(text []byte) Digest { return sha256.Sum256(text) }
 
-// String is its beginning, as it is shown.
+// String returns the first 12 hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// MarshalText and UnmarshalText are for JSON.
+// MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(d[:])), nil }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != len(d) {
 		return fmt.Errorf("a digest has %d hexadecimal digits", 2*len(d))
@@ -34,59 +34,59 @@
 	return err
 }
 
-// Sizes of what is kept. Sources: ours.
+// Limits of the replicated state.
 const (
-	mostHistory = 32      // versions of a subject that can be shown and brought back
-	mostPartial = 4       // texts of which not all has come
-	mostRecent  = 2048    // changes of the list of gateways that are told without the others
-	mostAway    = 256     // answers to gateways that are not in the list any more
-	MostText    = 1 << 18 // bytes of a text
+	maxHistory          = 32      // versions of a subject that can be shown and restored
+	maxPartialTexts     = 4       // texts that are not complete yet
+	maxRecentChanges    = 2048    // membership changes that can be sent as a delta
+	maxUnlistedOutcomes = 256     // outcomes kept for gateways that are not in the list any more
+	MaxTextSize         = 1 << 18 // bytes
 )
 
-// Version is one text of a subject that was agreed on.
+// Version is one agreed text of a subject.
 type Version struct {
-	Subject     string   `json:"subject"`
-	No          uint64   `json:"no"`
-	Predecessor uint64   `json:"predecessor"`
-	Digest      Digest   `json:"digest"`
-	Size        int      `json:"size"`
-	Form        int      `json:"form"` // of the text; a build reads forms up to its own
-	Who         string   `json:"who"`
-	At          int64    `json:"at"` // Unix nanoseconds by the clock of who proposed it
-	Why         string   `json:"why,omitempty"`
-	Clashes     []string `json:"clashes,omitempty"` // why it must not be in force beside its predecessor; none: it may
-	Undoes      uint64   `json:"undoes,omitempty"`
-	Watch       int64    `json:"watch,omitempty"` // nanoseconds for which gateways watch their health by it
-	Share       float64  `json:"share,omitempty"` // of the gateways that get it before all do, after its asker alone; 0 is all at once
-	Asker       ID       `json:"asker,omitempty"`
-	Dropped     string   `json:"dropped,omitempty"` // why it never came in force at all
-}
-
-// Gateway is an entry of the list of gateways.
+	Subject        string   `json:"subject"`
+	No             uint64   `json:"no"`
+	Predecessor    uint64   `json:"predecessor"`
+	Digest         Digest   `json:"digest"`
+	Size           int      `json:"size"`
+	FormatVersion  int      `json:"form"` // format of the text; a build reads formats up to its own
+	Author         string   `json:"who"`
+	ProposedAt     int64    `json:"at"` // Unix nanoseconds by the proposer's clock
+	Reason         string   `json:"why,omitempty"`
+	Conflicts      []string `json:"clashes,omitempty"` // reasons why it must not be in force beside its predecessor; empty if it may
+	Reverts        uint64   `json:"undoes,omitempty"`
+	WatchDuration  int64    `json:"watch,omitempty"` // nanoseconds for which gateways watch their health after applying it
+	CanaryFraction float64  `json:"share,omitempty"` // fraction of gateways that try it after its proposer and before all others; 0 is all at once
+	Proposer       ID       `json:"asker,omitempty"`
+	AbortReason    string   `json:"dropped,omitempty"` // why it was aborted before it came in force everywhere
+}
+
+// Gateway is an entry of the membership list.
 type Gateway struct {
-	ID      ID     `json:"id"`
-	Name    string `json:"name"`
-	Address string `json:"address"`
-	Zone    string `json:"zone,omitempty"`
-	Build   string `json:"build,omitempty"`
-	Form    int    `json:"form"` // the latest that it reads
-	Vote    bool   `json:"vote,omitempty"`
-	Place   int    `json:"place"`            // its number, which no other gateway has or had
-	Since   uint64 `json:"since"`            // the stamp at which it came into the list
-	Seated  bool   `json:"seated,omitempty"` // whoever may act knows of it: Since is within SeatedTo
-}
-
-// Subject is what is agreed on under one name.
+	ID            ID     `json:"id"`
+	Name          string `json:"name"`
+	Address       string `json:"address"`
+	Zone          string `json:"zone,omitempty"`
+	Build         string `json:"build,omitempty"`
+	FormatVersion int    `json:"form"` // latest format that it reads
+	Vote          bool   `json:"vote,omitempty"`
+	Number        int    `json:"place"`            // unique, never reused
+	ListedAt      uint64 `json:"since"`            // revision at which it was listed
+	KnownToAll    bool   `json:"seated,omitempty"` // every gateway that may act knows of it: ListedAt is not after KnownToAllUpTo
+}
+
+// Subject is a named sequence of versions.
 type Subject struct {
-	Name     string    `json:"name"`
-	Versions []Version `json:"versions"` // the latest last
-	InForce  uint64    `json:"in_force"` // 0 is none yet
-	Next     uint64    `json:"next,omitempty"`
-	Step     int       `json:"step,omitempty"` // of Next, if some try it: see Standing
-	Changed  uint64    `json:"changed"`        // the stamp of its last change
+	Name      string    `json:"name"`
+	Versions  []Version `json:"versions"` // oldest first
+	InForce   uint64    `json:"in_force"` // 0 if none is
+	Next      uint64    `json:"next,omitempty"`
+	Step      int       `json:"step,omitempty"` // rollout step of Next, see SubjectStatus; 0 if it has no steps
+	ChangedAt uint64    `json:"changed"`        // revision of its last change
 }
 
-// Version gives one of its versions, nil where it is not kept any more.
+// Version returns the version with a number, nil if it is not kept any more.
 func (s *Subject) Version(no uint64) *Version {
 	if i := slices.IndexFunc(s.Versions, func(v Version) bool { return v.No == no }); i >= 0 {
 		return &s.Versions[i]
@@ -94,132 +94,135 @@
 	return nil
 }
 
-// Outcome is what became of something that was asked for.
+// Outcome is the result of a proposal.
 type Outcome struct {
 	Done    bool   `json:"done"`
-	Version uint64 `json:"version,omitempty"` // that it has
-	Why     string `json:"why,omitempty"`     // it was refused
-	Wait    bool   `json:"wait,omitempty"`    // for now: the same can be asked for again
+	Version uint64 `json:"version,omitempty"` // number that the new version got
+	Reason  string `json:"why,omitempty"`     // reason for the refusal
+	Retry   bool   `json:"wait,omitempty"`    // refused for now; the same can be proposed again
 }
 
-// Wish is what a gateway asks to be agreed on: one of its parts.
-type Wish struct {
-	Version *Version  `json:"version,omitempty"` // its No is given when it is agreed on
-	Join    *Gateway  `json:"join,omitempty"`
-	Leave   ID        `json:"leave,omitempty"`
-	Ended   bool      `json:"ended,omitempty"` // who leaves serves nobody any more: its process is known to have ended
-	Vote    *Voting   `json:"vote,omitempty"`
-	Drop    *Dropping `json:"drop,omitempty"`
+// Proposal is a change that a gateway proposes; exactly one of its kinds is set.
+type Proposal struct {
+	Version      *Version     `json:"version,omitempty"` // No is assigned when it is accepted
+	Join         *Gateway     `json:"join,omitempty"`
+	Leave        ID           `json:"leave,omitempty"`
+	ProcessEnded bool         `json:"ended,omitempty"` // the process of the leaving gateway is known to have ended, so it serves nobody
+	VoterChange  *VoterChange `json:"vote,omitempty"`
+	Abort        *Abort       `json:"drop,omitempty"`
 }
 
-// Dropping ends the steps of a version: who tries it goes back to the one in force.
-type Dropping struct {
+// Abort ends the rollout steps of a version: gateways that try it return to the one in force.
+type Abort struct {
 	Subject string `json:"subject"`
 	No      uint64 `json:"no"`
-	Why     string `json:"why"`
+	Reason  string `json:"why"`
 }
 
-// Voting makes a gateway a voter, or one no more.
-type Voting struct {
-	ID ID   `json:"id"`
-	On bool `json:"on"`
+// VoterChange makes a gateway a voter or removes its vote.
+type VoterChange struct {
+	ID      ID   `json:"id"`
+	Enabled bool `json:"on"`
 }
 
-// proposal is a wish of a gateway, with a number by which it is known when it comes again.
-type proposal struct {
-	Origin ID     `json:"origin"`
-	No     uint64 `json:"no"`
-	Wish   Wish   `json:"wish"`
+// proposalRecord is a proposal with its origin and a number that identifies retries.
+type proposalRecord struct {
+	Origin   ID       `json:"origin"`
+	No       uint64   `json:"no"`
+	Proposal Proposal `json:"wish"`
 }
 
-// entry is one of the log: a part of a text, a wish, that a version comes in force, or who is in the list.
+// entry is a log entry; exactly one field is set.
 type entry struct {
-	Part *part     `json:"part,omitempty"`
-	Wish *proposal `json:"wish,omitempty"`
-	Open *opening  `json:"open,omitempty"`
-	List *listing  `json:"list,omitempty"`
+	Part       *textPart       `json:"part,omitempty"`
+	Proposal   *proposalRecord `json:"wish,omitempty"`
+	Advance    *stepAdvance    `json:"open,omitempty"`
+	ListUpdate *listUpdate     `json:"list,omitempty"`
 }
 
-// listing changes the list for many at once: a list that changes with each of a thousand that join is never held by all.
-type listing struct {
-	Admit bool   `json:"admit,omitempty"` // who has asked to join is in it
-	Seat  uint64 `json:"seat,omitempty"`  // whoever may act knows of who came up to this stamp
+// listUpdate applies many membership changes at once: a list that changed with each of a thousand joins would never
+// be held by all gateways.
+type listUpdate struct {
+	Admit      bool   `json:"admit,omitempty"` // add all gateways that have asked to join
+	KnownToAll uint64 `json:"seat,omitempty"`  // all gateways that may act know the list up to this revision
 }
 
-type part struct {
+// textPart is a part of a text, in a log entry.
+type textPart struct {
 	Digest Digest `json:"d"`
 	Size   int    `json:"s"`
 	Offset int    `json:"o"`
 	Data   []byte `json:"b"`
 }
 
-type opening struct {
+// stepAdvance moves a version to its next rollout step or puts it in force.
+type stepAdvance struct {
 	Subject string `json:"subject"`
 	No      uint64 `json:"no"`
-	Step    int    `json:"step,omitempty"` // to which it goes; 0 is that it is in force at all
+	Step    int    `json:"step,omitempty"` // step to enter; 0 puts the version in force
 }
 
-// partial is a text in the log of which more parts are to come.
-type partial struct {
+// partialText is a text of which the log has only the first parts.
+type partialText struct {
 	Digest Digest `json:"digest"`
-	Text   []byte `json:"text"` // as far as it came
+	Text   []byte `json:"text"` // received so far
 	Size   int    `json:"size"`
 }
 
-// listChange is that a gateway came into the list, or that it left.
+// listChange records that a gateway was added to or removed from the list.
 type listChange struct {
-	Stamp uint64   `json:"stamp"`
-	In    *Gateway `json:"in,omitempty"`
-	Out   ID       `json:"out,omitempty"`
+	Revision uint64   `json:"stamp"`
+	Added    *Gateway `json:"in,omitempty"`
+	Removed  ID       `json:"out,omitempty"`
 }
 
-// answered is the last outcome of a gateway's wishes.
-type answered struct {
+// lastOutcome is the outcome of a gateway's latest proposal.
+type lastOutcome struct {
 	Origin  ID      `json:"origin"`
 	No      uint64  `json:"no"`
 	Outcome Outcome `json:"outcome"`
 }
 
-// Book is what is agreed on. It is the same at each voter that has applied the same part of the log.
-type Book struct {
-	Stamp    uint64            `json:"stamp"` // of its last change: the number of that entry
-	Subjects []Subject         `json:"subjects"`
-	Gateways []Gateway         `json:"gateways"`
-	Ghosts   []Gateway         `json:"ghosts,omitempty"` // that left, and may serve somebody yet
-	Ended    uint64            `json:"ended,omitempty"`  // the stamp at which one was last known to have ended
-	Places   int               `json:"places"`           // that were given
-	Texts    map[string][]byte `json:"texts"`            // of versions that are kept, by digest in hexadecimal
-	Recent   []listChange      `json:"recent,omitempty"` // changes of the list after Since
-	Since    uint64            `json:"since,omitempty"`
-	Partial  []partial         `json:"partial,omitempty"`
-	Answers  []answered        `json:"answers,omitempty"`
-	Joining  []proposal        `json:"joining,omitempty"` // until they are admitted
-	SeatedTo uint64            `json:"seated_to"`
+// State is the replicated state. It is identical at all voters that have applied the same prefix of the log.
+type State struct {
+	Revision       uint64            `json:"stamp"` // log index of the last change
+	Subjects       []Subject         `json:"subjects"`
+	Gateways       []Gateway         `json:"gateways"`
+	Departed       []Gateway         `json:"ghosts,omitempty"` // left the list, may still serve clients
+	LastEnded      uint64            `json:"ended,omitempty"`  // revision at which a departed gateway was last known to have ended
+	NextNumber     int               `json:"places"`           // next Gateway.Number
+	Texts          map[string][]byte `json:"texts"`            // of kept versions, by hexadecimal digest
+	Recent         []listChange      `json:"recent,omitempty"` // membership changes after RecentSince
+	RecentSince    uint64            `json:"since,omitempty"`
+	Partial        []partialText     `json:"partial,omitempty"`
+	Outcomes       []lastOutcome     `json:"answers,omitempty"`
+	Joining        []proposalRecord  `json:"joining,omitempty"` // not admitted yet
+	KnownToAllUpTo uint64            `json:"seated_to"`
 }
 
-func newBook() *Book { return &Book{Texts: map[string][]byte{}} }
+func newState() *State { return &State{Texts: map[string][]byte{}} }
 
-// Subject gives one by its name, nil if nothing was agreed on under it.
-func (b *Book) Subject(name string) *Subject {
-	if i := slices.IndexFunc(b.Subjects, func(s Subject) bool { return s.Name == name }); i >= 0 {
-		return &b.Subjects[i]
+// Subject returns the subject with a name, nil if it has no version yet.
+func (st *State) Subject(name string) *Subject {
+	if i := slices.IndexFunc(st.Subjects, func(s Subject) bool { return s.Name == name }); i >= 0 {
+		return &st.Subjects[i]
 	}
 	return nil
 }
 
-// Gateway gives an entry of the list, nil where it has none.
-func (b *Book) Gateway(id ID) *Gateway {
-	if i := slices.IndexFunc(b.Gateways, func(g Gateway) bool { return g.ID == id }); i >= 0 {
-		return &b.Gateways[i]
+// Gateway returns the entry of a gateway, nil if it is not listed.
+func (st *State) Gateway(id ID) *Gateway {
+	if i := slices.IndexFunc(st.Gateways, func(g Gateway) bool { return g.ID == id }); i >= 0 {
+		return &st.Gateways[i]
 	}
 	return nil
 }
 
-func (b *Book) text(d Digest) []byte { return b.Texts[hex.EncodeToString(d[:])] }
+func (st *State) text(d Digest) []byte { return st.Texts[hex.EncodeToString(d[:])] }
 
-// answer gives what became of a wish, if the log has it.
-func (b *Book) answer(origin ID, no uint64) (Outcome, bool) {
-	for _, x := range b.Answers {
+// outcome returns the outcome of a proposal, if it has been applied.
+func (st *State) outcome(origin ID, no uint64) (Outcome, bool) {
+	for _, x := range st.Outcomes {
 		if x.Origin == origin && x.No == no {
 			return x.Outcome, true
 		}
@@ -227,436 +230,443 @@
 	return Outcome{}, false
 }
 
-// apply carries out an entry. All voters come to the same, so it depends on nothing else. It tells whether it is a wish
-// that has to wait.
-func (b *Book) apply(index uint64, e *entry) (waits bool) {
+// apply applies a log entry. All voters must reach the same result, so it depends on nothing but the state and the
+// entry. It reports whether the entry is a proposal that has to be retried.
+func (st *State) apply(index uint64, e *entry) (retry bool) {
 	switch {
 	case e.Part != nil:
-		b.addPart(e.Part)
-	case e.Open != nil:
-		switch s := b.Subject(e.Open.Subject); {
-		case s == nil || s.Next != e.Open.No:
-		case e.Open.Step > s.Step:
-			s.Step, s.Changed, b.Stamp = e.Open.Step, index, index
-		case e.Open.Step == 0:
-			s.InForce, s.Next, s.Step, s.Changed, b.Stamp = s.Next, 0, 0, index, index
+		st.addPart(e.Part)
+	case e.Advance != nil:
+		switch s := st.Subject(e.Advance.Subject); {
+		case s == nil || s.Next != e.Advance.No:
+		case e.Advance.Step > s.Step:
+			s.Step, s.ChangedAt, st.Revision = e.Advance.Step, index, index
+		case e.Advance.Step == 0:
+			s.InForce, s.Next, s.Step, s.ChangedAt, st.Revision = s.Next, 0, 0, index, index
 		}
-	case e.List != nil:
-		if e.List.Admit {
-			b.admit(index)
+	case e.ListUpdate != nil:
+		if e.ListUpdate.Admit {
+			st.admit(index)
 		}
-		if e.List.Seat > b.SeatedTo {
-			b.SeatedTo, b.Stamp = e.List.Seat, index
-			seat(b.Gateways, b.SeatedTo)
+		if e.ListUpdate.KnownToAll > st.KnownToAllUpTo {
+			st.KnownToAllUpTo, st.Revision = e.ListUpdate.KnownToAll, index
+			markKnownToAll(st.Gateways, st.KnownToAllUpTo)
 		}
-	case e.Wish != nil:
-		if slices.ContainsFunc(b.Answers, func(x answered) bool { return x.Origin == e.Wish.Origin && x.No >= e.Wish.No }) {
-			return false // it came twice, or so late that its gateway has gone on to others
+	case e.Proposal != nil:
+		if slices.ContainsFunc(st.Outcomes, func(x lastOutcome) bool { return x.Origin == e.Proposal.Origin && x.No >= e.Proposal.No }) {
+			return false // a duplicate, or so late that its gateway has moved on to later proposals
 		}
-		if e.Wish.Wish.Join != nil {
-			b.Joining = slices.DeleteFunc(b.Joining, func(x proposal) bool { return x.Origin == e.Wish.Origin && x.No <= e.Wish.No })
-			b.Joining = append(b.Joining, *e.Wish)
+		if e.Proposal.Proposal.Join != nil {
+			st.Joining = slices.DeleteFunc(st.Joining, func(x proposalRecord) bool { return x.Origin == e.Proposal.Origin && x.No <= e.Proposal.No })
+			st.Joining = append(st.Joining, *e.Proposal)
 			return false
 		}
-		out := b.grantWish(index, &e.Wish.Wish)
-		if out.Wait {
+		o := st.applyProposal(index, &e.Proposal.Proposal)
+		if o.Retry {
 			return true
 		}
-		b.answers(e.Wish, out)
-		b.forgetAnswers()
+		st.recordOutcome(e.Proposal, o)
+		st.pruneOutcomes()
 	}
 	return false
 }
 
-// admit puts all into the list that have asked for it since the last time.
-func (b *Book) admit(index uint64) {
-	for i := range b.Joining {
-		w := &b.Joining[i]
-		b.join(index, *w.Wish.Join)
-		b.answers(w, Outcome{Done: true})
-		b.Stamp = index
+// admit adds all gateways to the list that have asked to join since the last time.
+func (st *State) admit(index uint64) {
+	for i := range st.Joining {
+		p := &st.Joining[i]
+		st.join(index, *p.Proposal.Join)
+		st.recordOutcome(p, Outcome{Done: true})
+		st.Revision = index
 	}
-	b.Joining = nil
-	b.forgetAnswers()
+	st.Joining = nil
+	st.pruneOutcomes()
 }
 
-// seat marks those of a list that came up to a stamp.
-func seat(list []Gateway, to uint64) {
-	for i := range list {
-		list[i].Seated = list[i].Since <= to
+// markKnownToAll sets KnownToAll on the entries listed up to a revision.
+func markKnownToAll(gateways []Gateway, upTo uint64) {
+	for i := range gateways {
+		gateways[i].KnownToAll = gateways[i].ListedAt <= upTo
 	}
 }
 
-func (b *Book) answers(w *proposal, o Outcome) {
-	b.Answers = slices.DeleteFunc(b.Answers, func(x answered) bool { return x.Origin == w.Origin })
-	b.Answers = append(b.Answers, answered{w.Origin, w.No, o})
+func (st *State) recordOutcome(p *proposalRecord, o Outcome) {
+	st.Outcomes = slices.DeleteFunc(st.Outcomes, func(x lastOutcome) bool { return x.Origin == p.Origin })
+	st.Outcomes = append(st.Outcomes, lastOutcome{p.Origin, p.No, o})
 }
 
-// forgetAnswers drops the oldest answers to gateways that are not in the list. The latest stay: one that was taken out while
-// its wish was under way asks again, and was told that it is refused for want of its answer, though it was done (seed 888).
-func (b *Book) forgetAnswers() {
-	if len(b.Answers) <= mostAway {
+// pruneOutcomes drops the oldest outcomes of gateways that are not listed. The latest are kept: a gateway that is
+// removed while its proposal is under way proposes it again, and without the outcome it would be refused although it
+// was done (seed 888).
+func (st *State) pruneOutcomes() {
+	if len(st.Outcomes) <= maxUnlistedOutcomes {
 		return
 	}
 	listed := map[ID]bool{}
-	for i := range b.Gateways {
-		listed[b.Gateways[i].ID] = true
+	for i := range st.Gateways {
+		listed[st.Gateways[i].ID] = true
 	}
-	away := 0
-	for i := len(b.Answers) - 1; i >= 0; i-- {
-		if listed[b.Answers[i].Origin] {
+	unlisted := 0
+	for i := len(st.Outcomes) - 1; i >= 0; i-- {
+		if listed[st.Outcomes[i].Origin] {
 			continue
 		}
-		if away++; away > mostAway {
-			b.Answers = slices.Delete(b.Answers, i, i+1)
+		if unlisted++; unlisted > maxUnlistedOutcomes {
+			st.Outcomes = slices.Delete(st.Outcomes, i, i+1)
 		}
 	}
 }
 
-func (b *Book) addPart(p *part) {
-	i := slices.IndexFunc(b.Partial, func(x partial) bool { return x.Digest == p.Digest })
+func (st *State) addPart(p *textPart) {
+	i := slices.IndexFunc(st.Partial, func(x partialText) bool { return x.Digest == p.Digest })
 	if i < 0 {
-		if len(b.Partial) == mostPartial {
-			b.Partial = b.Partial[1:]
+		if len(st.Partial) == maxPartialTexts {
+			st.Partial = st.Partial[1:]
 		}
-		b.Partial = append(b.Partial, partial{Digest: p.Digest, Size: p.Size})
-		i = len(b.Partial) - 1
+		st.Partial = append(st.Partial, partialText{Digest: p.Digest, Size: p.Size})
+		i = len(st.Partial) - 1
 	}
-	if x := &b.Partial[i]; p.Offset == len(x.Text) {
+	if x := &st.Partial[i]; p.Offset == len(x.Text) {
 		x.Text = append(x.Text, p.Data...)
 	}
 }
 
-// grantWish does what is asked for, or says why not.
-func (b *Book) grantWish(index uint64, w *Wish) Outcome {
+// applyProposal applies a proposal or returns why it is refused.
+func (st *State) applyProposal(index uint64, p *Proposal) Outcome {
 	switch {
-	case w.Version != nil:
-		return b.addVersion(index, *w.Version)
-	case w.Leave != 0:
-		switch g := b.Gateway(w.Leave); {
-		case g == nil && w.Ended && b.ends(index, func(x *Gateway) bool { return x.ID == w.Leave }):
+	case p.Version != nil:
+		return st.addVersion(index, *p.Version)
+	case p.Leave != 0:
+		switch g := st.Gateway(p.Leave); {
+		case g == nil && p.ProcessEnded && st.markEnded(index, func(x *Gateway) bool { return x.ID == p.Leave }):
 		case g == nil:
-			return Outcome{Why: "no such gateway is in the list"}
-		case g.Vote && b.otherVoters(g.ID) == 0:
-			return Outcome{Why: "it is the last voter"}
+			return Outcome{Reason: "no such gateway is in the list"}
+		case g.Vote && st.countOtherVoters(g.ID) == 0:
+			return Outcome{Reason: "it is the last voter"}
 		default:
-			b.remove(index, w.Leave, w.Ended)
+			st.remove(index, p.Leave, p.ProcessEnded)
 		}
-	case w.Vote != nil:
-		g := b.Gateway(w.Vote.ID)
+	case p.VoterChange != nil:
+		g := st.Gateway(p.VoterChange.ID)
 		if g == nil {
-			return Outcome{Why: "no such gateway is in the list"}
+			return Outcome{Reason: "no such gateway is in the list"}
 		}
-		if !w.Vote.On && b.otherVoters(g.ID) == 0 {
-			return Outcome{Why: "it is the last voter"}
+		if !p.VoterChange.Enabled && st.countOtherVoters(g.ID) == 0 {
+			return Outcome{Reason: "it is the last voter"}
 		}
 		voting := *g
-		voting.Vote = w.Vote.On
-		b.list(index, voting)
-	case w.Drop != nil:
-		s := b.Subject(w.Drop.Subject)
-		if s == nil || s.Next != w.Drop.No || s.Step == 0 {
-			return Outcome{Why: "it is not tried by steps, or no longer"}
+		voting.Vote = p.VoterChange.Enabled
+		st.upsertGateway(index, voting)
+	case p.Abort != nil:
+		s := st.Subject(p.Abort.Subject)
+		if s == nil || s.Next != p.Abort.No || s.Step == 0 {
+			return Outcome{Reason: "it is not tried by steps, or no longer"}
 		}
-		s.Version(s.Next).Dropped = w.Drop.Why
-		s.Next, s.Step, s.Changed = 0, 0, index
+		s.Version(s.Next).AbortReason = p.Abort.Reason
+		s.Next, s.Step, s.ChangedAt = 0, 0, index
 	default:
-		return Outcome{Why: "nothing was asked for"}
+		return Outcome{Reason: "nothing was asked for"}
 	}
-	b.Stamp = index
+	st.Revision = index
 	return Outcome{Done: true}
 }
 
-// list puts a gateway into the list, or in the place of its entry.
-func (b *Book) list(index uint64, g Gateway) {
-	b.Gateways = slices.DeleteFunc(b.Gateways, func(x Gateway) bool { return x.ID == g.ID })
-	i, _ := slices.BinarySearchFunc(b.Gateways, g, byName)
-	b.Gateways = slices.Insert(b.Gateways, i, g)
-	b.note(listChange{Stamp: index, In: &g})
+// upsertGateway adds an entry to the list or replaces it.
+func (st *State) upsertGateway(index uint64, g Gateway) {
+	st.Gateways = slices.DeleteFunc(st.Gateways, func(x Gateway) bool { return x.ID == g.ID })
+	i, _ := slices.BinarySearchFunc(st.Gateways, g, byName)
+	st.Gateways = slices.Insert(st.Gateways, i, g)
+	st.recordChange(listChange{Revision: index, Added: &g})
 }
 
-// join puts a gateway into the list, or back into it. Its number is its own for good: what others hold of it goes by that.
-func (b *Book) join(index uint64, g Gateway) {
-	g.Vote, g.Seated, g.Since = false, false, index
-	old := b.Gateway(g.ID)
-	if i := slices.IndexFunc(b.Ghosts, func(x Gateway) bool { return x.ID == g.ID }); old == nil && i >= 0 {
-		g.Place = b.Ghosts[i].Place
-		b.Ghosts = slices.Delete(b.Ghosts, i, i+1)
+// join adds a gateway to the list, or adds it again. It keeps its number for good, as other gateways refer to it by
+// that.
+func (st *State) join(index uint64, g Gateway) {
+	g.Vote, g.KnownToAll, g.ListedAt = false, false, index
+	old := st.Gateway(g.ID)
+	if i := slices.IndexFunc(st.Departed, func(x Gateway) bool { return x.ID == g.ID }); old == nil && i >= 0 {
+		g.Number = st.Departed[i].Number
+		st.Departed = slices.Delete(st.Departed, i, i+1)
 	} else if old != nil {
-		g.Vote, g.Place, g.Since, g.Seated = old.Vote, old.Place, old.Since, old.Seated
+		g.Vote, g.Number, g.ListedAt, g.KnownToAll = old.Vote, old.Number, old.ListedAt, old.KnownToAll
 	} else {
-		g.Place = b.Places
-		b.Places++
+		g.Number = st.NextNumber
+		st.NextNumber++
 	}
-	// Who comes back under its name in another life takes the place of the former one, but for its vote. Where it has the
-	// address too the former one has ended, as an address is held by one process at a time.
-	same := func(x *Gateway) bool { return x.Name == g.Name && x.Address == g.Address && x.ID != g.ID }
-	for _, x := range slices.Clone(b.Gateways) {
+	// A new incarnation replaces the former one of the same name, without its vote. If the address is the same too, the
+	// former one has ended, as only one process at a time holds an address.
+	sameProcess := func(x *Gateway) bool { return x.Name == g.Name && x.Address == g.Address && x.ID != g.ID }
+	for _, x := range slices.Clone(st.Gateways) {
 		if x.Name == g.Name && x.ID != g.ID {
-			b.remove(index, x.ID, same(&x))
+			st.remove(index, x.ID, sameProcess(&x))
 		}
 	}
-	b.ends(index, same)
-	b.list(index, g)
+	st.markEnded(index, sameProcess)
+	st.upsertGateway(index, g)
 }
 
-// ends notes that gateways which had left have ended.
-func (b *Book) ends(index uint64, which func(*Gateway) bool) bool {
-	before := len(b.Ghosts)
-	b.Ghosts = slices.DeleteFunc(b.Ghosts, func(x Gateway) bool { return which(&x) })
-	if len(b.Ghosts) == before {
+// markEnded removes departed gateways that are known to have ended. It reports whether there were any.
+func (st *State) markEnded(index uint64, ended func(*Gateway) bool) bool {
+	before := len(st.Departed)
+	st.Departed = slices.DeleteFunc(st.Departed, func(x Gateway) bool { return ended(&x) })
+	if len(st.Departed) == before {
 		return false
 	}
-	b.Ended = index
+	st.LastEnded = index
 	return true
 }
 
-// remove takes a gateway out of the list. Unless it has ended it is a ghost: it may be cut off from all that vote and go
-// on to serve, so others ask it for what it noted until it has ended.
-func (b *Book) remove(index uint64, id ID, ended bool) {
-	if g := b.Gateway(id); ended {
-		b.Ended = index
+// remove takes a gateway out of the list. Unless it has ended it is kept as departed: it may be cut off from all
+// voters and still serve clients, so others ask it for its notes until it has ended.
+func (st *State) remove(index uint64, id ID, ended bool) {
+	if g := st.Gateway(id); ended {
+		st.LastEnded = index
 	} else if g != nil {
-		ghost := *g
-		ghost.Vote, ghost.Seated = false, false
-		b.Ghosts = append(b.Ghosts, ghost)
-		slices.SortFunc(b.Ghosts, func(x, y Gateway) int { return x.Place - y.Place })
+		departed := *g
+		departed.Vote, departed.KnownToAll = false, false
+		st.Departed = append(st.Departed, departed)
+		slices.SortFunc(st.Departed, func(x, y Gateway) int { return x.Number - y.Number })
 	}
-	b.Gateways = slices.DeleteFunc(b.Gateways, func(x Gateway) bool { return x.ID == id })
-	b.note(listChange{Stamp: index, Out: id})
+	st.Gateways = slices.DeleteFunc(st.Gateways, func(x Gateway) bool { return x.ID == id })
+	st.recordChange(listChange{Revision: index, Removed: id})
 }
 
-func (b *Book) note(c listChange) {
-	if b.Recent = append(b.Recent, c); len(b.Recent) > mostRecent { // by quarters, as it is moved
-		b.Since = b.Recent[mostRecent/4].Stamp
-		b.Recent = slices.Clone(b.Recent[mostRecent/4+1:])
+func (st *State) recordChange(c listChange) {
+	if st.Recent = append(st.Recent, c); len(st.Recent) > maxRecentChanges { // drop a quarter at a time, as dropping copies the rest
+		st.RecentSince = st.Recent[maxRecentChanges/4].Revision
+		st.Recent = slices.Clone(st.Recent[maxRecentChanges/4+1:])
 	}
 }
 
 func byName(x, y Gateway) int { return strings.Compare(x.Name, y.Name) }
 
-func (b *Book) otherVoters(than ID) (n int) {
-	for _, x := range b.Gateways {
-		if x.Vote && x.ID != than {
-			n++
+func (st *State) countOtherVoters(id ID) (count int) {
+	for _, x := range st.Gateways {
+		if x.Vote && x.ID != id {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// addVersion is a compare-and-set: it follows the one that it names, or is refused with who was first.
-func (b *Book) addVersion(index uint64, v Version) Outcome {
-	s := b.Subject(v.Subject)
+// addVersion is a compare-and-set: the version must follow the one that it names, else it is refused with the author
+// of the one that came first.
+func (st *State) addVersion(index uint64, v Version) Outcome {
+	s := st.Subject(v.Subject)
 	if s == nil {
-		b.Subjects = append(b.Subjects, Subject{Name: v.Subject})
-		slices.SortFunc(b.Subjects, func(x, y Subject) int { return strings.Compare(x.Name, y.Name) })
-		s = b.Subject(v.Subject)
+		st.Subjects = append(st.Subjects, Subject{Name: v.Subject})
+		slices.SortFunc(st.Subjects, func(x, y Subject) int { return strings.Compare(x.Name, y.Name) })
+		s = st.Subject(v.Subject)
 	}
-	last := s.last()
+	last := s.latest()
 	if s.Next != 0 {
-		n := s.Version(s.Next)
-		return Outcome{Wait: true, Why: fmt.Sprintf("version %d of %s by %s is on its way", n.No, s.Name, n.Who)}
+		conflicting := s.Version(s.Next)
+		return Outcome{Retry: true, Reason: fmt.Sprintf("version %d of %s by %s is on its way", conflicting.No, s.Name, conflicting.Author)}
 	}
 	if v.Predecessor != last {
-		if n := s.Version(last); n != nil {
-			return Outcome{Why: fmt.Sprintf("it follows version %d, and %s put version %d (%s) in its place", v.Predecessor, n.Who, n.No, n.Digest)}
+		if conflicting := s.Version(last); conflicting != nil {
+			return Outcome{Reason: fmt.Sprintf("it follows version %d, and %s put version %d (%s) in its place", v.Predecessor, conflicting.Author, conflicting.No, conflicting.Digest)}
 		}
-		return Outcome{Why: fmt.Sprintf("it follows version %d, and there is none yet", v.Predecessor)}
+		return Outcome{Reason: fmt.Sprintf("it follows version %d, and there is none yet", v.Predecessor)}
 	}
-	var old []string
-	for _, g := range b.Gateways {
-		if g.Form < v.Form {
-			old = append(old, g.Name)
+	var outdated []string
+	for _, g := range st.Gateways {
+		if g.FormatVersion < v.FormatVersion {
+			outdated = append(outdated, g.Name)
 		}
 	}
-	if len(old) > 0 {
-		return Outcome{Why: fmt.Sprintf("its form %d is later than the builds read of %s", v.Form, strings.Join(old, ", "))}
+	if len(outdated) > 0 {
+		return Outcome{Reason: fmt.Sprintf("its form %d is later than the builds read of %s", v.FormatVersion, strings.Join(outdated, ", "))}
 	}
-	if text := b.take(v.Digest); text == nil {
-		return Outcome{Wait: true, Why: "its text is not in the log"}
+	if text := st.takeText(v.Digest); text == nil {
+		return Outcome{Retry: true, Reason: "its text is not in the log"}
 	} else {
-		b.Texts[hex.EncodeToString(v.Digest[:])] = text
+		st.Texts[hex.EncodeToString(v.Digest[:])] = text
 	}
 	v.No = last + 1
 	s.Versions = append(s.Versions, v)
-	switch s.Changed, b.Stamp = index, index; {
-	case len(v.Clashes) > 0:
+	switch s.ChangedAt, st.Revision = index, index; {
+	case len(v.Conflicts) > 0:
 		s.Next = v.No
-	case v.Share > 0:
-		s.Next, s.Step = v.No, trying
+	case v.CanaryFraction > 0:
+		s.Next, s.Step = v.No, stepProposer
 	default:
 		s.InForce = v.No
 	}
-	if len(s.Versions) > mostHistory {
-		s.Versions = slices.Delete(s.Versions, 0, len(s.Versions)-mostHistory)
+	if len(s.Versions) > maxHistory {
+		s.Versions = slices.Delete(s.Versions, 0, len(s.Versions)-maxHistory)
 	}
-	b.forgetTexts()
+	st.pruneTexts()
 	return Outcome{Done: true, Version: v.No}
 }
 
-// take gives a text that is whole in the log and takes it out of those that come.
-func (b *Book) take(d Digest) []byte {
-	if t := b.text(d); t != nil {
+// takeText returns a text that is complete in the log and removes it from the partial ones.
+func (st *State) takeText(d Digest) []byte {
+	if t := st.text(d); t != nil {
 		return t
 	}
-	i := slices.IndexFunc(b.Partial, func(x partial) bool { return x.Digest == d })
-	if i < 0 || len(b.Partial[i].Text) != b.Partial[i].Size || DigestOf(b.Partial[i].Text) != d {
+	i := slices.IndexFunc(st.Partial, func(x partialText) bool { return x.Digest == d })
+	if i < 0 || len(st.Partial[i].Text) != st.Partial[i].Size || DigestOf(st.Partial[i].Text) != d {
 		return nil
 	}
-	text := append([]byte{}, b.Partial[i].Text...)
-	b.Partial = slices.Delete(b.Partial, i, i+1)
+	text := append([]byte{}, st.Partial[i].Text...)
+	st.Partial = slices.Delete(st.Partial, i, i+1)
 	return text
 }
 
-// has tells whether a text needs no more parts.
-func (b *Book) has(d Digest) bool {
-	if b.text(d) != nil {
+// hasText reports whether a text needs no more parts.
+func (st *State) hasText(d Digest) bool {
+	if st.text(d) != nil {
 		return true
 	}
-	i := slices.IndexFunc(b.Partial, func(x partial) bool { return x.Digest == d })
-	return i >= 0 && len(b.Partial[i].Text) == b.Partial[i].Size
+	i := slices.IndexFunc(st.Partial, func(x partialText) bool { return x.Digest == d })
+	return i >= 0 && len(st.Partial[i].Text) == st.Partial[i].Size
 }
 
-func (b *Book) forgetTexts() {
+func (st *State) pruneTexts() {
 	used := map[string]bool{}
-	for _, s := range b.Subjects {
+	for _, s := range st.Subjects {
 		for _, v := range s.Versions {
 			used[hex.EncodeToString(v.Digest[:])] = true
 		}
 	}
-	for d := range b.Texts {
+	for d := range st.Texts {
 		if !used[d] {
-			delete(b.Texts, d)
+			delete(st.Texts, d)
 		}
 	}
 }
 
-// Steps of a version that does not contradict its predecessor: its asker tries it, then a share of the gateways.
+// Rollout steps of a version that does not contradict its predecessor: first its proposer tries it, then a fraction
+// of the gateways.
 const (
-	trying = iota + 1
-	shared
+	stepProposer = iota + 1
+	stepCanary
 )
 
-// Standing is a subject as gateways hold it: what is in force, and what comes next. Where that is tried by steps, those of
-// the step act on it and the others on what is in force; else both bind until it is in force.
-type Standing struct {
-	Name    string   `json:"name"`
-	InForce *Version `json:"in_force,omitempty"`
-	Next    *Version `json:"next,omitempty"`
-	Step    int      `json:"step,omitempty"`
-	Last    uint64   `json:"last"` // version that the next one follows
+// SubjectStatus is the state of a subject as gateways hold it: the version in force and the next one. If the next
+// one is rolled out by steps, the gateways of the step act on it and all others on the one in force; else both are
+// binding until it is in force.
+type SubjectStatus struct {
+	Name        string   `json:"name"`
+	InForce     *Version `json:"in_force,omitempty"`
+	Next        *Version `json:"next,omitempty"`
+	Step        int      `json:"step,omitempty"`
+	LastVersion uint64   `json:"last"` // version that the next one has to follow
 }
 
-// Tries tells whether a gateway is of the step in which a version is tried. Shares are by IDs, which are by chance.
-func (s *Standing) Tries(id ID) bool {
+// InCanary reports whether a gateway is among those that try the next version. IDs are random, so the fraction is
+// taken by a hash of the ID.
+func (s *SubjectStatus) InCanary(id ID) bool {
 	if s.Step == 0 || s.Next == nil {
 		return false
 	}
-	return s.Next.Asker == id || s.Step == shared && float64(uint64(id)*0x9e3779b97f4a7c15>>11)/(1<<53) < s.Next.Share
+	return s.Next.Proposer == id || s.Step == stepCanary && float64(uint64(id)*0x9e3779b97f4a7c15>>11)/(1<<53) < s.Next.CanaryFraction
 }
 
-func (s *Subject) standing() Standing {
-	return Standing{s.Name, s.Version(s.InForce), s.Version(s.Next), s.Step, s.last()}
+func (s *Subject) status() SubjectStatus {
+	return SubjectStatus{s.Name, s.Version(s.InForce), s.Version(s.Next), s.Step, s.latest()}
 }
 
-func (s *Subject) last() uint64 {
+func (s *Subject) latest() uint64 {
 	if n := len(s.Versions); n > 0 {
 		return s.Versions[n-1].No
 	}
 	return 0
 }
 
-// Manifest is what a gateway holds of what is agreed on, beside the texts.
+// Manifest is a gateway's copy of the state, without the texts.
 type Manifest struct {
-	Stamp    uint64     `json:"stamp"`
-	Base     uint64     `json:"base,omitempty"` // on its way: it has only what changed after that
-	Subjects []Standing `json:"subjects"`
-	Gateways []Gateway  `json:"gateways"`
-	Left     []ID       `json:"left,omitempty"`
-	Ghosts   []Gateway  `json:"ghosts,omitempty"` // that left, and may serve somebody yet
-	Ended    uint64     `json:"ended,omitempty"`  // the stamp at which one was last known to have ended
-	SeatedTo uint64     `json:"seated_to"`        // whoever may act knows of who came up to this stamp
+	Revision       uint64          `json:"stamp"`
+	Base           uint64          `json:"base,omitempty"` // set in a delta: revision that it is based on
+	Subjects       []SubjectStatus `json:"subjects"`
+	Gateways       []Gateway       `json:"gateways"`
+	Removed        []ID            `json:"left,omitempty"`
+	Departed       []Gateway       `json:"ghosts,omitempty"` // left the list, may still serve clients
+	LastEnded      uint64          `json:"ended,omitempty"`  // revision at which a departed gateway was last known to have ended
+	KnownToAllUpTo uint64          `json:"seated_to"`        // all gateways that may act know the list up to this revision
 }
 
-// Sizes of manifests on their way. Sources: ours.
+// Encoding of manifests in messages.
 const (
-	packedFrom    = 4096    // bytes from which one is packed: a list of thousands is alike in most
-	mostUnpacked  = 1 << 24 // bytes that one may come to
-	packedMessage = 1       // its first byte; a text begins otherwise
+	minPackedSize   = 4096    // bytes from which a manifest is compressed: a list of thousands is mostly repetitive
+	maxUnpackedSize = 1 << 24 // bytes
+	packedMarker    = 1       // first byte of a compressed manifest; JSON never begins with it
 )
 
-// pack words a manifest for its way.
+// pack encodes a manifest for sending.
 func (m *Manifest) pack() []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // it holds nothing that has no JSON
+		panic(err) // the type has no value that JSON can't encode
 	}
-	if len(text) < packedFrom {
+	if len(text) < minPackedSize {
 		return text
 	}
 	var out bytes.Buffer
-	out.WriteByte(packedMessage)
-	w, _ := flate.NewWriter(&out, flate.BestSpeed) // the level is valid, and a buffer takes all
+	out.WriteByte(packedMarker)
+	w, _ := flate.NewWriter(&out, flate.BestSpeed) // the level is valid, and writing to a buffer does not fail
 	_, _ = w.Write(text)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// unpack reads what pack worded.
+// unpack decodes the result of pack.
 func (m *Manifest) unpack(text []byte) error {
-	if len(text) > 0 && text[0] == packedMessage {
+	if len(text) > 0 && text[0] == packedMarker {
 		var err error
-		if text, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(text[1:])), mostUnpacked)); err != nil {
+		if text, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(text[1:])), maxUnpackedSize)); err != nil {
 			return err
 		}
 	}
 	return json.Unmarshal(text, m)
 }
 
-// manifest gives what is new to who holds that of a stamp: in a fleet of thousands the list is long, its changes are not.
-func (b *Book) manifest(known uint64) []byte {
-	m := Manifest{Stamp: b.Stamp, Ghosts: b.Ghosts, Ended: b.Ended, SeatedTo: b.SeatedTo}
-	for i := range b.Subjects {
-		m.Subjects = append(m.Subjects, b.Subjects[i].standing())
+// manifest encodes the changes after a known revision: in a fleet of thousands the list is long, its changes are
+// short.
+func (st *State) manifest(known uint64) []byte {
+	m := Manifest{Revision: st.Revision, Departed: st.Departed, LastEnded: st.LastEnded, KnownToAllUpTo: st.KnownToAllUpTo}
+	for i := range st.Subjects {
+		m.Subjects = append(m.Subjects, st.Subjects[i].status())
 	}
-	if known > 0 && known >= b.Since {
+	if known > 0 && known >= st.RecentSince {
 		m.Base = known
-		for _, c := range b.Recent {
+		for _, change := range st.Recent {
 			switch {
-			case c.Stamp <= known:
-			case c.In != nil:
-				m.Gateways = append(m.Gateways, *c.In)
+			case change.Revision <= known:
+			case change.Added != nil:
+				m.Gateways = append(m.Gateways, *change.Added)
 			default:
-				m.Gateways = slices.DeleteFunc(m.Gateways, func(x Gateway) bool { return x.ID == c.Out })
-				m.Left = append(m.Left, c.Out)
+				m.Gateways = slices.DeleteFunc(m.Gateways, func(x Gateway) bool { return x.ID == change.Removed })
+				m.Removed = append(m.Removed, change.Removed)
 			}
 		}
 	} else {
-		m.Gateways = b.Gateways
+		m.Gateways = st.Gateways
 	}
 	return m.pack()
 }
 
-// onto completes a manifest that has only what changed; ok is false where it follows another one.
-func (m *Manifest) onto(before *Manifest) (ok bool) {
+// completeFrom completes a delta with the manifest that it is based on. It returns false if that is another one.
+func (m *Manifest) completeFrom(base *Manifest) (ok bool) {
 	if m.Base == 0 {
 		return true
 	}
-	if m.Base != before.Stamp {
+	if m.Base != base.Revision {
 		return false
 	}
-	all := map[ID]Gateway{}
-	for _, g := range before.Gateways {
-		all[g.ID] = g
+	gateways := map[ID]Gateway{}
+	for _, g := range base.Gateways {
+		gateways[g.ID] = g
 	}
-	for _, id := range m.Left {
-		delete(all, id)
+	for _, id := range m.Removed {
+		delete(gateways, id)
 	}
 	for _, g := range m.Gateways {
-		all[g.ID] = g
+		gateways[g.ID] = g
 	}
-	m.Gateways = slices.SortedFunc(maps.Values(all), byName)
-	seat(m.Gateways, m.SeatedTo)
-	m.Base, m.Left = 0, nil
+	m.Gateways = slices.SortedFunc(maps.Values(gateways), byName)
+	markKnownToAll(m.Gateways, m.KnownToAllUpTo)
+	m.Base, m.Removed = 0, nil
 	return true
 }
--- a/fleet/quotas.go
+++ b/fleet/quotas.go
@@ -36,7 +36,7 @@
 // NewQuotas prepares it. linger is the longest time of any txn type.
 func NewQuotas(f *Fleet, linger int64) (*Quotas, error) {
 	t := f.plan.Terms
-	q := &Quotas{f: f, terms: quota.Config{Self: f.me.ID, Incarnation: f.me.Epoch, LeaseDuration: t.Lease, ClockError: t.ClockError, MaxEffectDelay: t.Turn, MaxTxnDuration: linger}}
+	q := &Quotas{f: f, terms: quota.Config{Self: f.me.ID, Incarnation: f.me.Epoch, LeaseDuration: t.Lease, ClockError: t.ClockError, MaxEffectDelay: t.EffectDelay, MaxTxnDuration: linger}}
 	m, err := quota.New(q.terms)
 	q.Module = m
 	f.quotas = q
@@ -118,7 +118,7 @@
 		if s.InForce != nil {
 			o.Version = s.InForce.No
 		}
-		q.version = s.Last
+		q.version = s.LastVersion
 	}
 	q.Clock()
 	q.stirred = true
@@ -152,10 +152,10 @@
 	}
 	var list []quota.Candidate
 	for _, g := range held.Gateways {
-		i := slices.IndexFunc(seen, func(s agreement.Seen) bool { return s.ID == g.ID })
-		list = append(list, quota.Candidate{ID: g.ID, Admitted: g.Seated, Reachable: i >= 0 && seen[i].Left > 0})
+		i := slices.IndexFunc(seen, func(s agreement.GatewayLease) bool { return s.ID == g.ID })
+		list = append(list, quota.Candidate{ID: g.ID, Admitted: g.KnownToAll, Reachable: i >= 0 && seen[i].Remaining > 0})
 	}
-	next, ok := quota.ReplaceAllocator(before, keeper, list, q.f.module.SurveyedByMost())
+	next, ok := quota.ReplaceAllocator(before, keeper, list, q.f.module.SurveyHasQuorum())
 	if !ok {
 		return
 	}
@@ -163,9 +163,9 @@
 	if keeper != 0 {
 		why = fmt.Sprintf("gateway %s does not answer, and no voter hears of it", q.f.nameOf(keeper))
 	}
-	v := agreement.Version{Subject: subjectOffices, Predecessor: q.version, Who: "gateway " + q.f.plan.Name, At: time.Now().UnixNano(), Why: why, Form: 1,
-		Clashes: []string{"a bound's keeper"}}
-	q.wish, _ = q.f.Ask(agreement.Wish{Version: &v}, quota.EncodeAssignment(next), time.Duration(q.terms.ReassignTimeout()))
+	v := agreement.Version{Subject: subjectOffices, Predecessor: q.version, Author: "gateway " + q.f.plan.Name, ProposedAt: time.Now().UnixNano(), Reason: why, FormatVersion: 1,
+		Conflicts: []string{"a bound's keeper"}}
+	q.wish, _ = q.f.Ask(agreement.Proposal{Version: &v}, quota.EncodeAssignment(next), time.Duration(q.terms.ReassignTimeout()))
 }
 
 // outcome takes what became of a wish of its own.
@@ -175,7 +175,7 @@
 	}
 	q.wish = 0
 	if !o.Done {
-		q.f.host.Logger().Info("the keepers of bounds are not changed by this gateway", "why", o.Why)
+		q.f.host.Logger().Info("the keepers of bounds are not changed by this gateway", "why", o.Reason)
 	}
 	return true
 }
--- a/fleet/sessions.go
+++ b/fleet/sessions.go
@@ -78,17 +78,17 @@
 
 // Listed takes the fleet's list, before this gateway says that it holds it.
 func (s *Sessions) Listed(m *agreement.Manifest) {
-	l := session.Membership{Self: -1, EndedVersion: m.Ended}
+	l := session.Membership{Self: -1, EndedVersion: m.LastEnded}
 	others := map[int]netip.AddrPort{}
-	for _, all := range [][]agreement.Gateway{m.Gateways, m.Ghosts} {
+	for _, all := range [][]agreement.Gateway{m.Gateways, m.Departed} {
 		for _, g := range all {
 			if g.ID == s.agreed.Self() {
-				l.Self, l.KnownToAll = g.Place, g.Seated // a ghost is not
+				l.Self, l.KnownToAll = g.Number, g.KnownToAll // a departed gateway is not
 				continue
 			}
-			l.Peers = append(l.Peers, g.Place)
+			l.Peers = append(l.Peers, g.Number)
 			if a, err := netip.ParseAddrPort(g.Address); err == nil {
-				others[g.Place] = a
+				others[g.Number] = a
 			}
 		}
 	}
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -110,7 +110,7 @@
 		if c.Alone {
 			return 0, findings, errors.New("the gateways of a fleet act on one version: nothing is applied at one alone")
 		}
-		o, err := g.ask(ctx, func() (agreement.Wish, []byte, error) { return g.agreed.propose(c) })
+		o, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return g.agreed.propose(c) })
 		return rollout.Generation(o.Version), findings, err
 	}
 	err = g.inLoop(ctx, func() error {
@@ -203,7 +203,7 @@
 // propose stages a change.
 func (gs *generations) propose(x *generation, c Change) (rollout.Generation, error) {
 	x.no = gs.next + 1
-	p := rollout.Change{Generation: x.no, Digest: c.Digest, Watch: c.Watch, Again: c.Again}
+	p := rollout.Change{Generation: x.no, Digest: c.Digest, WatchDuration: c.Watch, Reapply: c.Again}
 	if err := gs.module.Propose(p); err != nil {
 		return 0, err
 	}
@@ -452,7 +452,7 @@
 	if t.generation == gs.inForce {
 		route = t.route.Route
 	}
-	gs.module.Served(route, c.Worth, got)
+	gs.module.RecordTxn(route, c.Worth, got)
 }
 
 // mayRepeat tells whether a repeatable txn may be sent once more, by its route's budget.
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -6,218 +6,220 @@
 	"slices"
 )
 
-// Health is the value that was served in time as a share of what was asked for, over slots of time, for all txns and for
-// each route. Before a change its mean and spread are followed; after it each slot's shortfall, in spreads, is
-// added up as a CUSUM does (Page 1954): drops that noise explains drain away, a lasting one adds up, and a deep
-// one is told within a slot or two. Slots that were disturbed from outside are left out, and so are those in which
-// much more was asked for than before, while no less is served.
+// Health is the value served in time as a fraction of the value requested, per time slot, for all txns and for each
+// route. Before a change its mean and standard deviation are tracked. After the change the shortfall of each slot,
+// in standard deviations, is summed as a CUSUM (Page 1954): drops that noise explains decay, a lasting one adds up,
+// and a deep one is detected within a slot or two. Slots disturbed from outside are skipped, and so are those in
+// which much more is requested than before while no less is served.
 const (
-	slot      = int64(500e6) // long against a txn, short against the time to undo
-	slack     = 0.75         // spreads that a slot may fall short of the mean without counting
-	limit     = 10.0         // sum of what counts that is no noise; more by the logarithm of how many series there are
-	fade      = 120          // slots that the time before remembers
-	fewSlots  = 10           // slots that make a time before
-	fewTxns   = 20           // in a slot: with fewer it goes on into the next
-	mostPart  = 0.9          // of a slot that the next may be taken to keep
-	leastSd   = 0.005        // of a series that never varies
-	mostSlack = 6.0          // a slot counts for no more than this many spreads: one alone proves nothing
-	jump      = 1.5          // times as much asked for as before is a jump
-	holds     = 0.8          // part of what was served before that is as much
-	aftermath = 2            // slots after a disturbance that are left out with it
+	slotDuration                 = int64(500e6) // long compared to a txn, short compared to the time to undo a change
+	cusumSlack                   = 0.75         // standard deviations by which a slot may fall short of the mean without counting
+	cusumLimit                   = 10.0         // CUSUM that noise does not reach; the logarithm of the number of series is added
+	maxBaselineSlots             = 120          // slots that the baseline remembers
+	minBaselineSlots             = 10           // slots that make a baseline
+	minSlotTxns                  = 20           // a slot with fewer txns is merged into the next one
+	maxAutocorrelation           = 0.9          // upper bound of the estimate
+	minStdDev                    = 0.005        // of a series that never varies
+	maxDeviation                 = 6.0          // upper bound of a slot's shortfall in standard deviations: one slot alone proves nothing
+	demandJumpFactor             = 1.5          // ratio to the baseline's demand from which a slot is a jump of traffic
+	minServedRatio               = 0.8          // ratio to the value served in the baseline that counts as no less
+	slotsSkippedAfterDisturbance = 2
 )
 
-// series is the health of all txns, or of a route.
+// series is the health of all txns or of one route.
 type series struct {
-	asked, got float64 // of the slot that is under way
-	n          int
-	mean, dev  float64 // of the time before, and the square of the spread
-	last, with float64 // the latest slot's distance from the mean; how slots go with the one before
-	demand     float64 // worth that is asked for in a slot
-	slots      float64
-	sum        float64 // CUSUM of the time after
-	after      float64 // what was got and asked for after
-	afterAsked float64
+	requested, served             float64 // in the current slot
+	txns                          int
+	mean, variance                float64 // of the baseline
+	lastDeviation, autocovariance float64 // distance of the latest slot from the mean; covariance of successive slots
+	demand                        float64 // value requested per slot
+	baselineSlots                 float64
+	cusum                         float64 // since the change
+	watchedServed                 float64 // since the change, like watchedRequested
+	watchedRequested              float64
 }
 
-// verdict is what the time after shows.
+// verdict is the result since the change.
 type verdict struct {
 	worse bool
 	text  string
 }
 
-type judge struct {
-	now       int64
-	ends      int64 // of the slot under way
-	all       series
-	routes    map[int32]*series
-	order     []int32
-	watching  bool
-	disturbed int // slots that are left out yet
-	judged    int64
-	worst     verdict
-	came      bool
+// healthMonitor measures health and detects that it worsens.
+type healthMonitor struct {
+	now         int64
+	slotEnd     int64 // of the current slot
+	all         series
+	routes      map[int32]*series
+	order       []int32
+	watching    bool
+	slotsToSkip int // slots that are still to be skipped
+	judged      int64
+	worst       verdict
+	anyTxn      bool
 }
 
-func (j *judge) clock(now int64) {
-	j.now = now
-	if j.ends == 0 {
-		j.ends = now + slot
+func (m *healthMonitor) clock(now int64) {
+	m.now = now
+	if m.slotEnd == 0 {
+		m.slotEnd = now + slotDuration
 	}
-	for n := 0; now >= j.ends; n++ {
-		if n > 4 { // nobody called for long: what lies between is not known
-			j.ends = now + slot
+	for n := 0; now >= m.slotEnd; n++ {
+		if n > 4 { // no call for long: what happened in between is unknown
+			m.slotEnd = now + slotDuration
 			return
 		}
-		j.close()
-		j.ends += slot
+		m.closeSlot()
+		m.slotEnd += slotDuration
 	}
 }
 
-func (j *judge) add(route int32, worth, served float64) {
-	j.came = true
-	j.all.add(worth, served)
+func (m *healthMonitor) add(route int32, value, served float64) {
+	m.anyTxn = true
+	m.all.add(value, served)
 	if route < 0 {
 		return
 	}
-	s := j.routes[route]
+	s := m.routes[route]
 	if s == nil {
-		if j.routes == nil {
-			j.routes = map[int32]*series{}
+		if m.routes == nil {
+			m.routes = map[int32]*series{}
 		}
 		s = new(series)
-		j.routes[route] = s
-		at, _ := slices.BinarySearch(j.order, route)
-		j.order = slices.Insert(j.order, at, route)
+		m.routes[route] = s
+		at, _ := slices.BinarySearch(m.order, route)
+		m.order = slices.Insert(m.order, at, route)
 	}
-	s.add(worth, served)
+	s.add(value, served)
 }
 
-func (s *series) add(worth, served float64) {
-	s.asked += worth
-	s.got += served
-	s.n++
+func (s *series) add(value, served float64) {
+	s.requested += value
+	s.served += served
+	s.txns++
 }
 
-func (j *judge) disturb() { j.disturbed = 1 + aftermath }
+func (m *healthMonitor) disturb() { m.slotsToSkip = 1 + slotsSkippedAfterDisturbance }
 
-// close ends a slot.
-func (j *judge) close() {
-	if j.disturbed > 0 {
-		j.disturbed--
-		j.all.drop()
-		for _, id := range j.order {
-			j.routes[id].drop()
+// closeSlot ends the current slot.
+func (m *healthMonitor) closeSlot() {
+	if m.slotsToSkip > 0 {
+		m.slotsToSkip--
+		m.all.resetSlot()
+		for _, id := range m.order {
+			m.routes[id].resetSlot()
 		}
 		return
 	}
-	// Clients that fail at once ask more often: a jump counts as one from outside only while as much is served as before.
-	usual := j.all.demand
-	if j.watching && j.all.slots >= fewSlots && j.all.asked > jump*usual && j.all.got >= holds*j.all.mean*usual {
-		j.all.drop()
-		for _, id := range j.order {
-			j.routes[id].drop()
+	// Clients whose requests fail at once retry more often: a jump counts as one from outside only while as much is
+	// served as before.
+	baseline := m.all.demand
+	if m.watching && m.all.baselineSlots >= minBaselineSlots && m.all.requested > demandJumpFactor*baseline && m.all.served >= minServedRatio*m.all.mean*baseline {
+		m.all.resetSlot()
+		for _, id := range m.order {
+			m.routes[id].resetSlot()
 		}
 		return
 	}
-	series := 1
-	for _, id := range j.order {
-		if j.routes[id].slots >= fewSlots {
-			series++
+	count := 1
+	for _, id := range m.order {
+		if m.routes[id].baselineSlots >= minBaselineSlots {
+			count++
 		}
 	}
-	bound := limit + math.Log(float64(series))
-	j.closeOne(&j.all, "all", bound)
-	for _, id := range j.order {
-		j.closeOne(j.routes[id], fmt.Sprint("route ", id), bound)
+	limit := cusumLimit + math.Log(float64(count))
+	m.closeSeries(&m.all, "all", limit)
+	for _, id := range m.order {
+		m.closeSeries(m.routes[id], fmt.Sprint("route ", id), limit)
 	}
-	if j.watching {
-		j.judged += slot
+	if m.watching {
+		m.judged += slotDuration
 	}
 }
 
-func (s *series) drop() { s.asked, s.got, s.n = 0, 0, 0 }
-
-func (j *judge) closeOne(s *series, name string, bound float64) {
-	if s.n < fewTxns {
-		return // it goes on into the next slot
-	}
-	share := 0.0
-	if s.asked > 0 {
-		share = s.got / s.asked
-	}
-	if !j.watching {
-		s.learn(share)
-	} else if s.slots >= fewSlots {
-		sd := s.spread()
-		s.after += s.got
-		s.afterAsked += s.asked
-		s.sum = max(0, s.sum+min(mostSlack, (s.mean-share)/sd)-slack)
-		if s.sum > bound && !j.worst.worse {
-			j.worst = verdict{true, fmt.Sprintf(": %s served %.3f of its worth, %.3f before, spread %.3f", name, s.after/max(1e-9, s.afterAsked), s.mean, sd)}
+func (s *series) resetSlot() { s.requested, s.served, s.txns = 0, 0, 0 }
+
+func (m *healthMonitor) closeSeries(s *series, name string, limit float64) {
+	if s.txns < minSlotTxns {
+		return // merged into the next slot
+	}
+	health := 0.0
+	if s.requested > 0 {
+		health = s.served / s.requested
+	}
+	if !m.watching {
+		s.learn(health)
+	} else if s.baselineSlots >= minBaselineSlots {
+		stdDev := s.stdDev()
+		s.watchedServed += s.served
+		s.watchedRequested += s.requested
+		s.cusum = max(0, s.cusum+min(maxDeviation, (s.mean-health)/stdDev)-cusumSlack)
+		if s.cusum > limit && !m.worst.worse {
+			m.worst = verdict{true, fmt.Sprintf(": %s served %.3f of its worth, %.3f before, spread %.3f", name, s.watchedServed/max(1e-9, s.watchedRequested), s.mean, stdDev)}
 		}
 	}
-	s.drop()
+	s.resetSlot()
 }
 
-// learn follows mean and spread, with a weight that is even at first and fades later.
-func (s *series) learn(share float64) {
-	s.slots++
-	weight := 1 / min(s.slots, fade)
-	d := share - s.mean
-	s.mean += weight * d
-	s.dev += weight * (d*(share-s.mean) - s.dev)
-	s.with += weight * (d*s.last - s.with)
-	s.last = share - s.mean
-	s.demand += weight * (s.asked - s.demand)
+// learn updates mean and variance, with equal weights at first and exponential decay later.
+func (s *series) learn(health float64) {
+	s.baselineSlots++
+	weight := 1 / min(s.baselineSlots, maxBaselineSlots)
+	deviation := health - s.mean
+	s.mean += weight * deviation
+	s.variance += weight * (deviation*(health-s.mean) - s.variance)
+	s.autocovariance += weight * (deviation*s.lastDeviation - s.autocovariance)
+	s.lastDeviation = health - s.mean
+	s.demand += weight * (s.requested - s.demand)
 }
 
-// spread is that of a slot's share. Noise that lasts from slot to slot adds up like a lasting drop: for a series of
-// which each slot keeps a part of the one before, sums spread by the root of (1+part)/(1-part) more. Neither is known
-// well from few slots.
-func (s *series) spread() float64 {
-	few := 1 / math.Sqrt(s.slots)
-	part := 0.0
-	if s.dev > 0 {
-		part = min(mostPart, max(0, s.with/s.dev+few))
+// stdDev is the standard deviation of a slot's health. Noise that is correlated between slots adds up like a lasting
+// drop: with autocorrelation r, sums deviate more by the root of (1+r)/(1-r). With few slots both estimates are
+// uncertain, which widens the result.
+func (s *series) stdDev() float64 {
+	uncertainty := 1 / math.Sqrt(s.baselineSlots)
+	correlation := 0.0
+	if s.variance > 0 {
+		correlation = min(maxAutocorrelation, max(0, s.autocovariance/s.variance+uncertainty))
 	}
-	return max(leastSd, math.Sqrt(s.dev*(1+part)/(1-part))*(1+few))
+	return max(minStdDev, math.Sqrt(s.variance*(1+correlation)/(1-correlation))*(1+uncertainty))
 }
 
-func (j *judge) begin() {
-	j.watching, j.judged, j.worst, j.came = true, 0, verdict{}, false
-	j.all.begin()
-	for _, id := range j.order {
-		j.routes[id].begin()
+func (m *healthMonitor) begin() {
+	m.watching, m.judged, m.worst, m.anyTxn = true, 0, verdict{}, false
+	m.all.begin()
+	for _, id := range m.order {
+		m.routes[id].begin()
 	}
 }
 
 func (s *series) begin() {
-	s.drop() // the slot is half before, half after
-	s.sum, s.after, s.afterAsked = 0, 0, 0
+	s.resetSlot() // the slot spans the change
+	s.cusum, s.watchedServed, s.watchedRequested = 0, 0, 0
 }
 
-func (j *judge) end() {
-	j.watching = false
-	j.all.drop()
-	for _, id := range j.order {
-		j.routes[id].drop()
+func (m *healthMonitor) end() {
+	m.watching = false
+	m.all.resetSlot()
+	for _, id := range m.order {
+		m.routes[id].resetSlot()
 	}
 }
 
-func (j *judge) verdict() verdict { return j.worst }
+func (m *healthMonitor) verdict() verdict { return m.worst }
 
-func (j *judge) idle() bool { return !j.came }
+func (m *healthMonitor) idle() bool { return !m.anyTxn }
 
-func (j *judge) before() string {
-	if j.all.slots < fewSlots {
+func (m *healthMonitor) describeBaseline() string {
+	if m.all.baselineSlots < minBaselineSlots {
 		return "health not known yet"
 	}
-	return fmt.Sprintf("health %.3f, spread %.3f", j.all.mean, j.all.spread())
+	return fmt.Sprintf("health %.3f, spread %.3f", m.all.mean, m.all.stdDev())
 }
 
-func (j *judge) after() string {
-	if j.all.afterAsked == 0 {
-		return "nothing judged, " + j.before()
+func (m *healthMonitor) describeResult() string {
+	if m.all.watchedRequested == 0 {
+		return "nothing judged, " + m.describeBaseline()
 	}
-	return fmt.Sprintf("health %.3f after, %.3f before", j.all.after/j.all.afterAsked, j.all.mean)
+	return fmt.Sprintf("health %.3f after, %.3f before", m.all.watchedServed/m.all.watchedRequested, m.all.mean)
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -12,27 +12,27 @@
 
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// day drives one instance with traffic.
-type day struct {
+// scenario drives one Rollout with traffic.
+type scenario struct {
 	r       *Rollout
 	now     int64
 	rng     *rand.Rand
-	rate    float64 // txns a slot
+	rate    float64 // txns per slot
 	health  float64
-	drift   float64 // that noise has added, slot after slot
+	drift   float64 // accumulated noise, correlated between slots
 	noise   float64
 	inForce Generation
 	kept    Generation
 	saved   State
-	said    []string
-	loud    bool
+	logged  []string
+	verbose bool
 }
 
-func newDay(seed uint64) *day {
-	return &day{r: New(State{}), now: 1e9, rng: rand.New(rand.NewPCG(seed, 3)), rate: 200, health: 0.95}
+func newScenario(seed uint64) *scenario {
+	return &scenario{r: New(State{}), now: 1e9, rng: rand.New(rand.NewPCG(seed, 3)), rate: 200, health: 0.95}
 }
 
-func (d *day) pull() {
+func (d *scenario) process() {
 	for {
 		x, ok := d.r.Next()
 		if !ok {
@@ -46,16 +46,16 @@
 		case Save:
 			d.saved = d.r.State()
 		case Log:
-			d.said = append(d.said, x.Text)
-			if d.loud {
+			d.logged = append(d.logged, x.Text)
+			if d.verbose {
 				fmt.Println(x.Text)
 			}
 		}
 	}
 }
 
-// run plays so many slots, with each txn on one of three routes; bad is taken off the health of route 1.
-func (d *day) run(slots int, bad float64) {
+// run plays a number of slots, each txn on one of three routes; bad is subtracted from the health of route 1.
+func (d *scenario) run(slots int, bad float64) {
 	for range slots {
 		d.drift = 0.7*d.drift + d.noise*d.rng.NormFloat64()
 		for range int(d.rate * (0.8 + 0.4*d.rng.Float64())) {
@@ -68,24 +68,24 @@
 			if d.rng.Float64() < h {
 				served = 1
 			}
-			d.r.Served(route, 1, served)
+			d.r.RecordTxn(route, 1, served)
 		}
-		d.now += slot
+		d.now += slotDuration
 		d.r.Clock(d.now)
-		d.pull()
+		d.process()
 	}
 }
 
-func (d *day) propose(g Generation) error {
+func (d *scenario) propose(g Generation) error {
 	d.r.Clock(d.now)
-	err := d.r.Propose(Change{Generation: g, Digest: uint64(g) * 31, Watch: 30e9})
-	d.pull()
+	err := d.r.Propose(Change{Generation: g, Digest: uint64(g) * 31, WatchDuration: 30e9})
+	d.process()
 	return err
 }
 
 func Example_keptAndUndone() {
-	d := newDay(1)
-	d.loud = true
+	d := newScenario(1)
+	d.verbose = true
 	d.run(40, 0)
 	fmt.Println(d.propose(1))
 	d.run(60, 0)
@@ -102,17 +102,17 @@
 	// 1 1 generation 2 is not applied: it was undone before; apply it with --again
 }
 
-// The process ends while a change is watched: the last kept one is in force, and the change is not tried again by
-// itself.
+// The process ends while a change is watched: the last kept one is in force, and the change is not applied again
+// automatically.
 func Example_crash() {
-	d := newDay(1)
+	d := newScenario(1)
 	d.run(40, 0)
 	_ = d.propose(1)
 	d.run(70, 0)
 	_ = d.propose(2)
 	d.run(3, 0)
-	again := &day{r: New(d.saved), now: d.now, rng: d.rng, rate: 200, health: 0.95, loud: true}
-	again.pull()
+	again := &scenario{r: New(d.saved), now: d.now, rng: d.rng, rate: 200, health: 0.95, verbose: true}
+	again.process()
 	fmt.Println(again.propose(2))
 	fmt.Printf("%+v\n", again.r.State())
 	// Output:
@@ -121,9 +121,10 @@
 	// {Kept:1 Watching:0 Digest:0 Crashes:1 Undone:[62]}
 }
 
-// By hand: a newer change waits while one is watched, takes the place of a staged one, and each can be kept or undone.
+// Operator requests: a newer change waits while one is watched and replaces a staged one, and each can be kept or
+// undone.
 func Example_byHand() {
-	d := newDay(1)
+	d := newScenario(1)
 	fmt.Println(d.r.KeepNow(), d.r.UndoNow())
 	d.run(40, 0)
 	_ = d.propose(1)
@@ -131,10 +132,10 @@
 	_ = d.propose(3)
 	fmt.Println(d.inForce, d.r.Status().Staged, d.r.Status().Stage)
 	fmt.Println(d.r.KeepNow())
-	d.pull()
+	d.process()
 	fmt.Println(d.inForce, d.kept)
 	fmt.Println(d.r.UndoNow())
-	d.pull()
+	d.process()
 	fmt.Println(d.inForce, d.kept)
 	for _, e := range d.r.Status().Finished {
 		fmt.Println(e.Generation, e.Kept, e.Why)
@@ -151,18 +152,18 @@
 	// 3 false by hand
 }
 
-// What comes from outside is not held against a change: a member's crash and a jump of traffic make no undo, though
-// they cost as much as a bad change; a change that could not be judged at all is undone.
+// External events are not attributed to a change: a member's crash and a jump of traffic cause no undo, though they
+// cost as much as a bad change. A change that could not be measured at all is undone.
 func Example_disturbed() {
 	for _, c := range []string{"crash", "jump", "always"} {
-		d := newDay(2)
+		d := newScenario(2)
 		d.run(40, 0)
 		_ = d.propose(1)
 		d.run(10, 0)
 		switch c {
 		case "crash":
 			for range 6 {
-				d.r.Disturbed()
+				d.r.ReportDisturbance()
 				d.run(1, 0.6)
 			}
 			d.run(80, 0)
@@ -173,11 +174,11 @@
 			d.run(80, 0)
 		case "always":
 			for range 200 {
-				d.r.Disturbed()
+				d.r.ReportDisturbance()
 				d.run(1, 0)
 			}
 		}
-		fmt.Println(c, d.kept, d.said[len(d.said)-1])
+		fmt.Println(c, d.kept, d.logged[len(d.logged)-1])
 	}
 	// Output:
 	// crash 1 generation 1: kept, its watch is over, health 0.950 after, 0.947 before
@@ -185,37 +186,37 @@
 	// always 0 generation 1: undone after 90000 ms, its watch went by without a quiet moment to judge it by; 0 is in force again
 }
 
-// A change whose txns fail at once is asked for more often: that is no jump of traffic from outside.
+// Clients retry a change whose txns fail at once: that must not be taken for an external jump of traffic.
 func Example_retryStorm() {
-	d := newDay(3)
+	d := newScenario(3)
 	d.run(40, 0)
 	_ = d.propose(1)
 	d.rate *= 5
 	d.health = 0.05
 	d.run(10, 0)
-	fmt.Println(d.inForce, d.said[len(d.said)-1])
+	fmt.Println(d.inForce, d.logged[len(d.logged)-1])
 	// Output:
 	// 0 generation 1: undone after 1500 ms, health worsened; 0 is in force again: all served 0.046 of its worth, 0.951 before, spread 0.016
 }
 
-// Noise alone hardly ever undoes: at most 2 in 200 runs, with noise that lasts from slot to slot; a real drop is
-// undone, the sooner the deeper.
+// Noise alone undoes at most 2 of 200 changes, even if it is correlated between slots; a real drop is undone, the
+// deeper the sooner.
 func TestFalseUndosAndTimeToUndo(t *testing.T) {
 	for _, noise := range []float64{0, 0.01, 0.03} {
-		false_ := 0
+		falseUndos := 0
 		for seed := range uint64(200) {
-			d := newDay(seed)
+			d := newScenario(seed)
 			d.noise = noise
 			d.run(60, 0)
 			_ = d.propose(1)
 			d.run(70, 0)
 			if d.kept != 1 {
-				false_++
+				falseUndos++
 			}
 		}
-		t.Logf("noise %.2f: %d of 200 undone without a cause", noise, false_)
-		if false_ > 2 {
-			t.Errorf("noise %.2f: %d of 200 undone without a cause", noise, false_)
+		t.Logf("noise %.2f: %d of 200 undone without a cause", noise, falseUndos)
+		if falseUndos > 2 {
+			t.Errorf("noise %.2f: %d of 200 undone without a cause", noise, falseUndos)
 		}
 	}
 	for _, c := range []struct {
@@ -224,18 +225,18 @@
 	}{{0.15, 30e9}, {0.3, 5e9}, {0.9, 2e9}} {
 		worst, missed := int64(0), 0
 		for seed := range uint64(50) {
-			d := newDay(seed)
+			d := newScenario(seed)
 			d.noise = 0.01
 			d.run(60, 0)
 			_ = d.propose(1)
-			from := d.now
+			startedAt := d.now
 			for d.inForce == 1 && d.kept != 1 {
 				d.run(1, c.drop)
 			}
 			if d.kept == 1 {
 				missed++
 			}
-			worst = max(worst, d.now-from)
+			worst = max(worst, d.now-startedAt)
 		}
 		t.Logf("a third of the txns lose %.2f: undone within %d ms, %d of 50 missed", c.drop, worst/1e6, missed)
 		if missed > 0 || worst > c.most {
@@ -244,11 +245,11 @@
 	}
 }
 
-// For any order of events: what is in force is the kept one or the one that is watched; what a restart would find is
-// the kept one; nothing that was undone is in force again unless it was asked for.
-func TestAnyOrder(t *testing.T) {
+// For any order of events: the kept or the watched generation is in force; a restart finds the kept one; and no
+// generation that was undone is in force again unless it was requested.
+func TestRandomEventOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newDay(uint64(rapid.IntRange(0, 99).Draw(t, "seed")))
+		d := newScenario(uint64(rapid.IntRange(0, 99).Draw(t, "seed")))
 		d.rate = 30
 		next := Generation(0)
 		undone := map[Generation]bool{}
@@ -274,7 +275,7 @@
 				d.r = New(d.saved)
 				d.inForce = d.saved.Kept
 			}
-			d.pull()
+			d.process()
 			s := d.r.Status()
 			for _, e := range s.Finished {
 				if !e.Kept && e.Why != Replaced {
@@ -291,41 +292,41 @@
 	})
 }
 
-// Noise that lasts has a wider spread than noise that does not, and few slots a wider one than many.
-func TestSpreadIsCareful(t *testing.T) {
-	spread := func(slots int, part float64) float64 {
+// Correlated noise has a larger standard deviation than uncorrelated noise, and few slots a larger one than many.
+func TestStdDevIsConservative(t *testing.T) {
+	stdDev := func(slots int, correlation float64) float64 {
 		rng := rand.New(rand.NewPCG(5, 5))
 		var s series
 		x := 0.0
 		for range slots {
-			x = part*x + 0.01*math.Sqrt(1-part*part)*rng.NormFloat64()
+			x = correlation*x + 0.01*math.Sqrt(1-correlation*correlation)*rng.NormFloat64()
 			s.learn(0.9 + x)
 		}
-		return s.spread()
+		return s.stdDev()
 	}
-	few, many, lasting := spread(12, 0), spread(100, 0), spread(100, 0.7)
+	few, many, lasting := stdDev(12, 0), stdDev(100, 0), stdDev(100, 0.7)
 	if many < 0.009 || many > 0.014 || few < many || lasting < 1.5*many {
 		t.Fatal(few, many, lasting)
 	}
 }
 
-// A process that ends at any single point of a change, between any two decisions, starts with the last kept one as it was
-// last saved; what was watched then is not applied again by itself; and no change is in force that a restart would not
-// know of.
-func TestEndsAtEachPoint(t *testing.T) {
-	// Each script proposes 1, which is kept at once, then 2 with what becomes of it.
+// A process that ends between any two decisions of a change starts with the last kept generation that was saved;
+// what was watched then is not applied again automatically; and no change is in force that a restart would not know
+// of.
+func TestCrashBetweenDecisions(t *testing.T) {
+	// Each script proposes 1, which is kept at once, then 2 with its outcome.
 	scripts := map[string]func(r *Rollout){
 		"kept by hand":   func(r *Rollout) { _ = r.KeepNow() },
 		"undone by hand": func(r *Rollout) { _ = r.UndoNow() },
-		"replaced":       func(r *Rollout) { _ = r.Propose(Change{Generation: 3, Digest: 3, Watch: 1e9}) },
-		"by the fleet":   func(r *Rollout) { _ = r.KeepBy(ByFleet) },
+		"replaced":       func(r *Rollout) { _ = r.Propose(Change{Generation: 3, Digest: 3, WatchDuration: 1e9}) },
+		"by the fleet":   func(r *Rollout) { _ = r.KeepWithReason(ByFleet) },
 		"by its watch":   func(r *Rollout) { r.Clock(1e12) },
 	}
 	points := 0
 	for name, script := range scripts {
 		for stop := 0; ; stop++ {
 			r, n := New(State{}), 0
-			var saved State // what is on the disk
+			var saved State // on the disk
 			var inForce Generation
 			ended := false
 			pull := func() {
@@ -334,7 +335,7 @@
 					if !ok {
 						return
 					}
-					if ended = n == stop; ended { // before this one is carried out
+					if ended = n == stop; ended { // before this decision is carried out
 						return
 					}
 					n++
@@ -352,7 +353,7 @@
 			r.Clock(1e9)
 			_ = r.Propose(Change{Generation: 1, Digest: 1})
 			pull()
-			_ = r.Propose(Change{Generation: 2, Digest: 2, Watch: 1e9})
+			_ = r.Propose(Change{Generation: 2, Digest: 2, WatchDuration: 1e9})
 			pull()
 			if !ended {
 				script(r)
