--- a/cli/chosen.go
+++ b/cli/chosen.go
@@ -47,7 +47,7 @@
 		}
 		bar := strings.Repeat("#", int(20*float64(len(m.Holders))*float64(count[m.Group])/max(1, mean[m.Group])+0.5))
 		load := "-"
-		if m.Known.Spoke+int(m.Known.Latency) > 0 {
+		if m.Known.HealthReports+int(m.Known.Latency) > 0 {
 			load = fmt.Sprint(m.Known.Load)
 		}
 		who := m.Holders
@@ -93,18 +93,18 @@
 	for _, t := range v.Turns {
 		here := "waits for nothing"
 		switch {
-		case t.Going:
+		case t.Running:
 			here = "goes"
 		case t.After >= 0:
-			here = fmt.Sprintf("goes in %v if nobody does, lot %d", time.Duration(t.After).Round(time.Millisecond), t.Lot)
+			here = fmt.Sprintf("goes in %v if nobody does, lot %d", time.Duration(t.After).Round(time.Millisecond), t.Batch)
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s\n", cmp.Or(names[t.Key], fmt.Sprintf("%x", t.Key)), t.Round, here)
 	}
 	fmt.Fprintln(table, "member\tothers find it\tlatency\tin flight\toldest word")
 	for _, m := range inOrder(v, names) {
 		k, found := m.Known, "-"
-		if k.Spoke > 0 {
-			found = fmt.Sprintf("ill %d of %d", k.Ill, k.Spoke)
+		if k.HealthReports > 0 {
+			found = fmt.Sprintf("ill %d of %d", k.UnhealthyReports, k.HealthReports)
 			if m.Ill {
 				found += ", so it is taken for ill"
 			}
@@ -113,7 +113,7 @@
 		if k.Latency > 0 {
 			latency = (time.Duration(k.Latency) * time.Microsecond).Round(100 * time.Microsecond).String()
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.1fs\n", names[m.Key], found, latency, k.Load, float64(k.Oldest)/1e9)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.1fs\n", names[m.Key], found, latency, k.Load, float64(k.OldestAge)/1e9)
 	}
 	if err := table.Flush(); err != nil {
 		return err
--- a/cli/contracts.go
+++ b/cli/contracts.go
@@ -49,8 +49,8 @@
 	Why string `help:"What it is for."`
 }
 
-func (w *wishing) wish(out io.Writer, what string, x contracts.Wish) error {
-	x.Who, x.Why = who(), w.Why
+func (w *wishing) wish(out io.Writer, what string, x contracts.Proposal) error {
+	x.Author, x.Reason = who(), w.Why
 	if _, err := w.ask(out, "POST", "contract", &control.Request{Contract: &x}); err != nil {
 		return err
 	}
@@ -84,7 +84,7 @@
 	if len(f.Sizes) == 0 && f.Floor == nil {
 		return fmt.Errorf("%s has no block capacity", c.File)
 	}
-	return c.wish(out, "capacity is agreed on", contracts.Wish{Sizes: f.Sizes, Floor: f.Floor})
+	return c.wish(out, "capacity is agreed on", contracts.Proposal{Sizes: f.Sizes, Floor: f.Floor})
 }
 
 type contractsDraft struct {
@@ -95,7 +95,7 @@
 // Run drafts each.
 func (c *contractsDraft) Run(out io.Writer) error {
 	return each(c.File, func(t *contracts.Terms) error {
-		return c.wish(out, t.Name+" is drafted", contracts.Wish{Draft: t})
+		return c.wish(out, t.Name+" is drafted", contracts.Proposal{Draft: t})
 	})
 }
 
@@ -107,7 +107,7 @@
 // Run amends each.
 func (c *contractsAmend) Run(out io.Writer) error {
 	return each(c.File, func(t *contracts.Terms) error {
-		return c.wish(out, t.Name+" is amended", contracts.Wish{Amend: t})
+		return c.wish(out, t.Name+" is amended", contracts.Proposal{Amend: t})
 	})
 }
 
@@ -136,7 +136,7 @@
 // Run quotes it.
 func (c *contractsQuote) Run(out io.Writer) error {
 	until := time.Now().Add(c.Valid)
-	return c.wish(out, fmt.Sprintf("%s is quoted until %s", c.Name, until.UTC().Format("2006-01-02 15:04 UTC")), contracts.Wish{Quote: c.Name, Until: until.UnixNano()})
+	return c.wish(out, fmt.Sprintf("%s is quoted until %s", c.Name, until.UTC().Format("2006-01-02 15:04 UTC")), contracts.Proposal{Quote: c.Name, Until: until.UnixNano()})
 }
 
 type contractsBook struct {
@@ -146,7 +146,7 @@
 
 // Run books it.
 func (c *contractsBook) Run(out io.Writer) error {
-	return c.wish(out, c.Name+" is booked", contracts.Wish{Book: c.Name})
+	return c.wish(out, c.Name+" is booked", contracts.Proposal{Book: c.Name})
 }
 
 type contractsCancel struct {
@@ -156,7 +156,7 @@
 
 // Run cancels it.
 func (c *contractsCancel) Run(out io.Writer) error {
-	return c.wish(out, c.Name+" is cancelled", contracts.Wish{Cancel: c.Name})
+	return c.wish(out, c.Name+" is cancelled", contracts.Proposal{Cancel: c.Name})
 }
 
 type contractsList struct{ socket }
@@ -179,16 +179,16 @@
 	fmt.Fprintln(table, "no\tcontract\ttenant\tstate\twindow\treads/s\twrites/s\tin flight\tloss\tprice")
 	for i := range v.Book.Contracts {
 		c := &v.Book.Contracts[i]
-		t, state := &c.Now().Terms, string(c.Now().State)
-		phase, h := t.At(v.Now)
-		if c.Now().State == contracts.Booked {
+		t, state := &c.Latest().Terms, string(c.Latest().State)
+		phase, h := t.PhaseAt(v.Now)
+		if c.Latest().State == contracts.Booked {
 			state = string(phase)
 		}
 		window := "over"
-		if phase != contracts.Over {
+		if phase != contracts.Ended {
 			window = at(h.Start) + " for " + time.Duration(h.End-h.Start).String()
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%g\t%g\t%d\t%s\t%s\n", c.No, t.Name, t.Tenant, state, window, t.Reads, t.Writes, t.InFlight, t.Loss, t.Price)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%g\t%g\t%d\t%s\t%s\n", c.No, t.Name, t.Tenant, state, window, t.Reads, t.Writes, t.InFlight, t.ToleratedLoss, t.Price)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -196,8 +196,8 @@
 	for _, h := range v.Holdings {
 		fmt.Fprintf(out, "held here now: %d in flight for %s (%s)\n", h.InFlight, h.Tenant, strings.Join(h.Names, ", "))
 	}
-	for _, r := range v.Book.Risks(v.Fleet, v.Now) {
-		fmt.Fprintf(out, "at risk from %s: %s\n", at(r.When), r.Why)
+	for _, r := range v.Book.UnmetContracts(v.Fleet, v.Now) {
+		fmt.Fprintf(out, "at risk from %s: %s\n", at(r.Start), r.Reason)
 	}
 	return nil
 }
@@ -215,12 +215,12 @@
 	if err != nil || c.JSON {
 		return err
 	}
-	t := &found.Now().Terms
-	phase, _ := t.At(v.Now)
-	fmt.Fprintf(out, "contract %d, %s, of tenant %s: %s, %s\n", found.No, t.Name, t.Tenant, found.Now().State, phase)
-	fmt.Fprintf(out, "%g reads and %g writes a second at each of its groups, %d in flight at each gateway; reads to %d replicas in %d zones at the least\n", t.Reads, t.Writes, t.InFlight, t.FanOut, t.FanZones)
-	fmt.Fprintf(out, "%g of its txns are promised in time, with a loss of %s; beyond its size: %s; price %s, credit %s\n", t.Promised, t.Loss, t.Beyond, t.Price, t.Credit)
-	for _, h := range t.Spans(v.Now, v.Now+int64(31*24*time.Hour)) {
+	t := &found.Latest().Terms
+	phase, _ := t.PhaseAt(v.Now)
+	fmt.Fprintf(out, "contract %d, %s, of tenant %s: %s, %s\n", found.No, t.Name, t.Tenant, found.Latest().State, phase)
+	fmt.Fprintf(out, "%g reads and %g writes a second at each of its groups, %d in flight at each gateway; reads to %d replicas in %d zones at the least\n", t.Reads, t.Writes, t.InFlight, t.MinReplicas, t.MinZones)
+	fmt.Fprintf(out, "%g of its txns are promised in time, with a loss of %s; beyond its size: %s; price %s, credit %s\n", t.PromisedFraction, t.ToleratedLoss, t.ExcessPolicy, t.Price, t.Credit)
+	for _, h := range t.ReservedWindows(v.Now, v.Now+int64(31*24*time.Hour)) {
 		fmt.Fprintf(out, "  %s to %s, room held from %s to %s\n", at(h.Start), at(h.End), at(h.From), at(h.To))
 	}
 	return nil
@@ -252,7 +252,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "when\tstate\twho\twhy\treads/s\twrites/s\tprice")
 	for _, v := range found.Versions {
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%g\t%g\t%s\n", at(v.At), v.State, v.Who, v.Why, v.Terms.Reads, v.Terms.Writes, v.Terms.Price)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%g\t%g\t%s\n", at(v.At), v.State, v.Author, v.Reason, v.Terms.Reads, v.Terms.Writes, v.Terms.Price)
 	}
 	return table.Flush()
 }
@@ -282,9 +282,9 @@
 		}
 		from = t.UnixNano()
 	}
-	all := contracts.NewCalendar(v.Book, v.Fleet, min(from, v.Now), 0).Hours(from, c.Hours)
+	all := contracts.NewCalendar(v.Book, v.Fleet, min(from, v.Now), 0).HourlyCapacities(from, c.Hours)
 	if !c.All {
-		all = slices.DeleteFunc(all, func(h contracts.Hour) bool { return h.Booked[0]+h.Booked[1] == 0 })
+		all = slices.DeleteFunc(all, func(h contracts.HourlyCapacity) bool { return h.Booked[0]+h.Booked[1] == 0 })
 	}
 	if c.JSON {
 		return c.json(out, all)
@@ -296,7 +296,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "hour\tgroup\treads/s: can do\tbooked\tfree\twrites/s: can do\tbooked\tfree\t(with one member lost)")
 	for _, h := range all {
-		fmt.Fprintf(table, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n", at(h.At), h.Group, h.Can[0], h.Booked[0], h.Free[0], h.Can[1], h.Booked[1], h.Free[1])
+		fmt.Fprintf(table, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\n", at(h.At), h.Group, h.Capacity[0], h.Booked[0], h.Free[0], h.Capacity[1], h.Booked[1], h.Free[1])
 	}
 	return table.Flush()
 }
@@ -324,8 +324,8 @@
 	}
 	var all []contracts.Statement
 	whole := true
-	for _, x := range r.Contracts.Book.Live() {
-		s, err := c.stated(x.Now().Terms.Name, time.Unix(0, r.Contracts.Now).Add(-24*time.Hour), time.Unix(0, r.Contracts.Now))
+	for _, x := range r.Contracts.Book.BookedContracts() {
+		s, err := c.stated(x.Latest().Terms.Name, time.Unix(0, r.Contracts.Now).Add(-24*time.Hour), time.Unix(0, r.Contracts.Now))
 		if err != nil {
 			return err
 		}
@@ -343,8 +343,8 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "contract\twindow\tasked\tin time\tlate\tno room\tno member\tunagreed\trolled back\tleft\tcredit")
 	for _, s := range all {
-		x := &s.Sum
-		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, at(s.Window.Start), x.Asked, x.InTime, x.Late, x.NoRoom, x.NoMember, x.Unagreed, x.RolledBack, x.Left, s.Credit)
+		x := &s.Total
+		fmt.Fprintf(table, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\n", s.Name, at(s.Window.Start), x.Requested, x.InTime, x.Late, x.Overloaded, x.NoMember, x.NoAgreement, x.RolledBack, x.Abandoned, s.Credit)
 	}
 	return table.Flush()
 }
@@ -372,10 +372,10 @@
 		for _, s := range r.Statements {
 			for _, l := range s.Lines {
 				line := []string{s.Name, at(s.Window.Start), at(l.At), strconv.Itoa(l.Gateways), strconv.FormatFloat(l.Size, 'f', 0, 64)}
-				for _, n := range []uint64{l.Asked, l.InTime, l.Late, l.NoRoom, l.NoMember, l.Unagreed, l.RolledBack, l.Left} {
+				for _, n := range []uint64{l.Requested, l.InTime, l.Late, l.Overloaded, l.NoMember, l.NoAgreement, l.RolledBack, l.Abandoned} {
 					line = append(line, strconv.FormatUint(n, 10))
 				}
-				_ = w.Write(append(line, strconv.FormatFloat(l.Kept, 'f', 4, 64), l.Cause))
+				_ = w.Write(append(line, strconv.FormatFloat(l.ServedFraction, 'f', 4, 64), l.Cause))
 			}
 		}
 		w.Flush()
@@ -395,14 +395,14 @@
 	}
 	for _, s := range r.Statements {
 		over := "is open yet"
-		if s.Over {
+		if s.Final {
 			over = "is over"
 		}
 		fmt.Fprintf(out, "%s, contract %d, window of %s, %v, %s: price %s, credit %s\n", s.Name, s.No, at(s.Window.Start), time.Duration(s.Window.End-s.Window.Start), over, s.Price, s.Credit)
 		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(table, "  interval\tgateways\tsize\tasked\tin time\tkept\tcause")
 		for _, l := range s.Lines {
-			fmt.Fprintf(table, "  %s\t%d\t%.0f\t%d\t%d\t%.4f\t%s\n", at(l.At), l.Gateways, l.Size, l.Asked, l.InTime, l.Kept, l.Cause)
+			fmt.Fprintf(table, "  %s\t%d\t%.0f\t%d\t%d\t%.4f\t%s\n", at(l.At), l.Gateways, l.Size, l.Requested, l.InTime, l.ServedFraction, l.Cause)
 		}
 		if err := table.Flush(); err != nil {
 			return err
@@ -435,11 +435,11 @@
 		return s
 	}
 	s.view, s.live, s.problem, s.whole = r.Contracts, nil, "", true
-	for _, c := range s.view.Book.Live() {
-		if phase, _ := c.Now().Terms.At(s.view.Now); phase != contracts.Live && phase != contracts.Cooling {
+	for _, c := range s.view.Book.BookedContracts() {
+		if phase, _ := c.Latest().Terms.PhaseAt(s.view.Now); phase != contracts.Active && phase != contracts.Cooling {
 			continue
 		}
-		x, err := s.socket.stated(c.Now().Terms.Name, time.Unix(0, s.view.Now), time.Unix(0, s.view.Now))
+		x, err := s.socket.stated(c.Latest().Terms.Name, time.Unix(0, s.view.Now), time.Unix(0, s.view.Now))
 		if err != nil {
 			s.problem = err.Error()
 			continue
@@ -479,7 +479,7 @@
 				continue
 			}
 			l := x.Lines[len(x.Lines)-1]
-			fmt.Fprintf(&b, "%-20s [%-20s] %.4f kept of %d asked, %.0f is its size %s\n", x.Name, strings.Repeat("#", int(20*l.Kept)), l.Kept, l.Asked, l.Size, l.Cause)
+			fmt.Fprintf(&b, "%-20s [%-20s] %.4f kept of %d asked, %.0f is its size %s\n", x.Name, strings.Repeat("#", int(20*l.ServedFraction)), l.ServedFraction, l.Requested, l.Size, l.Cause)
 		}
 		if len(s.live) == 0 {
 			b.WriteString("no window is open\n")
@@ -541,7 +541,7 @@
 		}
 	} else {
 		t := &e.Terms
-		fmt.Fprintf(out, "%s: %g reads and %g writes a second at each group, others ask for %g times what members do, with a loss of %s\n", t.Name, t.Reads, t.Writes, c.Flood, t.Loss)
+		fmt.Fprintf(out, "%s: %g reads and %g writes a second at each group, others ask for %g times what members do, with a loss of %s\n", t.Name, t.Reads, t.Writes, c.Flood, t.ToleratedLoss)
 		fmt.Fprintf(out, "with room held: %.3f of %d txns in time, others %.3f; %d broken rules\n", held.Kept, held.Asked, held.Others, held.Broken)
 		fmt.Fprintf(out, "without:        %.3f of %d txns in time, others %.3f\n", without.Kept, without.Asked, without.Others)
 		if largest >= 0 {
@@ -549,7 +549,7 @@
 		}
 	}
 	if !held.Promise {
-		return fmt.Errorf("%g of its txns in time are promised, and would not be kept; where members are crowded a smaller in_flight of the gateways helps", e.Terms.Promised)
+		return fmt.Errorf("%g of its txns in time are promised, and would not be kept; where members are crowded a smaller in_flight of the gateways helps", e.Terms.PromisedFraction)
 	}
 	return nil
 }
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -154,21 +154,21 @@
 	}
 	late := func(q float64) float64 { return float64(r.Late.ValueAtQuantile(q)) / 1000 }
 	if l.JSON {
-		return json.NewEncoder(out).Encode(map[string]any{"service": r.Service.Whole, "asked": r.Service.Asked, "tries": r.Service.Tries, "broken": len(r.Violations),
+		return json.NewEncoder(out).Encode(map[string]any{"service": r.Service.Overall, "asked": r.Service.Requested, "tries": r.Service.Attempts, "broken": len(r.Violations),
 			"late_p50_ms": late(50), "late_p99_ms": late(99), "errors": r.Errors})
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "type\tservice\tasked\tserved\tdeclined\trolled back\tunanswered\tp50\tp99\t")
 	for i := range r.Service.Types {
 		t := &r.Service.Types[i]
-		fmt.Fprintf(table, "%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t\n", t.Name, t.Service, t.Asked, t.Served, t.Declined, t.Rolled, t.Unanswered,
+		fmt.Fprintf(table, "%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t\n", t.Name, t.Service, t.Requested, t.Served, t.Declined, t.RolledBack, t.Unanswered,
 			time.Duration(t.P50).Round(100*time.Microsecond), time.Duration(t.P99).Round(100*time.Microsecond))
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "service %.3f; %d txns in %v, sent %.1f ms late at the median, %.1f ms at the 99th percentile; %d broken rules of answers and reads\n", r.Service.Whole,
-		r.Service.Asked, r.Took.Round(time.Millisecond), late(50), late(99), len(r.Violations))
+	fmt.Fprintf(out, "service %.3f; %d txns in %v, sent %.1f ms late at the median, %.1f ms at the 99th percentile; %d broken rules of answers and reads\n", r.Service.Overall,
+		r.Service.Requested, r.Took.Round(time.Millisecond), late(50), late(99), len(r.Violations))
 	for what, n := range r.Errors {
 		fmt.Fprintf(out, "%6d  %s\n", n, what)
 	}
--- a/cli/rehearse.go
+++ b/cli/rehearse.go
@@ -66,9 +66,9 @@
 	}
 	if p.JSON {
 		worst, x := r.Service.WorstType()
-		err = json.NewEncoder(out).Encode(map[string]any{"scenario": s.Name, "clock": r.Clock, "seed": s.Seed, "policy": s.Policy, "service": r.Service.Whole,
+		err = json.NewEncoder(out).Encode(map[string]any{"scenario": s.Name, "clock": r.Clock, "seed": s.Seed, "policy": s.Policy, "service": r.Service.Overall,
 			"worst10": r.Service.Worst10, "worst_type": worst, "worst_type_service": x, "broken": len(r.Violations), "failed": r.Failed,
-			"mark": fmt.Sprintf("%016x", r.Mark), "asked": r.Service.Asked, "events": r.Events})
+			"mark": fmt.Sprintf("%016x", r.Mark), "asked": r.Service.Requested, "events": r.Events})
 	} else {
 		err = tell(out, r)
 	}
@@ -137,7 +137,7 @@
 	fmt.Fprintln(table, "\ntype\tservice\tasked\tserved\tlate\tdeclined\trolled back\tunanswered\tp50\tp99\t")
 	for i := range r.Service.Types {
 		t := &r.Service.Types[i]
-		fmt.Fprintf(table, "%s\t%.3f\t%d\t%d\t%.3f\t%d\t%d\t%d\t%v\t%v\t\n", t.Name, t.Service, t.Asked, t.Served, t.ShareLate, t.Declined, t.Rolled,
+		fmt.Fprintf(table, "%s\t%.3f\t%d\t%d\t%.3f\t%d\t%d\t%d\t%v\t%v\t\n", t.Name, t.Service, t.Requested, t.Served, t.LateFraction, t.Declined, t.RolledBack,
 			t.Unanswered, time.Duration(t.P50).Round(100*time.Microsecond), time.Duration(t.P99).Round(100*time.Microsecond))
 	}
 	if err := table.Flush(); err != nil {
@@ -158,13 +158,13 @@
 		fmt.Fprintf(out, "%-28s %s\n", rule, what)
 	}
 	for _, v := range r.Violations[:min(3, len(r.Violations))] {
-		fmt.Fprintf(out, "\n%s: %s\n", v.Rule, v.What)
+		fmt.Fprintf(out, "\n%s: %s\n", v.Rule, v.Description)
 		for _, h := range v.History {
 			fmt.Fprintln(out, "  ", h)
 		}
 	}
 	worst, x := r.Service.WorstType()
-	fmt.Fprintf(out, "\nservice %.3f, worst ten seconds %.3f, %s %.3f\n", r.Service.Whole, r.Service.Worst10, worst, x)
+	fmt.Fprintf(out, "\nservice %.3f, worst ten seconds %.3f, %s %.3f\n", r.Service.Overall, r.Service.Worst10, worst, x)
 	for _, f := range r.Left {
 		fmt.Fprintln(out, "not played in real time:", f)
 	}
--- a/contracts/book.go
+++ b/contracts/book.go
@@ -24,12 +24,12 @@
 
 // Version is one state of a contract. None is ever rewritten.
 type Version struct {
-	State State  `json:"state"`
-	Terms Terms  `json:"terms"`
-	Who   string `json:"who"`
-	Why   string `json:"why,omitempty"`
-	At    int64  `json:"at"`
-	Until int64  `json:"until,omitempty"` // of a quote
+	State  State  `json:"state"`
+	Terms  Terms  `json:"terms"`
+	Author string `json:"who"`
+	Reason string `json:"why,omitempty"`
+	At     int64  `json:"at"`
+	Until  int64  `json:"until,omitempty"` // of a quote
 }
 
 // Contract is all of its versions, the latest last.
@@ -39,7 +39,7 @@
 }
 
 // Now is its latest version.
-func (c *Contract) Now() *Version { return &c.Versions[len(c.Versions)-1] }
+func (c *Contract) Latest() *Version { return &c.Versions[len(c.Versions)-1] }
 
 // Book is all contracts, and what members are taken to be able to do.
 type Book struct {
@@ -56,13 +56,13 @@
 }
 
 // UsualFloor is kept for those without a contract where nothing is said. Ours.
-const UsualFloor = 0.2
+const DefaultFloor = 0.2
 
 // mostBook is how long the text of a book may be once it is unpacked.
-const mostBook = 64 << 20
+const maxBookBytes = 64 << 20
 
 // Text words a book: the same for the same, packed, as contracts are alike in most.
-func (b *Book) Text() []byte {
+func (b *Book) Encode() []byte {
 	text, err := json.Marshal(b)
 	if err != nil {
 		panic(err) // it holds nothing that has no JSON
@@ -75,12 +75,12 @@
 }
 
 // ReadBook reads it; no text is an empty one.
-func ReadBook(text []byte) (*Book, error) {
-	b := &Book{Floor: UsualFloor}
+func DecodeBook(text []byte) (*Book, error) {
+	b := &Book{Floor: DefaultFloor}
 	if len(text) == 0 {
 		return b, nil
 	}
-	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(text)), mostBook))
+	plain, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(text)), maxBookBytes))
 	if err == nil {
 		err = json.Unmarshal(plain, b)
 	}
@@ -91,9 +91,9 @@
 }
 
 // Wish is what somebody wants done: one of its parts.
-type Wish struct {
-	Who    string       `json:"who"`
-	Why    string       `json:"why,omitempty"`
+type Proposal struct {
+	Author string       `json:"who"`
+	Reason string       `json:"why,omitempty"`
 	At     int64        `json:"at"`
 	Draft  *Terms       `json:"draft,omitempty"` // another contract
 	Amend  *Terms       `json:"amend,omitempty"` // other terms for the one of its name
@@ -108,7 +108,7 @@
 // Find is the contract of a name that lives, or else the last that did; nil for none.
 func (b *Book) Find(name string) (found *Contract) {
 	for i := range b.Contracts {
-		if c := &b.Contracts[i]; c.Now().Terms.Name == name && (found == nil || c.Now().State != Cancelled) {
+		if c := &b.Contracts[i]; c.Latest().Terms.Name == name && (found == nil || c.Latest().State != Cancelled) {
 			found = c
 		}
 	}
@@ -116,23 +116,23 @@
 }
 
 // Reserves tells whether a wish changes what is held for somebody: then no two gateways may act by the book before and after.
-func (w *Wish) Reserves(b *Book) bool {
+func (w *Proposal) ChangesReservations(b *Book) bool {
 	if w.Amend != nil {
 		c := b.Find(w.Amend.Name)
-		return c != nil && c.Now().State == Booked
+		return c != nil && c.Latest().State == Booked
 	}
 	if w.Cancel != "" {
 		c := b.Find(w.Cancel)
-		return c != nil && c.Now().State == Booked
+		return c != nil && c.Latest().State == Booked
 	}
 	return w.Book != ""
 }
 
 // Do gives the book after a wish, or why it is refused; what is lacking is a Lack.
-func (b *Book) Do(w *Wish, fleet Fleet) (*Book, error) {
+func (b *Book) Apply(w *Proposal, fleet Fleet) (*Book, error) {
 	next := &Book{Contracts: slices.Clone(b.Contracts), Sizes: b.Sizes, Floor: b.Floor}
 	add := func(c *Contract, v Version) {
-		v.Who, v.Why, v.At = w.Who, w.Why, w.At
+		v.Author, v.Reason, v.At = w.Author, w.Reason, w.At
 		c.Versions = append(slices.Clone(c.Versions), v)
 	}
 	find := func(name string, states ...State) (*Contract, error) {
@@ -140,21 +140,21 @@
 		if c == nil {
 			return nil, fmt.Errorf("there is no contract %q", name)
 		}
-		if !slices.Contains(states, c.Now().State) {
-			return nil, fmt.Errorf("contract %q is %s", name, c.Now().State)
+		if !slices.Contains(states, c.Latest().State) {
+			return nil, fmt.Errorf("contract %q is %s", name, c.Latest().State)
 		}
 		return c, nil
 	}
 	fits := func(c *Contract, t *Terms) error {
-		return NewCalendar(next, fleet, w.At, c.No).Fits(t)
+		return NewCalendar(next, fleet, w.At, c.No).CheckFit(t)
 	}
 	switch {
 	case w.Draft != nil:
 		if err := w.Draft.Check(); err != nil {
 			return nil, err
 		}
-		if c := next.Find(w.Draft.Name); c != nil && c.Now().State != Cancelled {
-			return nil, fmt.Errorf("contract %q is %s already; amend it, or give another name", w.Draft.Name, c.Now().State)
+		if c := next.Find(w.Draft.Name); c != nil && c.Latest().State != Cancelled {
+			return nil, fmt.Errorf("contract %q is %s already; amend it, or give another name", w.Draft.Name, c.Latest().State)
 		}
 		no := uint64(len(next.Contracts) + 1)
 		next.Contracts = append(next.Contracts, Contract{No: no})
@@ -168,8 +168,8 @@
 			return nil, err
 		}
 		state := Draft // other terms have another price
-		if c.Now().State == Booked {
-			if state = Booked; w.Amend.Tenant != c.Now().Terms.Tenant {
+		if c.Latest().State == Booked {
+			if state = Booked; w.Amend.Tenant != c.Latest().Terms.Tenant {
 				return nil, errors.New("a booked contract stays its tenant's: cancel it, and book another")
 			}
 			if err := fits(c, w.Amend); err != nil {
@@ -185,28 +185,28 @@
 		if w.Until <= w.At {
 			return nil, errors.New("a quote holds until some time to come")
 		}
-		if err := fits(c, &c.Now().Terms); err != nil {
+		if err := fits(c, &c.Latest().Terms); err != nil {
 			return nil, err
 		}
-		add(c, Version{State: Quoted, Terms: c.Now().Terms, Until: w.Until})
+		add(c, Version{State: Quoted, Terms: c.Latest().Terms, Until: w.Until})
 	case w.Book != "":
 		c, err := find(w.Book, Quoted)
 		if err != nil {
 			return nil, err
 		}
-		if w.At > c.Now().Until {
-			return nil, fmt.Errorf("the quote of %q held until %s", w.Book, instant(c.Now().Until))
+		if w.At > c.Latest().Until {
+			return nil, fmt.Errorf("the quote of %q held until %s", w.Book, formatTime(c.Latest().Until))
 		}
-		if err := fits(c, &c.Now().Terms); err != nil {
+		if err := fits(c, &c.Latest().Terms); err != nil {
 			return nil, err
 		}
-		add(c, Version{State: Booked, Terms: c.Now().Terms})
+		add(c, Version{State: Booked, Terms: c.Latest().Terms})
 	case w.Cancel != "":
 		c, err := find(w.Cancel, Draft, Quoted, Booked)
 		if err != nil {
 			return nil, err
 		}
-		add(c, Version{State: Cancelled, Terms: c.Now().Terms})
+		add(c, Version{State: Cancelled, Terms: c.Latest().Terms})
 	case w.Sizes != nil || w.Floor != nil:
 		if w.Floor != nil {
 			if *w.Floor < 0 || *w.Floor >= 1 {
@@ -228,15 +228,15 @@
 }
 
 // Live are the contracts that are booked, by rank, the highest first, and number.
-func (b *Book) Live() (all []*Contract) {
+func (b *Book) BookedContracts() (all []*Contract) {
 	for i := range b.Contracts {
-		if c := &b.Contracts[i]; c.Now().State == Booked {
+		if c := &b.Contracts[i]; c.Latest().State == Booked {
 			all = append(all, c)
 		}
 	}
-	slices.SortStableFunc(all, func(x, y *Contract) int { return y.Now().Terms.Rank - x.Now().Terms.Rank })
+	slices.SortStableFunc(all, func(x, y *Contract) int { return y.Latest().Terms.Priority - x.Latest().Terms.Priority })
 	return all
 }
 
 // words joins several.
-func words(all []string) string { return strings.Join(all, "; ") }
+func joinReasons(all []string) string { return strings.Join(all, "; ") }
--- a/contracts/calendar.go
+++ b/contracts/calendar.go
@@ -13,22 +13,22 @@
 type Fleet map[int]map[string]int
 
 // What a group can do is counted apart for reads and writes.
-type kind int
+type accessKind int
 
 const (
-	reads kind = iota
+	reads accessKind = iota
 	writes
-	kinds
+	accessKinds
 )
 
-func (k kind) String() string { return [...]string{"reads", "writes"}[k] }
+func (k accessKind) String() string { return [...]string{"reads", "writes"}[k] }
 
 // losses, from the least promised to the most.
-var losses = []string{NoLoss, MemberLoss, ZoneLoss}
+var lossLevels = []string{NoLoss, MemberLoss, ZoneLoss}
 
 // Capacity is what of a group may be sold under a loss, a second: what its members can do without those that are lost, less
 // the floor for those without a contract. One member, its primary, does the writes; the others do reads.
-func (b *Book) Capacity(fleet Fleet, group int, loss string) (all [kinds]float64) {
+func (b *Book) Capacity(fleet Fleet, group int, loss string) (all [accessKinds]float64) {
 	i := slices.IndexFunc(b.Sizes, func(s MemberSize) bool { return s.Group == group })
 	if i < 0 {
 		return all // nothing is known of it
@@ -74,47 +74,47 @@
 	fleet  Fleet
 	now    int64
 	groups []int
-	steps  map[cell][]step
+	steps  map[reservationKey][]capacityStep
 }
 
 // cell is what is sold of a group to those who are promised it under a loss or a larger one.
-type cell struct {
+type reservationKey struct {
 	group int
-	kind  kind
+	kind  accessKind
 	loss  string
 }
 
 // step is that so much is sold from a time on.
-type step struct {
-	at   int64
-	sold float64
+type capacityStep struct {
+	from     int64
+	reserved float64
 }
 
 // horizon is how far ahead is looked. Ours.
-const horizon = int64(400 * 24 * time.Hour)
+const planningHorizon = int64(400 * 24 * time.Hour)
 
 // NewCalendar works it out for what is booked, but for one contract, from a time on.
 func NewCalendar(b *Book, fleet Fleet, now int64, without uint64) *Calendar {
-	c := &Calendar{book: b, fleet: fleet, now: now, groups: slices.Sorted(maps.Keys(fleet)), steps: map[cell][]step{}}
-	for _, x := range b.Live() {
-		t := &x.Now().Terms
+	c := &Calendar{book: b, fleet: fleet, now: now, groups: slices.Sorted(maps.Keys(fleet)), steps: map[reservationKey][]capacityStep{}}
+	for _, x := range b.BookedContracts() {
+		t := &x.Latest().Terms
 		if x.No == without {
 			continue
 		}
-		for _, h := range t.Spans(now, now+horizon) {
+		for _, h := range t.ReservedWindows(now, now+planningHorizon) {
 			for _, g := range c.groups {
 				if t.covers(g) {
-					c.sell(g, t, h)
+					c.reserve(g, t, h)
 				}
 			}
 		}
 	}
 	for key, all := range c.steps { // changes, to sums
-		slices.SortFunc(all, func(x, y step) int { return cmp.Compare(x.at, y.at) })
+		slices.SortFunc(all, func(x, y capacityStep) int { return cmp.Compare(x.from, y.from) })
 		kept, sum := all[:0], 0.0
 		for i, s := range all {
-			if sum += s.sold; i+1 == len(all) || all[i+1].at != s.at {
-				kept = append(kept, step{s.at, sum})
+			if sum += s.reserved; i+1 == len(all) || all[i+1].from != s.from {
+				kept = append(kept, capacityStep{s.from, sum})
 			}
 		}
 		c.steps[key] = kept
@@ -122,26 +122,26 @@
 	return c
 }
 
-func (c *Calendar) sell(group int, t *Terms, h Held) {
-	for k, n := range [kinds]float64{t.Reads, t.Writes} {
-		for _, loss := range losses[:slices.Index(losses, t.Loss)+1] { // who is promised it under a loss has it without, too
-			key := cell{group, kind(k), loss}
-			c.steps[key] = append(c.steps[key], step{h.From, n}, step{h.To, -n})
+func (c *Calendar) reserve(group int, t *Terms, h ReservedWindow) {
+	for k, n := range [accessKinds]float64{t.Reads, t.Writes} {
+		for _, loss := range lossLevels[:slices.Index(lossLevels, t.ToleratedLoss)+1] { // who is promised it under a loss has it without, too
+			key := reservationKey{group, accessKind(k), loss}
+			c.steps[key] = append(c.steps[key], capacityStep{h.From, n}, capacityStep{h.To, -n})
 		}
 	}
 }
 
 // most is the most that is sold of a cell within a span, and since when.
-func (c *Calendar) most(key cell, from, to int64) (sold float64, at int64) {
+func (c *Calendar) peakReserved(key reservationKey, from, to int64) (sold float64, at int64) {
 	all := c.steps[key]
-	i, _ := slices.BinarySearchFunc(all, from, func(s step, at int64) int { return cmp.Compare(s.at, at+1) })
+	i, _ := slices.BinarySearchFunc(all, from, func(s capacityStep, at int64) int { return cmp.Compare(s.from, at+1) })
 	at = from
 	if i > 0 {
-		sold = all[i-1].sold
+		sold = all[i-1].reserved
 	}
-	for ; i < len(all) && all[i].at < to; i++ {
-		if all[i].sold > sold {
-			sold, at = all[i].sold, all[i].at
+	for ; i < len(all) && all[i].from < to; i++ {
+		if all[i].reserved > sold {
+			sold, at = all[i].reserved, all[i].from
 		}
 	}
 	return sold, at
@@ -150,10 +150,10 @@
 // Free is what of a group can still be sold within a span, a second, to who is promised it under a loss.
 func (c *Calendar) Free(group int, loss string, from, to int64) (free [2]float64) {
 	free = [2]float64{math.Inf(1), math.Inf(1)}
-	for _, l := range losses[:slices.Index(losses, loss)+1] {
+	for _, l := range lossLevels[:slices.Index(lossLevels, loss)+1] {
 		can := c.book.Capacity(c.fleet, group, l)
-		for k := range kinds {
-			sold, _ := c.most(cell{group, k, l}, from, to)
+		for k := range accessKinds {
+			sold, _ := c.peakReserved(reservationKey{group, k, l}, from, to)
 			free[k] = max(0, min(free[k], can[k]-sold))
 		}
 	}
@@ -161,59 +161,59 @@
 }
 
 // Lack is why a contract can't be kept, and the way out.
-type Lack struct {
-	Name    string
-	Lacking []string // what, when, where
-	Reads   float64  // that would fit in all of its windows
-	Writes  float64
-	Before  int64 // the nearest start at which all of it fits, Unix nanoseconds, 0 for none within a week
-	After   int64
+type ShortfallError struct {
+	Name         string
+	Shortfalls   []string // what, when, where
+	Reads        float64  // that would fit in all of its windows
+	Writes       float64
+	EarlierStart int64 // the nearest start at which all of it fits, Unix nanoseconds, 0 for none within a week
+	LaterStart   int64
 }
 
 // Error words it.
-func (l *Lack) Error() string {
-	text := fmt.Sprintf("contract %q does not fit: %s", l.Name, words(l.Lacking))
+func (l *ShortfallError) Error() string {
+	text := fmt.Sprintf("contract %q does not fit: %s", l.Name, joinReasons(l.Shortfalls))
 	if l.Reads > 0 || l.Writes > 0 {
 		text += fmt.Sprintf("; %.0f reads and %.0f writes a second would fit", l.Reads, l.Writes)
 	}
 	switch {
-	case l.Before > 0 && l.After > 0:
-		text += fmt.Sprintf("; all of it would from %s or %s", instant(l.Before), instant(l.After))
-	case l.Before+l.After > 0:
-		text += "; all of it would from " + instant(max(l.Before, l.After))
+	case l.EarlierStart > 0 && l.LaterStart > 0:
+		text += fmt.Sprintf("; all of it would from %s or %s", formatTime(l.EarlierStart), formatTime(l.LaterStart))
+	case l.EarlierStart+l.LaterStart > 0:
+		text += "; all of it would from " + formatTime(max(l.EarlierStart, l.LaterStart))
 	}
 	return text
 }
 
 // shifts are how a window is moved to where it fits.
 const (
-	shiftStep = int64(30 * time.Minute)
-	shiftMost = int64(7 * 24 * time.Hour)
-	mostLacks = 4
+	shiftStep     = int64(30 * time.Minute)
+	maxShift      = int64(7 * 24 * time.Hour)
+	maxShortfalls = 4
 )
 
 // Fits tells whether a contract can be kept beside what is booked; if not with a Lack.
-func (c *Calendar) Fits(t *Terms) error {
-	spans := t.Spans(c.now, c.now+horizon)
+func (c *Calendar) CheckFit(t *Terms) error {
+	spans := t.ReservedWindows(c.now, c.now+planningHorizon)
 	if len(spans) == 0 {
 		return fmt.Errorf("contract %q: all of its windows are over, or more than 400 days ahead", t.Name)
 	}
-	l := &Lack{Name: t.Name, Reads: math.Inf(1), Writes: math.Inf(1)}
+	l := &ShortfallError{Name: t.Name, Reads: math.Inf(1), Writes: math.Inf(1)}
 	covered := false
 	for _, g := range c.groups {
 		if !t.covers(g) {
 			continue
 		}
 		covered = true
-		if n, zones := c.fleet.replicas(g, t.Loss); n < t.FanOut || zones < t.FanZones {
-			l.Lacking = append(l.Lacking, fmt.Sprintf("group %d has %d replicas in %d zones with a loss of %s, %d in %d are wanted", g, n, zones, t.Loss, t.FanOut, t.FanZones))
+		if n, zones := c.fleet.replicas(g, t.ToleratedLoss); n < t.MinReplicas || zones < t.MinZones {
+			l.Shortfalls = append(l.Shortfalls, fmt.Sprintf("group %d has %d replicas in %d zones with a loss of %s, %d in %d are wanted", g, n, zones, t.ToleratedLoss, t.MinReplicas, t.MinZones))
 		}
 		for _, h := range spans {
-			free := c.Free(g, t.Loss, h.From, h.To)
+			free := c.Free(g, t.ToleratedLoss, h.From, h.To)
 			l.Reads, l.Writes = min(l.Reads, free[reads]), min(l.Writes, free[writes])
-			for k, want := range [kinds]float64{t.Reads, t.Writes} {
-				if short := want - free[k]; short > 1e-9 && len(l.Lacking) < mostLacks {
-					l.Lacking = append(l.Lacking, fmt.Sprintf("group %d lacks %.0f %v a second at %s with a loss of %s", g, math.Ceil(short), kind(k), instant(h.Start), t.Loss))
+			for k, want := range [accessKinds]float64{t.Reads, t.Writes} {
+				if short := want - free[k]; short > 1e-9 && len(l.Shortfalls) < maxShortfalls {
+					l.Shortfalls = append(l.Shortfalls, fmt.Sprintf("group %d lacks %.0f %v a second at %s with a loss of %s", g, math.Ceil(short), accessKind(k), formatTime(h.Start), t.ToleratedLoss))
 				}
 			}
 		}
@@ -226,32 +226,32 @@
 	if !covered {
 		return fmt.Errorf("contract %q: there are no groups", t.Name)
 	}
-	if len(l.Lacking) == 0 {
+	if len(l.Shortfalls) == 0 {
 		return nil
 	}
 	l.Reads, l.Writes = min(l.Reads, t.Reads), min(l.Writes, t.Writes)
-	for by := shiftStep; by <= shiftMost && (l.Before == 0 || l.After == 0); by += shiftStep {
-		if l.Before == 0 && spans[0].From-by > c.now && c.room(t, spans, -by) {
-			l.Before = spans[0].Start - by
+	for by := shiftStep; by <= maxShift && (l.EarlierStart == 0 || l.LaterStart == 0); by += shiftStep {
+		if l.EarlierStart == 0 && spans[0].From-by > c.now && c.fitsShifted(t, spans, -by) {
+			l.EarlierStart = spans[0].Start - by
 		}
-		if l.After == 0 && c.room(t, spans, by) {
-			l.After = spans[0].Start + by
+		if l.LaterStart == 0 && c.fitsShifted(t, spans, by) {
+			l.LaterStart = spans[0].Start + by
 		}
 	}
 	return l
 }
 
 // room tells whether spans would fit if they were moved by so much.
-func (c *Calendar) room(t *Terms, spans []Held, by int64) bool {
+func (c *Calendar) fitsShifted(t *Terms, spans []ReservedWindow, by int64) bool {
 	for _, g := range c.groups {
 		if !t.covers(g) {
 			continue
 		}
-		if n, zones := c.fleet.replicas(g, t.Loss); n < t.FanOut || zones < t.FanZones {
+		if n, zones := c.fleet.replicas(g, t.ToleratedLoss); n < t.MinReplicas || zones < t.MinZones {
 			return false
 		}
 		for _, h := range spans {
-			if free := c.Free(g, t.Loss, h.From+by, h.To+by); t.Reads > free[reads]+1e-9 || t.Writes > free[writes]+1e-9 {
+			if free := c.Free(g, t.ToleratedLoss, h.From+by, h.To+by); t.Reads > free[reads]+1e-9 || t.Writes > free[writes]+1e-9 {
 				return false
 			}
 		}
@@ -260,17 +260,17 @@
 }
 
 // over tells whether more is booked than there is at any time, or fewer replicas are there than somebody is to have.
-func (c *Calendar) over() bool {
+func (c *Calendar) overbooked() bool {
 	for key, all := range c.steps {
 		can := c.book.Capacity(c.fleet, key.group, key.loss)[key.kind]
-		if slices.ContainsFunc(all, func(s step) bool { return s.sold > can+1e-9 }) {
+		if slices.ContainsFunc(all, func(s capacityStep) bool { return s.reserved > can+1e-9 }) {
 			return true
 		}
 	}
-	for _, x := range c.book.Live() {
-		t := &x.Now().Terms
+	for _, x := range c.book.BookedContracts() {
+		t := &x.Latest().Terms
 		for _, g := range c.groups {
-			if n, zones := c.fleet.replicas(g, t.Loss); t.covers(g) && (n < t.FanOut || zones < t.FanZones) {
+			if n, zones := c.fleet.replicas(g, t.ToleratedLoss); t.covers(g) && (n < t.MinReplicas || zones < t.MinZones) {
 				return true
 			}
 		}
@@ -282,28 +282,28 @@
 }
 
 // Risk is a booked contract that can't be kept as the fleet is.
-type Risk struct {
-	No   uint64
-	Name string
-	Why  string
-	When int64 // the first of its windows
+type UnmetContract struct {
+	No     uint64
+	Name   string
+	Reason string
+	Start  int64 // the first of its windows
 }
 
 // Risks are the booked contracts that can't be kept by the fleet as it is now: by rank, the lowest give way until the others
 // fit. Nothing is taken from the book.
-func (b *Book) Risks(fleet Fleet, now int64) (all []Risk) {
-	if c := NewCalendar(b, fleet, now, 0); !c.over() { // as a rule; else each is tried beside those above it, which takes longer
+func (b *Book) UnmetContracts(fleet Fleet, now int64) (all []UnmetContract) {
+	if c := NewCalendar(b, fleet, now, 0); !c.overbooked() { // as a rule; else each is tried beside those above it, which takes longer
 		return nil
 	}
 	kept := &Book{Sizes: b.Sizes, Floor: b.Floor}
-	for _, c := range b.Live() {
-		t := &c.Now().Terms
-		spans := t.Spans(now, now+horizon)
+	for _, c := range b.BookedContracts() {
+		t := &c.Latest().Terms
+		spans := t.ReservedWindows(now, now+planningHorizon)
 		if len(spans) == 0 {
 			continue
 		}
-		if err := NewCalendar(kept, fleet, now, 0).Fits(t); err != nil {
-			all = append(all, Risk{c.No, t.Name, err.Error(), spans[0].Start})
+		if err := NewCalendar(kept, fleet, now, 0).CheckFit(t); err != nil {
+			all = append(all, UnmetContract{c.No, t.Name, err.Error(), spans[0].Start})
 			continue
 		}
 		kept.Contracts = append(kept.Contracts, *c)
@@ -312,23 +312,23 @@
 }
 
 // Hour is what of a group is sold and free over an hour, a second, to who is promised it under a loss of a member.
-type Hour struct {
-	At     int64
-	Group  int
-	Can    [2]float64
-	Booked [2]float64
-	Free   [2]float64
+type HourlyCapacity struct {
+	At       int64
+	Group    int
+	Capacity [2]float64 `json:"Can"`
+	Booked   [2]float64
+	Free     [2]float64
 }
 
 // Hours are those of a span, by time and group.
-func (c *Calendar) Hours(from int64, n int) (all []Hour) {
+func (c *Calendar) HourlyCapacities(from int64, n int) (all []HourlyCapacity) {
 	from -= from % int64(time.Hour)
 	for i := range n {
 		at := from + int64(i)*int64(time.Hour)
 		for _, g := range c.groups {
-			h := Hour{At: at, Group: g, Can: c.book.Capacity(c.fleet, g, MemberLoss), Free: c.Free(g, MemberLoss, at, at+int64(time.Hour))}
-			for k := range kinds {
-				h.Booked[k], _ = c.most(cell{g, k, NoLoss}, at, at+int64(time.Hour))
+			h := HourlyCapacity{At: at, Group: g, Capacity: c.book.Capacity(c.fleet, g, MemberLoss), Free: c.Free(g, MemberLoss, at, at+int64(time.Hour))}
+			for k := range accessKinds {
+				h.Booked[k], _ = c.peakReserved(reservationKey{g, k, NoLoss}, at, at+int64(time.Hour))
 			}
 			all = append(all, h)
 		}
--- a/contracts/contract.go
+++ b/contracts/contract.go
@@ -25,33 +25,33 @@
 
 // What becomes of txns beyond a contract's size.
 const (
-	Refuse = "decline"     // turned away
-	Effort = "best effort" // as if there were no contract
-	Paid   = "paid"        // the same, at a price, up to a ceiling
+	RejectExcess = "decline"     // turned away
+	BestEffort   = "best effort" // as if there were no contract
+	PaidExcess   = "paid"        // the same, at a price, up to a ceiling
 )
 
 // Terms are what a contract says.
 type Terms struct {
-	Name     string          `json:"name"` // which no other contract that lives has
-	Tenant   string          `json:"tenant"`
-	Types    []string        `json:"types,omitempty"`  // txn types; none is all of the tenant's
-	Groups   []int           `json:"groups,omitempty"` // none is all
-	Reads    float64         `json:"reads,omitempty"`  // a second, at each of its groups
-	Writes   float64         `json:"writes,omitempty"` // a second, at each of its groups
-	InFlight int             `json:"in_flight"`        // txns at a time that a gateway keeps room for
-	FanOut   int             `json:"fan_out,omitempty"`
-	FanZones int             `json:"fan_zones,omitempty"` // reads go to so many replicas of each group, in so many zones, at the least
-	Windows  []Window        `json:"windows"`
-	Ramp     int64           `json:"ramp,omitempty"` // nanoseconds before a window from which room is held
-	Cool     int64           `json:"cool,omitempty"` // and after it
-	Aim      int64           `json:"aim,omitempty"`  // SLA time, nanoseconds; 0 is the txn type's
-	Promised float64         `json:"promised"`       // share of its txns that are served within that
-	Beyond   string          `json:"beyond"`
-	Ceiling  float64         `json:"ceiling,omitempty"` // times its size, up to which what is paid goes
-	Loss     string          `json:"loss"`
-	Rank     int             `json:"rank,omitempty"` // who gives way first where all can't be kept: the least
-	Price    decimal.Decimal `json:"price"`          // of a window
-	Credit   decimal.Decimal `json:"credit"`         // for one in which the promise was not kept
+	Name             string          `json:"name"` // which no other contract that lives has
+	Tenant           string          `json:"tenant"`
+	Types            []string        `json:"types,omitempty"`  // txn types; none is all of the tenant's
+	Groups           []int           `json:"groups,omitempty"` // none is all
+	Reads            float64         `json:"reads,omitempty"`  // a second, at each of its groups
+	Writes           float64         `json:"writes,omitempty"` // a second, at each of its groups
+	InFlight         int             `json:"in_flight"`        // txns at a time that a gateway keeps room for
+	MinReplicas      int             `json:"fan_out,omitempty"`
+	MinZones         int             `json:"fan_zones,omitempty"` // reads go to so many replicas of each group, in so many zones, at the least
+	Windows          []Window        `json:"windows"`
+	RampDuration     int64           `json:"ramp,omitempty"` // nanoseconds before a window from which room is held
+	CooldownDuration int64           `json:"cool,omitempty"` // and after it
+	TargetLatency    int64           `json:"aim,omitempty"`  // SLA time, nanoseconds; 0 is the txn type's
+	PromisedFraction float64         `json:"promised"`       // share of its txns that are served within that
+	ExcessPolicy     string          `json:"beyond"`
+	MaxExcessFactor  float64         `json:"ceiling,omitempty"` // times its size, up to which what is paid goes
+	ToleratedLoss    string          `json:"loss"`
+	Priority         int             `json:"rank,omitempty"` // who gives way first where all can't be kept: the least
+	Price            decimal.Decimal `json:"price"`          // of a window
+	Credit           decimal.Decimal `json:"credit"`         // for one in which the promise was not kept
 }
 
 // Check names what is wrong with terms.
@@ -65,19 +65,19 @@
 		return fmt.Errorf("contract %q: it is for reads or writes a second, or both", t.Name)
 	case t.InFlight < 1 || t.InFlight > 1_000_000:
 		return fmt.Errorf("contract %q: in_flight is from 1 to 1000000", t.Name)
-	case t.FanOut < 0 || t.FanZones < 0 || t.FanZones > max(1, t.FanOut):
+	case t.MinReplicas < 0 || t.MinZones < 0 || t.MinZones > max(1, t.MinReplicas):
 		return fmt.Errorf("contract %q: reads can't go to more zones than replicas", t.Name)
 	case len(t.Windows) == 0:
 		return fmt.Errorf("contract %q: it has no window", t.Name)
-	case t.Ramp < 0 || t.Cool < 0 || t.Aim < 0:
+	case t.RampDuration < 0 || t.CooldownDuration < 0 || t.TargetLatency < 0:
 		return fmt.Errorf("contract %q: a span is below 0", t.Name)
-	case t.Promised <= 0 || t.Promised > 1:
+	case t.PromisedFraction <= 0 || t.PromisedFraction > 1:
 		return fmt.Errorf("contract %q: promised is a share above 0, at most 1", t.Name)
-	case !slices.Contains([]string{Refuse, Effort, Paid}, t.Beyond):
-		return fmt.Errorf("contract %q: beyond is %q, %q or %q", t.Name, Refuse, Effort, Paid)
-	case t.Beyond == Paid && t.Ceiling <= 1:
+	case !slices.Contains([]string{RejectExcess, BestEffort, PaidExcess}, t.ExcessPolicy):
+		return fmt.Errorf("contract %q: beyond is %q, %q or %q", t.Name, RejectExcess, BestEffort, PaidExcess)
+	case t.ExcessPolicy == PaidExcess && t.MaxExcessFactor <= 1:
 		return fmt.Errorf("contract %q: a ceiling is above 1", t.Name)
-	case !slices.Contains([]string{NoLoss, MemberLoss, ZoneLoss}, t.Loss):
+	case !slices.Contains([]string{NoLoss, MemberLoss, ZoneLoss}, t.ToleratedLoss):
 		return fmt.Errorf("contract %q: loss is %q, %q or %q", t.Name, NoLoss, MemberLoss, ZoneLoss)
 	case t.Price.IsNegative() || t.Credit.IsNegative():
 		return fmt.Errorf("contract %q: an amount is below 0", t.Name)
@@ -87,7 +87,7 @@
 			return fmt.Errorf("contract %q, window %d: %w", t.Name, i+1, err)
 		}
 	}
-	if all := t.Spans(0, 1<<62); len(all) == 0 {
+	if all := t.ReservedWindows(0, 1<<62); len(all) == 0 {
 		return fmt.Errorf("contract %q: all of its windows are excepted", t.Name)
 	}
 	return nil
@@ -97,19 +97,19 @@
 func (t *Terms) covers(group int) bool { return len(t.Groups) == 0 || slices.Contains(t.Groups, group) }
 
 // Held is a span over which room is held for a contract: a window with what comes before and after.
-type Held struct {
-	Span
+type ReservedWindow struct {
+	TimeRange
 	From, To int64 // with ramp and cool-down
 }
 
 // Spans are a contract's windows that touch a span, by time.
-func (t *Terms) Spans(from, to int64) (all []Held) {
+func (t *Terms) ReservedWindows(from, to int64) (all []ReservedWindow) {
 	for i := range t.Windows {
-		for _, s := range t.Windows[i].Spans(from-t.Cool, to+t.Ramp) {
-			all = append(all, Held{s, s.Start - t.Ramp, s.End + t.Cool})
+		for _, s := range t.Windows[i].Occurrences(from-t.CooldownDuration, to+t.RampDuration) {
+			all = append(all, ReservedWindow{s, s.Start - t.RampDuration, s.End + t.CooldownDuration})
 		}
 	}
-	slices.SortFunc(all, func(x, y Held) int { return int(min(1, max(-1, x.Start-y.Start))) })
+	slices.SortFunc(all, func(x, y ReservedWindow) int { return int(min(1, max(-1, x.Start-y.Start))) })
 	return all
 }
 
@@ -118,37 +118,37 @@
 
 // Phases of one that is booked.
 const (
-	Waiting Phase = "booked"
+	Pending Phase = "booked"
 	Ramping Phase = "ramping"
-	Live    Phase = "active"
+	Active  Phase = "active"
 	Cooling Phase = "cooling"
-	Over    Phase = "ended"
+	Ended   Phase = "ended"
 )
 
 // soon is how far ahead the next window of a series is, at the most, unless some are excepted.
-const soon = int64(8 * 24 * time.Hour)
+const seriesLookahead = int64(8 * 24 * time.Hour)
 
 // At is its phase, and the window that it is about: the present or else the next one.
-func (t *Terms) At(now int64) (Phase, Held) {
-	all := t.Spans(now, now+soon)
+func (t *Terms) PhaseAt(now int64) (Phase, ReservedWindow) {
+	all := t.ReservedWindows(now, now+seriesLookahead)
 	if len(all) == 0 {
-		all = t.Spans(now, 1<<62)
+		all = t.ReservedWindows(now, 1<<62)
 	}
 	for _, h := range all {
 		switch {
 		case now >= h.To:
 		case now < h.From:
-			return Waiting, h
+			return Pending, h
 		case now < h.Start:
 			return Ramping, h
 		case now < h.End:
-			return Live, h
+			return Active, h
 		default:
 			return Cooling, h
 		}
 	}
-	return Over, Held{}
+	return Ended, ReservedWindow{}
 }
 
 // instant words a time for people.
-func instant(at int64) string { return time.Unix(0, at).UTC().Format("2006-01-02 15:04 UTC") }
+func formatTime(at int64) string { return time.Unix(0, at).UTC().Format("2006-01-02 15:04 UTC") }
--- a/contracts/contracts_test.go
+++ b/contracts/contracts_test.go
@@ -22,15 +22,15 @@
 
 func terms(name string, at string, hours int64, reads, writes float64) Terms {
 	return Terms{Name: name, Tenant: "t-" + name, Reads: reads, Writes: writes, InFlight: 10, Windows: []Window{{Zone: "UTC", Start: at, Length: hours * hour}},
-		Ramp: hour / 2, Cool: hour / 2, Promised: 0.99, Beyond: Effort, Loss: MemberLoss, Price: decimal.RequireFromString("120.50"), Credit: decimal.RequireFromString("60.25")}
+		RampDuration: hour / 2, CooldownDuration: hour / 2, PromisedFraction: 0.99, ExcessPolicy: BestEffort, ToleratedLoss: MemberLoss, Price: decimal.RequireFromString("120.50"), Credit: decimal.RequireFromString("60.25")}
 }
 
 // two groups of four members in two zones, each of which does 100 reads and 40 writes a second.
 var fleet = Fleet{0: {"a": 2, "b": 2}, 1: {"a": 2, "b": 2}}
 
-func sized() *Book {
-	b, _ := ReadBook(nil)
-	b, err := b.Do(&Wish{Sizes: []MemberSize{{0, 100, 40}, {1, 100, 40}}, At: noon}, fleet)
+func sizedBook() *Book {
+	b, _ := DecodeBook(nil)
+	b, err := b.Apply(&Proposal{Sizes: []MemberSize{{0, 100, 40}, {1, 100, 40}}, At: noon}, fleet)
 	if err != nil {
 		panic(err)
 	}
@@ -38,10 +38,10 @@
 }
 
 // booked does all that comes before a booking, and that.
-func booked(b *Book, t Terms, now int64) (*Book, error) {
-	for _, w := range []Wish{{Draft: &t}, {Quote: t.Name, Until: now + hour}, {Book: t.Name}} {
-		w.At, w.Who = now, "test"
-		next, err := b.Do(&w, fleet)
+func bookContract(b *Book, t Terms, now int64) (*Book, error) {
+	for _, w := range []Proposal{{Draft: &t}, {Quote: t.Name, Until: now + hour}, {Book: t.Name}} {
+		w.At, w.Author = now, "test"
+		next, err := b.Apply(&w, fleet)
 		if err != nil {
 			return b, err
 		}
@@ -58,14 +58,14 @@
 		t.Fatal(err)
 	}
 	var got []string
-	for _, s := range w.Spans(0, 1<<62) {
-		got = append(got, instant(s.Start))
+	for _, s := range w.Occurrences(0, 1<<62) {
+		got = append(got, formatTime(s.Start))
 	}
 	if want := "2026-10-23 18:00 UTC 2026-10-25 19:00 UTC 2026-10-26 19:00 UTC 2026-10-27 19:00 UTC"; strings.Join(got, " ") != want {
 		t.Fatal(got)
 	}
 	w = Window{Zone: "Europe/Paris", Start: "2026-03-28 02:30", Length: hour, Every: "day", Until: "2026-03-30"}
-	if s := w.Spans(0, 1<<62); w.Check() != nil || len(s) != 3 || instant(s[1].Start) != "2026-03-29 01:30 UTC" || instant(s[2].Start) != "2026-03-30 00:30 UTC" {
+	if s := w.Occurrences(0, 1<<62); w.Check() != nil || len(s) != 3 || formatTime(s[1].Start) != "2026-03-29 01:30 UTC" || formatTime(s[2].Start) != "2026-03-30 00:30 UTC" {
 		t.Fatal(w.Check(), s)
 	}
 	for want, w := range map[string]Window{
@@ -86,60 +86,60 @@
 // What the calendar says is what a plain one says, which looks at each half hour of each group by itself.
 func TestCalendar(t *testing.T) {
 	start := func(r *rapid.T, name string) string {
-		return time.Unix(0, noon+hour/2*int64(rapid.IntRange(2, 96).Draw(r, name))).UTC().Format(startForm)
+		return time.Unix(0, noon+hour/2*int64(rapid.IntRange(2, 96).Draw(r, name))).UTC().Format(startLayout)
 	}
 	rapid.Check(t, func(r *rapid.T) {
-		b := sized()
+		b := sizedBook()
 		draw := func(i int) Terms {
 			x := terms(fmt.Sprint("c", i), start(r, "start"), int64(rapid.IntRange(1, 6).Draw(r, "hours")), float64(rapid.IntRange(0, 120).Draw(r, "reads")), float64(rapid.IntRange(1, 25).Draw(r, "writes")))
-			x.Loss = rapid.SampledFrom(losses).Draw(r, "loss")
+			x.ToleratedLoss = rapid.SampledFrom(lossLevels).Draw(r, "loss")
 			x.Groups = rapid.SampledFrom([][]int{nil, {0}, {1}}).Draw(r, "groups")
 			return x
 		}
 		for i := range rapid.IntRange(0, 8).Draw(r, "contracts") {
-			b, _ = booked(b, draw(i), noon)
+			b, _ = bookContract(b, draw(i), noon)
 		}
 		x := draw(99)
 		fits := true
 		for _, g := range []int{0, 1} {
 			for at := noon; x.covers(g) && at < noon+60*hour; at += hour / 2 {
-				for _, loss := range losses {
+				for _, loss := range lossLevels {
 					sum := [2]float64{}
 					on := func(c *Terms) bool {
-						h := c.Spans(0, 1<<62)[0]
-						return c.covers(g) && h.From <= at && at < h.To && slices.Index(losses, c.Loss) >= slices.Index(losses, loss)
+						h := c.ReservedWindows(0, 1<<62)[0]
+						return c.covers(g) && h.From <= at && at < h.To && slices.Index(lossLevels, c.ToleratedLoss) >= slices.Index(lossLevels, loss)
 					}
 					if !on(&x) {
 						continue
 					}
-					for _, c := range append(b.Live(), &Contract{Versions: []Version{{Terms: x}}}) {
-						if c := &c.Now().Terms; on(c) {
+					for _, c := range append(b.BookedContracts(), &Contract{Versions: []Version{{Terms: x}}}) {
+						if c := &c.Latest().Terms; on(c) {
 							sum[0], sum[1] = sum[0]+c.Reads, sum[1]+c.Writes
 						}
 					}
 					replicas := map[string]float64{NoLoss: 3, MemberLoss: 2, ZoneLoss: 1}[loss]
-					fits = fits && sum[0] <= replicas*100*(1-UsualFloor) && sum[1] <= 40*(1-UsualFloor)
+					fits = fits && sum[0] <= replicas*100*(1-DefaultFloor) && sum[1] <= 40*(1-DefaultFloor)
 				}
 			}
 		}
-		err := NewCalendar(b, fleet, noon, 0).Fits(&x)
+		err := NewCalendar(b, fleet, noon, 0).CheckFit(&x)
 		if (err == nil) != fits {
 			r.Fatalf("fits %v, but %v", fits, err)
 		}
 		// What is said to fit instead does.
-		var l *Lack
+		var l *ShortfallError
 		if !errors.As(err, &l) {
 			return
 		}
 		less := x
 		less.Reads, less.Writes = l.Reads, l.Writes
-		if l.Reads+l.Writes > 0 && NewCalendar(b, fleet, noon, 0).Fits(&less) != nil {
+		if l.Reads+l.Writes > 0 && NewCalendar(b, fleet, noon, 0).CheckFit(&less) != nil {
 			r.Fatalf("less does not fit: %v", l)
 		}
-		for _, at := range []int64{l.Before, l.After} {
+		for _, at := range []int64{l.EarlierStart, l.LaterStart} {
 			moved := x
-			moved.Windows = []Window{{Zone: "UTC", Start: time.Unix(0, at).UTC().Format(startForm), Length: x.Windows[0].Length}}
-			if err := NewCalendar(b, fleet, noon, 0).Fits(&moved); at > 0 && err != nil {
+			moved.Windows = []Window{{Zone: "UTC", Start: time.Unix(0, at).UTC().Format(startLayout), Length: x.Windows[0].Length}}
+			if err := NewCalendar(b, fleet, noon, 0).CheckFit(&moved); at > 0 && err != nil {
 				r.Fatalf("another time does not fit: %v, %v", l, err)
 			}
 		}
@@ -151,15 +151,15 @@
 func TestNeverOversold(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, now := sized(), noon
+		b, now := sizedBook(), noon
 		there := Fleet{0: {"a": 2, "b": 2}, 1: {"a": 2, "b": 2}}
 		done, refused := 0, 0
 		for range 60 {
 			now += int64(rng.Float64() * float64(2*hour))
 			name := fmt.Sprint("c", rng.IntN(8))
-			x := terms(name, time.Unix(0, now+int64(rng.IntN(40))*hour/2+hour).UTC().Format(startForm), int64(1+rng.IntN(8)), float64(rng.IntN(150)), float64(1+rng.IntN(20)))
-			x.Loss, x.Rank = losses[rng.IntN(3)], rng.IntN(3)
-			w := Wish{Who: "chance", At: now}
+			x := terms(name, time.Unix(0, now+int64(rng.IntN(40))*hour/2+hour).UTC().Format(startLayout), int64(1+rng.IntN(8)), float64(rng.IntN(150)), float64(1+rng.IntN(20)))
+			x.ToleratedLoss, x.Priority = lossLevels[rng.IntN(3)], rng.IntN(3)
+			w := Proposal{Author: "chance", At: now}
 			switch rng.IntN(6) {
 			case 0:
 				w.Draft = &x
@@ -175,7 +175,7 @@
 				there[rng.IntN(2)]["a"] = rng.IntN(4)
 			}
 			before, _ := json.Marshal(b)
-			next, err := b.Do(&w, there)
+			next, err := b.Apply(&w, there)
 			if after, _ := json.Marshal(b); string(after) != string(before) {
 				t.Fatal("seed ", seed, ": a book was rewritten")
 			}
@@ -193,27 +193,27 @@
 			}
 			if sold := w.Book != "" || w.Amend != nil; sold { // what was just sold fits beside all that is kept by rank or not
 				c := next.Find(cmpOr(w.Book, name))
-				if c.Now().State == Booked {
-					if err := NewCalendar(next, there, now, c.No).Fits(&c.Now().Terms); err != nil {
+				if c.Latest().State == Booked {
+					if err := NewCalendar(next, there, now, c.No).CheckFit(&c.Latest().Terms); err != nil {
 						t.Fatal("seed ", seed, ": sold what is not there: ", err)
 					}
 				}
 			}
 			b = next
 		}
-		if again, err := ReadBook(b.Text()); err != nil || string(again.Text()) != string(b.Text()) {
+		if again, err := DecodeBook(b.Encode()); err != nil || string(again.Encode()) != string(b.Encode()) {
 			t.Fatal("seed ", seed, ": the text: ", err)
 		}
 		if done == 0 || refused == 0 {
 			t.Fatal("seed ", seed, ": ", done, refused)
 		}
 		live := 0
-		for _, c := range b.Live() {
-			if p, _ := c.Now().Terms.At(now); p != Over {
+		for _, c := range b.BookedContracts() {
+			if p, _ := c.Latest().Terms.PhaseAt(now); p != Ended {
 				live++
 			}
 		}
-		if risks := b.Risks(Fleet{0: {"a": 1}, 1: {"a": 1}}, now); len(risks) != live {
+		if risks := b.UnmetContracts(Fleet{0: {"a": 1}, 1: {"a": 1}}, now); len(risks) != live {
 			t.Fatalf("seed %d: one member a group keeps %d of %d", seed, live-len(risks), live)
 		}
 	}
@@ -228,70 +228,70 @@
 
 // A contract's life, a refusal with its way out, and a fleet that shrinks, as a person reads them: -update writes them anew.
 func TestTranscript(t *testing.T) {
-	b, there := sized(), fleet
+	b, there := sizedBook(), fleet
 	var out []string
 	say := func(format string, x ...any) { out = append(out, fmt.Sprintf(format, x...)) }
-	do := func(now int64, what string, w Wish) {
-		w.At, w.Who = now, "anna@desk"
-		next, err := b.Do(&w, there)
+	do := func(now int64, what string, w Proposal) {
+		w.At, w.Author = now, "anna@desk"
+		next, err := b.Apply(&w, there)
 		if err != nil {
-			say("%s  %s: refused: %v", instant(now), what, err)
+			say("%s  %s: refused: %v", formatTime(now), what, err)
 			return
 		}
 		b = next
-		say("%s  %s: done", instant(now), what)
+		say("%s  %s: done", formatTime(now), what)
 	}
 	final := terms("final", "2026-06-14 20:00", 3, 150, 20)
 	other := terms("gala", "2026-06-14 21:00", 2, 50, 5)
-	do(noon, "draft final", Wish{Draft: &final})
-	do(noon+hour, "book final", Wish{Book: "final"})
-	do(noon+hour, "quote final until the evening", Wish{Quote: "final", Until: noon + 8*hour})
-	do(noon+2*hour, "book final", Wish{Book: "final"})
-	do(noon+3*hour, "draft gala", Wish{Draft: &other})
-	do(noon+3*hour, "quote gala", Wish{Quote: "gala", Until: noon + 8*hour})
+	do(noon, "draft final", Proposal{Draft: &final})
+	do(noon+hour, "book final", Proposal{Book: "final"})
+	do(noon+hour, "quote final until the evening", Proposal{Quote: "final", Until: noon + 8*hour})
+	do(noon+2*hour, "book final", Proposal{Book: "final"})
+	do(noon+3*hour, "draft gala", Proposal{Draft: &other})
+	do(noon+3*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 8*hour})
 	other.Windows[0].Start = "2026-06-15 00:00"
-	do(noon+4*hour, "amend gala to midnight", Wish{Amend: &other})
-	do(noon+4*hour, "quote gala", Wish{Quote: "gala", Until: noon + 5*hour})
-	do(noon+6*hour, "book gala, late", Wish{Book: "gala"})
-	do(noon+6*hour, "quote gala", Wish{Quote: "gala", Until: noon + 8*hour})
-	do(noon+6*hour, "book gala", Wish{Book: "gala"})
+	do(noon+4*hour, "amend gala to midnight", Proposal{Amend: &other})
+	do(noon+4*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 5*hour})
+	do(noon+6*hour, "book gala, late", Proposal{Book: "gala"})
+	do(noon+6*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 8*hour})
+	do(noon+6*hour, "book gala", Proposal{Book: "gala"})
 	final.Reads = 190
-	do(noon+24*hour, "amend final to 190 reads a second", Wish{Amend: &final})
+	do(noon+24*hour, "amend final to 190 reads a second", Proposal{Amend: &final})
 	there = Fleet{0: {"a": 2, "b": 1}, 1: {"a": 2, "b": 2}}
 	say("a member of group 0 is taken away for good")
-	for _, r := range b.Risks(there, noon+48*hour) {
-		say("  at risk from %s: %s", instant(r.When), r.Why)
+	for _, r := range b.UnmetContracts(there, noon+48*hour) {
+		say("  at risk from %s: %s", formatTime(r.Start), r.Reason)
 	}
 	for _, at := range []string{"2026-06-14 19:29", "2026-06-14 19:30", "2026-06-14 20:00", "2026-06-14 23:00", "2026-06-14 23:30", "2026-06-15 02:30"} {
-		x, _ := time.Parse(startForm, at)
-		p, _ := final.At(x.UnixNano())
-		holdings, next := b.Holdings(x.UnixNano())
+		x, _ := time.Parse(startLayout, at)
+		p, _ := final.PhaseAt(x.UnixNano())
+		holdings, next := b.Reservations(x.UnixNano())
 		then := "never"
 		if next > 0 {
-			then = instant(next)
+			then = formatTime(next)
 		}
-		say("%s  final is %s; held: %v; changes next at %s", instant(x.UnixNano()), p, holdings, then)
+		say("%s  final is %s; held: %v; changes next at %s", formatTime(x.UnixNano()), p, holdings, then)
 	}
-	do(noon+400*hour, "cancel gala, afterwards", Wish{Cancel: "gala"})
+	do(noon+400*hour, "cancel gala, afterwards", Proposal{Cancel: "gala"})
 	for _, v := range b.Find("gala").Versions {
-		say("gala, %s: %s by %s", instant(v.At), v.State, v.Who)
+		say("gala, %s: %s by %s", formatTime(v.At), v.State, v.Author)
 	}
 	goldie.New(t, goldie.WithNameSuffix(".txt")).Assert(t, "life", []byte(strings.Join(out, "\n")+"\n"))
 }
 
 // What booking costs beside 10,000 contracts over a year, and the length of their book's text.
 func BenchmarkBooking(b *testing.B) {
-	book := sized()
+	book := sizedBook()
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 10_000 {
-		x := terms(fmt.Sprint("c", i), time.Unix(0, noon+rng.Int64N(365*24)*hour).UTC().Format(startForm), 1+rng.Int64N(4), 1, 0.1)
-		book.Contracts = append(book.Contracts, Contract{uint64(i + 1), []Version{{State: Booked, Terms: x, Who: "test", At: noon}}})
+		x := terms(fmt.Sprint("c", i), time.Unix(0, noon+rng.Int64N(365*24)*hour).UTC().Format(startLayout), 1+rng.Int64N(4), 1, 0.1)
+		book.Contracts = append(book.Contracts, Contract{uint64(i + 1), []Version{{State: Booked, Terms: x, Author: "test", At: noon}}})
 	}
 	x := terms("new", "2026-09-14 20:00", 3, 100, 10)
 	for b.Loop() {
-		if err := NewCalendar(book, fleet, noon, 0).Fits(&x); err != nil {
+		if err := NewCalendar(book, fleet, noon, 0).CheckFit(&x); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(len(book.Text())), "B/text")
+	b.ReportMetric(float64(len(book.Encode())), "B/text")
 }
--- a/contracts/usage_test.go
+++ b/contracts/usage_test.go
@@ -44,14 +44,14 @@
 			}
 		}
 		for step := range 400 {
-			now += ReportSpan / 2
+			now += ReportInterval / 2
 			if step == 380 { // then all is well
 				loss = 0
 			}
 			for i, a := range all {
 				if step < 380 && rng.IntN(3) > 0 {
 					k := uint64(rng.IntN(5))
-					a.Add(7, now, Counts{Asked: k, InTime: k})
+					a.Add(7, now, Counts{Requested: k, InTime: k})
 					truth, fresh[i] = truth+k, fresh[i]+k
 				}
 				if step%2 == 0 {
@@ -80,7 +80,7 @@
 					rest = append(rest, l)
 					continue
 				}
-				all[l.to].Heard(l.what, now)
+				all[l.to].Merge(l.what, now)
 			}
 			way = rest
 			if step%20 == 0 { // told many times by now, unless lost again and again
@@ -89,11 +89,11 @@
 		}
 		c := &Contract{No: 7, Versions: []Version{{State: Booked, Terms: terms("x", "2026-06-01 12:00", 1, 1000, 0)}}}
 		for v := range 3 {
-			s := all[v].State(c, noon, noon+hour, now)[0]
-			if s.Sum.Asked > truth || s.Sum.Asked+unsure < truth {
-				t.Fatalf("seed %d: %d stated, %d were, %d unsure", seed, s.Sum.Asked, truth, unsure)
+			s := all[v].Statements(c, noon, noon+hour, now)[0]
+			if s.Total.Requested > truth || s.Total.Requested+unsure < truth {
+				t.Fatalf("seed %d: %d stated, %d were, %d unsure", seed, s.Total.Requested, truth, unsure)
 			}
-			if s.Sum.Asked != s.Sum.InTime {
+			if s.Total.Requested != s.Total.InTime {
 				t.Fatal("seed ", seed, ": counts of one interval are torn")
 			}
 		}
@@ -106,18 +106,18 @@
 	x := terms("x", "2026-06-01 12:00", 1, 10, 0)
 	c := &Contract{No: 7, Versions: []Version{{State: Booked, Terms: x}}}
 	a := NewAccount(1, 1, nil)
-	a.Add(7, noon+1e9, Counts{Asked: 9000, InTime: 3000, NoRoom: 6000}) // 3000 is its size
-	s := a.State(c, noon, noon+hour, noon+hour)[0]
-	if !s.Credit.IsZero() || s.Lines[0].Kept != 1 || s.Lines[0].Size != 3000 {
+	a.Add(7, noon+1e9, Counts{Requested: 9000, InTime: 3000, Overloaded: 6000}) // 3000 is its size
+	s := a.Statements(c, noon, noon+hour, noon+hour)[0]
+	if !s.Credit.IsZero() || s.Lines[0].ServedFraction != 1 || s.Lines[0].Size != 3000 {
 		t.Fatalf("%+v", s)
 	}
-	a.Add(7, noon+Interval+1e9, Counts{Asked: 2000, InTime: 1900, NoMember: 60, Late: 40})
+	a.Add(7, noon+CountInterval+1e9, Counts{Requested: 2000, InTime: 1900, NoMember: 60, Late: 40})
 	b := NewAccount(2, 1, nil)
-	b.Add(7, noon+Interval+1e9, Counts{Asked: 500, InTime: 500})
-	a.Heard(b.Report(noon+Interval+2e9, true), noon+Interval+2e9)
-	a.Heard(b.Report(noon+Interval+2e9, true), noon+Interval+3e9)
-	s = a.State(c, noon, noon+hour, noon+2*hour)[0]
-	if !s.Credit.Equal(decimal.RequireFromString("60.25")) || s.Lines[1].Cause != "no member could in time" || s.Lines[1].Asked != 2500 || s.Lines[1].Gateways != 2 || !s.Over {
+	b.Add(7, noon+CountInterval+1e9, Counts{Requested: 500, InTime: 500})
+	a.Merge(b.Report(noon+CountInterval+2e9, true), noon+CountInterval+2e9)
+	a.Merge(b.Report(noon+CountInterval+2e9, true), noon+CountInterval+3e9)
+	s = a.Statements(c, noon, noon+hour, noon+2*hour)[0]
+	if !s.Credit.Equal(decimal.RequireFromString("60.25")) || s.Lines[1].Cause != "no member could in time" || s.Lines[1].Requested != 2500 || s.Lines[1].Gateways != 2 || !s.Final {
 		t.Fatalf("%+v", s)
 	}
 }
@@ -137,10 +137,10 @@
 		out = append(out, fmt.Sprintf("%s  ", time.Unix(0, now).UTC().Format("15:04:05"))+fmt.Sprintf(format, x...))
 	}
 	state := func() {
-		for _, s := range all[0].State(c, noon, noon+hour, now) {
-			say("stated at g1: %d asked, %d in time, credit %s, over %v", s.Sum.Asked, s.Sum.InTime, s.Credit, s.Over)
+		for _, s := range all[0].Statements(c, noon, noon+hour, now) {
+			say("stated at g1: %d asked, %d in time, credit %s, over %v", s.Total.Requested, s.Total.InTime, s.Credit, s.Final)
 			for _, l := range s.Lines {
-				out = append(out, fmt.Sprintf("            from %s: %d gateways, %d asked of %.0f, kept %.4f %s", time.Unix(0, l.At).UTC().Format("15:04"), l.Gateways, l.Asked, l.Size, l.Kept, l.Cause))
+				out = append(out, fmt.Sprintf("            from %s: %d gateways, %d asked of %.0f, kept %.4f %s", time.Unix(0, l.At).UTC().Format("15:04"), l.Gateways, l.Requested, l.Size, l.ServedFraction, l.Cause))
 			}
 		}
 	}
@@ -156,14 +156,14 @@
 			say("g3 is back")
 		}
 		for i, a := range all {
-			n := Counts{Asked: 5, InTime: 5}
+			n := Counts{Requested: 5, InTime: 5}
 			if i == 2 && cut && second > 302 { // careful, as its lease has run out
-				n = Counts{Asked: 5, Unagreed: 5}
+				n = Counts{Requested: 5, NoAgreement: 5}
 			}
 			a.Add(7, now, n)
 			for k, o := range all {
 				if k != i && !(cut && (i == 2 || k == 2)) {
-					o.Heard(a.Report(now, i > 0), now)
+					o.Merge(a.Report(now, i > 0), now)
 				}
 			}
 		}
--- a/fleet/coordination.go
+++ b/fleet/coordination.go
@@ -38,7 +38,7 @@
 			return err
 		}
 	}
-	t := turns.Terms{Wait: p.Wait}
+	t := turns.Config{Wait: p.Wait}
 	return t.Check()
 }
 
@@ -113,7 +113,7 @@
 		}
 	}
 	if p.Turns {
-		if c.Turns, err = turns.New(turns.Terms{Wait: p.Wait}); err != nil {
+		if c.Turns, err = turns.New(turns.Config{Wait: p.Wait}); err != nil {
 			return nil, err
 		}
 	}
@@ -134,7 +134,7 @@
 		for _, m := range all {
 			keys = append(keys, m.Key)
 		}
-		c.Signals.Members(keys)
+		c.Signals.SetMembers(keys)
 	}
 	c.divide()
 }
@@ -168,10 +168,10 @@
 	slices.Sort(c.numbers)
 	c.self, c.changed = self, true
 	if c.Signals != nil {
-		c.Signals.Fleet(self, others)
+		c.Signals.SetFleet(self, others)
 	}
 	if c.Turns != nil {
-		c.Turns.As(self)
+		c.Turns.SetSelf(self)
 	}
 }
 
@@ -225,7 +225,7 @@
 func (c *Coordination) Txn() {
 	c.txns++
 	if c.Signals != nil {
-		c.Signals.Txn()
+		c.Signals.AddTxn()
 	}
 }
 
@@ -233,7 +233,7 @@
 func (c *Coordination) Saw(kind signals.Kind, key uint64, value int64) {
 	if c.Signals != nil {
 		c.Signals.Clock(c.host.Now())
-		c.Signals.Saw(kind, key, value)
+		c.Signals.Observe(kind, key, value)
 	}
 }
 
@@ -252,19 +252,19 @@
 		} else {
 			weight += float64(c.Signals.Traffic(no))
 		}
-		among = append(among, turns.Candidate{No: no, Weight: weight})
+		among = append(among, turns.Candidate{ID: no, Weight: weight})
 	}
 	c.Turns.Clock(c.host.Now())
-	return c.Turns.Ask(key, among)
+	return c.Turns.Request(key, among)
 }
 
 // Did tells what came of what a key stands for, in the host's numbers below 2^32, and has the others told.
 func (c *Coordination) Did(key uint64, result uint32) {
 	now := c.host.Now()
 	c.Turns.Clock(now)
-	for _, t := range c.Turns.All() {
-		if t.Key == key && t.Going {
-			c.Turns.Did(key, t.Round)
+	for _, t := range c.Turns.Status() {
+		if t.Key == key && t.Running {
+			c.Turns.Complete(key, t.Round)
 			c.Saw(signals.Probe, key, int64(t.Round)<<32|int64(result))
 		}
 	}
@@ -300,20 +300,20 @@
 		if ok && c.Signals != nil {
 			c.Signals.Clock(now)
 			if s.Suspect {
-				c.Signals.Saw(signals.Verdict, m.Key, signals.Ill)
+				c.Signals.Observe(signals.Health, m.Key, signals.Unhealthy)
 			} else if s.Latency > 0 {
-				c.Signals.Saw(signals.Verdict, m.Key, signals.Well)
+				c.Signals.Observe(signals.Health, m.Key, signals.Healthy)
 			}
 			if s.Primary > 0 {
-				c.Signals.Saw(signals.Primary, m.Key, s.Primary)
+				c.Signals.Observe(signals.Primary, m.Key, s.Primary)
 			}
 			if s.Latency > 0 {
-				c.Signals.Saw(signals.Latency, m.Key, s.Latency)
-				c.Signals.Saw(signals.Load, m.Key, s.InFlight)
+				c.Signals.Observe(signals.Latency, m.Key, s.Latency)
+				c.Signals.Observe(signals.Load, m.Key, s.InFlight)
 			}
 		}
 		if c.Subset != nil {
-			c.Subset.Suspect(m.Key, s.Suspect || c.Signals != nil && !ok && c.Signals.TakenForIll(m.Key))
+			c.Subset.Suspect(m.Key, s.Suspect || c.Signals != nil && !ok && c.Signals.IsUnhealthy(m.Key))
 		}
 	}
 	if c.Subset != nil {
@@ -352,7 +352,7 @@
 	c.Turns.Clock(now)
 	for d, ok := c.Turns.Next(); ok; d, ok = c.Turns.Next() {
 		switch d.Kind {
-		case turns.Go:
+		case turns.Perform:
 			c.host.Go(d.Key)
 		case turns.Wake:
 			c.host.WakeAfter(d.After)
@@ -372,7 +372,7 @@
 			if to, known := c.f.known[c.places[d.Message.To]]; known {
 				c.f.sendSealed(appendSignals(c.out[:0], d.Message.Items), to)
 			}
-		case signals.Learn:
+		case signals.Deliver:
 			c.learn(d.Item)
 		case signals.Wake:
 			c.host.WakeAfter(d.After)
@@ -381,13 +381,13 @@
 }
 
 func (c *Coordination) learn(x signals.Item) {
-	ill := x.Kind == signals.Verdict && c.Signals.TakenForIll(x.Member)
+	ill := x.Kind == signals.Health && c.Signals.IsUnhealthy(x.Member)
 	if x.Kind == signals.Probe {
 		if c.Turns == nil {
 			return
 		}
 		c.Turns.Clock(c.host.Now())
-		if !c.Turns.Word(x.Member, uint32(x.Value>>32)) {
+		if !c.Turns.PeerCompleted(x.Member, uint32(x.Value>>32)) {
 			return
 		}
 	}
@@ -400,7 +400,7 @@
 	if err == nil && c.Signals != nil {
 		c.list()
 		c.Signals.Clock(c.host.Now())
-		c.Signals.Heard(&signals.Message{Items: items})
+		c.Signals.Receive(&signals.Message{Items: items})
 	}
 	return err
 }
@@ -422,14 +422,14 @@
 func appendSignals(dst []byte, items []signals.Item) []byte {
 	dst = append(dst, kindOfSignals)
 	for _, x := range items {
-		dst, _ = binary.Append(dst, binary.BigEndian, &signalItem{uint8(x.Kind), x.Member, x.Origin, x.No, uint32(min(x.Age/ageUnit, 1<<32-1)), x.Value})
+		dst, _ = binary.Append(dst, binary.BigEndian, &signalItem{uint8(x.Kind), x.Member, x.Origin, x.Sequence, uint32(min(x.Age/ageUnit, 1<<32-1)), x.Value})
 	}
 	return dst
 }
 
 func readSignals(text []byte) ([]signals.Item, error) {
 	size := binary.Size(signalItem{})
-	if len(text) < 1 || (len(text)-1)%size != 0 || len(text) > 1+signals.MostItems*size {
+	if len(text) < 1 || (len(text)-1)%size != 0 || len(text) > 1+signals.MaxItemsPerMessage*size {
 		return nil, errSignals
 	}
 	all := make([]signalItem, (len(text)-1)/size)
@@ -438,7 +438,7 @@
 	}
 	var items []signals.Item
 	for _, x := range all {
-		items = append(items, signals.Item{Kind: signals.Kind(x.Kind), Member: x.Member, Origin: x.Origin, No: x.No, Age: int64(x.Age) * ageUnit, Value: x.Value})
+		items = append(items, signals.Item{Kind: signals.Kind(x.Kind), Member: x.Member, Origin: x.Origin, Sequence: x.No, Age: int64(x.Age) * ageUnit, Value: x.Value})
 	}
 	return items, nil
 }
@@ -451,7 +451,7 @@
 	Primary  bool
 	Here     bool     // this gateway has it
 	Holders  []string // who has it by the division
-	Known    signals.Known
+	Known    signals.MemberSummary
 	Ill      bool // taken for ill by what others say
 	Gateways int  // in the list
 }
@@ -463,7 +463,7 @@
 	Size    map[int]int // by group, members of a gateway
 	Wider   map[int]int // and by how many more this one has
 	Members []MemberView
-	Turns   []turns.Standing
+	Turns   []turns.TurnStatus
 	Sent    uint64 // messages of the signals
 }
 
@@ -480,7 +480,7 @@
 		slices.Sort(x.Holders)
 		if c.Signals != nil {
 			c.Signals.Clock(c.host.Now())
-			x.Known, x.Ill = c.Signals.Of(m.Key), c.Signals.TakenForIll(m.Key)
+			x.Known, x.Ill = c.Signals.Summary(m.Key), c.Signals.IsUnhealthy(m.Key)
 		}
 		v.Members = append(v.Members, x)
 	}
@@ -493,7 +493,7 @@
 	}
 	if c.Turns != nil {
 		c.Turns.Clock(c.host.Now())
-		v.Turns = c.Turns.All()
+		v.Turns = c.Turns.Status()
 	}
 	if c.Signals != nil {
 		v.Sent = c.Signals.Sent
--- a/gateway/agreed_test.go
+++ b/gateway/agreed_test.go
@@ -29,7 +29,7 @@
 // union is a fleet that agrees, with the network between its gateways.
 type union struct {
 	*fleet
-	wire    *standin.Wire
+	wire    *standin.Network
 	voters  int
 	t       testing.TB
 	members []*standin.Member
@@ -48,7 +48,7 @@
 }
 
 func newUnionBefore(t testing.TB, n, voters int, operator string, skews func(*process), g *standin.Group, members []*standin.Member) *union {
-	u := &union{wire: standin.NewWire(1), voters: voters, t: t, members: members, group: g}
+	u := &union{wire: standin.NewNetwork(1), voters: voters, t: t, members: members, group: g}
 	u.fleet = newFleet(0, operator, members...)
 	u.fleet.skews = skews
 	u.addresses = map[int]string{}
@@ -185,7 +185,7 @@
 			l.wg.Add(1)
 			go func() {
 				defer l.wg.Done()
-				c := u.front.NewClient(fmt.Sprintf("%08x", 0xe00+i), standin.Classes{Read: class, Write: "keyed"})
+				c := u.front.NewClient(fmt.Sprintf("%08x", 0xe00+i), standin.TxnTypes{Read: class, Write: "keyed"})
 				defer c.Close()
 				for n := 0; ; n++ {
 					select {
@@ -229,7 +229,7 @@
 	t.Parallel() // it waits for events nearly all of its time
 	u := newUnion(t, 5, 3)
 	l := u.load()
-	u.wire.Rough(0.05, 0.05, 5*time.Millisecond)
+	u.wire.SetFaults(0.05, 0.05, 5*time.Millisecond)
 	all := []int{0, 1, 2, 3, 4}
 	want := func(gateway, version int) {
 		t.Helper()
@@ -242,13 +242,13 @@
 
 	// One is stopped, as somebody is in any fleet: it holds nobody up. A txn that waits at it while the others move its
 	// tenant is not served by former rules when it goes on, not even as the first thing that it does.
-	c := u.front.NewClient("ca00", standin.Classes{Read: "any", Write: "keyed"})
-	c.Time = 30 * time.Second
+	c := u.front.NewClient("ca00", standin.TxnTypes{Read: "any", Write: "keyed"})
+	c.Timeout = 30 * time.Second
 	if a := c.Read(4); a.Code != "" || a.Err != nil {
 		t.Fatal(a)
 	}
 	u.gateways[4].halt()
-	waited := make(chan standin.Answer, 1)
+	waited := make(chan standin.Response, 1)
 	go func() { waited <- c.Read(4) }()
 	for v := 2; v <= 4; v++ {
 		want(v%4, v)
@@ -276,9 +276,9 @@
 	u.holds(5, at)
 
 	// Cut off from the others but not from its clients: it is careful, and takes what holds when it is back.
-	c = u.front.NewClient("ca01", standin.Classes{Read: "any", Write: "keyed"})
+	c = u.front.NewClient("ca01", standin.TxnTypes{Read: "any", Write: "keyed"})
 	last, ended := time.Now(), make(chan struct{})
-	u.wire.Part(3, true)
+	u.wire.Isolate(3, true)
 	go func() { // until it declines what a change may have moved
 		defer close(ended)
 		for a := c.Read(3); a.Code == "" && a.Err == nil; a = c.Read(3) {
@@ -295,10 +295,10 @@
 		t.Logf("a gateway that was cut off acted on the former version for %v, 3s are stated", max(0, d))
 	}
 	u.await("it is careful", func() bool { return strings.Contains(u.said(3, "fleet", "status"), "careful") })
-	if a := c.Read(3); a.Code != "53300" || a.After == "" {
+	if a := c.Read(3); a.Code != "53300" || a.RetryAfter == "" {
 		t.Fatalf("a txn that the versions do not share, at a gateway that can't renew: %v", a)
 	}
-	c.Class.Read = "session"
+	c.Types.Read = "session"
 	if a := c.Read(3); a.Code != "" || a.Err != nil {
 		t.Fatalf("a txn of the ordinary path, at a gateway that can't renew: %v", a)
 	}
@@ -307,7 +307,7 @@
 		!strings.Contains(said, "magpieglade_fleet_lease_left_seconds -") {
 		t.Fatal(said)
 	}
-	u.wire.Part(3, false)
+	u.wire.Isolate(3, false)
 	u.holds(6, all...)
 
 	// Two operators at once: one wins, the other is told by whom.
@@ -343,15 +343,15 @@
 
 	// A voter that hears all and is heard by none: the others go on without it, another one leads if it did.
 	for i := range all {
-		u.wire.Cut(2, i, true)
+		u.wire.Block(2, i, true)
 	}
 	u.await("version 9 is agreed on", func() bool { return strings.Contains(u.apply(3, moves(9)), "version 9 is agreed on") })
 	u.holds(9, 0, 1, 3, 4)
 	for i := range all {
-		u.wire.Cut(2, i, false)
+		u.wire.Block(2, i, false)
 	}
 	u.holds(9, all...)
-	u.wire.Rough(0, 0, 0)
+	u.wire.SetFaults(0, 0, 0)
 	l.end(t)
 	u.await("one history", func() bool { // once the log has reached all that vote
 		history := u.said(0, "config", "history")
@@ -415,7 +415,7 @@
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						c := f.front.NewClient(fmt.Sprintf("%08x", 0x700+i), standin.Classes{Read: "any", Write: "keyed"})
+						c := f.front.NewClient(fmt.Sprintf("%08x", 0x700+i), standin.TxnTypes{Read: "any", Write: "keyed"})
 						defer c.Close()
 						for range 3000 {
 							if a := c.Read(0); a.Err != nil || a.Code != "" {
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -96,12 +96,12 @@
 	u.holds(1, all...)
 	for i, away := range []int{4, 3, 1} { // slow, quick, a slow one that votes
 		no := i + 2
-		c := u.front.NewClient(fmt.Sprintf("%08x", 0xcb00+i), standin.Classes{Read: "any", Write: "keyed"})
+		c := u.front.NewClient(fmt.Sprintf("%08x", 0xcb00+i), standin.TxnTypes{Read: "any", Write: "keyed"})
 		if a := c.Read(away); a.Code != "" || a.Err != nil {
 			t.Fatal(a)
 		}
 		last, ended := time.Now(), make(chan struct{})
-		u.wire.Part(away, true)
+		u.wire.Isolate(away, true)
 		go func() {
 			defer close(ended)
 			for a := c.Read(away); a.Code == "" && a.Err == nil; a = c.Read(away) {
@@ -119,7 +119,7 @@
 			}
 		}
 		u.holds(no, others...)
-		u.wire.Part(away, false)
+		u.wire.Isolate(away, false)
 		u.holds(no, all...)
 		c.Close()
 	}
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -141,10 +141,10 @@
 			}
 		}
 		x.g.inputs = append(x.g.inputs, in)
-	case signals.Verdict:
+	case signals.Health:
 		if ill {
 			x.g.module.HeardIll(h.server)
-		} else if i.Value == signals.Well {
+		} else if i.Value == signals.Healthy {
 			x.g.module.HeardWell(h.server)
 		}
 	case signals.Probe:
--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -80,7 +80,7 @@
 
 	// Half of the replicas hang.
 	for _, m := range members[1:5] {
-		m.Hang(true)
+		m.SetHung(true)
 	}
 	u.await("subsets are wider where their members hang", func() bool {
 		wider := 0
@@ -91,12 +91,12 @@
 		}
 		return wider > 0
 	})
-	c := u.front.NewClient("5ab5e701", standin.Classes{Read: "any", Write: "keyed"})
+	c := u.front.NewClient("5ab5e701", standin.TxnTypes{Read: "any", Write: "keyed"})
 	for _, i := range all {
 		u.await("reads are served at every gateway", func() bool { a := c.Read(i); return a.Err == nil && a.Code == "" })
 	}
 	for _, m := range members[1:5] {
-		m.Hang(false)
+		m.SetHung(false)
 	}
 	u.awaitFor(40*time.Second, "they narrow again", func() bool {
 		for _, i := range all {
@@ -128,7 +128,7 @@
 		if p.no == 3 {
 			var hosts []standin.Host
 			for _, m := range members {
-				hosts = append(hosts, m.Host("active"))
+				hosts = append(hosts, m.ListEntry("active"))
 			}
 			hosts[2].Dial = hole
 			own = standin.NewList(hosts...)
@@ -138,7 +138,7 @@
 	defer own.Close()
 	l := u.load()
 	for _, m := range members { // so many at a time that each is used: of idle ones the quickest gets nearly all
-		m.Delay(5 * time.Millisecond)
+		m.SetDelay(5 * time.Millisecond)
 	}
 	for i := range u.gateways {
 		g := u.guests("portal", i, 12)
@@ -156,7 +156,7 @@
 	}
 	name := members[2].Name
 	for _, i := range others {
-		u.await("the word of the one that can't reach it has come", func() bool { return seen(i, name).Known.Ill == 1 })
+		u.await("the word of the one that can't reach it has come", func() bool { return seen(i, name).Known.UnhealthyReports == 1 })
 		if m := seen(i, name); m.Ill {
 			t.Fatal("one gateway's broken link has a member ill for all", m)
 		}
@@ -168,7 +168,7 @@
 	began := time.Now()
 	members[3].Kill()
 	for _, i := range u.each() {
-		u.await("all know that one is ill", func() bool { return seen(i, members[3].Name).Known.Ill >= 1 })
+		u.await("all know that one is ill", func() bool { return seen(i, members[3].Name).Known.UnhealthyReports >= 1 })
 	}
 	t.Logf("all know of it after %v", time.Since(began).Round(10*time.Millisecond))
 	if said := u.said(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
@@ -189,15 +189,15 @@
 	calls := func(block string) int {
 		g, members := group(0, 2)
 		u := newUnionBefore(t, 6, 3, agreeing+block, nil, g, members)
-		u.list.AwaitToldTo(6)
-		u.list.Down(true)
+		u.list.AwaitDeliveredTo(6)
+		u.list.SetDown(true)
 		for _, p := range u.gateways {
 			p.logged("list lost")
 		}
-		was := u.list.Calls()
+		was := u.list.Requests()
 		time.Sleep(3 * time.Second) // what is counted is what comes in this time, whatever it is
-		n := u.list.Calls() - was
-		u.list.Down(false)
+		n := u.list.Requests() - was
+		u.list.SetDown(false)
 		for _, p := range u.gateways {
 			p.logged("list followed")
 		}
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -18,7 +18,7 @@
 // fleet is some gateways of this build, as processes, with one list and one front before them.
 type fleet struct {
 	list     *standin.List
-	front    *standin.Front
+	front    *standin.ClientPool
 	gateways []*process
 	dir      string
 	operator string // the operator's file; %LISTEN% and %GATEWAYS% are put in
@@ -66,7 +66,7 @@
 func newFleet(n int, operator string, members ...*standin.Member) *fleet {
 	var hosts []standin.Host
 	for _, m := range members {
-		hosts = append(hosts, m.Host("active"))
+		hosts = append(hosts, m.ListEntry("active"))
 	}
 	dir, err := os.MkdirTemp(filepath.Dir(program), "fleet")
 	must(err)
@@ -86,7 +86,7 @@
 		}
 		fronts = append(fronts, p.listen)
 	}
-	f.front = standin.NewFront(fronts...)
+	f.front = standin.NewClientPool(fronts...)
 	for _, p := range f.gateways {
 		p.start()
 	}
@@ -117,7 +117,7 @@
 func (p *process) start() {
 	f := p.f
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", p.no), "listen": p.listen, "discovery": cmp.Or(p.discovery, f.list.Address()),
-		"seed": fmt.Sprint(p.no + 1), "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": f.list.Whole(),
+		"seed": fmt.Sprint(p.no + 1), "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": f.list.Snapshot(),
 		"settings": json.RawMessage(f.settings)})
 	must(err)
 	p.configFileName = filepath.Join(f.dir, fmt.Sprintf("config%d.json", p.no))
--- a/gateway/generations_test.go
+++ b/gateway/generations_test.go
@@ -44,7 +44,7 @@
 func TestOneInstant(t *testing.T) {
 	g0, members := group(0, 1)
 	address, g, _ := embeddedWith(t, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
-	front := standin.NewFront(address)
+	front := standin.NewClientPool(address)
 	var inForce atomic.Int64 // the least expiry that a txn may still go by, in ms: those in force before and after
 	var wg sync.WaitGroup
 	done := make(chan struct{})
@@ -77,13 +77,13 @@
 		inForce.Store(span.Milliseconds())
 		// What this client sends now arrives under the new one.
 		c := front.NewClient("cafe", classes)
-		c.Time = 900 * time.Millisecond
+		c.Timeout = 900 * time.Millisecond
 		c.Read(0)
 		c.Close()
 		var e standin.Event
 		e, at = g0.AwaitEvent(at, func(e standin.Event) bool { return e.Kind == "read" && e.Code == "cafe" })
-		if e.Limit > span || e.Limit < span-100*time.Millisecond {
-			t.Fatalf("change %d: %v, not %v", k, e.Limit, span)
+		if e.Timeout > span || e.Timeout < span-100*time.Millisecond {
+			t.Fatalf("change %d: %v, not %v", k, e.Timeout, span)
 		}
 	}
 	close(done)
@@ -94,10 +94,10 @@
 	for _, e := range g0.Events() {
 		near := false
 		for _, s := range spans {
-			near = near || e.Limit <= s && e.Limit > s-100*time.Millisecond
+			near = near || e.Timeout <= s && e.Timeout > s-100*time.Millisecond
 		}
 		if e.Kind == "read" && !near {
-			t.Fatalf("a read goes by no generation: %v", e.Limit)
+			t.Fatalf("a read goes by no generation: %v", e.Timeout)
 		}
 	}
 }
@@ -113,10 +113,10 @@
 		 {"effect":"once","promiseMs":1000,"hardLimitMs":60000,"worth":1,"name":"single"}]`,
 			`"mutate","mutate"]`, `"mutate","mutate","eventual"]`, `[0,0,0,0]`, `[0,0,0,0,0]`).Replace(string(c.Settings)))
 	}, members...)
-	front := standin.NewFront(address)
-	list.AwaitTold()
+	front := standin.NewClientPool(address)
+	list.AwaitDelivered()
 	for _, m := range members {
-		m.Delay(20 * time.Millisecond) // so that what comes at once is spread
+		m.SetDelay(20 * time.Millisecond) // so that what comes at once is spread
 	}
 	reads := func(n int) (at map[string]int) {
 		at = map[string]int{}
@@ -126,9 +126,9 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c := front.NewClient(fmt.Sprintf("%08x", 0xd00+i), standin.Classes{Read: "single", Write: "keyed"})
+				c := front.NewClient(fmt.Sprintf("%08x", 0xd00+i), standin.TxnTypes{Read: "single", Write: "keyed"})
 				defer c.Close()
-				c.Time = 30 * time.Second
+				c.Timeout = 30 * time.Second
 				if a := c.Read(0); a.Code != "" || a.Err != nil {
 					t.Error(a)
 				}
@@ -145,12 +145,12 @@
 	if at := reads(20); at[out.Name] == 0 {
 		t.Fatal("the member gets nothing to begin with", at)
 	}
-	out.Hang(true)
+	out.SetHung(true)
 	got := make(chan map[string]int)
 	go func() { got <- reads(20) }()
 	until(func() bool { return out.Busy() > 0 })
 	changed(t, g, &routes.Document{Excluded: []routes.Member{{Name: out.Name}}}, time.Hour)
-	out.Hang(false)
+	out.SetHung(false)
 	if at := <-got; at[out.Name] == 0 {
 		t.Fatal("what was in flight did not end where it was", at)
 	}
@@ -163,7 +163,7 @@
 		t.Fatal("it gets nothing after the undo", at)
 	}
 	changed(t, g, &routes.Document{Excluded: []routes.Member{{Name: out.Name}}}, time.Hour)
-	list.Set(members[0].Host("active"), members[1].Host("active"), out.Host("leaving"))
+	list.SetHosts(members[0].ListEntry("active"), members[1].ListEntry("active"), out.ListEntry("leaving"))
 	list.AwaitRead()
 	must(g.Undo(bg))
 	if at := reads(20); at[out.Name] != 0 {
@@ -175,11 +175,11 @@
 func TestBadTableIsUndone(t *testing.T) {
 	_, members := group(0, 1)
 	for _, m := range members {
-		m.Delay(5 * time.Millisecond)
+		m.SetDelay(5 * time.Millisecond)
 	}
 	log, lines := logLines()
 	address, g, _ := embeddedWith(t, func(c *gateway.Config) { c.Log = log }, members...)
-	front := standin.NewFront(address)
+	front := standin.NewClientPool(address)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	for i := range 8 {
@@ -231,7 +231,7 @@
 func TestFlood(t *testing.T) {
 	_, members := group(0, 1)
 	for _, m := range members {
-		m.Delay(20 * time.Millisecond)
+		m.SetDelay(20 * time.Millisecond)
 	}
 	d := &routes.Document{InFlight: 8,
 		Routes:  []routes.Route{{Name: "calm", Types: []string{"session"}, Tenant: "calm", Retries: -1}, {Name: "flood", Tenant: "flood", Retries: -1}},
@@ -239,7 +239,7 @@
 	address, _, _ := embeddedWith(t, func(c *gateway.Config) {
 		c.Log, c.Change = slog.New(slog.DiscardHandler), &gateway.Change{Document: d}
 	}, members...)
-	front := standin.NewFront(address)
+	front := standin.NewClientPool(address)
 	calm := front.NewClient("f999", classes)
 	defer calm.Close()
 	ask := func() (ok int, took []time.Duration) {
@@ -248,7 +248,7 @@
 			if a.Code == "" && a.Err == nil {
 				ok++
 			}
-			took = append(took, a.Took)
+			took = append(took, a.Latency)
 		}
 		slices.Sort(took)
 		return ok, took
@@ -261,7 +261,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := front.NewClient(fmt.Sprintf("%08x", 0xf00+i), standin.Classes{Read: "any", Write: "keyed"})
+			c := front.NewClient(fmt.Sprintf("%08x", 0xf00+i), standin.TxnTypes{Read: "any", Write: "keyed"})
 			defer c.Close()
 			for {
 				select {
@@ -294,7 +294,7 @@
 func BenchmarkApply(b *testing.B) {
 	_, members := group(0, 1)
 	address, g, _ := embeddedWith(b, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
-	front := standin.NewFront(address)
+	front := standin.NewClientPool(address)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	var failed, asked atomic.Int64
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -95,13 +95,13 @@
 func embeddedWith(t testing.TB, change func(*gateway.Config), members ...*standin.Member) (address string, g *gateway.Gateway, list *standin.List) {
 	var hosts []standin.Host
 	for _, m := range members {
-		hosts = append(hosts, m.Host("active"))
+		hosts = append(hosts, m.ListEntry("active"))
 	}
 	list = standin.NewList(hosts...)
 	t.Cleanup(list.Close)
 	var c gateway.Config
 	text, err := json.Marshal(map[string]any{"name": "e", "listen": freePort("tcp4", "127.0.0.4"), "discovery": list.Address(),
-		"seed": "1", "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": list.Whole(),
+		"seed": "1", "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": list.Snapshot(),
 		"settings": json.RawMessage(settings)})
 	must(err)
 	must(json.Unmarshal(text, &c))
@@ -144,7 +144,7 @@
 	plan.Ledger.Disk = d
 	address := embedded(t, log, plan, members...)
 	awaitLine(t, lines, "listening")
-	c := standin.NewFront(address).NewClient("fe01", classes)
+	c := standin.NewClientPool(address).NewClient("fe01", classes)
 	defer c.Close()
 	if a := c.Write(0, "s1", "1"); a.String() != "served 1" || !complete(t, plan.Ledger.Folder) {
 		t.Fatal(a)
@@ -152,8 +152,8 @@
 	held := make(chan struct{})
 	d.set(func() { d.held = held })
 	a := c.Write(0, "s2", "2")
-	if a.String() != "served 2" || a.Took < 50*time.Millisecond || a.Took > time.Second {
-		t.Fatal(a, a.Took)
+	if a.String() != "served 2" || a.Latency < 50*time.Millisecond || a.Latency > time.Second {
+		t.Fatal(a, a.Latency)
 	}
 	awaitLine(t, lines, "now=true span_ms")
 	if complete(t, plan.Ledger.Folder) {
--- a/gateway/listed_test.go
+++ b/gateway/listed_test.go
@@ -72,7 +72,7 @@
 func TestSessionsOnAnAgreedList(t *testing.T) {
 	u := newUnionOf(t, 5, 3, agreeing+"sessions {\n  tokens = \"hints\"\n}\n")
 	for _, m := range u.members[1:] {
-		m.Lag(200 * time.Millisecond)
+		m.SetLag(200 * time.Millisecond)
 	}
 	w := u.wander(6)
 	status := func(gateway int, part string, there bool) {
@@ -100,7 +100,7 @@
 	}
 
 	// n3 is cut off from the others, not from its clients. n4 goes for good, and another one comes in its place.
-	u.wire.Part(3, true)
+	u.wire.Isolate(3, true)
 	u.gateways[4].kill()
 	u.said(0, "fleet", "evict", "n4")
 	status(0, "n4 at", true) // a ghost: it may serve somebody yet, as far as the others know
@@ -121,11 +121,11 @@
 		reads(i, "ab02", "cut off")
 	}
 	// It hears, answers no session's write any more, and says that it has ended.
-	u.wire.Part(3, false)
+	u.wire.Isolate(3, false)
 	status(1, "n3 at", false)
 	c := u.front.NewClient("ab03", classes)
 	defer c.Close()
-	if a := c.Write(3, "late", "late"); a.Code != "53300" || a.After == "" {
+	if a := c.Write(3, "late", "late"); a.Code != "53300" || a.RetryAfter == "" {
 		t.Fatalf("a session's write at a gateway that nobody asks: %v", a)
 	}
 	reads(0, "ab02", "cut off")
--- a/gateway/migration_test.go
+++ b/gateway/migration_test.go
@@ -41,11 +41,11 @@
 				w := c.Write(i%2, key, value)
 				if w.Err == nil && w.Code == "" {
 					e, _ := g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" && e.Key == key })
-					c.After = e.Position
+					c.MinPosition = e.Position
 				}
 				r := c.Read(i % 2)
 				mu.Lock()
-				for _, a := range []standin.Answer{w, r} {
+				for _, a := range []standin.Response{w, r} {
 					all.asked++
 					switch {
 					case a.Err != nil:
@@ -53,7 +53,7 @@
 					case a.Code == "":
 						all.served++
 					}
-					if a.Took > c.Time+50*time.Millisecond {
+					if a.Latency > c.Timeout+50*time.Millisecond {
 						all.overdue++
 					}
 				}
@@ -75,7 +75,7 @@
 // neither breaks a rule for the other, and what binds one (a list that calls everybody gone) does not stop the other.
 func TestGatewaysOfBothShapes(t *testing.T) {
 	g, members := group(20*time.Millisecond, 3)
-	g.Await = 20 * time.Millisecond
+	g.ReplicaWait = 20 * time.Millisecond
 	before := newFleet(0, "", members...)
 	before.add(2)
 	defer before.stop()
@@ -86,7 +86,7 @@
 
 	hosts := func(health ...string) (all []standin.Host) {
 		for i, m := range members {
-			all = append(all, m.Host(health[min(i, len(health)-1)]))
+			all = append(all, m.ListEntry(health[min(i, len(health)-1)]))
 		}
 		return all
 	}
@@ -101,8 +101,8 @@
 			tallies[i] = sessionsAt(f, g, [...]string{"aa", "bb"}[i], 8, 30, func() {
 				if i == 0 { // r1 drains for both kinds
 					for _, f := range kinds {
-						f.list.Set(hosts("active", "leaving", "active", "active")...)
-						f.list.AwaitToldTo(2)
+						f.list.SetHosts(hosts("active", "leaving", "active", "active")...)
+						f.list.AwaitDeliveredTo(2)
 					}
 					told = time.Now()
 				}
@@ -132,8 +132,8 @@
 	// The list calls all gone. In the old shape that binds; in the new one the servers that serve go on to be used, but
 	// for the one that was seen to drain.
 	for _, f := range kinds {
-		f.list.Set([]standin.Host{}...)
-		f.list.AwaitToldTo(2)
+		f.list.SetHosts([]standin.Host{}...)
+		f.list.AwaitDeliveredTo(2)
 	}
 	old, fresh := before.front.NewClient("cc000001", classes), after.front.NewClient("cc000002", classes)
 	defer old.Close()
@@ -154,7 +154,7 @@
 		if w.Err != nil || w.Code != "" {
 			t.Fatalf("new shape, nobody listed: write %v", w)
 		}
-		fresh.After = position(fmt.Sprint("cc-", k))
+		fresh.MinPosition = position(fmt.Sprint("cc-", k))
 		if r := fresh.Read(0); r.Value != fmt.Sprint("v", k) {
 			t.Errorf("new shape, nobody listed: read %v", r)
 		}
@@ -166,8 +166,8 @@
 	}
 	// Back: the list is right again, and the old shape serves as before.
 	for _, f := range kinds {
-		f.list.Set(hosts("active", "leaving", "active", "active")...)
-		f.list.AwaitToldTo(2)
+		f.list.SetHosts(hosts("active", "leaving", "active", "active")...)
+		f.list.AwaitDeliveredTo(2)
 	}
 	if a := persist(old, 0); a.Code != "" {
 		t.Errorf("old shape, list right again: %v", a)
@@ -189,7 +189,7 @@
 			c.Read(0)
 		}
 		from := len(g.Events())
-		c.After = e.Position
+		c.MinPosition = e.Position
 		answer := c.Read(1)
 		probed := 0
 		for _, e := range g.Events()[from:] {
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -13,26 +13,26 @@
 )
 
 // zoned starts a gateway before a primary in zone a and a replica in each of a and b.
-func zoned(t *testing.T, log *slog.Logger) (front *standin.Front, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
+func zoned(t *testing.T, log *slog.Logger) (front *standin.ClientPool, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
 	g0, members := group(0, 2)
 	for _, m := range members {
-		hosts = append(hosts, m.Host("active"))
+		hosts = append(hosts, m.ListEntry("active"))
 	}
 	hosts[2].Site = "b"
 	address, g, list := embeddedWith(t, func(c *gateway.Config) {
 		c.Log = log
 		c.Settings = bytes.Replace(c.Settings, []byte(`"zones":["a"]`), []byte(`"zones":["a","b"]`), 1)
 	}, members...)
-	list.Set(hosts...)
-	list.AwaitTold()
-	return standin.NewFront(address), g0, g, list, hosts
+	list.SetHosts(hosts...)
+	list.AwaitDelivered()
+	return standin.NewClientPool(address), g0, g, list, hosts
 }
 
 // Reads of a route with a pool of zones go there, also where members elsewhere are nearer; once none there may get
 // anything, they go where they can. A route that does not go to a group turns away what names it.
 func TestPools(t *testing.T) {
 	front, g0, g, list, hosts := zoned(t, slog.New(slog.DiscardHandler))
-	c := front.NewClient("d001", standin.Classes{Read: "any", Write: "keyed"})
+	c := front.NewClient("d001", standin.TxnTypes{Read: "any", Write: "keyed"})
 	defer c.Close()
 	reads := func(n int) (at map[string]int) {
 		at = map[string]int{}
@@ -60,8 +60,8 @@
 	}
 	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, Retries: -1}}}, 0)
 	hosts[2].Health = "leaving"
-	list.Set(append(hosts, standin.NewGroup(5).NewMember("q", true).Host("active"))...)
-	list.AwaitTold()
+	list.SetHosts(append(hosts, standin.NewGroup(5).NewMember("q", true).ListEntry("active"))...)
+	list.AwaitDelivered()
 	until(func() bool { return reads(1)["r2"] == 0 })
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("a pool goes before a drain", at)
@@ -83,7 +83,7 @@
 	}
 	var all []*standin.Client
 	ask := func() string {
-		c := front.NewClient(fmt.Sprintf("%08x", 0xe00+len(all)), standin.Classes{Read: "any", Write: "keyed"})
+		c := front.NewClient(fmt.Sprintf("%08x", 0xe00+len(all)), standin.TxnTypes{Read: "any", Write: "keyed"})
 		all = append(all, c)
 		t.Cleanup(c.Close)
 		if a := c.Read(0); a.Err != nil {
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -31,7 +31,7 @@
 			f.wg.Add(1)
 			go func() {
 				defer f.wg.Done()
-				c := u.front.NewClient(fmt.Sprintf("%08x", 0xf1000+i*100+k), standin.Classes{Read: "any", Write: "keyed"})
+				c := u.front.NewClient(fmt.Sprintf("%08x", 0xf1000+i*100+k), standin.TxnTypes{Read: "any", Write: "keyed"})
 				defer c.Close()
 				for {
 					select {
@@ -148,9 +148,9 @@
 		return 3
 	}
 	cut := other(k)
-	u.wire.Part(cut, true)
+	u.wire.Isolate(cut, true)
 	used("one is cut off", 0.6, 3*time.Second, 0, 1, 2, 3, 4)
-	u.wire.Part(cut, false)
+	u.wire.Isolate(cut, false)
 	k = keeper()
 	still := other(k)
 	u.gateways[still].halt()
@@ -179,7 +179,7 @@
 	u := newUnion(t, 4, 3)
 	const inFlight, connections, span = 12, 8, 40 * time.Millisecond
 	for _, m := range u.members {
-		m.Delay(span)
+		m.SetDelay(span)
 	}
 	if said := u.apply(3, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\nroute \"few\" {\n  users = [\"few\"]\n  tenant = \"c\"\n}\ntenant \"t\" {\n  fleet = true\n  in_flight = %d\n}\ntenant \"c\" {\n  fleet = true\n  connections = %d\n}\n",
 		inFlight, connections)); !strings.Contains(said, "version 1 is agreed on") {
@@ -238,7 +238,7 @@
 		var in atomic.Int64
 		var all []*standin.Client
 		for i := range 24 {
-			c := u.front.NewClient(fmt.Sprintf("%08x", 0xc1000+i), standin.Classes{Read: "session", Write: "keyed"})
+			c := u.front.NewClient(fmt.Sprintf("%08x", 0xc1000+i), standin.TxnTypes{Read: "session", Write: "keyed"})
 			c.User = "few"
 			all = append(all, c)
 			wg.Add(1)
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -26,7 +26,7 @@
 	inForce  *contracts.Book
 	next     *contracts.Book // binds beside it until it is in force
 	last     uint64          // version that the next one follows
-	holdings []contracts.Holding
+	holdings []contracts.Reservation
 	at       decide.Nanos // when they change next
 	shares   any          // of the generation that they were told
 	told     string       // as last logged
@@ -40,7 +40,7 @@
 	working  bool   // the next one is worked out
 	members  string // the fleet's members by which risks were looked at
 	risky    bool   // that look is under way
-	risks    []contracts.Risk
+	risks    []contracts.UnmetContract
 	lookAt   decide.Nanos
 	failed   string // why a book can't be read, as last logged
 }
@@ -87,7 +87,7 @@
 	r.reading[d] = true
 	text := r.g.agreed.f.Text(d)
 	go func() {
-		b, err := contracts.ReadBook(text)
+		b, err := contracts.DecodeBook(text)
 		r.g.post(func() {
 			delete(r.reading, d)
 			if err != nil { // what was held stays
@@ -108,7 +108,7 @@
 func (r *reserved) latest() (*contracts.Book, error) {
 	switch {
 	case r.last == 0:
-		return contracts.ReadBook(nil)
+		return contracts.DecodeBook(nil)
 	case r.next != nil:
 		return r.next, nil
 	case r.inForce != nil && len(r.reading) == 0:
@@ -151,19 +151,19 @@
 
 // standing is what is held and counted at a time, by books.
 type standing struct {
-	all   map[string]contracts.Holding
+	all   map[string]contracts.Reservation
 	order []string
 	next  int64 // when it changes, Unix nanoseconds, 0 for never
 	open  []counted
 }
 
 func standingOf(books []*contracts.Book, unix int64) standing {
-	x := standing{all: map[string]contracts.Holding{}}
+	x := standing{all: map[string]contracts.Reservation{}}
 	for _, b := range books {
 		if b == nil {
 			continue
 		}
-		list, next := b.Holdings(unix)
+		list, next := b.Reservations(unix)
 		if next > 0 && (x.next == 0 || next < x.next) {
 			x.next = next
 		}
@@ -225,16 +225,16 @@
 	r.members, r.risky = members, true
 	unix := r.unix()
 	go func() {
-		risks := b.Risks(f, unix)
+		risks := b.UnmetContracts(f, unix)
 		r.g.post(func() {
 			r.risky = false
 			for _, x := range risks {
-				if !slices.ContainsFunc(r.risks, func(o contracts.Risk) bool { return o.No == x.No }) {
-					r.g.log.Warn("contracts: at risk", "contract", x.Name, "from", time.Unix(0, x.When).UTC().Format(time.RFC3339), "why", x.Why)
+				if !slices.ContainsFunc(r.risks, func(o contracts.UnmetContract) bool { return o.No == x.No }) {
+					r.g.log.Warn("contracts: at risk", "contract", x.Name, "from", time.Unix(0, x.Start).UTC().Format(time.RFC3339), "why", x.Reason)
 				}
 			}
 			for _, o := range r.risks {
-				if !slices.ContainsFunc(risks, func(x contracts.Risk) bool { return o.No == x.No }) {
+				if !slices.ContainsFunc(risks, func(x contracts.UnmetContract) bool { return o.No == x.No }) {
 					r.g.log.Info("contracts: no longer at risk", "contract", o.Name)
 				}
 			}
@@ -263,12 +263,12 @@
 
 // Contract has the fleet agree on the book as it is after a wish. Of two that are asked for at once at two gateways one
 // comes first, and the other is looked at again by the book after that.
-func (g *Gateway) Contract(ctx context.Context, w contracts.Wish) error {
+func (g *Gateway) Contract(ctx context.Context, w contracts.Proposal) error {
 	var err error
 	for range contractTries {
 		var b *contracts.Book
 		var f contracts.Fleet
-		v := agreement.Version{Subject: SubjectContracts, Who: w.Who, Why: w.Why, Form: 1}
+		v := agreement.Version{Subject: SubjectContracts, Who: w.Author, Why: w.Reason, Form: 1}
 		if err = g.inLoop(ctx, func() (err error) {
 			if g.reserved == nil {
 				return errors.New("this gateway agrees on nothing with others")
@@ -278,12 +278,12 @@
 			f, v.Predecessor, w.At = g.reserved.fleet(), g.reserved.last, g.reserved.unix()
 			return err
 		}); err == nil { // beside the loop: a large book takes a while
-			next, wrong := b.Do(&w, f)
+			next, wrong := b.Apply(&w, f)
 			if wrong != nil {
 				return wrong
 			}
-			text := next.Text()
-			if v.At = w.At; w.Reserves(b) {
+			text := next.Encode()
+			if v.At = w.At; w.ChangesReservations(b) {
 				v.Clashes = []string{"a reserved share"}
 			}
 			_, err = g.ask(ctx, func() (agreement.Wish, []byte, error) { return agreement.Wish{Version: &v}, text, nil })
@@ -301,7 +301,7 @@
 	Book     *contracts.Book
 	Fleet    contracts.Fleet
 	Now      int64
-	Holdings []contracts.Holding
+	Holdings []contracts.Reservation
 	Coming   bool // another book binds beside it, until all have it
 }
 
--- a/gateway/reserved_test.go
+++ b/gateway/reserved_test.go
@@ -26,7 +26,7 @@
 		g.wg.Add(1)
 		go func() {
 			defer g.wg.Done()
-			c := u.front.NewClient(fmt.Sprintf("%08x", 0xd0000+gateway*1000+len(user)*100+i), standin.Classes{Read: "any", Write: "keyed"})
+			c := u.front.NewClient(fmt.Sprintf("%08x", 0xd0000+gateway*1000+len(user)*100+i), standin.TxnTypes{Read: "any", Write: "keyed"})
 			c.User = user
 			defer c.Close()
 			for {
@@ -147,7 +147,7 @@
 	u := newUnion(t, 5, 3)
 	all := []int{0, 1, 2, 3, 4}
 	for _, m := range u.members {
-		m.Delay(20 * time.Millisecond)
+		m.SetDelay(20 * time.Millisecond)
 	}
 	rules := "in_flight = 20\nroute \"tv\" {\n  users  = [\"tv\"]\n  tenant = \"tv\"\n}\nroute \"rest\" {\n  tenant = \"others\"\n}\ntenant \"tv\" {\n  weight = 1\n}\ntenant \"others\" {\n  weight = 19\n}\n"
 	if said := u.apply(3, rules); !strings.Contains(said, "version 1 is agreed on") {
@@ -214,7 +214,7 @@
 	at := u.leader(0, 1, 2)
 	u.gateways[at].kill()
 	cut := 4
-	u.wire.Part(cut, true)
+	u.wire.Isolate(cut, true)
 	time.Sleep(4 * time.Second) // past its lease
 	through, _ := served(3, time.Second)
 	t.Logf("through another gateway with the leader killed: %.0f", through)
@@ -224,7 +224,7 @@
 	if said := u.said(cut, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
 		t.Fatal("a gateway that is cut off holds no room: ", said)
 	}
-	u.wire.Part(cut, false)
+	u.wire.Isolate(cut, false)
 	for _, f := range flood {
 		f.end()
 	}
@@ -254,9 +254,9 @@
 	// A member leaves for good: what can't be kept by the others is told, and stays booked.
 	var hosts []standin.Host
 	for _, m := range u.members[:2] {
-		hosts = append(hosts, m.Host("active"))
+		hosts = append(hosts, m.ListEntry("active"))
 	}
-	u.list.Set(hosts...)
+	u.list.SetHosts(hosts...)
 	for _, p := range u.gateways {
 		p.logged("contracts: at risk")
 	}
--- a/gateway/sessions_test.go
+++ b/gateway/sessions_test.go
@@ -14,16 +14,16 @@
 	"magpieglade/standin"
 )
 
-var classes = standin.Classes{Write: "keyed", Read: "session"}
+var classes = standin.TxnTypes{Write: "keyed", Read: "session"}
 
 // group is a primary and replicas that apply with a lag.
 func group(lag time.Duration, replicas int) (g *standin.Group, all []*standin.Member) {
 	g = standin.NewGroup(0)
-	g.Window = 800 * time.Millisecond
+	g.DedupWindow = 800 * time.Millisecond
 	all = append(all, g.NewMember("p", true))
 	for i := range replicas {
 		r := g.NewMember(fmt.Sprint("r", i+1), false)
-		r.Lag(lag)
+		r.SetLag(lag)
 		all = append(all, r)
 	}
 	return g, all
@@ -85,10 +85,10 @@
 
 // persist reads until it is served, coming back when it is told to: a fresh gateway puts few reads on a primary that it
 // has not heard of yet.
-func persist(c *standin.Client, gateway int) standin.Answer {
+func persist(c *standin.Client, gateway int) standin.Response {
 	for began := time.Now(); ; {
 		a := c.Read(gateway)
-		after, err := strconv.Atoi(a.After)
+		after, err := strconv.Atoi(a.RetryAfter)
 		if a.Code != "53300" || err != nil || time.Since(began) > soon {
 			return a
 		}
@@ -142,7 +142,7 @@
 	for _, skew := range []time.Duration{2 * time.Second, -2 * time.Second} {
 		t.Run(skew.String(), func(t *testing.T) {
 			g, members := group(100*time.Millisecond, 2)
-			g.Skew(skew)
+			g.SetClockSkew(skew)
 			f := newFleet(2, "clock_error = \"3s\"\n"+covered, members...)
 			defer f.stop()
 			served, stale, other := roam(f, 6, 15, 2)
@@ -159,7 +159,7 @@
 	g, members := group(20*time.Millisecond, 1)
 	f := newFleet(2, covered, members...)
 	defer f.stop()
-	members[0].Swallow("keyed", 1)
+	members[0].DropResponses("keyed", 1)
 	c := f.front.NewClient("bb01", classes)
 	lost := make(chan string)
 	go func() { lost <- c.Write(0, "once-1", "x").String() }()
@@ -167,7 +167,7 @@
 	fmt.Println(await(lost)) // the gateway itself sends it again, within the window
 	other := f.front.NewClient("bb01", classes)
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
-	time.Sleep(g.Window) // what is waited for is the group's forgetting, which no event tells
+	time.Sleep(g.DedupWindow) // what is waited for is the group's forgetting, which no event tells
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
 	f.gateways[0].kill()
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
@@ -186,7 +186,7 @@
 	defer f.stop()
 	c := f.front.NewClient("be01", classes)
 	fmt.Println(c.Write(0, "quiet-1", "x"))
-	time.Sleep(g.Window) // what is waited for is the group's forgetting, which no event tells
+	time.Sleep(g.DedupWindow) // what is waited for is the group's forgetting, which no event tells
 	fmt.Println(c.Write(0, "quiet-1", "x"), g.Effects("quiet-1"))
 	// Output:
 	// served x
@@ -197,14 +197,14 @@
 func Example_freshReplicaDrains() {
 	g, members := group(0, 2)
 	p, near, far := members[0], members[1], members[2]
-	far.Lag(time.Hour)
+	far.SetLag(time.Hour)
 	f := newFleet(1, "sessions {}", members...)
 	defer f.stop()
 	c := f.front.NewClient("cc01", classes)
 	fmt.Println(c.Write(0, "d1", "1"), c.Read(0))
 	f.gateways[0].logged("list followed")
-	f.list.Set(p.Host("active"), near.Host("leaving"), far.Host("active"))
-	f.list.AwaitTold()
+	f.list.SetHosts(p.ListEntry("active"), near.ListEntry("leaving"), far.ListEntry("active"))
+	f.list.AwaitDelivered()
 	time.Sleep(250 * time.Millisecond) // the grace
 	from := len(g.Events())
 	fmt.Println(c.Write(0, "d2", "2"), c.Read(0))
@@ -230,12 +230,12 @@
 	fmt.Println(c.Write(0, "e1", "1"))
 	f.gateways[0].logged("list followed")
 	g.Demote()
-	f.list.Set(p.Host("leaving"), next.Host("active"), members[2].Host("active"))
-	c.Time = 300 * time.Millisecond
+	f.list.SetHosts(p.ListEntry("leaving"), next.ListEntry("active"), members[2].ListEntry("active"))
+	c.Timeout = 300 * time.Millisecond
 	r := c.Read(0)
-	fmt.Println(r.Code, r.After != "", r.Took < 300*time.Millisecond)
-	c.Time = 2 * time.Second
-	got := make(chan standin.Answer)
+	fmt.Println(r.Code, r.RetryAfter != "", r.Latency < 300*time.Millisecond)
+	c.Timeout = 2 * time.Second
+	got := make(chan standin.Response)
 	go func() { got <- c.Read(0) }()
 	g.AwaitEvent(len(g.Events()), func(e standin.Event) bool { return e.Kind == "probe" })
 	g.Elect(next, true)
@@ -254,7 +254,7 @@
 	defer f.stop()
 	c := f.front.NewClient("dd01", classes)
 	fmt.Println(c.Write(0, "f1", "1"), g.Elect(members[1], false))
-	c.Time = 2 * time.Second
+	c.Timeout = 2 * time.Second
 	r := c.Read(1)
 	fmt.Println(r.Code == "" && r.Value == "", r.Err)
 	fmt.Println(c.Write(1, "f2", "2"), c.Read(0))
@@ -275,12 +275,12 @@
 	fmt.Println(c.Read(1))
 	token := c.Token
 	for _, bad := range []string{"00" + token[2:], token[:20] + "ffff" + token[24:], "zz", token} {
-		c.Token, c.After = bad, 9e12 // and a position from a future that never comes
+		c.Token, c.MinPosition = bad, 9e12 // and a position from a future that never comes
 		if bad == token {
-			c.Code = "ee02"
+			c.SessionCode = "ee02"
 		}
 		r := c.Read(1)
-		fmt.Println(r.Code == "", r.Took < 500*time.Millisecond)
+		fmt.Println(r.Code == "", r.Latency < 500*time.Millisecond)
 	}
 	// Output:
 	// served 1 50
@@ -333,17 +333,17 @@
 		fmt.Println(c.Write(0, "h1", "1"), c.Read(0))
 		f.gateways[0].kill()
 		c.Drop(0)
-		members[0].Hang(true)
+		members[0].SetHung(true)
 		g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" })
 		f.gateways[0].start()
 		fmt.Println(strings.Contains(f.gateways[0].readLedger, "complete=true"))
 		if before == "process" { // it may try the primary first, as it does not know yet which of them that is
 			fmt.Println(persist(c, 0))
 		} else {
-			c.Time = 400 * time.Millisecond
+			c.Timeout = 400 * time.Millisecond
 			fmt.Println(c.Read(0))
 		}
-		members[0].Hang(false)
+		members[0].SetHung(false)
 		f.stop()
 	}
 	// Output:
@@ -421,7 +421,7 @@
 							if w.Code+r.Code != "" || w.Err != nil || r.Err != nil {
 								b.Error(w, r)
 							}
-							took = append(took, r.Took)
+							took = append(took, r.Latency)
 							txns += 2
 							mu.Unlock()
 						}
--- a/gateway/transcript_test.go
+++ b/gateway/transcript_test.go
@@ -37,7 +37,7 @@
 	apply := func(gateway int, text string) {
 		tell(fmt.Sprint("n", gateway), "config apply:\n"+strings.TrimSpace(text), u.apply(gateway, text))
 	}
-	c := u.front.NewClient("cb01", standin.Classes{Read: "any", Write: "keyed"})
+	c := u.front.NewClient("cb01", standin.TxnTypes{Read: "any", Write: "keyed"})
 	defer c.Close()
 	read := func(gateway int) {
 		a := c.Read(gateway)
@@ -53,14 +53,14 @@
 	say(2, "config", "history")
 	read(2)
 	apply(2, "route \"moved\" {\n  types = [\"none\"]\n}\n")
-	u.wire.Part(2, true)
+	u.wire.Isolate(2, true)
 	u.await("n2 is careful", func() bool { return strings.Contains(u.said(2, "fleet", "status"), "careful") })
 	say(2, "fleet", "status")
 	read(2)
 	apply(0, moves(2))
 	u.holds(2, 0, 1)
 	read(1)
-	u.wire.Part(2, false)
+	u.wire.Isolate(2, false)
 	u.holds(2, 2)
 	read(2)
 	say(0, "config", "restore", "1")
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -42,7 +42,7 @@
 	tenant string
 	types  []string
 	groups []int
-	window contracts.Held
+	window contracts.ReservedWindow
 	aim    decide.Nanos
 }
 
@@ -52,7 +52,7 @@
 	if r == nil || r.account == nil {
 		return
 	}
-	r.account.Heard(all, r.unix())
+	r.account.Merge(all, r.unix())
 	if asks {
 		a.f.TellCounts(from, r.account.All(), false)
 	}
@@ -76,10 +76,10 @@
 		if b == nil {
 			continue
 		}
-		for _, c := range b.Live() {
-			t := &c.Now().Terms
-			if phase, h := t.At(unix); phase != contracts.Over && phase != contracts.Waiting && !slices.ContainsFunc(open, func(x counted) bool { return x.no == c.No }) {
-				open = append(open, counted{c.No, t.Tenant, t.Types, t.Groups, h, decide.Nanos(t.Aim)})
+		for _, c := range b.BookedContracts() {
+			t := &c.Latest().Terms
+			if phase, h := t.PhaseAt(unix); phase != contracts.Ended && phase != contracts.Pending && !slices.ContainsFunc(open, func(x counted) bool { return x.no == c.No }) {
+				open = append(open, counted{c.No, t.Tenant, t.Types, t.Groups, h, decide.Nanos(t.TargetLatency)})
 			}
 		}
 	}
@@ -103,20 +103,20 @@
 		if c.aim > 0 {
 			aim = c.aim
 		}
-		x := contracts.Counts{Asked: 1}
+		x := contracts.Counts{Requested: 1}
 		switch {
 		case committed && r.g.clock.now()-t.arrived <= aim:
 			x.InTime = 1
 		case committed:
 			x.Late = 1
 		case t.ending == endNoRoom:
-			x.NoRoom = 1
+			x.Overloaded = 1
 		case t.ending == endUnagreed:
-			x.Unagreed = 1
+			x.NoAgreement = 1
 		case t.ending == endRolledBack:
 			x.RolledBack = 1
 		case t.ending == endLeft:
-			x.Left = 1
+			x.Abandoned = 1
 		default:
 			x.NoMember = 1
 		}
@@ -136,7 +136,7 @@
 	if now < r.reportAt {
 		return
 	}
-	r.reportAt = now + decide.Nanos(contracts.ReportSpan)
+	r.reportAt = now + decide.Nanos(contracts.ReportInterval)
 	f := r.g.agreed.f
 	others, votes := f.Voters()
 	all := r.account.Report(r.unix(), !votes)
@@ -145,7 +145,7 @@
 	if len(all) == 0 && !asks {
 		return
 	}
-	r.g.agreed.WakeAfter(contracts.ReportSpan)
+	r.g.agreed.WakeAfter(contracts.ReportInterval)
 	if asks {
 		r.asked++
 	}
@@ -182,7 +182,7 @@
 			return fmt.Errorf("there is no contract %q", name)
 		}
 		_, whole = g.agreed.f.Voters()
-		all = g.reserved.account.State(c, from, to, g.reserved.unix())
+		all = g.reserved.account.Statements(c, from, to, g.reserved.unix())
 		return nil
 	})
 	return all, whole, err
--- a/internal/contractfile/contractfile.go
+++ b/internal/contractfile/contractfile.go
@@ -52,7 +52,7 @@
 
 func (f *File) contract(r *hclfile.File, b *hcl.Block) {
 	p := r.Part(b.Body, b.DefRange, "tenant types groups reads writes in_flight fan_out fan_zones ramp cool aim promised beyond ceiling loss rank price credit", "window")
-	t := contracts.Terms{Name: b.Labels[0], Ramp: int64(5 * time.Minute), Cool: int64(time.Minute), Promised: 0.99, Beyond: contracts.Effort, Loss: contracts.MemberLoss}
+	t := contracts.Terms{Name: b.Labels[0], RampDuration: int64(5 * time.Minute), CooldownDuration: int64(time.Minute), PromisedFraction: 0.99, ExcessPolicy: contracts.BestEffort, ToleratedLoss: contracts.MemberLoss}
 	p.Needs("tenant", "in_flight")
 	p.Decode("tenant", &t.Tenant)
 	t.Types = p.Words("types")
@@ -60,16 +60,16 @@
 	p.Number("reads", &t.Reads, 0, 1e9)
 	p.Number("writes", &t.Writes, 0, 1e9)
 	p.Whole("in_flight", &t.InFlight, 1, 1_000_000)
-	p.Whole("fan_out", &t.FanOut, 0, 1000)
-	p.Whole("fan_zones", &t.FanZones, 0, 1000)
-	p.Span("ramp", &t.Ramp, 0)
-	p.Span("cool", &t.Cool, 0)
-	p.Span("aim", &t.Aim, time.Millisecond)
-	p.Number("promised", &t.Promised, 0, 1)
-	p.OneOf("beyond", &t.Beyond, contracts.Refuse, contracts.Effort, contracts.Paid)
-	p.Number("ceiling", &t.Ceiling, 1, 1e6)
-	p.OneOf("loss", &t.Loss, contracts.NoLoss, contracts.MemberLoss, contracts.ZoneLoss)
-	p.Whole("rank", &t.Rank, -1000, 1000)
+	p.Whole("fan_out", &t.MinReplicas, 0, 1000)
+	p.Whole("fan_zones", &t.MinZones, 0, 1000)
+	p.Span("ramp", &t.RampDuration, 0)
+	p.Span("cool", &t.CooldownDuration, 0)
+	p.Span("aim", &t.TargetLatency, time.Millisecond)
+	p.Number("promised", &t.PromisedFraction, 0, 1)
+	p.OneOf("beyond", &t.ExcessPolicy, contracts.RejectExcess, contracts.BestEffort, contracts.PaidExcess)
+	p.Number("ceiling", &t.MaxExcessFactor, 1, 1e6)
+	p.OneOf("loss", &t.ToleratedLoss, contracts.NoLoss, contracts.MemberLoss, contracts.ZoneLoss)
+	p.Whole("rank", &t.Priority, -1000, 1000)
 	amount(p, "price", &t.Price)
 	amount(p, "credit", &t.Credit)
 	for _, w := range p.Blocks {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -31,9 +31,9 @@
 	Again    bool
 	Who      string
 	Why      string
-	No       uint64          // of a version
-	Wish     *agreement.Wish // of a fleet
-	Contract *contracts.Wish // of the book of contracts
+	No       uint64              // of a version
+	Wish     *agreement.Wish     // of a fleet
+	Contract *contracts.Proposal // of the book of contracts
 }
 
 // Reply tells what came of a request.
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -135,15 +135,15 @@
 		}
 	}
 	if v, err := f.g.Contracts(ctx); err == nil && v != nil {
-		for _, c := range v.Book.Live() {
-			all, _, err := f.g.Statements(ctx, c.Now().Terms.Name, v.Now-contracts.KeepSpan, v.Now)
+		for _, c := range v.Book.BookedContracts() {
+			all, _, err := f.g.Statements(ctx, c.Latest().Terms.Name, v.Now-contracts.CountRetention, v.Now)
 			if err != nil || len(all) == 0 {
 				continue
 			}
-			x := &all[len(all)-1].Sum
-			for what, n := range map[string]uint64{"asked": x.Asked, "in_time": x.InTime, "late": x.Late, "no_room": x.NoRoom, "no_member": x.NoMember,
-				"unagreed": x.Unagreed, "rolled_back": x.RolledBack, "left": x.Left} {
-				to <- prometheus.MustNewConstMetric(f.used, prometheus.GaugeValue, float64(n), c.Now().Terms.Name, what)
+			x := &all[len(all)-1].Total
+			for what, n := range map[string]uint64{"asked": x.Requested, "in_time": x.InTime, "late": x.Late, "no_room": x.Overloaded, "no_member": x.NoMember,
+				"unagreed": x.NoAgreement, "rolled_back": x.RolledBack, "left": x.Abandoned} {
+				to <- prometheus.MustNewConstMetric(f.used, prometheus.GaugeValue, float64(n), c.Latest().Terms.Name, what)
 			}
 		}
 	}
--- a/internal/operator/coordination.go
+++ b/internal/operator/coordination.go
@@ -14,7 +14,7 @@
 func (r *reader) coordination(b *hcl.Block) *fleet.CoordinationPlan {
 	in := r.block(b, []string{"subset", "connections", "away", "signals", "turns", "wait"})
 	r.coordinated = b.DefRange
-	p := &fleet.CoordinationPlan{Signals: true, Wait: turns.UsualWait}
+	p := &fleet.CoordinationPlan{Signals: true, Wait: turns.DefaultWait}
 	t := subset.UsualTerms()
 	in.Whole("subset", &t.Least, 0, 1000)
 	in.Whole("connections", &t.Connections, 1, 10000)
--- a/rehearse/audit/audit.go
+++ b/rehearse/audit/audit.go
@@ -11,185 +11,185 @@
 
 // Type is a txn type, as the clients and the operators define it. Times are nanoseconds, here and in all that follows.
 type Type struct {
-	Name      string
-	Effect    string // "repeatable", "by_key" or "once"
-	Need      string // what a read must see: "eventual", "lag_bound", "causal"; "mutate" is a write
-	Worth     float64
-	LateValue float64 // share of its worth past its SLA time
-	Aim       int64   // its SLA time
-	Limit     int64   // that a client waits with all its tries
-	Bound     int64   // of lag_bound: how old what it shows may be
-	Window    int64   // of by_key: how long databases drop repeats
-	AnyGroup  bool    // of by_key: repeats do no harm wherever they go
+	Name          string
+	Effect        string // "repeatable", "by_key" or "once"
+	Consistency   string // what a read must see: "eventual", "lag_bound", "causal"; "mutate" is a write
+	Value         float64
+	LateValue     float64 // share of its worth past its SLA time
+	TargetLatency int64   // its SLA time
+	MaxWait       int64   // that a client waits with all its tries
+	MaxAge        int64   // of lag_bound: how old what it shows may be
+	DedupWindow   int64   // of by_key: how long databases drop repeats
+	AnyGroup      bool    // of by_key: repeats do no harm wherever they go
 }
 
 // Terms are what a run is held against.
-type Terms struct {
-	Types        []Type
-	Grace        int64 // that a drain leaves
-	Slack        int64 // for messages under way and timers
-	Cold         int64 // that a member is cold after its start
-	ColdFrom     float64
-	FallMultiple float64 // of what it can do at its age: past it a cold member falls over
-	OverloadFor  int64   // within such a span
+type Config struct {
+	Types          []Type
+	DrainGrace     int64 // that a drain leaves
+	Slack          int64 // for messages under way and timers
+	WarmUp         int64 // that a member is cold after its start
+	ColdFraction   float64
+	OverloadFactor float64 // of what it can do at its age: past it a cold member falls over
+	OverloadWindow int64   // within such a span
 }
 
 // Ask is one try of a client.
-type Ask struct {
-	ID, First uint64 // of this try, and of its first
-	Session   uint64
-	Type      int
-	Key       uint64 // 0 is none
-	Version   uint64 // that a write brings to its session
-	Owed      uint64 // the latest that its session had been told when it was sent
-	Due, At   int64  // when it was to be sent, and when it was
-	Until     int64  // when its time is over
-	Gateway   int
+type Attempt struct {
+	ID, FirstID   uint64 // of this try, and of its first
+	Session       uint64
+	Type          int
+	Key           uint64 // 0 is none
+	Version       uint64 // that a write brings to its session
+	MinVersion    uint64 // the latest that its session had been told when it was sent
+	DueAt, SentAt int64  // when it was to be sent, and when it was
+	Deadline      int64  // when its time is over
+	Gateway       int
 }
 
 // Kind is what a client was told.
-type Kind uint8
+type Outcome uint8
 
 // Answers.
 const (
-	Served Kind = iota
+	Served Outcome = iota
 	Declined
 	RolledBack
-	Cut // its connection ended without an answer
+	Disconnected // its connection ended without an answer
 )
 
 // String words it.
-func (k Kind) String() string {
+func (k Outcome) String() string {
 	return [...]string{"served", "declined", "rolled back", "cut off"}[k]
 }
 
 // Answer is what a client was told of a try.
-type Answer struct {
+type Response struct {
 	ID      uint64
 	At      int64
-	Kind    Kind
+	Outcome Outcome
 	Version uint64 // that a read showed
 }
 
 // WorkKind is what a database did with a submission.
-type WorkKind uint8
+type SubmissionKind uint8
 
 // Kinds of work.
 const (
-	Wrote WorkKind = iota
+	Write SubmissionKind = iota
 	Repeat
 	Read
-	Missed // turned away: no primary, or too far behind
+	Rejected // turned away: no primary, or too far behind
 )
 
 // String words it.
-func (k WorkKind) String() string { return [...]string{"write", "repeat", "read", "miss"}[k] }
+func (k SubmissionKind) String() string { return [...]string{"write", "repeat", "read", "miss"}[k] }
 
 // Work is one submission at a database.
-type Work struct {
-	ID, Key uint64
-	Session uint64
-	Version uint64
-	Member  int
-	Gateway int
-	Kind    WorkKind
-	At      int64 // when it was done, or begun
-	Came    int64 // when it came, which may be long before at one that hung
-	Cost    int64 // of a core's time, warm
+type Submission struct {
+	ID, Key    uint64
+	Session    uint64
+	Version    uint64
+	Member     int
+	Gateway    int
+	Kind       SubmissionKind
+	At         int64 // when it was done, or begun
+	ReceivedAt int64 // when it came, which may be long before at one that hung
+	Cost       int64 // of a core's time, warm
 }
 
 // NoticeKind is what happened around the gateways.
-type NoticeKind uint8
+type EventKind uint8
 
 // Kinds of notices.
 const (
-	Drained NoticeKind = iota // Gateway was told that Member drains
-	Back                      // Gateway was told that it does no more
-	Started                   // Member started cold
-	Killed                    // Gateway ended without a word
-	Died                      // Member did: what it had not passed on may be lost
-	Up                        // Gateway runs again
+	DrainStarted  EventKind = iota // Gateway was told that Member drains
+	Restored                       // Gateway was told that it does no more
+	MemberStarted                  // Member started cold
+	GatewayKilled                  // Gateway ended without a word
+	MemberDied                     // Member did: what it had not passed on may be lost
+	GatewayUp                      // Gateway runs again
 )
 
 // String words it.
-func (k NoticeKind) String() string {
+func (k EventKind) String() string {
 	return [...]string{"drain told", "back told", "member started", "gateway killed", "member died", "gateway up"}[k]
 }
 
 // Notice is one such event.
-type Notice struct {
+type Event struct {
 	At              int64
-	Kind            NoticeKind
+	Kind            EventKind
 	Member, Gateway int
 }
 
 // Log is what was seen, each list in the order of time.
 type Log struct {
-	Asks    []Ask
-	Answers []Answer
-	Works   []Work
-	Notices []Notice
-	Cores   []int // of each member
-	Names   []string
+	Attempts    []Attempt
+	Responses   []Response
+	Submissions []Submission
+	Events      []Event
+	Cores       []int // of each member
+	Names       []string
 }
 
 // Rules.
 const (
-	Lost  = "no txn lost"
-	Twice = "no effect twice"
-	Drain = "drains kept"
-	Cold  = "no cold server pushed over"
-	Stale = "no stale read"
+	RuleNoLoss      = "no txn lost"
+	RuleNoDuplicate = "no effect twice"
+	RuleDrain       = "drains kept"
+	RuleColdStart   = "no cold server pushed over"
+	RuleNoStaleRead = "no stale read"
 )
 
 // Rules are all five, in their order.
-var Rules = []string{Lost, Twice, Drain, Cold, Stale}
+var Rules = []string{RuleNoLoss, RuleNoDuplicate, RuleDrain, RuleColdStart, RuleNoStaleRead}
 
 // Violation is one broken rule.
 type Violation struct {
-	Rule    string
-	ID      uint64 // of the txn, 0 for none
-	At      int64
-	What    string
-	History []string
+	Rule        string
+	ID          uint64 // of the txn, 0 for none
+	At          int64
+	Description string `json:"What"`
+	History     []string
 }
 
 // auditor is an audit under way.
 type auditor struct {
-	t       Terms
-	l       *Log
-	answers map[uint64][]Answer
-	works   map[uint64][]Work
-	found   []Violation
+	config      Config
+	log         *Log
+	responses   map[uint64][]Response
+	submissions map[uint64][]Submission
+	violations  []Violation
 }
 
 // Check gives every broken rule, in the order of time.
-func Check(t Terms, l *Log) []Violation {
-	a := &auditor{t: t, l: l, answers: map[uint64][]Answer{}, works: map[uint64][]Work{}}
-	for _, x := range l.Answers {
-		a.answers[x.ID] = append(a.answers[x.ID], x)
+func Check(t Config, l *Log) []Violation {
+	a := &auditor{config: t, log: l, responses: map[uint64][]Response{}, submissions: map[uint64][]Submission{}}
+	for _, x := range l.Responses {
+		a.responses[x.ID] = append(a.responses[x.ID], x)
 	}
-	for _, w := range l.Works {
-		a.works[w.ID] = append(a.works[w.ID], w)
+	for _, w := range l.Submissions {
+		a.submissions[w.ID] = append(a.submissions[w.ID], w)
 	}
-	a.lost()
-	a.twice()
-	a.drains()
-	a.cold()
-	a.stale()
-	slices.SortStableFunc(a.found, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
-	return a.found
+	a.checkLost()
+	a.checkDuplicates()
+	a.checkDrains()
+	a.checkColdStarts()
+	a.checkStaleReads()
+	slices.SortStableFunc(a.violations, func(x, y Violation) int { return cmp.Compare(x.At, y.At) })
+	return a.violations
 }
 
 // mostHistories bounds how many broken rules come with the txn's life: a thousand of one kind tell no more than these.
-const mostHistories = 50
+const maxHistories = 50
 
-func (a *auditor) broken(rule string, id uint64, at int64, format string, args ...any) {
-	v := Violation{Rule: rule, ID: id, At: at, What: fmt.Sprintf(format, args...)}
-	if id != 0 && len(a.found) < mostHistories {
+func (a *auditor) report(rule string, id uint64, at int64, format string, args ...any) {
+	v := Violation{Rule: rule, ID: id, At: at, Description: fmt.Sprintf(format, args...)}
+	if id != 0 && len(a.violations) < maxHistories {
 		v.History = a.history(id)
 	}
-	a.found = append(a.found, v)
+	a.violations = append(a.violations, v)
 }
 
 // history is a txn's whole life: all tries of its client, what they were told, and what databases did.
@@ -200,22 +200,22 @@
 	}
 	var lines []line
 	first := id
-	for i := range a.l.Asks {
-		if x := &a.l.Asks[i]; x.ID == id {
-			first = x.First
+	for i := range a.log.Attempts {
+		if x := &a.log.Attempts[i]; x.ID == id {
+			first = x.FirstID
 		}
 	}
-	for i := range a.l.Asks {
-		x := &a.l.Asks[i]
-		if x.First != first {
+	for i := range a.log.Attempts {
+		x := &a.log.Attempts[i]
+		if x.FirstID != first {
 			continue
 		}
-		lines = append(lines, line{x.At, fmt.Sprintf("asked as %d at gateway %d: %s, session %d, owed version %d, until %s",
-			x.ID, x.Gateway, a.t.Types[x.Type].Name, x.Session, x.Owed, ms(x.Until))})
-		for _, y := range a.answers[x.ID] {
-			lines = append(lines, line{y.At, fmt.Sprintf("%d %s, version %d", x.ID, y.Kind, y.Version)})
+		lines = append(lines, line{x.SentAt, fmt.Sprintf("asked as %d at gateway %d: %s, session %d, owed version %d, until %s",
+			x.ID, x.Gateway, a.config.Types[x.Type].Name, x.Session, x.MinVersion, ms(x.Deadline))})
+		for _, y := range a.responses[x.ID] {
+			lines = append(lines, line{y.At, fmt.Sprintf("%d %s, version %d", x.ID, y.Outcome, y.Version)})
 		}
-		for _, w := range a.works[x.ID] {
+		for _, w := range a.submissions[x.ID] {
 			lines = append(lines, line{w.At, fmt.Sprintf("%d at %s: %s, version %d", x.ID, a.name(w.Member), w.Kind, w.Version)})
 		}
 	}
@@ -228,8 +228,8 @@
 }
 
 func (a *auditor) name(member int) string {
-	if member < len(a.l.Names) {
-		return a.l.Names[member]
+	if member < len(a.log.Names) {
+		return a.log.Names[member]
 	}
 	return fmt.Sprint("member ", member)
 }
@@ -237,46 +237,46 @@
 func ms(at int64) string { return fmt.Sprintf("%.1f ms", float64(at)/1e6) }
 
 // lost: each try has one final answer, in its time. One that was cut off with its gateway had no chance.
-func (a *auditor) lost() {
+func (a *auditor) checkLost() {
 	type span struct{ from, to int64 }
 	down := map[int][]span{}
-	for _, n := range a.l.Notices {
+	for _, n := range a.log.Events {
 		switch all := down[n.Gateway]; {
-		case n.Kind == Killed:
+		case n.Kind == GatewayKilled:
 			down[n.Gateway] = append(all, span{n.At, math.MaxInt64})
-		case n.Kind == Up && len(all) > 0:
+		case n.Kind == GatewayUp && len(all) > 0:
 			all[len(all)-1].to = n.At
 		}
 	}
-	excused := func(x *Ask) bool {
-		return slices.ContainsFunc(down[x.Gateway], func(s span) bool { return s.from <= x.Until+a.t.Slack && s.to >= x.At-a.t.Slack })
+	excused := func(x *Attempt) bool {
+		return slices.ContainsFunc(down[x.Gateway], func(s span) bool { return s.from <= x.Deadline+a.config.Slack && s.to >= x.SentAt-a.config.Slack })
 	}
-	for i := range a.l.Asks {
-		x := &a.l.Asks[i]
-		got := a.answers[x.ID]
+	for i := range a.log.Attempts {
+		x := &a.log.Attempts[i]
+		got := a.responses[x.ID]
 		switch {
 		case len(got) == 0 && !excused(x):
-			a.broken(Lost, x.ID, x.Until, "it has no answer")
+			a.report(RuleNoLoss, x.ID, x.Deadline, "it has no answer")
 		case len(got) > 1:
-			a.broken(Lost, x.ID, got[1].At, "it has %d answers", len(got))
-		case len(got) == 1 && got[0].Kind == Cut && !excused(x):
-			a.broken(Lost, x.ID, got[0].At, "its connection ended without an answer")
-		case len(got) == 1 && got[0].Kind != Cut && got[0].At > x.Until+a.t.Slack:
-			a.broken(Lost, x.ID, got[0].At, "its answer came %s after its time", ms(got[0].At-x.Until))
+			a.report(RuleNoLoss, x.ID, got[1].At, "it has %d answers", len(got))
+		case len(got) == 1 && got[0].Outcome == Disconnected && !excused(x):
+			a.report(RuleNoLoss, x.ID, got[0].At, "its connection ended without an answer")
+		case len(got) == 1 && got[0].Outcome != Disconnected && got[0].At > x.Deadline+a.config.Slack:
+			a.report(RuleNoLoss, x.ID, got[0].At, "its answer came %s after its time", ms(got[0].At-x.Deadline))
 		}
 	}
 }
 
 // twice: what changes data does so once, and what is declined, which says that nothing ran, did not.
-func (a *auditor) twice() {
+func (a *auditor) checkDuplicates() {
 	typeOf := map[uint64]int{}
-	for i := range a.l.Asks {
-		typeOf[a.l.Asks[i].ID] = a.l.Asks[i].Type
+	for i := range a.log.Attempts {
+		typeOf[a.log.Attempts[i].ID] = a.log.Attempts[i].Type
 	}
 	type what struct{ key, id uint64 } // a key's, or where there is none the try's own
 	effects := map[what]int{}
-	for _, w := range a.l.Works {
-		if w.Kind != Wrote {
+	for _, w := range a.log.Submissions {
+		if w.Kind != Write {
 			continue
 		}
 		of := what{key: w.Key}
@@ -284,12 +284,12 @@
 			of.id = w.ID
 		}
 		if effects[of]++; effects[of] == 2 {
-			a.broken(Twice, w.ID, w.At, "it has its effect a second time, at %s", a.name(w.Member))
+			a.report(RuleNoDuplicate, w.ID, w.At, "it has its effect a second time, at %s", a.name(w.Member))
 		}
-		if n, ok := typeOf[w.ID]; ok && !a.t.Types[n].AnyGroup {
-			for _, x := range a.answers[w.ID] {
-				if x.Kind == Declined {
-					a.broken(Twice, w.ID, max(x.At, w.At), "it is declined, and has its effect")
+		if n, ok := typeOf[w.ID]; ok && !a.config.Types[n].AnyGroup {
+			for _, x := range a.responses[w.ID] {
+				if x.Outcome == Declined {
+					a.report(RuleNoDuplicate, w.ID, max(x.At, w.At), "it is declined, and has its effect")
 				}
 			}
 		}
@@ -297,54 +297,54 @@
 }
 
 // drains: past the grace nothing new comes from a gateway that was told.
-func (a *auditor) drains() {
+func (a *auditor) checkDrains() {
 	type pair struct{ member, gateway int }
-	told := map[pair][]Notice{}
-	for _, n := range a.l.Notices {
-		if n.Kind == Drained || n.Kind == Back {
+	told := map[pair][]Event{}
+	for _, n := range a.log.Events {
+		if n.Kind == DrainStarted || n.Kind == Restored {
 			of := pair{n.Member, n.Gateway}
 			told[of] = append(told[of], n)
 		}
 	}
-	for _, w := range a.l.Works {
-		var latest *Notice
+	for _, w := range a.log.Submissions {
+		var latest *Event
 		for i, n := range told[pair{w.Member, w.Gateway}] {
-			if n.At <= w.Came {
+			if n.At <= w.ReceivedAt {
 				latest = &told[pair{w.Member, w.Gateway}][i]
 			}
 		}
-		if latest != nil && latest.Kind == Drained && w.Came > latest.At+a.t.Grace+a.t.Slack {
-			a.broken(Drain, w.ID, w.At, "%s gets it %s after gateway %d was told that it drains", a.name(w.Member), ms(w.Came-latest.At), w.Gateway)
+		if latest != nil && latest.Kind == DrainStarted && w.ReceivedAt > latest.At+a.config.DrainGrace+a.config.Slack {
+			a.report(RuleDrain, w.ID, w.At, "%s gets it %s after gateway %d was told that it drains", a.name(w.Member), ms(w.ReceivedAt-latest.At), w.Gateway)
 		}
 	}
 }
 
 // cold: within any span of OverloadFor a member that has just started gets no more than a multiple of what it can do at
 // its age.
-func (a *auditor) cold() {
-	if a.t.FallMultiple <= 0 || a.t.OverloadFor <= 0 {
+func (a *auditor) checkColdStarts() {
+	if a.config.OverloadFactor <= 0 || a.config.OverloadWindow <= 0 {
 		return
 	}
-	for _, n := range a.l.Notices {
-		if n.Kind != Started {
+	for _, n := range a.log.Events {
+		if n.Kind != MemberStarted {
 			continue
 		}
-		var window []Work
+		var window []Submission
 		sum := int64(0)
-		for _, w := range a.l.Works {
-			if w.Member != n.Member || w.At < n.At || w.At > n.At+a.t.Cold || w.Kind == Missed {
+		for _, w := range a.log.Submissions {
+			if w.Member != n.Member || w.At < n.At || w.At > n.At+a.config.WarmUp || w.Kind == Rejected {
 				continue
 			}
 			window = append(window, w)
 			sum += w.Cost
-			for window[0].At <= w.At-a.t.OverloadFor {
+			for window[0].At <= w.At-a.config.OverloadWindow {
 				sum -= window[0].Cost
 				window = window[1:]
 			}
-			share := a.t.ColdFrom + (1-a.t.ColdFrom)*float64(w.At-n.At)/float64(a.t.Cold)
-			can := share * float64(a.l.Cores[n.Member]) * float64(a.t.OverloadFor)
-			if float64(sum) > a.t.FallMultiple*can {
-				a.broken(Cold, w.ID, w.At, "%s gets %.1f times what it can do %s after its start", a.name(n.Member), float64(sum)/can, ms(w.At-n.At))
+			share := a.config.ColdFraction + (1-a.config.ColdFraction)*float64(w.At-n.At)/float64(a.config.WarmUp)
+			can := share * float64(a.log.Cores[n.Member]) * float64(a.config.OverloadWindow)
+			if float64(sum) > a.config.OverloadFactor*can {
+				a.report(RuleColdStart, w.ID, w.At, "%s gets %.1f times what it can do %s after its start", a.name(n.Member), float64(sum)/can, ms(w.At-n.At))
 				break // once a start
 			}
 		}
@@ -353,25 +353,25 @@
 
 // stale: a read shows what its session was told before it was sent, or all that is older than its bound; or what was
 // committed after that, which may be an older wish whose client had given it up.
-func (a *auditor) stale() {
+func (a *auditor) checkStaleReads() {
 	died := false
-	commits := map[uint64][]Work{} // of each session, in the order of time
-	for _, w := range a.l.Works {
-		if w.Kind == Wrote {
+	commits := map[uint64][]Submission{} // of each session, in the order of time
+	for _, w := range a.log.Submissions {
+		if w.Kind == Write {
 			commits[w.Session] = append(commits[w.Session], w)
 		}
 	}
-	for _, n := range a.l.Notices {
-		died = died || n.Kind == Died
+	for _, n := range a.log.Events {
+		died = died || n.Kind == MemberDied
 	}
-	for i := range a.l.Asks {
-		x := &a.l.Asks[i]
-		need := a.t.Types[x.Type].Need
+	for i := range a.log.Attempts {
+		x := &a.log.Attempts[i]
+		need := a.config.Types[x.Type].Consistency
 		if need != "causal" && need != "lag_bound" {
 			continue
 		}
-		for _, y := range a.answers[x.ID] {
-			if y.Kind != Served {
+		for _, y := range a.responses[x.ID] {
+			if y.Outcome != Served {
 				continue
 			}
 			owed := uint64(0)
@@ -379,15 +379,15 @@
 			for i, w := range commits[x.Session] {
 				at[w.Version] = i + 1
 				// Of a bound: but a commit that a member took with it was never there for others.
-				if need == "lag_bound" && !died && w.At < x.At-a.t.Types[x.Type].Bound-a.t.Slack {
+				if need == "lag_bound" && !died && w.At < x.SentAt-a.config.Types[x.Type].MaxAge-a.config.Slack {
 					owed = w.Version
 				}
 			}
 			if need == "causal" {
-				owed = x.Owed
+				owed = x.MinVersion
 			}
 			if at[y.Version] < at[owed] {
-				a.broken(Stale, x.ID, y.At, "it shows version %d of session %d, and is owed %d", y.Version, x.Session, owed)
+				a.report(RuleNoStaleRead, x.ID, y.At, "it shows version %d of session %d, and is owed %d", y.Version, x.Session, owed)
 			}
 		}
 	}
--- a/rehearse/audit/audit_test.go
+++ b/rehearse/audit/audit_test.go
@@ -5,30 +5,30 @@
 	"testing"
 )
 
-func terms() Terms {
-	return Terms{Types: []Type{
-		{Name: "session", Effect: "repeatable", Need: "causal", Worth: 1, Aim: 300e6, Limit: 1e9},
-		{Name: "bounded", Effect: "repeatable", Need: "lag_bound", Worth: 1, Aim: 300e6, Limit: 1e9, Bound: 200e6},
-		{Name: "record", Effect: "by_key", Need: "mutate", Worth: 4, LateValue: 0.5, Aim: 500e6, Limit: 2e9, Window: 2e9}},
-		Grace: 250e6, Slack: 10e6, Cold: 10e9, ColdFrom: 0.2, FallMultiple: 2, OverloadFor: 1e9}
+func terms() Config {
+	return Config{Types: []Type{
+		{Name: "session", Effect: "repeatable", Consistency: "causal", Value: 1, TargetLatency: 300e6, MaxWait: 1e9},
+		{Name: "bounded", Effect: "repeatable", Consistency: "lag_bound", Value: 1, TargetLatency: 300e6, MaxWait: 1e9, MaxAge: 200e6},
+		{Name: "record", Effect: "by_key", Consistency: "mutate", Value: 4, LateValue: 0.5, TargetLatency: 500e6, MaxWait: 2e9, DedupWindow: 2e9}},
+		DrainGrace: 250e6, Slack: 10e6, WarmUp: 10e9, ColdFraction: 0.2, OverloadFactor: 2, OverloadWindow: 1e9}
 }
 
 // good is a day without a broken rule: a write, and reads of what it wrote.
-func good() *Log {
+func validLog() *Log {
 	l := &Log{Cores: []int{1, 1}, Names: []string{"p", "r"}}
 	defer func() {
-		for i := range l.Works {
-			l.Works[i].Came = l.Works[i].At
+		for i := range l.Submissions {
+			l.Submissions[i].ReceivedAt = l.Submissions[i].At
 		}
 	}()
-	l.Asks = append(l.Asks, Ask{ID: 1, First: 1, Session: 7, Type: 2, Key: 11, Version: 1, Due: 0, At: 0, Until: 2e9})
-	l.Works = append(l.Works, Work{ID: 1, Key: 11, Session: 7, Version: 1, Member: 0, Kind: Wrote, At: 5e6, Cost: 1e6})
-	l.Answers = append(l.Answers, Answer{ID: 1, At: 10e6, Kind: Served})
+	l.Attempts = append(l.Attempts, Attempt{ID: 1, FirstID: 1, Session: 7, Type: 2, Key: 11, Version: 1, DueAt: 0, SentAt: 0, Deadline: 2e9})
+	l.Submissions = append(l.Submissions, Submission{ID: 1, Key: 11, Session: 7, Version: 1, Member: 0, Kind: Write, At: 5e6, Cost: 1e6})
+	l.Responses = append(l.Responses, Response{ID: 1, At: 10e6, Outcome: Served})
 	for i := range uint64(4) {
 		at := int64(20e6 + 10e6*i)
-		l.Asks = append(l.Asks, Ask{ID: 2 + i, First: 2 + i, Session: 7, Type: int(i % 2), Owed: 1, Due: at, At: at, Until: at + 1e9})
-		l.Works = append(l.Works, Work{ID: 2 + i, Session: 7, Version: 1, Member: 1, Kind: Read, At: at + 1e6, Cost: 1e6})
-		l.Answers = append(l.Answers, Answer{ID: 2 + i, At: at + 2e6, Kind: Served, Version: 1})
+		l.Attempts = append(l.Attempts, Attempt{ID: 2 + i, FirstID: 2 + i, Session: 7, Type: int(i % 2), MinVersion: 1, DueAt: at, SentAt: at, Deadline: at + 1e9})
+		l.Submissions = append(l.Submissions, Submission{ID: 2 + i, Session: 7, Version: 1, Member: 1, Kind: Read, At: at + 1e6, Cost: 1e6})
+		l.Responses = append(l.Responses, Response{ID: 2 + i, At: at + 2e6, Outcome: Served, Version: 1})
 	}
 	return l
 }
@@ -36,58 +36,60 @@
 // Each rule, broken on purpose, is found, and nothing else is; what only looks like it is not.
 func Example_planted() {
 	plant := func(what string, change func(*Log)) {
-		l := good()
+		l := validLog()
 		change(l)
 		fmt.Println(what + ":")
 		for _, v := range Check(terms(), l) {
-			fmt.Println(" ", v.Rule, v.ID, v.What)
+			fmt.Println(" ", v.Rule, v.ID, v.Description)
 		}
 	}
 	plant("nothing", func(*Log) {})
-	plant("no answer", func(l *Log) { l.Answers = l.Answers[:4] })
+	plant("no answer", func(l *Log) { l.Responses = l.Responses[:4] })
 	plant("no answer, gateway killed", func(l *Log) {
-		l.Answers = l.Answers[:4]
-		l.Notices = []Notice{{At: 60e6, Kind: Killed}}
+		l.Responses = l.Responses[:4]
+		l.Events = []Event{{At: 60e6, Kind: GatewayKilled}}
 	})
 	plant("no answer, gateway up again before", func(l *Log) {
-		l.Answers = l.Answers[:4]
-		l.Notices = []Notice{{At: 10e6, Kind: Killed}, {At: 30e6, Kind: Up}}
+		l.Responses = l.Responses[:4]
+		l.Events = []Event{{At: 10e6, Kind: GatewayKilled}, {At: 30e6, Kind: GatewayUp}}
 	})
-	plant("cut off", func(l *Log) { l.Answers[4].Kind = Cut })
-	plant("two answers", func(l *Log) { l.Answers = append(l.Answers, Answer{ID: 5, At: 70e6, Kind: Declined}) })
-	plant("too late", func(l *Log) { l.Answers[4].At = 1080e6 })
+	plant("cut off", func(l *Log) { l.Responses[4].Outcome = Disconnected })
+	plant("two answers", func(l *Log) { l.Responses = append(l.Responses, Response{ID: 5, At: 70e6, Outcome: Declined}) })
+	plant("too late", func(l *Log) { l.Responses[4].At = 1080e6 })
 	plant("effect twice", func(l *Log) {
-		l.Works = append(l.Works, Work{ID: 9, Key: 11, Session: 7, Version: 1, Kind: Wrote, At: 90e6})
+		l.Submissions = append(l.Submissions, Submission{ID: 9, Key: 11, Session: 7, Version: 1, Kind: Write, At: 90e6})
 	})
-	plant("a repeat", func(l *Log) { l.Works = append(l.Works, Work{ID: 9, Key: 11, Kind: Repeat, At: 90e6}) })
-	plant("declined with its effect", func(l *Log) { l.Answers[0].Kind = Declined })
-	plant("drain", func(l *Log) { l.Notices = []Notice{{At: -300e6, Kind: Drained, Member: 1}} })
+	plant("a repeat", func(l *Log) {
+		l.Submissions = append(l.Submissions, Submission{ID: 9, Key: 11, Kind: Repeat, At: 90e6})
+	})
+	plant("declined with its effect", func(l *Log) { l.Responses[0].Outcome = Declined })
+	plant("drain", func(l *Log) { l.Events = []Event{{At: -300e6, Kind: DrainStarted, Member: 1}} })
 	plant("drain while it hung", func(l *Log) {
-		l.Notices = []Notice{{At: -300e6, Kind: Drained, Member: 1}}
-		for i := range l.Works {
-			l.Works[i].Came = -400e6
+		l.Events = []Event{{At: -300e6, Kind: DrainStarted, Member: 1}}
+		for i := range l.Submissions {
+			l.Submissions[i].ReceivedAt = -400e6
 		}
 	})
-	plant("drain in its grace", func(l *Log) { l.Notices = []Notice{{At: 0, Kind: Drained, Member: 1}} })
+	plant("drain in its grace", func(l *Log) { l.Events = []Event{{At: 0, Kind: DrainStarted, Member: 1}} })
 	plant("drain that is over", func(l *Log) {
-		l.Notices = []Notice{{At: -300e6, Kind: Drained, Member: 1}, {At: 1e6, Kind: Back, Member: 1}}
+		l.Events = []Event{{At: -300e6, Kind: DrainStarted, Member: 1}, {At: 1e6, Kind: Restored, Member: 1}}
 	})
 	plant("cold", func(l *Log) {
-		l.Notices = []Notice{{At: 0, Kind: Started, Member: 1}}
-		for i := range l.Works {
-			l.Works[i].Cost = 150e6
+		l.Events = []Event{{At: 0, Kind: MemberStarted, Member: 1}}
+		for i := range l.Submissions {
+			l.Submissions[i].Cost = 150e6
 		}
 	})
-	plant("stale", func(l *Log) { l.Answers[3].Version = 0 })
+	plant("stale", func(l *Log) { l.Responses[3].Version = 0 })
 	plant("a later commit of an older version", func(l *Log) { // its client had given it up
-		l.Works = append([]Work{l.Works[0], {ID: 99, Session: 7, Version: 9, Kind: Wrote, At: 6e6}}, l.Works[1:]...)
-		l.Asks[1].Owed, l.Answers[1].Version = 1, 9
-		l.Asks[3].Owed, l.Answers[3].Version = 9, 9
+		l.Submissions = append([]Submission{l.Submissions[0], {ID: 99, Session: 7, Version: 9, Kind: Write, At: 6e6}}, l.Submissions[1:]...)
+		l.Attempts[1].MinVersion, l.Responses[1].Version = 1, 9
+		l.Attempts[3].MinVersion, l.Responses[3].Version = 9, 9
 	})
 	plant("older than its bound", func(l *Log) {
-		l.Asks[4].At, l.Asks[4].Until, l.Answers[4].At, l.Answers[4].Version = 300e6, 1300e6, 310e6, 0
+		l.Attempts[4].SentAt, l.Attempts[4].Deadline, l.Responses[4].At, l.Responses[4].Version = 300e6, 1300e6, 310e6, 0
 	})
-	plant("within its bound", func(l *Log) { l.Answers[2].Version = 0 })
+	plant("within its bound", func(l *Log) { l.Responses[2].Version = 0 })
 	// Output:
 	// nothing:
 	// no answer:
@@ -126,11 +128,11 @@
 
 // A broken rule comes with the txn's whole life, all tries of its client.
 func Example_history() {
-	l := good()
-	l.Answers[0].Kind = RolledBack
-	l.Asks = append(l.Asks, Ask{ID: 8, First: 1, Session: 7, Type: 2, Key: 11, Version: 1, Due: 0, At: 100e6, Until: 2e9})
-	l.Works = append(l.Works, Work{ID: 8, Key: 11, Session: 7, Version: 1, Kind: Wrote, At: 101e6})
-	l.Answers = append(l.Answers, Answer{ID: 8, At: 105e6, Kind: Served})
+	l := validLog()
+	l.Responses[0].Outcome = RolledBack
+	l.Attempts = append(l.Attempts, Attempt{ID: 8, FirstID: 1, Session: 7, Type: 2, Key: 11, Version: 1, DueAt: 0, SentAt: 100e6, Deadline: 2e9})
+	l.Submissions = append(l.Submissions, Submission{ID: 8, Key: 11, Session: 7, Version: 1, Kind: Write, At: 101e6})
+	l.Responses = append(l.Responses, Response{ID: 8, At: 105e6, Outcome: Served})
 	for _, v := range Check(terms(), l) {
 		fmt.Println(v.Rule)
 		for _, h := range v.History {
@@ -149,16 +151,16 @@
 
 // Tries count with their first, late answers by their late value, and a try that was sent late from when it was due.
 func TestService(t *testing.T) {
-	l := good()
-	l.Answers[1].Kind = Declined // a session read, which comes again
-	l.Asks = append(l.Asks, Ask{ID: 8, First: 2, Session: 7, Type: 0, Owed: 1, Due: 20e6, At: 200e6, Until: 1020e6})
-	l.Answers = append(l.Answers, Answer{ID: 8, At: 321e6, Kind: Served, Version: 1}) // 301 ms after it was first due
-	l.Answers[0].At = 501e6
+	l := validLog()
+	l.Responses[1].Outcome = Declined // a session read, which comes again
+	l.Attempts = append(l.Attempts, Attempt{ID: 8, FirstID: 2, Session: 7, Type: 0, MinVersion: 1, DueAt: 20e6, SentAt: 200e6, Deadline: 1020e6})
+	l.Responses = append(l.Responses, Response{ID: 8, At: 321e6, Outcome: Served, Version: 1}) // 301 ms after it was first due
+	l.Responses[0].At = 501e6
 	s := Measure(terms(), l)
-	if s.Asked != 5 || s.Tries != 6 || s.Types[0].Service != 0.5 || s.Types[2].Service != 0.5 || s.Whole != (2+0+1+2)/8.0 {
+	if s.Requested != 5 || s.Attempts != 6 || s.Types[0].Service != 0.5 || s.Types[2].Service != 0.5 || s.Overall != (2+0+1+2)/8.0 {
 		t.Fatalf("%+v", s)
 	}
-	if name, x := s.WorstType(); name != "session" || x != 0.5 || s.Types[0].Worst < 300e6 || s.Types[0].Worst > 302e6 {
-		t.Fatal(name, x, s.Types[0].Worst)
+	if name, x := s.WorstType(); name != "session" || x != 0.5 || s.Types[0].Max < 300e6 || s.Types[0].Max > 302e6 {
+		t.Fatal(name, x, s.Types[0].Max)
 	}
 }
--- a/rehearse/audit/service.go
+++ b/rehearse/audit/service.go
@@ -10,98 +10,98 @@
 // Service is what clients had: value answered within the SLA time over value asked for, a client's tries counted once, by
 // the time at which the first was due.
 type Service struct {
-	Whole   float64
-	Worst10 float64 // of all spans of ten seconds, by halves of a second
-	Types   []TypeService
-	Seconds []float64 // of each second; NaN where nothing was asked
-	Asked   int       // txns, tries counted once
-	Tries   int
+	Overall   float64
+	Worst10   float64 // of all spans of ten seconds, by halves of a second
+	Types     []TypeService
+	Seconds   []float64 // of each second; NaN where nothing was asked
+	Requested int       // txns, tries counted once
+	Attempts  int
 }
 
 // TypeService is that of one txn type.
 type TypeService struct {
-	Name                            string
-	Service                         float64
-	Asked, Served, Declined, Rolled int
-	Unanswered                      int
-	P50, P90, P99, Worst            int64 // from due to served
-	ShareLate                       float64
-	histogram                       *hdrhistogram.Histogram
-	value, worth                    float64
-	late                            int
+	Name                                    string
+	Service                                 float64
+	Requested, Served, Declined, RolledBack int
+	Unanswered                              int
+	P50, P90, P99, Max                      int64 // from due to served
+	LateFraction                            float64
+	histogram                               *hdrhistogram.Histogram
+	value, worth                            float64
+	late                                    int
 }
 
 const (
-	slot      = int64(5e8)
-	slotsOf10 = 20
+	slotDuration = int64(5e8)
+	slotsPer10s  = 20
 )
 
 // Measure works the service out. Latencies count from when a try was due, whenever it was sent.
-func Measure(t Terms, l *Log) Service {
+func Measure(t Config, l *Log) Service {
 	var s Service
 	for i := range t.Types {
 		s.Types = append(s.Types, TypeService{Name: t.Types[i].Name, histogram: hdrhistogram.New(1, 3_600_000_000, 3)})
 	}
 	type last struct {
-		answer Answer
+		answer Response
 		ok     bool
 	}
-	answers := map[uint64]Answer{}
-	for _, x := range l.Answers {
+	answers := map[uint64]Response{}
+	for _, x := range l.Responses {
 		if _, ok := answers[x.ID]; !ok {
 			answers[x.ID] = x
 		}
 	}
 	ends := map[uint64]last{} // of the first try's id: how its client's last try ended, or the one that was served
-	for i := range l.Asks {
-		x := &l.Asks[i]
-		if y, ok := answers[x.ID]; ok && !(ends[x.First].ok && ends[x.First].answer.Kind == Served) {
-			ends[x.First] = last{y, true}
+	for i := range l.Attempts {
+		x := &l.Attempts[i]
+		if y, ok := answers[x.ID]; ok && !(ends[x.FirstID].ok && ends[x.FirstID].answer.Outcome == Served) {
+			ends[x.FirstID] = last{y, true}
 		}
 	}
 	var worth, got []float64
-	s.Tries = len(l.Asks)
-	for i := range l.Asks {
-		x := &l.Asks[i]
-		if x.ID != x.First {
+	s.Attempts = len(l.Attempts)
+	for i := range l.Attempts {
+		x := &l.Attempts[i]
+		if x.ID != x.FirstID {
 			continue
 		}
 		k, ts := &t.Types[x.Type], &s.Types[x.Type]
-		s.Asked++
-		ts.Asked++
-		n := int(max(0, x.Due) / slot)
+		s.Requested++
+		ts.Requested++
+		n := int(max(0, x.DueAt) / slotDuration)
 		for len(worth) <= n {
 			worth, got = append(worth, 0), append(got, 0)
 		}
 		value := 0.0
-		switch end := ends[x.First]; {
-		case !end.ok || end.answer.Kind == Cut:
+		switch end := ends[x.FirstID]; {
+		case !end.ok || end.answer.Outcome == Disconnected:
 			ts.Unanswered++
-		case end.answer.Kind == Declined:
+		case end.answer.Outcome == Declined:
 			ts.Declined++
-		case end.answer.Kind == RolledBack:
-			ts.Rolled++
+		case end.answer.Outcome == RolledBack:
+			ts.RolledBack++
 		default:
-			took := end.answer.At - x.Due
+			took := end.answer.At - x.DueAt
 			_ = ts.histogram.RecordValue(max(1, took/1000))
 			ts.Served++
-			value = k.Worth
-			if took > k.Aim {
+			value = k.Value
+			if took > k.TargetLatency {
 				ts.late++
 				value *= k.LateValue
 			}
 		}
-		worth[n] += k.Worth
+		worth[n] += k.Value
 		got[n] += value
-		ts.worth += k.Worth
+		ts.worth += k.Value
 		ts.value += value
 	}
 	all, had := 0.0, 0.0
 	s.Worst10 = 1
 	for i := range worth {
 		all, had = all+worth[i], had+got[i]
-		if i+1 >= slotsOf10 {
-			w, g := sum(worth[i+1-slotsOf10:i+1]), sum(got[i+1-slotsOf10:i+1])
+		if i+1 >= slotsPer10s {
+			w, g := sum(worth[i+1-slotsPer10s:i+1]), sum(got[i+1-slotsPer10s:i+1])
 			if w > 0 {
 				s.Worst10 = min(s.Worst10, g/w)
 			}
@@ -111,17 +111,17 @@
 			s.Seconds = append(s.Seconds, g/w) // NaN where nothing was asked
 		}
 	}
-	s.Whole = ratio(had, all)
-	if len(worth) < slotsOf10 {
-		s.Worst10 = s.Whole
+	s.Overall = ratio(had, all)
+	if len(worth) < slotsPer10s {
+		s.Worst10 = s.Overall
 	}
 	for i := range s.Types {
 		ts := &s.Types[i]
 		ts.Service = ratio(ts.value, ts.worth)
 		ts.P50, ts.P90 = ts.histogram.ValueAtQuantile(50)*1000, ts.histogram.ValueAtQuantile(90)*1000
-		ts.P99, ts.Worst = ts.histogram.ValueAtQuantile(99)*1000, ts.histogram.Max()*1000
+		ts.P99, ts.Max = ts.histogram.ValueAtQuantile(99)*1000, ts.histogram.Max()*1000
 		if ts.Served > 0 {
-			ts.ShareLate = float64(ts.late) / float64(ts.Served)
+			ts.LateFraction = float64(ts.late) / float64(ts.Served)
 		}
 	}
 	return s
@@ -131,7 +131,7 @@
 func (s *Service) WorstType() (name string, service float64) {
 	service = 1
 	for i := range s.Types {
-		if t := &s.Types[i]; t.Asked > 0 && (name == "" || t.Service < service) {
+		if t := &s.Types[i]; t.Requested > 0 && (name == "" || t.Service < service) {
 			name, service = t.Name, t.Service
 		}
 	}
--- a/rehearse/databases.go
+++ b/rehearse/databases.go
@@ -151,19 +151,19 @@
 	d.admit(q)
 }
 
-func (d *database) work(q *query, kind audit.WorkKind, version uint64) {
+func (d *database) work(q *query, kind audit.SubmissionKind, version uint64) {
 	if q.id == 0 {
 		return
 	}
-	d.w.log.Works = append(d.w.log.Works, audit.Work{ID: q.id, Key: q.key, Session: q.session, Version: version, Member: d.no,
-		Gateway: q.gateway.no, Kind: kind, At: d.w.Now, Came: q.came, Cost: q.first})
+	d.w.log.Submissions = append(d.w.log.Submissions, audit.Submission{ID: q.id, Key: q.key, Session: q.session, Version: version, Member: d.no,
+		Gateway: q.gateway.no, Kind: kind, At: d.w.Now, ReceivedAt: q.came, Cost: q.first})
 }
 
 func (d *database) admit(q *query) {
 	t := &d.w.s.Types[q.kind]
-	write := t.Need == "mutate"
+	write := t.Consistency == "mutate"
 	if write && !d.primary {
-		d.work(q, audit.Missed, 0)
+		d.work(q, audit.Rejected, 0)
 		d.answers(q, reply{result: missed, position: d.reaches()})
 		return
 	}
@@ -179,7 +179,7 @@
 			})
 			return
 		}
-		d.work(q, audit.Missed, 0)
+		d.work(q, audit.Rejected, 0)
 		d.answers(q, reply{result: missed, position: d.reaches(), primary: d.primary})
 		return
 	}
@@ -243,9 +243,9 @@
 		d.answers(q, r)
 		return
 	}
-	if d.w.s.Types[q.kind].Need == "mutate" {
+	if d.w.s.Types[q.kind].Consistency == "mutate" {
 		if !d.primary { // it was moved meanwhile
-			d.work(q, audit.Missed, 0)
+			d.work(q, audit.Rejected, 0)
 			d.answers(q, reply{result: missed, position: d.reaches()})
 			return
 		}
@@ -263,7 +263,7 @@
 
 // write commits, or drops a repeat of a key that it remembers.
 func (c *cluster) write(d *database, q *query) (position int64, version uint64) {
-	if k := c.keys[q.key]; q.key != 0 && k != nil && d.w.Now-k.at < d.w.s.Types[q.kind].Window {
+	if k := c.keys[q.key]; q.key != 0 && k != nil && d.w.Now-k.at < d.w.s.Types[q.kind].DedupWindow {
 		d.work(q, audit.Repeat, k.version)
 		return c.last, k.version
 	}
@@ -273,7 +273,7 @@
 	if q.key != 0 {
 		c.keys[q.key] = &keyHeld{d.w.Now, q.version}
 	}
-	d.work(q, audit.Wrote, q.version)
+	d.work(q, audit.Write, q.version)
 	return c.last, q.version
 }
 
@@ -298,7 +298,7 @@
 	d.running, d.conns = 0, 0
 	pending := append(d.queue, d.held...)
 	d.queue, d.held, d.window, d.offer = nil, nil, nil, 0
-	d.w.notice(audit.Notice{Kind: audit.Died, Member: d.no})
+	d.w.notice(audit.Event{Kind: audit.MemberDied, Member: d.no})
 	for _, q := range pending {
 		d.answers(q, reply{result: broken})
 	}
@@ -320,7 +320,7 @@
 	})
 	d.w.After(span, func() {
 		d.up, d.gone, d.born = true, false, d.w.Now
-		d.w.notice(audit.Notice{Kind: audit.Started, Member: d.no})
+		d.w.notice(audit.Event{Kind: audit.MemberStarted, Member: d.no})
 		d.w.relist()
 	})
 }
--- a/rehearse/experiment/experiment.go
+++ b/rehearse/experiment/experiment.go
@@ -132,7 +132,7 @@
 	if err != nil {
 		return err
 	}
-	j.Service, j.Worst10, j.Broken, j.Mark = r.Service.Whole, r.Service.Worst10, len(r.Violations), fmt.Sprintf("%016x", r.Mark)
+	j.Service, j.Worst10, j.Broken, j.Mark = r.Service.Overall, r.Service.Worst10, len(r.Violations), fmt.Sprintf("%016x", r.Mark)
 	_, j.WorstType = r.Service.WorstType()
 	return nil
 }
--- a/rehearse/experiment/search.go
+++ b/rehearse/experiment/search.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return 0, err
 		}
-		return than.Service.Whole - got.Service.Whole + float64(len(got.Violations)), nil // a broken rule is worse than any loss
+		return than.Service.Overall - got.Service.Overall + float64(len(got.Violations)), nil // a broken rule is worse than any loss
 	}
 	for i := range days {
 		day := chance(s, rng)
--- a/rehearse/load.go
+++ b/rehearse/load.go
@@ -47,14 +47,14 @@
 	d.keys.Store(first)
 	d.prefix, d.group = l.Prefix, func(int) int { return l.Group }
 	for _, a := range l.Addresses {
-		d.doors = append(d.doors, &door{front: standin.NewFront(a), address: a})
+		d.doors = append(d.doors, &door{front: standin.NewClientPool(a), address: a})
 	}
 	d.send(watch)
 	t := s.terms(250e6)
-	t.FallMultiple = 0
+	t.OverloadFactor = 0
 	var kept []audit.Violation
 	for _, v := range audit.Check(t, &d.log) {
-		if v.Rule == audit.Lost || v.Rule == audit.Stale {
+		if v.Rule == audit.RuleNoLoss || v.Rule == audit.RuleNoStaleRead {
 			kept = append(kept, v)
 		}
 	}
@@ -83,7 +83,7 @@
 
 // door is a gateway as clients reach it, with the connections that wait for the next txn.
 type door struct {
-	front   *standin.Front
+	front   *standin.ClientPool
 	address string
 	mu      sync.Mutex
 	idle    []*standin.Client
@@ -101,7 +101,7 @@
 		o.idle = o.idle[:k-1]
 		return c
 	}
-	return o.front.NewClient("", standin.Classes{})
+	return o.front.NewClient("", standin.TxnTypes{})
 }
 
 func (o *door) back(c *standin.Client) {
@@ -175,7 +175,7 @@
 		if d.rng.Float64() < s.Traffic.Roam {
 			no = d.rng.IntN(len(d.doors))
 		}
-		if s.Types[kind].Need == "mutate" {
+		if s.Types[kind].Consistency == "mutate" {
 			d.mu.Lock()
 			for i := 0; i < 20 && d.people[w.session].writing; i++ {
 				w.session = d.rng.IntN(len(d.people))
@@ -189,7 +189,7 @@
 			}
 			d.mu.Unlock()
 		}
-		if s.Types[kind].Need != "mutate" && s.Traffic.Piped > 0 && d.rng.Float64() < s.Traffic.Piped/batch {
+		if s.Types[kind].Consistency != "mutate" && s.Traffic.Piped > 0 && d.rng.Float64() < s.Traffic.Piped/batch {
 			all := []*wish{w}
 			for len(all) < batch {
 				all = append(all, &wish{kind: kind, session: w.session, due: next})
@@ -237,26 +237,26 @@
 		if x.tries == 1 {
 			_ = d.late.RecordValue(max(1, (at-x.due)/1000))
 		}
-		left := x.due + t.Limit - at
-		d.log.Asks = append(d.log.Asks, audit.Ask{ID: id, First: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
-			Owed: p.told, Due: x.due, At: at, Until: at + left, Gateway: no})
+		left := x.due + t.MaxWait - at
+		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
+			MinVersion: p.told, DueAt: x.due, SentAt: at, Deadline: at + left, Gateway: no})
 		d.mu.Unlock()
-		c.Code, c.Group, c.Time = fmt.Sprintf("%08x%08x", d.prefix, x.session+1), d.group(x.session), time.Duration(max(1e6, left))
-		c.Class = standin.Classes{Write: t.Name, Read: t.Name}
-		var a standin.Answer
-		if t.Need == "mutate" {
+		c.SessionCode, c.Group, c.Timeout = fmt.Sprintf("%08x%08x", d.prefix, x.session+1), d.group(x.session), time.Duration(max(1e6, left))
+		c.Types = standin.TxnTypes{Write: t.Name, Read: t.Name}
+		var a standin.Response
+		if t.Consistency == "mutate" {
 			key := ""
 			if x.key != 0 {
 				key = fmt.Sprint("k", x.key)
 			}
-			a = c.WriteAs(id, 0, key, fmt.Sprintf("%08d", x.version))
+			a = c.WriteWithID(id, 0, key, fmt.Sprintf("%08d", x.version))
 		} else {
-			a = c.ReadAs(id, 0)
+			a = c.ReadWithID(id, 0)
 		}
 		k, version := audit.Served, uint64(0)
 		switch {
 		case a.Err != nil || a.Code == "57P03" || strings.HasPrefix(a.Code, "08"):
-			k = audit.Cut
+			k = audit.Disconnected
 			c.Close()
 		case a.Code == "53300":
 			k = audit.Declined
@@ -268,8 +268,8 @@
 		}
 		now := d.now()
 		d.mu.Lock()
-		d.log.Answers = append(d.log.Answers, audit.Answer{ID: id, At: now, Kind: k, Version: version})
-		if k == audit.Served && t.Need == "mutate" {
+		d.log.Responses = append(d.log.Responses, audit.Response{ID: id, At: now, Outcome: k, Version: version})
+		if k == audit.Served && t.Consistency == "mutate" {
 			p.told = max(p.told, x.version)
 			if kind := s.followUp(); kind >= 0 {
 				think := time.Duration(d.thinks.ExpFloat64() * float64(s.Traffic.Think))
@@ -282,16 +282,16 @@
 				}()
 			}
 		}
-		if k == audit.Cut {
+		if k == audit.Disconnected {
 			d.errors[strings.TrimSpace(a.Code+" "+fmt.Sprint(a.Err))]++
 		} else {
 			d.doors[no].back(c)
 		}
-		again, _ := strconv.Atoi(a.After)
+		again, _ := strconv.Atoi(a.RetryAfter)
 		pause := max(int64(again)*1e6, int64(20e6))
 		repeatable := t.Effect == "repeatable" || k == audit.Declined
-		over := k == audit.Served || !s.Traffic.Retry || !repeatable || x.tries >= 5 || now+pause >= x.due+t.Limit-int64(50e6)
-		if over && t.Need == "mutate" {
+		over := k == audit.Served || !s.Traffic.Retry || !repeatable || x.tries >= 5 || now+pause >= x.due+t.MaxWait-int64(50e6)
+		if over && t.Consistency == "mutate" {
 			p.writing = false
 		}
 		d.mu.Unlock()
--- a/rehearse/nodes.go
+++ b/rehearse/nodes.go
@@ -46,7 +46,7 @@
 	out                       int
 	done                      bool
 	next                      *asked // that was sent ahead behind it, on the same connection
-	answer                    func(k audit.Kind, version uint64, position, again int64)
+	answer                    func(k audit.Outcome, version uint64, position, again int64)
 }
 
 type submission struct {
@@ -73,7 +73,7 @@
 	}
 	n.up, n.follows, n.wakeAt = true, false, 0
 	if n.run > 1 {
-		n.w.notice(audit.Notice{Kind: audit.Up, Gateway: n.no})
+		n.w.notice(audit.Event{Kind: audit.GatewayUp, Gateway: n.no})
 	}
 	n.open, n.links = map[uint64]*asked{}, make([]link, len(n.w.bases))
 	if n.drained == nil { // what a former process was told is taken back by the list that this one begins with
@@ -124,7 +124,7 @@
 	}
 	n.up, n.downAt = false, n.w.Now
 	n.run++
-	n.w.notice(audit.Notice{Kind: audit.Killed, Gateway: n.no})
+	n.w.notice(audit.Event{Kind: audit.GatewayKilled, Gateway: n.no})
 	var ids []uint64
 	for id := range n.open {
 		ids = append(ids, id)
@@ -134,7 +134,7 @@
 		if t := n.open[id]; !t.done {
 			t.done = true
 			for one := t; one != nil; one = one.next {
-				n.w.After(n.w.way(n.zone, n.zone), func() { one.answer(audit.Cut, 0, 0, 0) })
+				n.w.After(n.w.way(n.zone, n.zone), func() { one.answer(audit.Disconnected, 0, 0, 0) })
 			}
 		}
 	}
@@ -171,11 +171,11 @@
 func (n *node) list(scope decide.Scope) {
 	for _, d := range n.w.bases {
 		if d.drained != n.drained[d.no] {
-			kind := audit.Back
+			kind := audit.Restored
 			if n.drained[d.no] = d.drained; d.drained {
-				kind = audit.Drained
+				kind = audit.DrainStarted
 			}
-			n.w.notice(audit.Notice{Kind: kind, Member: d.no, Gateway: n.no})
+			n.w.notice(audit.Event{Kind: kind, Member: d.no, Gateway: n.no})
 		}
 		if n.some != nil && !n.some.has(d) {
 			continue
@@ -270,7 +270,7 @@
 func (n *node) arrived(t *asked) {
 	if !n.up {
 		for ; t != nil; t = t.next {
-			t.answer(audit.Cut, 0, 0, 0)
+			t.answer(audit.Disconnected, 0, 0, 0)
 		}
 		return
 	}
@@ -282,7 +282,7 @@
 				if n.run == run {
 					t.answer(audit.Declined, 0, 0, after)
 				} else {
-					t.answer(audit.Cut, 0, 0, 0)
+					t.answer(audit.Disconnected, 0, 0, 0)
 				}
 			})
 			return
@@ -295,7 +295,7 @@
 	}
 	kind := &n.w.s.Types[t.kind]
 	if n.sessions != nil && kind.Effect == "by_key" {
-		until, ok := n.sessions.module.Repeat(n.groupOf(t), t.key, kind.Window)
+		until, ok := n.sessions.module.Repeat(n.groupOf(t), t.key, kind.DedupWindow)
 		if !ok {
 			n.answer(t, audit.RolledBack, 0, 0, 0)
 			return
@@ -304,7 +304,7 @@
 			t.budget = min(t.budget, until-n.w.Now)
 		}
 	}
-	if n.sessions != nil && kind.Need == "causal" {
+	if n.sessions != nil && kind.Consistency == "causal" {
 		n.sessions.tell(func() { n.sessions.module.Read(t.id, n.groupOf(t), t.session, 0, false, n.w.Now+t.budget) })
 		return
 	}
@@ -329,7 +329,7 @@
 // groupOf is where a session's data is.
 func (n *node) groupOf(t *asked) int { return int(t.session) % len(n.w.groups) }
 
-func (n *node) answer(t *asked, k audit.Kind, version uint64, position, again int64) {
+func (n *node) answer(t *asked, k audit.Outcome, version uint64, position, again int64) {
 	if t == nil || t.done {
 		return
 	}
@@ -339,7 +339,7 @@
 		if n.run == run {
 			t.answer(k, version, position, again)
 		} else {
-			t.answer(audit.Cut, 0, 0, 0)
+			t.answer(audit.Disconnected, 0, 0, 0)
 		}
 	})
 	n.settled(t)
@@ -438,8 +438,8 @@
 	w, run, d := n.w, n.run, s.to
 	kind := &w.s.Types[t.kind]
 	q := &query{gateway: n, run: run, t: t, id: t.id, key: t.key, session: t.session, version: t.version, kind: t.kind, floor: t.floor}
-	if kind.Need == "lag_bound" {
-		q.floor = w.Now - kind.Bound
+	if kind.Consistency == "lag_bound" {
+		q.floor = w.Now - kind.MaxAge
 	}
 	if w.s.Policy == NoTokens {
 		q.floor = 0
@@ -483,7 +483,7 @@
 			role = decide.RolePrimary
 		}
 	}
-	if r.result == committed && !t.done && n.sessions != nil && n.w.s.Types[t.kind].Need == "mutate" {
+	if r.result == committed && !t.done && n.sessions != nil && n.w.s.Types[t.kind].Consistency == "mutate" {
 		n.sessions.tell(func() { n.sessions.module.Committed(n.groupOf(t), t.session, session.Position(r.position)) })
 	}
 	if r.result == committed {
--- a/rehearse/piped.go
+++ b/rehearse/piped.go
@@ -22,30 +22,30 @@
 		no = (no + 1) % len(d.doors)
 	}
 	var ids []uint64
-	until := all[0].due + t.Limit
+	until := all[0].due + t.MaxWait
 	d.mu.Lock()
 	at := d.now()
 	for _, x := range all {
 		id := d.ids.Add(1)
 		x.first = id
 		ids = append(ids, id)
-		d.log.Asks = append(d.log.Asks, audit.Ask{ID: id, First: id, Session: uint64(x.session) + 1, Type: x.kind, Owed: d.people[x.session].told,
-			Due: x.due, At: at, Until: until, Gateway: no})
+		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: id, Session: uint64(x.session) + 1, Type: x.kind, MinVersion: d.people[x.session].told,
+			DueAt: x.due, SentAt: at, Deadline: until, Gateway: no})
 	}
 	d.mu.Unlock()
 	told := 0
-	answer := func(k audit.Kind, version uint64) {
+	answer := func(k audit.Outcome, version uint64) {
 		if k == audit.Served {
 			d.served.Add(1)
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.log.Answers = append(d.log.Answers, audit.Answer{ID: ids[told], At: d.now(), Kind: k, Version: version})
+		d.log.Responses = append(d.log.Responses, audit.Response{ID: ids[told], At: d.now(), Outcome: k, Version: version})
 		told++
 	}
 	defer func() {
 		for told < len(ids) { // nothing of a txn that is cut off is repeated: the others go on
-			answer(audit.Cut, 0)
+			answer(audit.Disconnected, 0)
 		}
 	}()
 	c, err := net.DialTimeout("tcp4", d.doors[no].address, time.Second)
@@ -53,7 +53,7 @@
 		return
 	}
 	defer func() { _ = c.Close() }()
-	_ = c.SetDeadline(time.Now().Add(time.Duration(t.Limit) + 2*time.Second))
+	_ = c.SetDeadline(time.Now().Add(time.Duration(t.MaxWait) + 2*time.Second))
 	f := pgproto3.NewFrontend(c, c)
 	f.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{"user": "portal", "database": "crm"}})
 	for i, x := range all {
--- a/rehearse/read.go
+++ b/rehearse/read.go
@@ -133,32 +133,32 @@
 
 func (f *file) typed(b *hcl.Block, s *Scenario) {
 	p := f.Part(b.Body, b.DefRange, "effect need bound window any_group worth late_value aim limit cost spread share")
-	t := TypePlan{Type: audit.Type{Name: b.Labels[0], Effect: "repeatable", Need: "eventual", Worth: 1, Aim: 300e6, Limit: 1e9}, Cost: 5e6, Spread: Exponential, Share: 1}
+	t := TypePlan{Type: audit.Type{Name: b.Labels[0], Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 5e6, Spread: Exponential, Share: 1}
 	if slices.ContainsFunc(s.Types, func(o TypePlan) bool { return o.Name == t.Name }) {
 		f.Wrong(b.LabelRanges[0], fmt.Sprintf("type %q stands twice", t.Name), "Each stands once.")
 	}
 	p.OneOf("effect", &t.Effect, "repeatable", "by_key", "once")
-	p.OneOf("need", &t.Need, "eventual", "lag_bound", "causal", "mutate")
-	p.Span("bound", &t.Bound, time.Millisecond)
-	p.Span("window", &t.Window, time.Millisecond)
-	p.Span("aim", &t.Aim, time.Millisecond)
-	p.Span("limit", &t.Limit, time.Millisecond)
+	p.OneOf("need", &t.Consistency, "eventual", "lag_bound", "causal", "mutate")
+	p.Span("bound", &t.MaxAge, time.Millisecond)
+	p.Span("window", &t.DedupWindow, time.Millisecond)
+	p.Span("aim", &t.TargetLatency, time.Millisecond)
+	p.Span("limit", &t.MaxWait, time.Millisecond)
 	p.Span("cost", &t.Cost, time.Microsecond)
-	p.Number("worth", &t.Worth, 0.001, 1e6)
+	p.Number("worth", &t.Value, 0.001, 1e6)
 	p.Number("late_value", &t.LateValue, 0, 1)
 	p.Number("share", &t.Share, 0, 1e6)
 	p.OneOf("spread", &t.Spread, Fixed, Exponential, Lognormal)
 	p.Decode("any_group", &t.AnyGroup)
-	if t.Need == "lag_bound" {
+	if t.Consistency == "lag_bound" {
 		p.Needs("bound")
 	}
 	if t.Effect == "by_key" {
 		p.Needs("window")
 	}
-	if (t.Need == "mutate") != (t.Effect != "repeatable") {
+	if (t.Consistency == "mutate") != (t.Effect != "repeatable") {
 		f.Wrong(b.DefRange, fmt.Sprintf("type %q: what changes data is by_key or once, what reads is repeatable", t.Name), "Say need and effect that go together.")
 	}
-	if t.Limit < t.Aim {
+	if t.MaxWait < t.TargetLatency {
 		f.Wrong(b.DefRange, fmt.Sprintf("type %q: the limit is under the aim", t.Name), "Raise it.")
 	}
 	s.Types = append(s.Types, t)
--- a/rehearse/real.go
+++ b/rehearse/real.go
@@ -37,9 +37,9 @@
 	marks   []Mark
 	lines   []string
 	health  map[string]string
-	slow    []atomic.Int64 // thousandths, by member
-	left    []string       // what this clock does not play
-	wire    *standin.Wire  // between gateways, nil where nothing goes wrong there
+	slow    []atomic.Int64   // thousandths, by member
+	left    []string         // what this clock does not play
+	wire    *standin.Network // between gateways, nil where nothing goes wrong there
 	wg      sync.WaitGroup
 }
 
@@ -97,7 +97,7 @@
 	}
 	d.send(watch)
 	st.wg.Wait()
-	st.log.Asks, st.log.Answers = d.log.Asks, d.log.Answers
+	st.log.Attempts, st.log.Responses = d.log.Attempts, d.log.Responses
 	r := st.report()
 	r.Took = time.Since(began)
 	return r, nil
@@ -111,11 +111,11 @@
 	st.lines = append(st.lines, fmt.Sprintf("%8.1f ms  ", float64(st.now())/1e6)+fmt.Sprintf(format, a...))
 }
 
-func (st *stage) notice(n audit.Notice) {
+func (st *stage) notice(n audit.Event) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	n.At = st.now()
-	st.log.Notices = append(st.log.Notices, n)
+	st.log.Events = append(st.log.Events, n)
 }
 
 func (st *stage) build() error {
@@ -128,10 +128,10 @@
 	var hosts []standin.Host
 	for i, p := range s.Groups {
 		g := standin.NewGroup(i)
-		g.Await = time.Duration(p.Hold)
+		g.ReplicaWait = time.Duration(p.Hold)
 		for _, t := range s.Types {
 			if t.Effect == "by_key" {
-				g.Window = time.Duration(t.Window)
+				g.DedupWindow = time.Duration(t.DedupWindow)
 			}
 		}
 		st.groups = append(st.groups, g)
@@ -139,9 +139,9 @@
 			m := g.NewMember(fmt.Sprintf("%d.%d", i, k), k == 0)
 			no := len(st.members)
 			st.slow[no].Store(1000)
-			m.Serve(p.Cores, st.cost(no))
+			m.SetCapacity(p.Cores, st.cost(no))
 			if k > 0 {
-				m.Lag(time.Duration(p.Lag))
+				m.SetLag(time.Duration(p.Lag))
 			}
 			st.members = append(st.members, m)
 			st.log.Cores, st.log.Names = append(st.log.Cores, p.Cores), append(st.log.Names, m.Name)
@@ -163,10 +163,10 @@
 		if err != nil {
 			return err
 		}
-		st.nodes = append(st.nodes, &process{st: st, no: i, listen: listen, peer: peer, door: &door{front: standin.NewFront(listen), address: listen}})
+		st.nodes = append(st.nodes, &process{st: st, no: i, listen: listen, peer: peer, door: &door{front: standin.NewClientPool(listen), address: listen}})
 	}
 	if slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.between() }) {
-		st.wire = standin.NewWire(s.Seed)
+		st.wire = standin.NewNetwork(s.Seed)
 		for _, n := range st.nodes {
 			n.at = st.wire.Join(n.peer)
 		}
@@ -285,7 +285,7 @@
 }
 
 func (st *stage) host(m *standin.Member) standin.Host {
-	h := m.Host(st.health[m.Name])
+	h := m.ListEntry(st.health[m.Name])
 	h.Site = st.s.Zones[0]
 	return h
 }
@@ -298,7 +298,7 @@
 		hosts = append(hosts, st.host(m))
 	}
 	st.mu.Unlock()
-	st.list.Set(hosts...)
+	st.list.SetHosts(hosts...)
 }
 
 // start begins a gateway's process, and waits until it listens.
@@ -311,7 +311,7 @@
 	// Positions are words of the wall clock here.
 	settings = []byte(strings.Replace(string(settings), `"countedFromMs":0`, `"countedFromMs":1000000000000`, 1))
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("g", n.no), "listen": n.listen, "discovery": st.list.Address(),
-		"seed": fmt.Sprintf("%x", st.s.Seed+uint64(n.no)+1), "limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": st.list.Whole(),
+		"seed": fmt.Sprintf("%x", st.s.Seed+uint64(n.no)+1), "limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": st.list.Snapshot(),
 		"settings": json.RawMessage(settings)})
 	if err != nil {
 		return err
@@ -422,7 +422,7 @@
 	switch f.Kind {
 	case "crash":
 		both(func() {
-			st.notice(audit.Notice{Kind: audit.Died, Member: no})
+			st.notice(audit.Event{Kind: audit.MemberDied, Member: no})
 			p := st.planOf(m)
 			was := m.Group().Primary() == m
 			m.Kill()
@@ -435,11 +435,11 @@
 				st.said("%s does not start: %v", m.Name, err)
 				return
 			}
-			st.notice(audit.Notice{Kind: audit.Started, Member: no})
+			st.notice(audit.Event{Kind: audit.MemberStarted, Member: no})
 		})
 	case "pause":
 		both(func() {
-			m.Hang(true)
+			m.SetHung(true)
 			if m.Group().Primary() == m {
 				p := st.planOf(m)
 				st.at(f.At+p.Detect, func() {
@@ -449,27 +449,27 @@
 					}
 				})
 			}
-		}, func() { m.Hang(false) })
+		}, func() { m.SetHung(false) })
 	case "errors":
-		both(func() { m.Fail(f.Factor) }, func() { m.Fail(0) })
+		both(func() { m.SetFailRatio(f.Factor) }, func() { m.SetFailRatio(0) })
 	case "slow":
 		both(func() { st.slow[no].Store(int64(1000 * f.Factor)) }, func() { st.slow[no].Store(1000) })
 	case "lag":
-		both(func() { m.Lag(time.Duration(f.Lag)) }, func() { m.Lag(time.Duration(st.planOf(m).Lag)) })
+		both(func() { m.SetLag(time.Duration(f.Lag)) }, func() { m.SetLag(time.Duration(st.planOf(m).Lag)) })
 	case "drain":
-		set := func(health string, kind audit.NoticeKind) {
+		set := func(health string, kind audit.EventKind) {
 			st.mu.Lock()
 			st.health[m.Name] = health
 			st.mu.Unlock()
 			st.relist()
-			st.list.AwaitToldTo(st.s.Gateways)
-			st.notice(audit.Notice{Kind: kind, Member: no})
+			st.list.AwaitDeliveredTo(st.s.Gateways)
+			st.notice(audit.Event{Kind: kind, Member: no})
 		}
-		both(func() { set("leaving", audit.Drained) }, func() { set("active", audit.Back) })
+		both(func() { set("leaving", audit.DrainStarted) }, func() { set("active", audit.Restored) })
 	case "answers_lost":
 		both(func() {
 			for i := range st.s.Types {
-				m.Swallow(st.s.Types[i].Name, int(math.Ceil(f.Factor*10)))
+				m.DropResponses(st.s.Types[i].Name, int(math.Ceil(f.Factor*10)))
 			}
 		}, func() {})
 	case "move":
@@ -484,32 +484,32 @@
 			st.said("%s is the primary", m.Name)
 		}, func() {})
 	case "list":
-		both(func() { st.list.Down(true) }, func() { st.list.Down(false) })
+		both(func() { st.list.SetDown(true) }, func() { st.list.SetDown(false) })
 	case "kill":
 		n := st.nodes[f.Gateway]
 		both(func() {
-			st.notice(audit.Notice{Kind: audit.Killed, Gateway: n.no})
+			st.notice(audit.Event{Kind: audit.GatewayKilled, Gateway: n.no})
 			n.kill()
 		}, func() {
 			if err := n.start(); err != nil {
 				st.said("gateway %d does not start: %v", n.no, err)
 				return
 			}
-			st.notice(audit.Notice{Kind: audit.Up, Gateway: n.no})
+			st.notice(audit.Event{Kind: audit.GatewayUp, Gateway: n.no})
 		})
 	case "apart", "halves":
 		set := func(on bool) {
 			for i := range st.nodes {
 				for k := range st.nodes {
 					if f.parts(i, k, len(st.nodes)) {
-						st.wire.Cut(i, k, on)
+						st.wire.Block(i, k, on)
 					}
 				}
 			}
 		}
 		both(func() { set(true) }, func() { set(false) })
 	case "rough":
-		both(func() { st.wire.Rough(f.Factor, 0, 0) }, func() { st.wire.Rough(0, 0, 0) })
+		both(func() { st.wire.SetFaults(f.Factor, 0, 0) }, func() { st.wire.SetFaults(0, 0, 0) })
 	default:
 		st.left = append(st.left, f.String())
 	}
@@ -561,12 +561,12 @@
 	for i, m := range st.members {
 		no[m.Name] = i
 	}
-	kinds := map[string]audit.WorkKind{"write": audit.Wrote, "repeat": audit.Repeat, "read": audit.Read, "miss": audit.Missed, "behind": audit.Missed}
+	kinds := map[string]audit.SubmissionKind{"write": audit.Write, "repeat": audit.Repeat, "read": audit.Read, "miss": audit.Rejected, "behind": audit.Rejected}
 	costs := map[uint64]int64{}
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	for i := range st.log.Asks {
-		costs[st.log.Asks[i].ID] = st.s.Types[st.log.Asks[i].Type].Cost
+	for i := range st.log.Attempts {
+		costs[st.log.Attempts[i].ID] = st.s.Types[st.log.Attempts[i].Type].Cost
 	}
 	for _, g := range st.groups {
 		for _, e := range g.Events() {
@@ -578,11 +578,11 @@
 			session, _ := strconv.ParseUint(e.Code[max(0, len(e.Code)-8):], 16, 64)
 			version, _ := strconv.ParseUint(e.Value, 10, 64)
 			key, _ := strconv.ParseUint(strings.TrimPrefix(e.Key, "k"), 10, 64)
-			st.log.Works = append(st.log.Works, audit.Work{ID: id, Key: key, Session: session, Version: version, Member: no[e.Member], Kind: kind,
-				At: int64(e.At.Sub(st.began)), Came: st.came(e.Member, int64(e.At.Sub(st.began))), Cost: costs[id]})
+			st.log.Submissions = append(st.log.Submissions, audit.Submission{ID: id, Key: key, Session: session, Version: version, Member: no[e.Member], Kind: kind,
+				At: int64(e.At.Sub(st.began)), ReceivedAt: st.came(e.Member, int64(e.At.Sub(st.began))), Cost: costs[id]})
 		}
 	}
-	slices.SortStableFunc(st.log.Works, func(a, b audit.Work) int { return int(a.At - b.At) })
+	slices.SortStableFunc(st.log.Submissions, func(a, b audit.Submission) int { return int(a.At - b.At) })
 	r := report(st.s, &st.log, 0, realSlack)
 	r.Clock, r.Marks, r.Lines, r.Left = "real", st.marks, st.lines, st.left
 	return r
--- a/rehearse/real_test.go
+++ b/rehearse/real_test.go
@@ -32,13 +32,13 @@
 	}
 	for _, r := range []*Report{simulated, real} {
 		for _, v := range r.Violations {
-			t.Error(r.Clock, v.Rule, v.What, v.History)
+			t.Error(r.Clock, v.Rule, v.Description, v.History)
 		}
 	}
 	for _, d := range Differences(simulated, real) {
 		t.Logf("%-28s %.3f %.3f %+.3f", d.What, d.One, d.Other, d.By)
 	}
-	if d := real.Service.Whole - simulated.Service.Whole; math.Abs(d) > 0.04 {
+	if d := real.Service.Overall - simulated.Service.Overall; math.Abs(d) > 0.04 {
 		t.Errorf("%s apart: %+.3f", s.Name, d)
 	}
 }
@@ -59,8 +59,8 @@
 		t.Fatal(err)
 	}
 	for _, r := range []*Report{fenced, real} {
-		if len(r.Violations) > 0 || r.Service.Whole < 0.95 || len(r.Left) > 0 {
-			t.Errorf("%s: served %.3f, broken %v, not played %v", r.Clock, r.Service.Whole, r.Violations, r.Left)
+		if len(r.Violations) > 0 || r.Service.Overall < 0.95 || len(r.Left) > 0 {
+			t.Errorf("%s: served %.3f, broken %v, not played %v", r.Clock, r.Service.Overall, r.Violations, r.Left)
 		}
 	}
 }
@@ -70,11 +70,11 @@
 func TestDriveIsOpenLoop(t *testing.T) {
 	m := standin.NewGroup(0).NewMember("m", true)
 	defer m.Kill()
-	m.Serve(1, func(string) time.Duration { return 20 * time.Millisecond })
+	m.SetCapacity(1, func(string) time.Duration { return 20 * time.Millisecond })
 	s := find(t, "calm")
 	s.Length, s.Traffic.Rate, s.Traffic.Retry = 3e9, 60, false
 	for i := range s.Types {
-		s.Types[i].Share, s.Types[i].Limit = 0, 30e9
+		s.Types[i].Share, s.Types[i].MaxWait = 0, 30e9
 	}
 	s.Types[0].Share = 1
 	r, err := Drive(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
@@ -82,9 +82,9 @@
 		t.Fatal(err)
 	}
 	x := &r.Service.Types[0]
-	t.Logf("%d asked, p50 %v, worst %v, sent late by %d us at the 99th percentile", x.Asked, time.Duration(x.P50), time.Duration(x.Worst), r.Late.ValueAtQuantile(99))
+	t.Logf("%d asked, p50 %v, worst %v, sent late by %d us at the 99th percentile", x.Requested, time.Duration(x.P50), time.Duration(x.Max), r.Late.ValueAtQuantile(99))
 	// A closed loop would wait for each answer, and see 20 ms.
-	if x.Served != x.Asked || x.Asked < 100 || time.Duration(x.Worst) < 300*time.Millisecond || len(r.Violations) > 0 {
+	if x.Served != x.Requested || x.Requested < 100 || time.Duration(x.Max) < 300*time.Millisecond || len(r.Violations) > 0 {
 		t.Fatalf("%+v %v", x, r.Violations)
 	}
 }
@@ -104,8 +104,8 @@
 				}
 				b.ReportMetric(float64(r.Late.ValueAtQuantile(50))/1000, "late_p50_ms")
 				b.ReportMetric(float64(r.Late.ValueAtQuantile(99))/1000, "late_p99_ms")
-				b.ReportMetric(float64(r.Service.Asked)/3, "sent/s")
-				b.ReportMetric(r.Service.Whole, "service")
+				b.ReportMetric(float64(r.Service.Requested)/3, "sent/s")
+				b.ReportMetric(r.Service.Overall, "service")
 			}
 		})
 	}
--- a/rehearse/reserved.go
+++ b/rehearse/reserved.go
@@ -69,8 +69,8 @@
 	g.Members, g.Cores, g.Connections = e.Members, eventCores, 10_000
 	cost := func(rate float64) int64 { return int64(float64(eventCores) / rate * 1e9) }
 	aim := eventAim
-	if t.Aim > 0 {
-		aim = t.Aim
+	if t.TargetLatency > 0 {
+		aim = t.TargetLatency
 	}
 	reads, writes := t.Reads*times*float64(groups), t.Writes*times*float64(groups)
 	others := e.Flood * size.Reads * float64(e.Members-1) * float64(groups)
@@ -83,7 +83,7 @@
 	}
 	add := func(name, effect, need, tenant string, rate float64, of float64) {
 		if rate > 0 && of > 0 {
-			s.Types = append(s.Types, TypePlan{Type: audit.Type{Name: name, Effect: effect, Need: need, Window: 2e9, Worth: 1, Aim: aim, Limit: 4 * aim},
+			s.Types = append(s.Types, TypePlan{Type: audit.Type{Name: name, Effect: effect, Consistency: need, DedupWindow: 2e9, Value: 1, TargetLatency: aim, MaxWait: 4 * aim},
 				Cost: cost(of), Spread: Exponential, Share: rate / all, Tenant: tenant})
 		}
 	}
@@ -96,7 +96,7 @@
 	if e.Through > 0 {
 		s.Through = map[string]int{t.Tenant: e.Through}
 	}
-	switch at := e.Length / 3; t.Loss {
+	switch at := e.Length / 3; t.ToleratedLoss {
 	case contracts.MemberLoss:
 		for i := range s.Groups {
 			s.Faults = append(s.Faults, Fault{Kind: "crash", At: at, For: e.Length / 3, Member: fmt.Sprintf("%d.1", i), Factor: 1})
@@ -124,14 +124,14 @@
 			r.Others = x.Service
 			continue
 		}
-		r.Asked += x.Asked
-		sum += x.Service * float64(x.Asked)
+		r.Asked += x.Requested
+		sum += x.Service * float64(x.Requested)
 	}
 	if r.Kept = 1; r.Asked > 0 {
 		r.Kept = sum / float64(r.Asked)
 	}
 	r.Broken = len(day.Violations)
-	r.Promise = r.Kept >= e.Terms.Promised && r.Broken == 0
+	r.Promise = r.Kept >= e.Terms.PromisedFraction && r.Broken == 0
 	return r, nil
 }
 
--- a/rehearse/reserved_test.go
+++ b/rehearse/reserved_test.go
@@ -12,7 +12,7 @@
 // gateways let more in than members can work on, room at gateways alone does not keep it, and a rehearsal says so.
 func TestEvent(t *testing.T) {
 	for _, loss := range []string{contracts.NoLoss, contracts.MemberLoss} {
-		e := &Event{Terms: contracts.Terms{Name: "final", Tenant: "tv", Reads: 400, Writes: 40, InFlight: 20, Promised: 0.95, Beyond: contracts.Effort, Loss: loss,
+		e := &Event{Terms: contracts.Terms{Name: "final", Tenant: "tv", Reads: 400, Writes: 40, InFlight: 20, PromisedFraction: 0.95, ExcessPolicy: contracts.BestEffort, ToleratedLoss: loss,
 			Windows: []contracts.Window{{Zone: "UTC", Start: "2027-06-14 20:00", Length: 3600e9}}, Price: decimal.Zero}, Sizes: []contracts.MemberSize{{Group: 0, Reads: 400, Writes: 150}},
 			Members: 4, Zones: []string{"a", "b"}, Gateways: 5, InFlight: 20, Flood: 2, Length: 12e9, Seed: 1}
 		held, err := e.Play(1, true)
--- a/rehearse/results/results.go
+++ b/rehearse/results/results.go
@@ -75,8 +75,8 @@
 	_ = w.Write([]string{"type", "service", "asked", "served", "late", "declined", "rolled_back", "unanswered", "p50_ms", "p90_ms", "p99_ms", "worst_ms"})
 	for i := range r.Service.Types {
 		t := &r.Service.Types[i]
-		_ = w.Write([]string{t.Name, number(t.Service), strconv.Itoa(t.Asked), strconv.Itoa(t.Served), number(t.ShareLate), strconv.Itoa(t.Declined),
-			strconv.Itoa(t.Rolled), strconv.Itoa(t.Unanswered), millis(t.P50), millis(t.P90), millis(t.P99), millis(t.Worst)})
+		_ = w.Write([]string{t.Name, number(t.Service), strconv.Itoa(t.Requested), strconv.Itoa(t.Served), number(t.LateFraction), strconv.Itoa(t.Declined),
+			strconv.Itoa(t.RolledBack), strconv.Itoa(t.Unanswered), millis(t.P50), millis(t.P90), millis(t.P99), millis(t.Max)})
 	}
 	w.Flush()
 	return w.Error()
--- a/rehearse/results/results_test.go
+++ b/rehearse/results/results_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Violations = append(r.Violations, audit.Violation{Rule: audit.Stale, What: "planted <b>", History: []string{"1 ms asked"}})
+	r.Violations = append(r.Violations, audit.Violation{Rule: audit.RuleNoStaleRead, Description: "planted <b>", History: []string{"1 ms asked"}})
 	folder := filepath.Join(t.TempDir(), "out")
 	if err := Write(folder, r); err != nil {
 		t.Fatal(err)
--- a/rehearse/results/statements.go
+++ b/rehearse/results/statements.go
@@ -26,7 +26,7 @@
 		d := drawn{Statement: s}
 		line := chart.ContinuousSeries{Name: "kept"}
 		for _, l := range s.Lines {
-			line.XValues, line.YValues = append(line.XValues, float64(l.At-s.Window.Start)/60e9), append(line.YValues, l.Kept)
+			line.XValues, line.YValues = append(line.XValues, float64(l.At-s.Window.Start)/60e9), append(line.YValues, l.ServedFraction)
 		}
 		if len(s.Lines) > 1 {
 			var err error
@@ -45,8 +45,8 @@
 }}).Parse(`<!doctype html><html lang="en"><meta charset="utf-8"><title>{{.Name}}: what was kept</title>
 <style>body{font-family:sans-serif;max-width:60em;margin:auto}td,th{padding:0 .6em;text-align:right}</style>
 <h1>{{.Name}}: what was kept</h1>{{if not .Whole}}<p>Counts of one gateway alone.</p>{{end}}
-{{range .Windows}}<h2>{{at .Window.Start}} to {{at .Window.End}}</h2><p>Price {{.Price}}, credit {{.Credit}}{{if not .Over}}; the window is open yet{{end}}.</p>
+{{range .Windows}}<h2>{{at .Window.Start}} to {{at .Window.End}}</h2><p>Price {{.Price}}, credit {{.Credit}}{{if not .Final}}; the window is open yet{{end}}.</p>
 {{.Chart}}<table><tr><th>interval<th>gateways<th>size<th>asked<th>in time<th>late<th>no room<th>no member<th>unagreed<th>rolled back<th>left<th>kept<th>cause
-{{range .Lines}}<tr><td>{{at .At}}<td>{{.Gateways}}<td>{{printf "%.0f" .Size}}<td>{{.Asked}}<td>{{.InTime}}<td>{{.Late}}<td>{{.NoRoom}}<td>{{.NoMember}}<td>{{.Unagreed}}<td>{{.RolledBack}}<td>{{.Left}}<td>{{printf "%.4f" .Kept}}<td>{{.Cause}}
+{{range .Lines}}<tr><td>{{at .At}}<td>{{.Gateways}}<td>{{printf "%.0f" .Size}}<td>{{.Requested}}<td>{{.InTime}}<td>{{.Late}}<td>{{.Overloaded}}<td>{{.NoMember}}<td>{{.NoAgreement}}<td>{{.RolledBack}}<td>{{.Abandoned}}<td>{{printf "%.4f" .ServedFraction}}<td>{{.Cause}}
 {{end}}</table>{{else}}<p>It had no window.</p>{{end}}
 `))
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -51,13 +51,13 @@
 func report(s *Scenario, l *audit.Log, start, slack int64) *Report {
 	t := s.terms(slack)
 	shifted := *l
-	shifted.Asks = slices.Clone(l.Asks)
-	for i := range shifted.Asks {
-		shifted.Asks[i].Due -= start
+	shifted.Attempts = slices.Clone(l.Attempts)
+	for i := range shifted.Attempts {
+		shifted.Attempts[i].DueAt -= start
 	}
-	shifted.Answers = slices.Clone(l.Answers)
-	for i := range shifted.Answers {
-		shifted.Answers[i].At -= start
+	shifted.Responses = slices.Clone(l.Responses)
+	for i := range shifted.Responses {
+		shifted.Responses[i].At -= start
 	}
 	r := &Report{Scenario: s, Service: audit.Measure(t, &shifted), Violations: audit.Check(t, l), Reads: map[string]float64{}}
 	for _, name := range l.Names {
@@ -65,10 +65,10 @@
 	}
 	reads := 0
 	primary := map[int]bool{}
-	for _, w := range l.Works {
+	for _, w := range l.Submissions {
 		p := &r.Places[w.Member]
 		switch w.Kind {
-		case audit.Wrote:
+		case audit.Write:
 			p.Writes++
 			primary[w.Member] = true
 		case audit.Repeat:
@@ -76,10 +76,10 @@
 		case audit.Read:
 			p.Reads++
 			reads++
-		case audit.Missed:
+		case audit.Rejected:
 			p.Missed++
 		}
-		if w.Kind != audit.Missed {
+		if w.Kind != audit.Rejected {
 			p.Busy += float64(w.Cost)
 		}
 	}
@@ -106,7 +106,7 @@
 			r.Failed = append(r.Failed, fmt.Sprintf("%s is %.3f, expected at least %.3f", what, got, want))
 		}
 	}
-	short("service", r.Service.Whole, e.Service)
+	short("service", r.Service.Overall, e.Service)
 	short("the worst ten seconds' service", r.Service.Worst10, e.Worst10)
 	name, worst := r.Service.WorstType()
 	short("the service of "+name, worst, e.WorstType)
@@ -124,7 +124,7 @@
 // Differences compares what both clocks tell: service, and each txn type's service and median in milliseconds.
 func Differences(one, other *Report) (all []Difference) {
 	add := func(what string, a, b float64) { all = append(all, Difference{what, a, b, b - a}) }
-	add("service", one.Service.Whole, other.Service.Whole)
+	add("service", one.Service.Overall, other.Service.Overall)
 	add("worst ten seconds", one.Service.Worst10, other.Service.Worst10)
 	for i := range one.Service.Types {
 		a, b := &one.Service.Types[i], &other.Service.Types[i]
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -175,11 +175,11 @@
 // DefaultTypes are a portal's.
 func DefaultTypes() []TypePlan {
 	return []TypePlan{
-		{Type: audit.Type{Name: "search", Effect: "repeatable", Need: "eventual", Worth: 1, Aim: 300e6, Limit: 1e9}, Cost: 6e6, Spread: Exponential, Share: 0.4},
-		{Type: audit.Type{Name: "my-page", Effect: "repeatable", Need: "causal", Worth: 2, Aim: 300e6, Limit: 1e9}, Cost: 4e6, Spread: Exponential, Share: 0.35},
-		{Type: audit.Type{Name: "overview", Effect: "repeatable", Need: "lag_bound", Bound: 500e6, Worth: 1, Aim: 300e6, Limit: 1e9}, Cost: 5e6, Spread: Exponential, Share: 0.1},
-		{Type: audit.Type{Name: "record", Effect: "by_key", Need: "mutate", Window: 2e9, Worth: 4, LateValue: 0.3, Aim: 500e6, Limit: 2e9}, Cost: 3e6, Spread: Exponential, Share: 0.14},
-		{Type: audit.Type{Name: "pay", Effect: "once", Need: "mutate", Worth: 6, LateValue: 0.3, Aim: 500e6, Limit: 2e9}, Cost: 3e6, Spread: Exponential, Share: 0.01},
+		{Type: audit.Type{Name: "search", Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 6e6, Spread: Exponential, Share: 0.4},
+		{Type: audit.Type{Name: "my-page", Effect: "repeatable", Consistency: "causal", Value: 2, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 4e6, Spread: Exponential, Share: 0.35},
+		{Type: audit.Type{Name: "overview", Effect: "repeatable", Consistency: "lag_bound", MaxAge: 500e6, Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 5e6, Spread: Exponential, Share: 0.1},
+		{Type: audit.Type{Name: "record", Effect: "by_key", Consistency: "mutate", DedupWindow: 2e9, Value: 4, LateValue: 0.3, TargetLatency: 500e6, MaxWait: 2e9}, Cost: 3e6, Spread: Exponential, Share: 0.14},
+		{Type: audit.Type{Name: "pay", Effect: "once", Consistency: "mutate", Value: 6, LateValue: 0.3, TargetLatency: 500e6, MaxWait: 2e9}, Cost: 3e6, Spread: Exponential, Share: 0.01},
 	}
 }
 
@@ -217,7 +217,7 @@
 	if s.Traffic.Think <= 0 {
 		return -1
 	}
-	return slices.IndexFunc(s.Types, func(t TypePlan) bool { return t.Need == "causal" })
+	return slices.IndexFunc(s.Types, func(t TypePlan) bool { return t.Consistency == "causal" })
 }
 
 // memberNamed finds a member by its name.
@@ -232,13 +232,13 @@
 }
 
 // terms are what the auditor holds a run against; slack is for messages under way.
-func (s *Scenario) terms(slack int64) audit.Terms {
-	t := audit.Terms{Grace: 250e6, Slack: slack, OverloadFor: 1e9}
+func (s *Scenario) terms(slack int64) audit.Config {
+	t := audit.Config{DrainGrace: 250e6, Slack: slack, OverloadWindow: 1e9}
 	for _, x := range s.Types {
 		t.Types = append(t.Types, x.Type)
 	}
 	g := s.Groups[0]
-	t.Cold, t.ColdFrom, t.FallMultiple = g.Cold, g.ColdFrom, g.Fall
+	t.WarmUp, t.ColdFraction, t.OverloadFactor = g.Cold, g.ColdFrom, g.Fall
 	return t
 }
 
@@ -250,16 +250,16 @@
 	var needs []string
 	var bounds []float64
 	for _, t := range s.Types {
-		c := m{"name": t.Name, "effect": t.Effect, "promiseMs": millis(t.Aim), "hardLimitMs": millis(t.Limit), "worth": t.Worth,
+		c := m{"name": t.Name, "effect": t.Effect, "promiseMs": millis(t.TargetLatency), "hardLimitMs": millis(t.MaxWait), "worth": t.Value,
 			"lateValue": t.LateValue}
 		if t.Effect == "by_key" {
-			c["group"], c["windowMs"] = "cell", millis(t.Window)
+			c["group"], c["windowMs"] = "cell", millis(t.DedupWindow)
 			if t.AnyGroup {
 				c["group"] = "all"
 			}
 		}
 		classes = append(classes, c)
-		need, bound := t.Need, millis(t.Bound)
+		need, bound := t.Consistency, millis(t.MaxAge)
 		if need != "mutate" {
 			switch s.Policy {
 			case AllOnMain:
