--- a/rehearse/simulate_test.go
+++ b/rehearse/simulate_test.go
@@ -36,12 +36,12 @@
 			t.Parallel()
 			r := simulated(t, find(t, name))
 			worst, x := r.Service.WorstType()
-			t.Logf("service %.3f, worst ten seconds %.3f, %s %.3f, %d events in %v", r.Service.Whole, r.Service.Worst10, worst, x, r.Events, r.Took)
+			t.Logf("service %.3f, worst ten seconds %.3f, %s %.3f, %d events in %v", r.Service.Overall, r.Service.Worst10, worst, x, r.Events, r.Took)
 			for _, f := range r.Failed {
 				t.Error(f)
 			}
 			for _, v := range r.Violations[:min(len(r.Violations), 3)] {
-				t.Error(v.Rule, v.What, "\n", strings.Join(v.History, "\n "))
+				t.Error(v.Rule, v.Description, "\n", strings.Join(v.History, "\n "))
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	cost := int64(10e6)
 	return &Scenario{Name: "queue", Length: 200e9, Seed: 3, Gateways: 1, Zones: []string{"a"}, Groups: []GroupPlan{g},
 		Network: NetworkPlan{Near: 1, Far: 1}, Policy: ByModule, Sessions: Brought,
-		Types:   []TypePlan{{Type: audit.Type{Name: "any", Effect: "repeatable", Need: "eventual", Worth: 1, Aim: 60e9, Limit: 100e9}, Cost: cost, Spread: Exponential, Share: 1}},
+		Types:   []TypePlan{{Type: audit.Type{Name: "any", Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 60e9, MaxWait: 100e9}, Cost: cost, Spread: Exponential, Share: 1}},
 		Traffic: TrafficPlan{Rate: load * float64(cores) * 1e9 / float64(cost), Sessions: 1000}}
 }
 
@@ -165,7 +165,7 @@
 	s.Policy = NoTokens
 	stale := 0
 	for _, v := range simulated(t, s).Violations {
-		if v.Rule == audit.Stale {
+		if v.Rule == audit.RuleNoStaleRead {
 			stale++
 		}
 	}
@@ -176,7 +176,7 @@
 	s.Sessions = "own"
 	stale = 0
 	for _, v := range simulated(t, s).Violations {
-		if v.Rule == audit.Stale {
+		if v.Rule == audit.RuleNoStaleRead {
 			stale++
 		}
 	}
@@ -187,8 +187,8 @@
 	s.Policy = AllOnMain
 	main := simulated(t, s)
 	s.Policy = ByModule
-	if ours := simulated(t, s); ours.Service.Whole <= main.Service.Whole {
-		t.Error(ours.Service.Whole, main.Service.Whole)
+	if ours := simulated(t, s); ours.Service.Overall <= main.Service.Overall {
+		t.Error(ours.Service.Overall, main.Service.Overall)
 	}
 }
 
@@ -199,8 +199,8 @@
 	s := find(t, "bad-clients")
 	s.Length, s.Traffic.Rude = 2e9, 1000
 	r, err := Drive(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
-	if err != nil || r.Service.Asked < 600 || len(r.Violations) > 0 || r.Service.Whole < 0.8 {
-		t.Fatal(err, r.Service.Asked, r.Service.Whole, r.Violations)
+	if err != nil || r.Service.Requested < 600 || len(r.Violations) > 0 || r.Service.Overall < 0.8 {
+		t.Fatal(err, r.Service.Requested, r.Service.Overall, r.Violations)
 	}
 }
 
@@ -262,7 +262,7 @@
 				b.ReportMetric(float64(r.Events)/r.Took.Seconds(), "events/s")
 				b.ReportMetric(float64(s.Length)/1e9/r.Took.Seconds(), "simulated_s/s")
 				b.ReportMetric(float64(m.HeapAlloc)/1e6, "MB")
-				b.ReportMetric(r.Service.Whole, "service")
+				b.ReportMetric(r.Service.Overall, "service")
 				if len(r.Violations) > 0 {
 					b.Error(r.Violations[0])
 				}
--- a/rehearse/some.go
+++ b/rehearse/some.go
@@ -49,12 +49,12 @@
 				others = append(others, uint32(i))
 			}
 		}
-		x.signals.Fleet(uint32(n.no), others)
+		x.signals.SetFleet(uint32(n.no), others)
 		var keys []uint64
 		for _, d := range n.w.bases {
 			keys = append(keys, n.w.keyOf(d))
 		}
-		x.signals.Members(keys)
+		x.signals.SetMembers(keys)
 	}
 	run := n.run
 	var look func()
@@ -89,11 +89,11 @@
 			w.After(w.way(n.zone, to.zone), func() {
 				if to.up && to.run == there && to.some != nil {
 					to.some.signals.Clock(w.Now)
-					to.some.signals.Heard(&m)
+					to.some.signals.Receive(&m)
 					to.some.tells()
 				}
 			})
-		case signals.Learn:
+		case signals.Deliver:
 			x.learn(d.Item)
 		case signals.Wake:
 			w.After(d.After, func() {
@@ -119,11 +119,11 @@
 			x.n.tell(func() {
 				x.n.module.HeardOf(decide.News{Server: serverOf(d), Position: decide.Nanos(i.Value), Primary: true})
 			})
-		case signals.Verdict:
+		case signals.Health:
 			x.n.tell(func() {
-				if i.Value == signals.Well {
+				if i.Value == signals.Healthy {
 					x.n.module.HeardWell(serverOf(d))
-				} else if x.signals.TakenForIll(i.Member) {
+				} else if x.signals.IsUnhealthy(i.Member) {
 					x.n.module.HeardIll(serverOf(d))
 				}
 			})
@@ -236,12 +236,12 @@
 		}
 		x.signals.Clock(w.Now)
 		if s.Primary && s.Position > 0 {
-			x.signals.Saw(signals.Primary, w.keyOf(d), int64(s.Position))
+			x.signals.Observe(signals.Primary, w.keyOf(d), int64(s.Position))
 		}
 		if s.Suspect {
-			x.signals.Saw(signals.Verdict, w.keyOf(d), signals.Ill)
+			x.signals.Observe(signals.Health, w.keyOf(d), signals.Unhealthy)
 		} else if s.Latency > 0 {
-			x.signals.Saw(signals.Verdict, w.keyOf(d), signals.Well)
+			x.signals.Observe(signals.Health, w.keyOf(d), signals.Healthy)
 		}
 	}
 	x.tells()
--- a/rehearse/some_test.go
+++ b/rehearse/some_test.go
@@ -29,7 +29,7 @@
 		if len(r.Violations) > 0 {
 			t.Errorf("seed %d: %v", seed, r.Violations[:min(3, len(r.Violations))])
 		}
-		served, asked = served+r.Service.Whole, asked+r.Service.Asked
+		served, asked = served+r.Service.Overall, asked+r.Service.Requested
 	}
 	t.Logf("%d days, %d txns, service %.3f on average", *chosenSeeds, asked, served/float64(*chosenSeeds))
 }
--- a/rehearse/world.go
+++ b/rehearse/world.go
@@ -92,9 +92,9 @@
 	return lost || pass < 1 && w.rng.Float64() >= pass
 }
 
-func (w *world) notice(n audit.Notice) {
+func (w *world) notice(n audit.Event) {
 	n.At = w.Now
-	w.log.Notices = append(w.log.Notices, n)
+	w.log.Events = append(w.log.Events, n)
 }
 
 func (w *world) said(format string, a ...any) {
@@ -135,7 +135,7 @@
 }
 
 func (w *world) tick() {
-	w.watch(Progress{At: w.Now - begin, Length: w.s.Length, Asked: len(w.log.Asks), Served: w.clients.served})
+	w.watch(Progress{At: w.Now - begin, Length: w.s.Length, Asked: len(w.log.Attempts), Served: w.clients.served})
 	w.After(1e9, w.tick)
 }
 
@@ -144,7 +144,7 @@
 	end := begin + w.s.Length
 	longest := int64(0)
 	for _, t := range w.s.Types {
-		longest = max(longest, t.Limit)
+		longest = max(longest, t.MaxWait)
 	}
 	w.After(w.s.Length, func() { w.clients.closed = true })
 	for w.Step(end + longest + int64(1e9)) {
@@ -273,16 +273,16 @@
 
 // trace writes all that was seen, in an order that is the same for the same seed.
 func (w *world) trace(out io.Writer) {
-	for _, x := range w.log.Asks {
+	for _, x := range w.log.Attempts {
 		fmt.Fprintln(out, "ask", x)
 	}
-	for _, x := range w.log.Answers {
+	for _, x := range w.log.Responses {
 		fmt.Fprintln(out, "answer", x)
 	}
-	for _, x := range w.log.Works {
+	for _, x := range w.log.Submissions {
 		fmt.Fprintln(out, "work", x)
 	}
-	for _, x := range w.log.Notices {
+	for _, x := range w.log.Events {
 		fmt.Fprintln(out, "notice", x)
 	}
 	for _, x := range w.lines {
@@ -372,7 +372,7 @@
 	}
 	t := &w.s.Types[kind]
 	who := w.rng.IntN(len(p.sessions))
-	if t.Need == "mutate" { // a session writes one thing at a time: its versions are in order
+	if t.Consistency == "mutate" { // a session writes one thing at a time: its versions are in order
 		for range 20 {
 			if !p.sessions[who].writing {
 				break
@@ -381,7 +381,7 @@
 		}
 	}
 	wish := &wish{kind: kind, session: who, due: w.Now}
-	if t.Need == "mutate" {
+	if t.Consistency == "mutate" {
 		s := &p.sessions[who]
 		s.writing = true
 		s.written++
@@ -391,7 +391,7 @@
 			wish.key = p.keys
 		}
 	}
-	if t.Need != "mutate" && w.s.Traffic.Piped > 0 && w.rng.Float64() < w.s.Traffic.Piped/batch {
+	if t.Consistency != "mutate" && w.s.Traffic.Piped > 0 && w.rng.Float64() < w.s.Traffic.Piped/batch {
 		n, first := p.ask(wish)
 		last := first
 		for range batch - 1 {
@@ -439,28 +439,28 @@
 	if x.first == 0 {
 		x.first = id
 	}
-	left := x.due + t.Limit - w.Now
-	w.log.Asks = append(w.log.Asks, audit.Ask{ID: id, First: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
-		Owed: s.told, Due: x.due, At: w.Now, Until: w.Now + left, Gateway: n.no})
+	left := x.due + t.MaxWait - w.Now
+	w.log.Attempts = append(w.log.Attempts, audit.Attempt{ID: id, FirstID: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
+		MinVersion: s.told, DueAt: x.due, SentAt: w.Now, Deadline: w.Now + left, Gateway: n.no})
 	a := &asked{id: id, kind: x.kind, session: uint64(x.session) + 1, key: x.key, version: x.version, budget: left}
-	if t.Need == "causal" && s.at > 0 && w.s.Sessions == Brought {
+	if t.Consistency == "causal" && s.at > 0 && w.s.Sessions == Brought {
 		a.floor = s.at
 	}
-	a.answer = func(k audit.Kind, version uint64, position int64, again int64) {
+	a.answer = func(k audit.Outcome, version uint64, position int64, again int64) {
 		p.answered(x, id, k, version, position, again)
 	}
 	return a
 }
 
 // answered is what a client makes of an answer: some come again, while there is time.
-func (p *people) answered(x *wish, id uint64, k audit.Kind, version uint64, position, again int64) {
+func (p *people) answered(x *wish, id uint64, k audit.Outcome, version uint64, position, again int64) {
 	w := p.w
-	w.log.Answers = append(w.log.Answers, audit.Answer{ID: id, At: w.Now, Kind: k, Version: version})
+	w.log.Responses = append(w.log.Responses, audit.Response{ID: id, At: w.Now, Outcome: k, Version: version})
 	t := &w.s.Types[x.kind]
 	s := &p.sessions[x.session]
 	if k == audit.Served {
 		p.served++
-		if t.Need == "mutate" {
+		if t.Consistency == "mutate" {
 			s.writing = false
 			s.told = max(s.told, x.version)
 			s.at = max(s.at, position)
@@ -476,7 +476,7 @@
 	}
 	repeatable := t.Effect == "repeatable" || k == audit.Declined
 	pause := max(again, int64(20e6))
-	if w.s.Traffic.Retry && repeatable && x.tries < 5 && w.Now+pause < x.due+t.Limit-int64(50e6) {
+	if w.s.Traffic.Retry && repeatable && x.tries < 5 && w.Now+pause < x.due+t.MaxWait-int64(50e6) {
 		w.After(pause, func() { p.try(x) })
 		return
 	}
--- a/rehearse/write.go
+++ b/rehearse/write.go
@@ -57,18 +57,18 @@
 	for _, t := range s.Types {
 		b := block(top, "type", t.Name)
 		text(b, "effect", t.Effect)
-		text(b, "need", t.Need)
-		if t.Bound > 0 {
-			span(b, "bound", t.Bound)
+		text(b, "need", t.Consistency)
+		if t.MaxAge > 0 {
+			span(b, "bound", t.MaxAge)
 		}
-		if t.Window > 0 {
-			span(b, "window", t.Window)
+		if t.DedupWindow > 0 {
+			span(b, "window", t.DedupWindow)
 		}
 		b.SetAttributeValue("any_group", cty.BoolVal(t.AnyGroup))
-		number(b, "worth", t.Worth)
+		number(b, "worth", t.Value)
 		number(b, "late_value", t.LateValue)
-		span(b, "aim", t.Aim)
-		span(b, "limit", t.Limit)
+		span(b, "aim", t.TargetLatency)
+		span(b, "limit", t.MaxWait)
 		span(b, "cost", t.Cost)
 		text(b, "spread", t.Spread)
 		number(b, "share", t.Share)
--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -11,31 +11,31 @@
 const second = int64(1e9)
 
 // world is a fleet on a virtual clock, whose gateways hear of members by one another and sometimes by themselves.
-type world struct {
+type fleetSimulation struct {
 	agenda.Agenda
-	t     testing.TB
-	rng   *rand.Rand
-	nodes []*node
-	cut   func(from, to int) bool
-	loss  float64
-	sent  int
-	items int
+	t         testing.TB
+	rng       *rand.Rand
+	nodes     []*node
+	blocked   func(from, to int) bool
+	lossRatio float64
+	sent      int
+	items     int
 }
 
 type node struct {
-	w       *world
-	no      uint32
-	s       *Signals
-	learned map[Item]int // of its word, by content
-	wake    int
-	well    bool // it finds member 1 well itself, and says so when it hears otherwise
-	down    bool
+	w              *fleetSimulation
+	id             uint32
+	s              *Signals
+	learned        map[Item]int // of its word, by content
+	wake           int
+	reportsHealthy bool // it finds member 1 well itself, and says so when it hears otherwise
+	down           bool
 }
 
-func newWorld(t testing.TB, n int, seed uint64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 4)), cut: func(_, _ int) bool { return false }, Agenda: agenda.Agenda{Now: second}}
+func newFleetSimulation(t testing.TB, n int, seed uint64) *fleetSimulation {
+	w := &fleetSimulation{t: t, rng: rand.New(rand.NewPCG(seed, 4)), blocked: func(_, _ int) bool { return false }, Agenda: agenda.Agenda{Now: second}}
 	for i := range n {
-		w.nodes = append(w.nodes, &node{w: w, no: uint32(i)})
+		w.nodes = append(w.nodes, &node{w: w, id: uint32(i)})
 	}
 	for _, x := range w.nodes {
 		x.start()
@@ -45,23 +45,23 @@
 
 func (x *node) start() {
 	w := x.w
-	s, err := New(x.no, uint64(w.Now), uint64(w.rng.Uint32()))
+	s, err := New(x.id, uint64(w.Now), uint64(w.rng.Uint32()))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	var others []uint32
 	for _, o := range w.nodes {
 		if o != x {
-			others = append(others, o.no)
+			others = append(others, o.id)
 		}
 	}
 	x.s, x.learned, x.down = s, map[Item]int{}, false
 	s.Clock(w.Now)
-	s.Fleet(x.no, others)
-	s.Members([]uint64{1, 2, 3})
+	s.SetFleet(x.id, others)
+	s.SetMembers([]uint64{1, 2, 3})
 }
 
-func (x *node) turn(f func()) {
+func (x *node) runRound(f func()) {
 	if x.down {
 		return
 	}
@@ -74,33 +74,33 @@
 			w.sent++
 			w.items += len(d.Message.Items)
 			to := w.nodes[d.Message.To]
-			if w.cut(int(x.no), int(to.no)) || w.rng.Float64() < w.loss {
+			if w.blocked(int(x.id), int(to.id)) || w.rng.Float64() < w.lossRatio {
 				continue
 			}
 			m := d.Message
-			w.After(int64(200e3+w.rng.Float64()*3e6), func() { to.turn(func() { to.s.Heard(&m) }) })
-		case Learn:
+			w.After(int64(200e3+w.rng.Float64()*3e6), func() { to.runRound(func() { to.s.Receive(&m) }) })
+		case Deliver:
 			same := d.Item
 			same.Age = 0
 			x.learned[same]++
-			if d.Item.Kind == Verdict && d.Item.Value == Ill && x.well {
-				x.s.Saw(Verdict, d.Item.Member, Well)
+			if d.Item.Kind == Health && d.Item.Value == Unhealthy && x.reportsHealthy {
+				x.s.Observe(Health, d.Item.Member, Healthy)
 			}
 		case Wake:
 			x.wake++
 			no := x.wake
 			w.After(d.After, func() {
 				if x.wake == no {
-					x.turn(func() {})
+					x.runRound(func() {})
 				}
 			})
 		}
 	}
 }
 
-func (w *world) run(span int64) { w.Run(w.Now + span) }
+func (w *fleetSimulation) run(span int64) { w.Run(w.Now + span) }
 
-func (w *world) knowing(f func(*node) bool) (n int) {
+func (w *fleetSimulation) countNodes(f func(*node) bool) (n int) {
 	for _, x := range w.nodes {
 		if f(x) {
 			n++
@@ -111,15 +111,15 @@
 
 // What one learned all know, within a second up to 2,000 gateways, though a tenth of the messages is lost; nobody learns one
 // word twice, and messages a gateway do not grow with the fleet.
-func TestAllHear(t *testing.T) {
+func TestReportsReachAllGateways(t *testing.T) {
 	for _, n := range []int{5, 50, 300, 2000} {
-		w := newWorld(t, n, 1)
-		w.loss = 0.1
-		w.nodes[n/2].turn(func() { w.nodes[n/2].s.Saw(Position, 1, 77) })
+		w := newFleetSimulation(t, n, 1)
+		w.lossRatio = 0.1
+		w.nodes[n/2].runRound(func() { w.nodes[n/2].s.Observe(Position, 1, 77) })
 		half, all := int64(0), int64(0)
 		for span := int64(0); span < 5*second && all == 0; span += second / 100 {
 			w.run(second / 100)
-			knows := w.knowing(func(x *node) bool { return x.s.Of(1).Position == 77 })
+			knows := w.countNodes(func(x *node) bool { return x.s.Summary(1).Position == 77 })
 			if half == 0 && knows > n/2 {
 				half = span
 			}
@@ -130,7 +130,7 @@
 		w.run(3 * second)
 		for _, x := range w.nodes {
 			for item, times := range x.learned {
-				if times > 1 || item.Origin == x.no {
+				if times > 1 || item.Origin == x.id {
 					t.Fatal("an echo was learned as news: ", item, times)
 				}
 			}
@@ -144,23 +144,23 @@
 
 // A member that two gateways alone can't reach is ill for nobody else, nor one that three can't while others can; one that
 // nobody can reach is ill for all, with the words of a few; it is well again once some say so, or the words are old.
-func TestBrokenLinkBarsNobody(t *testing.T) {
+func TestBrokenLinkDoesNotExcludeMember(t *testing.T) {
 	for _, n := range []int{10, 100} {
 		for _, c := range []struct {
 			ill, well int
 			want      bool
 		}{{1, 0, false}, {2, 0, false}, {3, n - 3, false}, {n / 2, 0, true}, {n, 0, true}} {
-			w := newWorld(t, n, uint64(c.ill))
+			w := newFleetSimulation(t, n, uint64(c.ill))
 			for i, x := range w.nodes {
-				x.well = i >= c.ill && i < c.ill+c.well
+				x.reportsHealthy = i >= c.ill && i < c.ill+c.well
 			}
 			for range 50 { // they find it so again and again
 				for _, x := range w.nodes[:c.ill] {
-					x.turn(func() { x.s.Saw(Verdict, 1, Ill) })
+					x.runRound(func() { x.s.Observe(Health, 1, Unhealthy) })
 				}
 				w.run(second / 10)
 			}
-			others := w.knowing(func(x *node) bool { return x.no >= uint32(c.ill) && x.s.TakenForIll(1) })
+			others := w.countNodes(func(x *node) bool { return x.id >= uint32(c.ill) && x.s.IsUnhealthy(1) })
 			t.Logf("%d of %d find it ill and %d well: %d of the others take it for ill, %d messages a gateway a second", c.ill, n, c.well, others, w.sent/n/5)
 			if c.want && others < n-c.ill || !c.want && others > (n-c.ill)/20 {
 				t.Fatal(n, c, others)
@@ -168,8 +168,8 @@
 			if w.sent/n/5 > 30 {
 				t.Fatal("messages: ", w.sent/n/5)
 			}
-			w.run(Lifetime + second)
-			if x := w.knowing(func(x *node) bool { x.s.Clock(w.Now); return x.s.TakenForIll(1) }); x > 0 {
+			w.run(ReportTimeToLive + second)
+			if x := w.countNodes(func(x *node) bool { x.s.Clock(w.Now); return x.s.IsUnhealthy(1) }); x > 0 {
 				t.Fatal("ill for ever at ", x)
 			}
 		}
@@ -178,19 +178,19 @@
 
 // By chance gateways are killed, cut and come back while all tell of positions, verdicts and loads: a later word is never
 // replaced by an earlier one of the same origin, tables stay within their bounds, and what is sent within what may be.
-func TestNewsByChance(t *testing.T) {
+func TestRandomizedReports(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
 		n := 3 + rng.IntN(40)
-		w := newWorld(t, n, seed)
+		w := newFleetSimulation(t, n, seed)
 		truth := map[string]uint64{}
 		half := 0
-		w.cut = func(from, to int) bool { return half > 0 && (from < half) != (to < half) }
+		w.blocked = func(from, to int) bool { return half > 0 && (from < half) != (to < half) }
 		for end := w.Now + 12*second; w.Now < end; w.run(int64(rng.Float64() * 2e8)) {
 			x := w.nodes[rng.IntN(n)]
 			switch rng.IntN(8) {
 			case 0:
-				w.loss = rng.Float64() * 0.4
+				w.lossRatio = rng.Float64() * 0.4
 			case 1:
 				half = rng.IntN(n)
 			case 2:
@@ -203,28 +203,28 @@
 				}
 			default:
 				if !x.down {
-					x.turn(func() { x.s.Saw(Kind(1+rng.IntN(5)), uint64(1+rng.IntN(3)), rng.Int64N(2)*rng.Int64N(1000)) })
+					x.runRound(func() { x.s.Observe(Kind(1+rng.IntN(5)), uint64(1+rng.IntN(3)), rng.Int64N(2)*rng.Int64N(1000)) })
 				}
 			}
 			for _, x := range w.nodes {
 				if x.down {
 					continue
 				}
-				for a, all := range x.s.words {
-					if len(all) > mostWords {
+				for a, all := range x.s.reports {
+					if len(all) > maxReportsPerTopic {
 						t.Fatal("words: ", len(all))
 					}
 					for o, word := range all {
-						key := fmt.Sprint(seed, x.no, a, o, x.s.no>>20)
-						if truth[key] > word.no {
+						key := fmt.Sprint(seed, x.id, a, o, x.s.sequence>>20)
+						if truth[key] > word.sequence {
 							t.Fatal("seed ", seed, ": an older word took the place of a newer")
 						}
-						truth[key] = word.no
+						truth[key] = word.sequence
 					}
 				}
 			}
 		}
-		if most := float64(n) * (12.5*floor + firstSpend) * 2; float64(w.sent) > most {
+		if most := float64(n) * (12.5*budgetPerSecond + maxSendBudget) * 2; float64(w.sent) > most {
 			t.Fatal("seed ", seed, ": ", w.sent, " messages, ", most, " may be")
 		}
 	}
--- a/standin/group.go
+++ b/standin/group.go
@@ -17,16 +17,16 @@
 // milliseconds by the group's own clock: a commit's is rounded up, and a server's says that it has applied every
 // commit up to there. All of its methods may be called at any time.
 type Group struct {
-	ID     int
-	Window time.Duration // for how long repeats of a keyed write are dropped
-	Await  time.Duration // how long a replica waits for the position that a read must see; below 0 it does not look
+	ID          int
+	DedupWindow time.Duration // for how long repeats of a keyed write are dropped
+	ReplicaWait time.Duration // how long a replica waits for the position that a read must see; below 0 it does not look
 
 	mu      sync.Mutex
-	moved   *sync.Cond // something has changed that somebody may wait for
+	changed *sync.Cond // something has changed that somebody may wait for
 	skew    time.Duration
 	commits []commit // by position
 	last    int64
-	keys    map[string]*keyed
+	keys    map[string]*keyRecord
 	members []*Member
 	events  []Event
 }
@@ -40,10 +40,10 @@
 }
 
 // keyed is what a group remembers of a key.
-type keyed struct {
-	first   time.Time
-	commit  commit
-	effects int
+type keyRecord struct {
+	firstSeen time.Time
+	commit    commit
+	effects   int
 }
 
 // Event is one thing that a server did.
@@ -55,19 +55,19 @@
 	Code     string
 	Key      string
 	Value    string
-	Limit    time.Duration // that the statement gives it
+	Timeout  time.Duration // that the statement gives it
 	Position int64         // of the commit, or up to which the server had applied all when it read
 }
 
 // NewGroup makes a group without members.
 func NewGroup(id int) *Group {
-	g := &Group{ID: id, Window: 2 * time.Second, Await: 20 * time.Millisecond, keys: map[string]*keyed{}}
-	g.moved = sync.NewCond(&g.mu)
+	g := &Group{ID: id, DedupWindow: 2 * time.Second, ReplicaWait: 20 * time.Millisecond, keys: map[string]*keyRecord{}}
+	g.changed = sync.NewCond(&g.mu)
 	return g
 }
 
 // Skew sets how far the group's clock is ahead of this machine's.
-func (g *Group) Skew(by time.Duration) {
+func (g *Group) SetClockSkew(by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.skew = by
@@ -93,13 +93,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !m.primary {
-		g.note(Event{Member: m.Name, Kind: "miss", ID: id, Code: code, Key: key})
+		g.record(Event{Member: m.Name, Kind: "miss", ID: id, Code: code, Key: key})
 		return c, false, false
 	}
 	now := time.Now()
 	k := g.keys[key]
-	if key != "" && k != nil && now.Sub(k.first) < g.Window {
-		g.note(Event{Member: m.Name, Kind: "repeat", ID: id, Code: code, Key: key, Position: k.commit.position})
+	if key != "" && k != nil && now.Sub(k.firstSeen) < g.DedupWindow {
+		g.record(Event{Member: m.Name, Kind: "repeat", ID: id, Code: code, Key: key, Position: k.commit.position})
 		return k.commit, true, true
 	}
 	p := g.now().UnixMicro()
@@ -108,13 +108,13 @@
 	g.commits = append(g.commits, c)
 	if key != "" {
 		if k == nil {
-			k = new(keyed)
+			k = new(keyRecord)
 			g.keys[key] = k
 		}
-		k.first, k.commit = now, c
+		k.firstSeen, k.commit = now, c
 		k.effects++
 	}
-	g.note(Event{Member: m.Name, Kind: "write", ID: id, Code: code, Key: key, Value: string(value), Position: c.position})
+	g.record(Event{Member: m.Name, Kind: "write", ID: id, Code: code, Key: key, Value: string(value), Position: c.position})
 	return c, false, true
 }
 
@@ -129,14 +129,14 @@
 			break
 		}
 	}
-	g.note(Event{Member: m.Name, Kind: "read", ID: id, Code: code, Value: string(value), Limit: limit, Position: position})
+	g.record(Event{Member: m.Name, Kind: "read", ID: id, Code: code, Value: string(value), Timeout: limit, Position: position})
 	return value, position
 }
 
-func (g *Group) note(e Event) {
+func (g *Group) record(e Event) {
 	e.At = time.Now()
 	g.events = append(g.events, e)
-	g.moved.Broadcast()
+	g.changed.Broadcast()
 }
 
 // Events gives what the servers did so far, in its order.
@@ -149,9 +149,9 @@
 // AwaitEvent waits until a server has done such a thing, from the event of that number on, and gives the number behind
 // it; it panics after some time, as no test passes by waiting.
 func (g *Group) AwaitEvent(from int, is func(Event) bool) (Event, int) {
-	stop := time.AfterFunc(soon, func() { g.mu.Lock(); defer g.mu.Unlock(); g.moved.Broadcast() })
+	stop := time.AfterFunc(eventTimeout, func() { g.mu.Lock(); defer g.mu.Unlock(); g.changed.Broadcast() })
 	defer stop.Stop()
-	end := time.Now().Add(soon)
+	end := time.Now().Add(eventTimeout)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i := from; ; i++ {
@@ -159,7 +159,7 @@
 			if time.Now().After(end) {
 				panic("an event of a stand-in did not come")
 			}
-			g.moved.Wait()
+			g.changed.Wait()
 		}
 		if is(g.events[i]) {
 			return g.events[i], i + 1
@@ -168,7 +168,7 @@
 }
 
 // soon is how long an event may take.
-const soon = 20 * time.Second
+const eventTimeout = 20 * time.Second
 
 // Effects counts how often a keyed write has had its effect.
 func (g *Group) Effects(key string) int {
@@ -202,7 +202,7 @@
 			m.primary = false
 		}
 	}
-	g.moved.Broadcast()
+	g.changed.Broadcast()
 }
 
 // Elect makes a member the primary. With sync all commits outlive the switch; without, those that it had not applied
@@ -223,7 +223,7 @@
 		g.last = at
 	}
 	m.primary, m.frozen = true, 0
-	g.moved.Broadcast()
+	g.changed.Broadcast()
 	return lost
 }
 
--- a/standin/list.go
+++ b/standin/list.go
@@ -24,18 +24,18 @@
 
 // List is the list service: the whole list by GET, and a watch that waits until it changes.
 type List struct {
-	l       net.Listener
-	server  *http.Server
-	mu      sync.Mutex
-	calls   int // that were ever made
-	seq     int
-	hosts   []Host
-	down    bool
-	changed chan struct{}
-	toldSeq int           // the latest that was given
-	times   int           // how often the one in force was given
-	told    chan struct{} // closed with the next
-	heldSeq int           // the latest that a gateway watched from: it has read that one
+	l            net.Listener
+	server       *http.Server
+	mu           sync.Mutex
+	requests     int // that were ever made
+	seq          int
+	hosts        []Host
+	down         bool
+	changed      chan struct{}
+	deliveredSeq int           // the latest that was given
+	deliveries   int           // how often the one in force was given
+	delivered    chan struct{} // closed with the next
+	watchedSeq   int           // the latest that a gateway watched from: it has read that one
 }
 
 // NewList starts a list service.
@@ -44,7 +44,7 @@
 	if err != nil {
 		panic(err)
 	}
-	s := &List{l: l, seq: 1, hosts: hosts, changed: make(chan struct{}), told: make(chan struct{})}
+	s := &List{l: l, seq: 1, hosts: hosts, changed: make(chan struct{}), delivered: make(chan struct{})}
 	s.server = &http.Server{Handler: s}
 	go func() { _ = s.server.Serve(l) }()
 	return s
@@ -57,67 +57,67 @@
 func (s *List) Close() { _ = s.server.Close() }
 
 // Calls counts those that were ever made.
-func (s *List) Calls() int {
+func (s *List) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.requests
 }
 
 // Set puts another list in force; watches are told of it at once.
-func (s *List) Set(hosts ...Host) {
+func (s *List) SetHosts(hosts ...Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
-	s.hosts, s.times = hosts, 0
-	s.wake()
+	s.hosts, s.deliveries = hosts, 0
+	s.notifyWatchers()
 }
 
 // Down makes calls fail, and ends the watches, or lets them come again.
-func (s *List) Down(on bool) {
+func (s *List) SetDown(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = on
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *List) wake() {
+func (s *List) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // Whole is the list as a gateway holds it.
-func (s *List) Whole() map[string]any {
+func (s *List) Snapshot() map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.whole()
+	return s.snapshot()
 }
 
-func (s *List) whole() map[string]any {
+func (s *List) snapshot() map[string]any {
 	return map[string]any{"seq": s.seq, "whole": true, "hosts": s.hosts}
 }
 
 // AwaitTold waits until a gateway has been given the list that is in force.
-func (s *List) AwaitTold() { s.AwaitToldTo(1) }
+func (s *List) AwaitDelivered() { s.AwaitDeliveredTo(1) }
 
 // AwaitToldTo waits until so many gateways, each with one watch, have been given it.
-func (s *List) AwaitToldTo(gateways int) {
-	s.await(func() bool { return s.toldSeq >= s.seq && s.times >= gateways })
+func (s *List) AwaitDeliveredTo(gateways int) {
+	s.await(func() bool { return s.deliveredSeq >= s.seq && s.deliveries >= gateways })
 }
 
 // AwaitRead waits until a gateway watches for what comes after it: it has read it then.
-func (s *List) AwaitRead() { s.await(func() bool { return s.heldSeq >= s.seq }) }
+func (s *List) AwaitRead() { s.await(func() bool { return s.watchedSeq >= s.seq }) }
 
 func (s *List) await(done func() bool) {
 	for {
 		s.mu.Lock()
-		ok, more := done(), s.told
+		ok, more := done(), s.delivered
 		s.mu.Unlock()
 		if ok {
 			return
 		}
 		select {
 		case <-more:
-		case <-time.After(soon):
+		case <-time.After(eventTimeout):
 			panic("the list was not asked for")
 		}
 	}
@@ -128,12 +128,12 @@
 	q := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
+	s.requests++
 	if wait, _ := strconv.Atoi(q.Get("wait_ms")); wait > 0 && q.Get("after") == fmt.Sprint(s.seq) && !s.down {
 		changed := s.changed
-		s.heldSeq = s.seq
-		close(s.told)
-		s.told = make(chan struct{})
+		s.watchedSeq = s.seq
+		close(s.delivered)
+		s.delivered = make(chan struct{})
 		s.mu.Unlock()
 		select {
 		case <-changed:
@@ -146,9 +146,9 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(s.whole())
-	s.toldSeq = s.seq
-	s.times++
-	close(s.told)
-	s.told = make(chan struct{})
+	_ = json.NewEncoder(w).Encode(s.snapshot())
+	s.deliveredSeq = s.seq
+	s.deliveries++
+	close(s.delivered)
+	s.delivered = make(chan struct{})
 }
--- a/standin/member.go
+++ b/standin/member.go
@@ -25,17 +25,17 @@
 	frozen  int64         // it applies nothing beyond this; 0 is no bound
 	applied int64
 
-	mu    sync.Mutex
-	l     net.Listener // nil while it is down
-	conns map[net.Conn]bool
-	hung  chan struct{} // closed once it goes on; nil while it runs
-	drain bool
-	delay time.Duration
-	fail  float64 // share of queries
-	owed  float64
-	cores chan struct{}                    // one for each query that is served at a time; nil is no bound
-	cost  func(class string) time.Duration // of a core's time, for a query of a class
-	drop  map[string]int                   // queries of a class that get no answer after their effect
+	mu            sync.Mutex
+	l             net.Listener // nil while it is down
+	conns         map[net.Conn]bool
+	resume        chan struct{} // closed once it goes on; nil while it runs
+	draining      bool
+	delay         time.Duration
+	failRatio     float64 // share of queries
+	failureDebt   float64
+	cores         chan struct{}                    // one for each query that is served at a time; nil is no bound
+	costOf        func(class string) time.Duration // of a core's time, for a query of a class
+	dropResponses map[string]int                   // queries of a class that get no answer after their effect
 
 	utilization atomic.Int64 // in thousandths
 	queries     atomic.Int64
@@ -44,7 +44,7 @@
 
 // NewMember starts a server at an address of its own.
 func (g *Group) NewMember(name string, primary bool) *Member {
-	m := &Member{Name: name, group: g, conns: map[net.Conn]bool{}, drop: map[string]int{}}
+	m := &Member{Name: name, group: g, conns: map[net.Conn]bool{}, dropResponses: map[string]int{}}
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -96,12 +96,12 @@
 }
 
 // Lag sets how far it applies behind its primary.
-func (m *Member) Lag(by time.Duration) {
+func (m *Member) SetLag(by time.Duration) {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	m.applied = m.group.position(m)
 	m.lag = by
-	m.group.moved.Broadcast()
+	m.group.changed.Broadcast()
 }
 
 // Freeze stops what it applies where that stands; Thaw goes on.
@@ -116,7 +116,7 @@
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	m.frozen = 0
-	m.group.moved.Broadcast()
+	m.group.changed.Broadcast()
 }
 
 // Position is up to where it has applied all.
@@ -127,61 +127,61 @@
 }
 
 // Hang makes it take queries and answer nothing, or go on with what it took.
-func (m *Member) Hang(on bool) {
+func (m *Member) SetHung(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if on && m.hung == nil {
-		m.hung = make(chan struct{})
-	} else if !on && m.hung != nil {
-		close(m.hung)
-		m.hung = nil
+	if on && m.resume == nil {
+		m.resume = make(chan struct{})
+	} else if !on && m.resume != nil {
+		close(m.resume)
+		m.resume = nil
 	}
 }
 
 // Drain makes it turn new queries away, as a server that is being taken out does.
-func (m *Member) Drain(on bool) {
+func (m *Member) SetDraining(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.drain = on
+	m.draining = on
 }
 
 // Delay sets how long a query takes.
-func (m *Member) Delay(by time.Duration) {
+func (m *Member) SetDelay(by time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.delay = by
 }
 
 // Serve has it serve so many queries at a time, each for a time by its class; the others wait.
-func (m *Member) Serve(cores int, cost func(class string) time.Duration) {
+func (m *Member) SetCapacity(cores int, cost func(class string) time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.cores, m.cost = make(chan struct{}, cores), cost
+	m.cores, m.costOf = make(chan struct{}, cores), cost
 }
 
 // Fail has it answer this share of queries with an error and do nothing for them, evenly.
-func (m *Member) Fail(share float64) {
+func (m *Member) SetFailRatio(share float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.fail, m.owed = share, 0
+	m.failRatio, m.failureDebt = share, 0
 }
 
 // fails tells whether the next query is one of those.
-func (m *Member) fails() bool {
+func (m *Member) shouldFail() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.owed += m.fail; m.owed >= 1 {
-		m.owed--
+	if m.failureDebt += m.failRatio; m.failureDebt >= 1 {
+		m.failureDebt--
 		return true
 	}
 	return false
 }
 
 // Swallow has so many next queries of a txn type carried out without an answer: the connection breaks instead.
-func (m *Member) Swallow(class string, n int) {
+func (m *Member) DropResponses(class string, n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.drop[class] = n
+	m.dropResponses[class] = n
 }
 
 // Kill ends the process that it stands for: connections break, new ones are refused.
@@ -210,7 +210,7 @@
 }
 
 // Host is its entry in the list.
-func (m *Member) Host(health string) Host {
+func (m *Member) ListEntry(health string) Host {
 	return Host{Host: m.Name, Dial: m.addr, Site: "a", Class: "m", Block: m.group.ID, Health: health, Share: 1}
 }
 
@@ -243,7 +243,7 @@
 }
 
 var (
-	word      = regexp.MustCompile(`([a-z]+)=([^,*\s]+)`)
+	parameter = regexp.MustCompile(`([a-z]+)=([^,*\s]+)`)
 	quoted    = regexp.MustCompile(`'([^']*)'`)
 	statement = regexp.MustCompile(`^/\*(.*?)\*/\s*(\w+)`)
 )
@@ -254,38 +254,38 @@
 	m.busy.Add(1)
 	defer m.busy.Add(-1)
 	m.mu.Lock()
-	hung, drain, delay, cores, cost := m.hung, m.drain, m.delay, m.cores, m.cost
+	hung, drain, delay, cores, cost := m.resume, m.draining, m.delay, m.cores, m.costOf
 	m.mu.Unlock()
 	if hung != nil {
 		m.group.mu.Lock()
-		m.group.note(Event{Member: m.Name, Kind: "hung"})
+		m.group.record(Event{Member: m.Name, Kind: "hung"})
 		m.group.mu.Unlock()
 		<-hung
 	}
 	if sql == "SHOW stats" {
 		m.group.mu.Lock()
-		m.group.note(Event{Member: m.Name, Kind: "probe", Position: m.group.position(m)})
+		m.group.record(Event{Member: m.Name, Kind: "probe", Position: m.group.position(m)})
 		m.group.mu.Unlock()
-		return m.row(b, []byte(m.report()))
+		return m.sendRow(b, []byte(m.stats()))
 	}
 	head := statement.FindStringSubmatch(sql)
 	if head == nil {
-		return m.problem(b, "08P01", "unknown statement")
+		return m.sendError(b, "08P01", "unknown statement")
 	}
 	names := map[string]string{}
-	for _, w := range word.FindAllStringSubmatch(head[1], -1) {
+	for _, w := range parameter.FindAllStringSubmatch(head[1], -1) {
 		names[w[1]] = w[2]
 	}
 	values := quoted.FindAllStringSubmatch(sql[len(head[0]):], -1)
 	if len(values) == 0 || names["id"] == "" {
-		return m.problem(b, "08P01", "unknown statement")
+		return m.sendError(b, "08P01", "unknown statement")
 	}
 	code := values[0][1]
 	if drain {
 		m.group.mu.Lock()
-		m.group.note(Event{Member: m.Name, Kind: "turned away", ID: names["id"], Code: code})
+		m.group.record(Event{Member: m.Name, Kind: "turned away", ID: names["id"], Code: code})
 		m.group.mu.Unlock()
-		return m.problem(b, "53300", "draining")
+		return m.sendError(b, "53300", "draining")
 	}
 	if cores != nil {
 		cores <- struct{}{}
@@ -293,8 +293,8 @@
 		defer func() { <-cores }()
 	}
 	time.Sleep(delay)
-	if m.fails() {
-		return m.problem(b, "XX000", "something went wrong")
+	if m.shouldFail() {
+		return m.sendError(b, "XX000", "something went wrong")
 	}
 	if head[2] == "INSERT" {
 		value := []byte{}
@@ -303,44 +303,44 @@
 		}
 		c, _, ok := m.group.write(m, names["id"], code, names["k"], value)
 		if !ok {
-			return m.problem(b, "25006", "this is a replica")
+			return m.sendError(b, "25006", "this is a replica")
 		}
-		if m.swallows(names["c"]) {
+		if m.dropsResponse(names["c"]) {
 			return false
 		}
-		m.tell(b, c.position)
-		return m.row(b, c.value)
+		m.sendStatus(b, c.position)
+		return m.sendRow(b, c.value)
 	}
-	if after, err := strconv.ParseFloat(names["after"], 64); err == nil && !m.reach(after) {
+	if after, err := strconv.ParseFloat(names["after"], 64); err == nil && !m.waitForPosition(after) {
 		m.group.mu.Lock()
-		m.group.note(Event{Member: m.Name, Kind: "behind", ID: names["id"], Code: code, Position: m.group.position(m)})
+		m.group.record(Event{Member: m.Name, Kind: "behind", ID: names["id"], Code: code, Position: m.group.position(m)})
 		m.group.mu.Unlock()
-		m.tell(b, 0)
-		return m.problem(b, "72000", "too far behind")
+		m.sendStatus(b, 0)
+		return m.sendError(b, "72000", "too far behind")
 	}
 	ms, _ := strconv.Atoi(names["d"])
 	value, position := m.group.read(m, names["id"], code, time.Duration(ms)*time.Millisecond)
-	if m.swallows(names["c"]) {
+	if m.dropsResponse(names["c"]) {
 		return false
 	}
-	m.tell(b, position)
-	return m.row(b, value)
+	m.sendStatus(b, position)
+	return m.sendRow(b, value)
 }
 
-func (m *Member) swallows(class string) bool {
+func (m *Member) dropsResponse(class string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.drop[class]--
-	return m.drop[class] >= 0
+	m.dropResponses[class]--
+	return m.dropResponses[class] >= 0
 }
 
 // reach waits until a read's position is reached, as long as the group says.
-func (m *Member) reach(after float64) bool {
+func (m *Member) waitForPosition(after float64) bool {
 	g := m.group
-	if g.Await < 0 {
+	if g.ReplicaWait < 0 {
 		return true
 	}
-	for end := time.Now().Add(g.Await); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(g.ReplicaWait); ; time.Sleep(time.Millisecond) {
 		if float64(m.Position()) >= after {
 			return true
 		}
@@ -350,7 +350,7 @@
 	}
 }
 
-func (m *Member) report() string {
+func (m *Member) stats() string {
 	g := m.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -362,7 +362,7 @@
 }
 
 // tell says which role it has and where it stands; 0 is where it stands now.
-func (m *Member) tell(b *pgproto3.Backend, position int64) {
+func (m *Member) sendStatus(b *pgproto3.Backend, position int64) {
 	g := m.group
 	g.mu.Lock()
 	mode := "read-only"
@@ -375,10 +375,10 @@
 	g.mu.Unlock()
 	b.Send(&pgproto3.ParameterStatus{Name: "mode", Value: mode})
 	b.Send(&pgproto3.ParameterStatus{Name: "wal_time", Value: strconv.FormatInt(position, 10)})
-	b.Send(&pgproto3.ParameterStatus{Name: "stats", Value: m.report()})
+	b.Send(&pgproto3.ParameterStatus{Name: "stats", Value: m.stats()})
 }
 
-func (m *Member) row(b *pgproto3.Backend, value []byte) bool {
+func (m *Member) sendRow(b *pgproto3.Backend, value []byte) bool {
 	b.Send(&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("data"), DataTypeOID: 17, DataTypeSize: -1, Format: 1}}})
 	b.Send(&pgproto3.DataRow{Values: [][]byte{append([]byte{}, value...)}})
 	b.Send(&pgproto3.CommandComplete{CommandTag: []byte("SELECT 1")})
@@ -386,7 +386,7 @@
 	return b.Flush() == nil
 }
 
-func (m *Member) problem(b *pgproto3.Backend, code, text string) bool {
+func (m *Member) sendError(b *pgproto3.Backend, code, text string) bool {
 	b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: code, Message: text})
 	b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 	return b.Flush() == nil && !strings.HasPrefix(code, "08")
