--- a/contracts/book.go
+++ b/contracts/book.go
@@ -11,70 +11,71 @@
 	"strings"
 )
 
-// State is how far a contract has come; of one that is booked Terms.At tells the rest.
+// State is the lifecycle state of a contract. For a booked one, Terms.PhaseAt returns the phase.
 type State string
 
-// States.
+// Contract states.
 const (
 	Draft     State = "draft"
-	Quoted    State = "quoted" // at that price until Version.Until
+	Quoted    State = "quoted" // at the stated price until Version.Until
 	Booked    State = "booked"
 	Cancelled State = "cancelled"
 )
 
-// Version is one state of a contract. None is ever rewritten.
+// Version is one state of a contract. Versions are append-only and never rewritten.
 type Version struct {
 	State  State  `json:"state"`
 	Terms  Terms  `json:"terms"`
 	Author string `json:"who"`
 	Reason string `json:"why,omitempty"`
 	At     int64  `json:"at"`
-	Until  int64  `json:"until,omitempty"` // of a quote
+	Until  int64  `json:"until,omitempty"` // expiry of a quote
 }
 
-// Contract is all of its versions, the latest last.
+// Contract holds all of its versions, the latest last.
 type Contract struct {
 	No       uint64    `json:"no"`
 	Versions []Version `json:"versions"`
 }
 
-// Now is its latest version.
+// Latest returns the latest version.
 func (c *Contract) Latest() *Version { return &c.Versions[len(c.Versions)-1] }
 
-// Book is all contracts, and what members are taken to be able to do.
+// Book holds all contracts and the configured capacity of members.
 type Book struct {
 	Contracts []Contract   `json:"contracts"`
-	Sizes     []MemberSize `json:"sizes,omitempty"` // by group
-	Floor     float64      `json:"floor"`           // share of capacity that is kept for those without a contract
+	Sizes     []MemberSize `json:"sizes,omitempty"` // sorted by group
+	Floor     float64      `json:"floor"`           // fraction of capacity reserved for traffic without a contract
 }
 
-// MemberSize is what one member of a group can do, by hand.
+// MemberSize is the configured capacity of one member of a group.
 type MemberSize struct {
 	Group  int     `json:"group"`
-	Reads  float64 `json:"reads"` // a second
+	Reads  float64 `json:"reads"` // per second
 	Writes float64 `json:"writes"`
 }
 
-// UsualFloor is kept for those without a contract where nothing is said. Ours.
+// DefaultFloor is the Floor of a book that sets none.
 const DefaultFloor = 0.2
 
-// mostBook is how long the text of a book may be once it is unpacked.
+// maxBookBytes limits the decompressed size of an encoded book.
 const maxBookBytes = 64 << 20
 
-// Text words a book: the same for the same, packed, as contracts are alike in most.
+// Encode serializes a book deterministically. The text is compressed because contracts have most content in
+// common.
 func (b *Book) Encode() []byte {
 	text, err := json.Marshal(b)
 	if err != nil {
-		panic(err) // it holds nothing that has no JSON
+		panic(err) // every field can be encoded as JSON
 	}
 	var out bytes.Buffer
-	w, _ := flate.NewWriter(&out, flate.BestCompression) // the level is valid, and a buffer takes all
+	w, _ := flate.NewWriter(&out, flate.BestCompression) // the level is valid, and a buffer accepts all writes
 	_, _ = w.Write(text)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// ReadBook reads it; no text is an empty one.
+// DecodeBook parses an encoded book; an empty text is an empty book.
 func DecodeBook(text []byte) (*Book, error) {
 	b := &Book{Floor: DefaultFloor}
 	if len(text) == 0 {
@@ -90,14 +91,14 @@
 	return b, nil
 }
 
-// Wish is what somebody wants done: one of its parts.
+// Proposal is a requested change of the book; exactly one of its actions is set.
 type Proposal struct {
 	Author string       `json:"who"`
 	Reason string       `json:"why,omitempty"`
 	At     int64        `json:"at"`
-	Draft  *Terms       `json:"draft,omitempty"` // another contract
-	Amend  *Terms       `json:"amend,omitempty"` // other terms for the one of its name
-	Quote  string       `json:"quote,omitempty"` // that contract, until Until
+	Draft  *Terms       `json:"draft,omitempty"` // create a contract
+	Amend  *Terms       `json:"amend,omitempty"` // replace the terms of the contract with this name
+	Quote  string       `json:"quote,omitempty"` // quote this contract, valid until Until
 	Until  int64        `json:"until,omitempty"`
 	Book   string       `json:"book,omitempty"`
 	Cancel string       `json:"cancel,omitempty"`
@@ -105,7 +106,7 @@
 	Floor  *float64     `json:"floor,omitempty"`
 }
 
-// Find is the contract of a name that lives, or else the last that did; nil for none.
+// Find returns the contract with a name that is not cancelled, or else the latest cancelled one, or nil.
 func (b *Book) Find(name string) (found *Contract) {
 	for i := range b.Contracts {
 		if c := &b.Contracts[i]; c.Latest().Terms.Name == name && (found == nil || c.Latest().State != Cancelled) {
@@ -115,7 +116,8 @@
 	return found
 }
 
-// Reserves tells whether a wish changes what is held for somebody: then no two gateways may act by the book before and after.
+// ChangesReservations returns whether a proposal changes reserved capacity. In that case no two gateways may
+// act on the old and the new book at the same time.
 func (w *Proposal) ChangesReservations(b *Book) bool {
 	if w.Amend != nil {
 		c := b.Find(w.Amend.Name)
@@ -128,7 +130,8 @@
 	return w.Book != ""
 }
 
-// Do gives the book after a wish, or why it is refused; what is lacking is a Lack.
+// Apply returns the book after a proposal, or the reason for refusing it; missing capacity is a
+// *ShortfallError.
 func (b *Book) Apply(w *Proposal, fleet Fleet) (*Book, error) {
 	next := &Book{Contracts: slices.Clone(b.Contracts), Sizes: b.Sizes, Floor: b.Floor}
 	add := func(c *Contract, v Version) {
@@ -167,7 +170,7 @@
 		if err != nil {
 			return nil, err
 		}
-		state := Draft // other terms have another price
+		state := Draft // changed terms need a new price
 		if c.Latest().State == Booked {
 			if state = Booked; w.Amend.Tenant != c.Latest().Terms.Tenant {
 				return nil, errors.New("a booked contract stays its tenant's: cancel it, and book another")
@@ -227,7 +230,7 @@
 	return next, nil
 }
 
-// Live are the contracts that are booked, by rank, the highest first, and number.
+// BookedContracts returns the booked contracts by descending priority, then by number.
 func (b *Book) BookedContracts() (all []*Contract) {
 	for i := range b.Contracts {
 		if c := &b.Contracts[i]; c.Latest().State == Booked {
@@ -238,5 +241,5 @@
 	return all
 }
 
-// words joins several.
+// joinReasons joins reasons for one message.
 func joinReasons(all []string) string { return strings.Join(all, "; ") }
--- a/contracts/calendar.go
+++ b/contracts/calendar.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Fleet is the members there are, by group and zone. Primaries do writes, the others reads.
+// Fleet is the number of members by group and zone. Primaries serve writes, the others serve reads.
 type Fleet map[int]map[string]int
 
-// What a group can do is counted apart for reads and writes.
+// accessKind separates a group's read capacity from its write capacity.
 type accessKind int
 
 const (
@@ -23,15 +23,16 @@
 
 func (k accessKind) String() string { return [...]string{"reads", "writes"}[k] }
 
-// losses, from the least promised to the most.
+// lossLevels are ordered from the weakest guarantee to the strongest.
 var lossLevels = []string{NoLoss, MemberLoss, ZoneLoss}
 
-// Capacity is what of a group may be sold under a loss, a second: what its members can do without those that are lost, less
-// the floor for those without a contract. One member, its primary, does the writes; the others do reads.
+// Capacity returns what can be sold of a group under a tolerated loss, per second: the capacity of the members
+// that remain after the loss, less the floor for traffic without a contract. One member, the primary, serves
+// the writes; the others serve reads.
 func (b *Book) Capacity(fleet Fleet, group int, loss string) (all [accessKinds]float64) {
 	i := slices.IndexFunc(b.Sizes, func(s MemberSize) bool { return s.Group == group })
 	if i < 0 {
-		return all // nothing is known of it
+		return all // no configured size
 	}
 	members, largest := 0, 0
 	for _, n := range fleet[group] {
@@ -43,14 +44,14 @@
 	case ZoneLoss:
 		members -= largest
 	}
-	if members > 0 { // if it was the primary that is lost, another one is elected
+	if members > 0 { // if the primary is lost, another member is elected
 		all[writes] = b.Sizes[i].Writes * (1 - b.Floor)
 		all[reads] = b.Sizes[i].Reads * float64(members-1) * (1 - b.Floor)
 	}
 	return all
 }
 
-// replicas is how many of a group are left under a loss, and in how many zones.
+// replicas returns how many replicas of a group remain after a loss, and in how many zones.
 func (f Fleet) replicas(group int, loss string) (n, zones int) {
 	largest := 0
 	for _, k := range f[group] {
@@ -68,7 +69,7 @@
 	return max(0, n-1), zones // one is the primary
 }
 
-// Calendar is what is sold over time.
+// Calendar holds the reserved capacity over time.
 type Calendar struct {
 	book   *Book
 	fleet  Fleet
@@ -77,23 +78,24 @@
 	steps  map[reservationKey][]capacityStep
 }
 
-// cell is what is sold of a group to those who are promised it under a loss or a larger one.
+// reservationKey identifies the capacity of a group reserved by contracts that tolerate a loss or a larger
+// one.
 type reservationKey struct {
 	group int
 	kind  accessKind
 	loss  string
 }
 
-// step is that so much is sold from a time on.
+// capacityStep is the reserved capacity from a time on.
 type capacityStep struct {
 	from     int64
 	reserved float64
 }
 
-// horizon is how far ahead is looked. Ours.
+// planningHorizon limits how far ahead capacity is planned.
 const planningHorizon = int64(400 * 24 * time.Hour)
 
-// NewCalendar works it out for what is booked, but for one contract, from a time on.
+// NewCalendar computes the reservations of the booked contracts from a time on, excluding one contract.
 func NewCalendar(b *Book, fleet Fleet, now int64, without uint64) *Calendar {
 	c := &Calendar{book: b, fleet: fleet, now: now, groups: slices.Sorted(maps.Keys(fleet)), steps: map[reservationKey][]capacityStep{}}
 	for _, x := range b.BookedContracts() {
@@ -109,7 +111,7 @@
 			}
 		}
 	}
-	for key, all := range c.steps { // changes, to sums
+	for key, all := range c.steps { // turn changes into running sums
 		slices.SortFunc(all, func(x, y capacityStep) int { return cmp.Compare(x.from, y.from) })
 		kept, sum := all[:0], 0.0
 		for i, s := range all {
@@ -124,14 +126,14 @@
 
 func (c *Calendar) reserve(group int, t *Terms, h ReservedWindow) {
 	for k, n := range [accessKinds]float64{t.Reads, t.Writes} {
-		for _, loss := range lossLevels[:slices.Index(lossLevels, t.ToleratedLoss)+1] { // who is promised it under a loss has it without, too
+		for _, loss := range lossLevels[:slices.Index(lossLevels, t.ToleratedLoss)+1] { // a contract that tolerates a loss also reserves capacity at every smaller loss
 			key := reservationKey{group, accessKind(k), loss}
 			c.steps[key] = append(c.steps[key], capacityStep{h.From, n}, capacityStep{h.To, -n})
 		}
 	}
 }
 
-// most is the most that is sold of a cell within a span, and since when.
+// peakReserved returns the highest reservation within a time range, and when it begins.
 func (c *Calendar) peakReserved(key reservationKey, from, to int64) (sold float64, at int64) {
 	all := c.steps[key]
 	i, _ := slices.BinarySearchFunc(all, from, func(s capacityStep, at int64) int { return cmp.Compare(s.from, at+1) })
@@ -147,7 +149,8 @@
 	return sold, at
 }
 
-// Free is what of a group can still be sold within a span, a second, to who is promised it under a loss.
+// Free returns what can still be sold of a group throughout a time range, per second, to a contract that
+// tolerates a loss.
 func (c *Calendar) Free(group int, loss string, from, to int64) (free [2]float64) {
 	free = [2]float64{math.Inf(1), math.Inf(1)}
 	for _, l := range lossLevels[:slices.Index(lossLevels, loss)+1] {
@@ -160,17 +163,17 @@
 	return free
 }
 
-// Lack is why a contract can't be kept, and the way out.
+// ShortfallError explains why a contract does not fit, and which alternatives would.
 type ShortfallError struct {
 	Name         string
-	Shortfalls   []string // what, when, where
-	Reads        float64  // that would fit in all of its windows
+	Shortfalls   []string // what, when and where
+	Reads        float64  // would fit in all of the contract's windows
 	Writes       float64
-	EarlierStart int64 // the nearest start at which all of it fits, Unix nanoseconds, 0 for none within a week
+	EarlierStart int64 // the nearest start at which the whole contract fits, Unix nanoseconds, 0 for none within a week
 	LaterStart   int64
 }
 
-// Error words it.
+// Error describes the shortfall and the alternatives.
 func (l *ShortfallError) Error() string {
 	text := fmt.Sprintf("contract %q does not fit: %s", l.Name, joinReasons(l.Shortfalls))
 	if l.Reads > 0 || l.Writes > 0 {
@@ -185,14 +188,15 @@
 	return text
 }
 
-// shifts are how a window is moved to where it fits.
+// Search for alternative times.
 const (
 	shiftStep     = int64(30 * time.Minute)
 	maxShift      = int64(7 * 24 * time.Hour)
 	maxShortfalls = 4
 )
 
-// Fits tells whether a contract can be kept beside what is booked; if not with a Lack.
+// CheckFit returns nil if a contract fits beside the booked ones, otherwise an error, which is a
+// *ShortfallError where capacity or replicas are missing.
 func (c *Calendar) CheckFit(t *Terms) error {
 	spans := t.ReservedWindows(c.now, c.now+planningHorizon)
 	if len(spans) == 0 {
@@ -241,7 +245,7 @@
 	return l
 }
 
-// room tells whether spans would fit if they were moved by so much.
+// fitsShifted returns whether windows would fit if they were moved by an offset.
 func (c *Calendar) fitsShifted(t *Terms, spans []ReservedWindow, by int64) bool {
 	for _, g := range c.groups {
 		if !t.covers(g) {
@@ -259,7 +263,8 @@
 	return true
 }
 
-// over tells whether more is booked than there is at any time, or fewer replicas are there than somebody is to have.
+// overbooked returns whether more is booked than the capacity at any time, or a contract covers a missing
+// group or needs more replicas or zones than exist.
 func (c *Calendar) overbooked() bool {
 	for key, all := range c.steps {
 		can := c.book.Capacity(c.fleet, key.group, key.loss)[key.kind]
@@ -281,18 +286,18 @@
 	return false
 }
 
-// Risk is a booked contract that can't be kept as the fleet is.
+// UnmetContract is a booked contract that the current fleet cannot satisfy.
 type UnmetContract struct {
 	No     uint64
 	Name   string
 	Reason string
-	Start  int64 // the first of its windows
+	Start  int64 // of its first window
 }
 
-// Risks are the booked contracts that can't be kept by the fleet as it is now: by rank, the lowest give way until the others
-// fit. Nothing is taken from the book.
+// UnmetContracts returns the booked contracts that the current fleet cannot satisfy: those of the lowest
+// priority are given up until the others fit. The book is not changed.
 func (b *Book) UnmetContracts(fleet Fleet, now int64) (all []UnmetContract) {
-	if c := NewCalendar(b, fleet, now, 0); !c.overbooked() { // as a rule; else each is tried beside those above it, which takes longer
+	if c := NewCalendar(b, fleet, now, 0); !c.overbooked() { // the usual case; otherwise each contract is checked beside those of higher priority, which takes longer
 		return nil
 	}
 	kept := &Book{Sizes: b.Sizes, Floor: b.Floor}
@@ -311,7 +316,8 @@
 	return all
 }
 
-// Hour is what of a group is sold and free over an hour, a second, to who is promised it under a loss of a member.
+// HourlyCapacity is what is booked and free of a group over an hour, per second, for contracts that tolerate
+// the loss of a member.
 type HourlyCapacity struct {
 	At       int64
 	Group    int
@@ -320,7 +326,7 @@
 	Free     [2]float64
 }
 
-// Hours are those of a span, by time and group.
+// HourlyCapacities returns n hours from a time on, by time and group.
 func (c *Calendar) HourlyCapacities(from int64, n int) (all []HourlyCapacity) {
 	from -= from % int64(time.Hour)
 	for i := range n {
--- a/contracts/contract.go
+++ b/contracts/contract.go
@@ -1,10 +1,12 @@
-// Package contracts has reserved capacity: contracts by which a tenant may have so many reads and writes a second in stated
-// windows, whatever others ask for; whether one more can be kept; and what gateways hold for those that are live. All
-// contracts are one book, a text that the fleet agrees on (package agreement). It runs without input or output, clock or
-// chance of its own; times are Unix nanoseconds where nothing else is said. docs/contracts.md has the argument.
+// Package contracts implements reserved capacity: contracts that guarantee a tenant a rate of reads and writes
+// in stated windows regardless of other load, admission of further contracts, and the reservations that
+// gateways hold for active ones. All contracts form one book, a text that the fleet agrees on (package
+// agreement). The package does no I/O and has no clock or randomness of its own; times are Unix nanoseconds
+// unless stated otherwise. docs/contracts.md explains the design.
 //
-// contract.go is what a contract says, windows.go when, book.go its life from draft to end, calendar.go what is sold and what
-// is left, holding.go what is held now.
+// contract.go defines the terms, windows.go the time windows, book.go the lifecycle from draft to
+// cancellation, calendar.go booked and free capacity, holding.go the current reservations and usage.go the
+// counts and statements.
 package contracts
 
 import (
@@ -16,45 +18,45 @@
 	"github.com/shopspring/decimal"
 )
 
-// Losses under which a contract is promised.
+// Losses that a contract tolerates.
 const (
 	NoLoss     = "none"
 	MemberLoss = "member" // one member of each group
 	ZoneLoss   = "zone"   // one zone
 )
 
-// What becomes of txns beyond a contract's size.
+// Policies for txns beyond a contract's size.
 const (
-	RejectExcess = "decline"     // turned away
-	BestEffort   = "best effort" // as if there were no contract
-	PaidExcess   = "paid"        // the same, at a price, up to a ceiling
+	RejectExcess = "decline"     // shed
+	BestEffort   = "best effort" // served as if there were no contract
+	PaidExcess   = "paid"        // served as if there were no contract, at a price, up to MaxExcessFactor
 )
 
-// Terms are what a contract says.
+// Terms are the terms of a contract.
 type Terms struct {
-	Name             string          `json:"name"` // which no other contract that lives has
+	Name             string          `json:"name"` // unique among contracts that are not cancelled
 	Tenant           string          `json:"tenant"`
-	Types            []string        `json:"types,omitempty"`  // txn types; none is all of the tenant's
-	Groups           []int           `json:"groups,omitempty"` // none is all
-	Reads            float64         `json:"reads,omitempty"`  // a second, at each of its groups
-	Writes           float64         `json:"writes,omitempty"` // a second, at each of its groups
-	InFlight         int             `json:"in_flight"`        // txns at a time that a gateway keeps room for
+	Types            []string        `json:"types,omitempty"`  // txn types; empty means all of the tenant's
+	Groups           []int           `json:"groups,omitempty"` // empty means all
+	Reads            float64         `json:"reads,omitempty"`  // per second, at each of its groups
+	Writes           float64         `json:"writes,omitempty"` // per second, at each of its groups
+	InFlight         int             `json:"in_flight"`        // slots reserved at each gateway
 	MinReplicas      int             `json:"fan_out,omitempty"`
-	MinZones         int             `json:"fan_zones,omitempty"` // reads go to so many replicas of each group, in so many zones, at the least
+	MinZones         int             `json:"fan_zones,omitempty"` // reads are spread over at least MinReplicas replicas of each group, in at least MinZones zones
 	Windows          []Window        `json:"windows"`
-	RampDuration     int64           `json:"ramp,omitempty"` // nanoseconds before a window from which room is held
-	CooldownDuration int64           `json:"cool,omitempty"` // and after it
-	TargetLatency    int64           `json:"aim,omitempty"`  // SLA time, nanoseconds; 0 is the txn type's
-	PromisedFraction float64         `json:"promised"`       // share of its txns that are served within that
+	RampDuration     int64           `json:"ramp,omitempty"` // nanoseconds before a window from which slots are reserved
+	CooldownDuration int64           `json:"cool,omitempty"` // nanoseconds after a window until which slots are reserved
+	TargetLatency    int64           `json:"aim,omitempty"`  // SLA target, nanoseconds; 0 uses the txn type's
+	PromisedFraction float64         `json:"promised"`       // fraction of its txns to be served within TargetLatency
 	ExcessPolicy     string          `json:"beyond"`
-	MaxExcessFactor  float64         `json:"ceiling,omitempty"` // times its size, up to which what is paid goes
+	MaxExcessFactor  float64         `json:"ceiling,omitempty"` // limit of paid traffic, as a multiple of the contract's size
 	ToleratedLoss    string          `json:"loss"`
-	Priority         int             `json:"rank,omitempty"` // who gives way first where all can't be kept: the least
-	Price            decimal.Decimal `json:"price"`          // of a window
-	Credit           decimal.Decimal `json:"credit"`         // for one in which the promise was not kept
+	Priority         int             `json:"rank,omitempty"` // if not all contracts can be kept, those of the lowest priority are given up first
+	Price            decimal.Decimal `json:"price"`          // per window
+	Credit           decimal.Decimal `json:"credit"`         // per window in which the promise was not kept
 }
 
-// Check names what is wrong with terms.
+// Check reports the first invalid term.
 func (t *Terms) Check() error {
 	switch {
 	case t.Name == "":
@@ -93,16 +95,16 @@
 	return nil
 }
 
-// covers tells whether it is for a group.
+// covers returns whether the contract applies to a group.
 func (t *Terms) covers(group int) bool { return len(t.Groups) == 0 || slices.Contains(t.Groups, group) }
 
-// Held is a span over which room is held for a contract: a window with what comes before and after.
+// ReservedWindow is a window together with its ramp and cooldown, during which capacity is reserved.
 type ReservedWindow struct {
 	TimeRange
-	From, To int64 // with ramp and cool-down
+	From, To int64 // including ramp and cooldown
 }
 
-// Spans are a contract's windows that touch a span, by time.
+// ReservedWindows returns the windows that overlap a time range including ramp and cooldown, by time.
 func (t *Terms) ReservedWindows(from, to int64) (all []ReservedWindow) {
 	for i := range t.Windows {
 		for _, s := range t.Windows[i].Occurrences(from-t.CooldownDuration, to+t.RampDuration) {
@@ -113,10 +115,10 @@
 	return all
 }
 
-// Phase is how a contract stands at a time.
+// Phase is the state of a booked contract at a time.
 type Phase string
 
-// Phases of one that is booked.
+// Phases of a booked contract.
 const (
 	Pending Phase = "booked"
 	Ramping Phase = "ramping"
@@ -125,10 +127,10 @@
 	Ended   Phase = "ended"
 )
 
-// soon is how far ahead the next window of a series is, at the most, unless some are excepted.
+// seriesLookahead is the largest distance to the next window of a series that has no exceptions.
 const seriesLookahead = int64(8 * 24 * time.Hour)
 
-// At is its phase, and the window that it is about: the present or else the next one.
+// PhaseAt returns the phase at a time and the window it refers to: the current one, or else the next.
 func (t *Terms) PhaseAt(now int64) (Phase, ReservedWindow) {
 	all := t.ReservedWindows(now, now+seriesLookahead)
 	if len(all) == 0 {
@@ -150,5 +152,5 @@
 	return Ended, ReservedWindow{}
 }
 
-// instant words a time for people.
+// formatTime formats a time for messages.
 func formatTime(at int64) string { return time.Unix(0, at).UTC().Format("2006-01-02 15:04 UTC") }
--- a/contracts/holding.go
+++ b/contracts/holding.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// Holding is the room that each gateway holds for a tenant now: txns in flight that nobody else may keep from it. What it
-// leaves of that is lent, and back as what was lent ends.
+// Reservation is the capacity that each gateway reserves for a tenant now: in-flight slots guaranteed to the
+// tenant. Unused slots are lent to others and return as the txns that borrowed them end.
 type Reservation struct {
 	Tenant   string
 	InFlight int
 	Names    []string // of the contracts
 }
 
-// Holdings are those of a time, by tenant, and when they change next, 0 for never. Room is held from the ramp on to the end of
-// the cool-down; by the clock of the gateway, so clocks that are apart have it begin and end apart by as much, which ramp and
-// cool-down are to cover.
+// Reservations returns the reservations at a time, by tenant, and when they change next, 0 for never. Slots
+// are reserved from the start of the ramp to the end of the cooldown by the gateway's own clock, so ramp and
+// cooldown must cover the clock difference between gateways.
 func (b *Book) Reservations(now int64) (all []Reservation, next int64) {
 	sooner := func(at int64) {
 		if at > now && (next == 0 || at < next) {
--- a/contracts/usage.go
+++ b/contracts/usage.go
@@ -9,27 +9,28 @@
 	"github.com/shopspring/decimal"
 )
 
-// Interval is over how long txns are counted together, nanoseconds. Ours: short against a window, and a fleet of thousands
-// tells few of them.
+// CountInterval is the interval over which txns are counted, nanoseconds. It is short against a window, and
+// long enough that a fleet of thousands reports few intervals.
 const CountInterval = int64(300e9)
 
-// Spans of reports. Ours: what a gateway that dies has not told is at most of the last second or two.
+// Report timing and retention, in nanoseconds, and the size limit. A gateway that crashes loses at most the
+// unreported counts of the last second or two.
 const (
-	ReportInterval     = int64(1e9)             // between reports of what has changed
-	resendWindow       = int64(10e9)            // what changed of late is told again so long, as reports may be lost
-	fullReportInterval = int64(60e9)            // and all that is kept so often
-	CountRetention     = int64(7 * 24 * 3600e9) // counts are kept after their interval; a statement is made before
+	ReportInterval     = int64(1e9)             // between reports of changed counts
+	resendWindow       = int64(10e9)            // changed counts are resent for this long, as reports may be lost
+	fullReportInterval = int64(60e9)            // between reports of all counts
+	CountRetention     = int64(7 * 24 * 3600e9) // counts are kept this long after their interval; statements are made earlier
 	maxCounts          = 1 << 20
 )
 
-// Counts are of one contract's txns in one interval at one gateway. They only grow.
+// Counts are the txns of one contract in one interval at one gateway. They only grow.
 type Counts struct {
 	Requested   uint64 `json:"Asked"`
 	InTime      uint64
 	Late        uint64
-	Overloaded  uint64 `json:"NoRoom"` // declined: more than the gateway has room for, or than a bound of its tenant's
-	NoMember    uint64 // declined: no member could do them in time
-	NoAgreement uint64 `json:"Unagreed"` // declined: the gateway was careful
+	Overloaded  uint64 `json:"NoRoom"` // declined: beyond the gateway's capacity or a limit of the tenant
+	NoMember    uint64 // declined: no member could serve them in time
+	NoAgreement uint64 `json:"Unagreed"` // declined: the gateway was in careful mode, without a lease on the agreed settings
 	RolledBack  uint64
 	Abandoned   uint64 `json:"Left"` // given up by the client
 }
@@ -41,11 +42,11 @@
 	}
 }
 
-// Count is of one gateway in one of its runs.
+// Count is the Counts of one gateway in one of its runs.
 type Count struct {
-	Origin, Run uint64 // the gateway, and its start
+	Origin, Run uint64 // the gateway and its start
 	No          uint64 // the contract
-	At          int64  // the interval's beginning, Unix nanoseconds
+	At          int64  // start of the interval, Unix nanoseconds
 	Counts
 }
 
@@ -56,24 +57,25 @@
 
 func (c *Count) key() countKey { return countKey{c.Origin, c.Run, c.No, c.At} }
 
-// Account is what a gateway knows of counts, its own among them. Each count has one origin, which alone adds to it; of what
-// others tell the larger holds, so that reports may be lost, late and come twice: each txn is counted once.
+// Account holds the counts known to a gateway, including its own. Only the origin adds to a count, and of
+// reported values the larger one wins, so reports may be lost, late or duplicated and each txn is still
+// counted once.
 type Account struct {
 	origin, run      uint64
 	counts           map[countKey]Counts
-	changed          map[countKey]int64  // when
-	lastReportAt     map[[2]uint64]int64 // of each origin and run, the latest that it reported
+	changed          map[countKey]int64  // time of the last change
+	lastReportAt     map[[2]uint64]int64 // by origin and run
 	lastFullReportAt int64
 }
 
-// NewAccount is that of a gateway in one of its runs, with what was kept of former ones.
+// NewAccount creates the account of a gateway in one of its runs, from the counts saved by earlier runs.
 func NewAccount(origin, run uint64, kept []Count) *Account {
 	a := &Account{origin: origin, run: run, counts: map[countKey]Counts{}, changed: map[countKey]int64{}, lastReportAt: map[[2]uint64]int64{}}
 	a.Merge(kept, 0)
 	return a
 }
 
-// Add counts a txn of this gateway.
+// Add adds counts of this gateway.
 func (a *Account) Add(no uint64, now int64, add Counts) {
 	k := countKey{a.origin, a.run, no, now - now%CountInterval}
 	c := a.counts[k]
@@ -81,7 +83,7 @@
 	a.counts[k], a.changed[k] = c, now
 }
 
-// Heard takes what another gateway told, at a time.
+// Merge merges counts received from another gateway at a time.
 func (a *Account) Merge(all []Count, now int64) {
 	for _, c := range all {
 		k := c.key()
@@ -101,7 +103,8 @@
 	}
 }
 
-// Report is what is to be told now: what has changed of late, and now and then all. own leaves out what came from others.
+// Report returns the counts to send now: those changed recently, and periodically all. own limits it to this
+// gateway's counts of this run.
 func (a *Account) Report(now int64, own bool) (all []Count) {
 	whole := now-a.lastFullReportAt >= fullReportInterval
 	if whole && !own {
@@ -126,7 +129,7 @@
 	return all
 }
 
-// All is every count, for who keeps them.
+// All returns every count, for storage.
 func (a *Account) All() (all []Count) {
 	for k, c := range a.counts {
 		all = append(all, Count{k.origin, k.run, k.no, k.at, c})
@@ -141,17 +144,17 @@
 	})
 }
 
-// Line is one interval of a statement.
+// IntervalReport is one interval of a statement.
 type IntervalReport struct {
 	At       int64
 	Gateways int // that counted something
 	Counts
-	Size           float64 // txns that the contract is for in it
-	ServedFraction float64 `json:"Kept"` // in time, of those asked that it is for; 1 if none was
-	Cause          string  // why it was not kept, empty if it was
+	Size           float64 // txns that the contract covers in the interval
+	ServedFraction float64 `json:"Kept"` // served in time, as a fraction of the covered requests; 1 if there were none
+	Cause          string  // main reason if the promise was not kept, else empty
 }
 
-// Statement is what was kept in one window.
+// Statement reports how a contract was kept in one window.
 type Statement struct {
 	No     uint64
 	Name   string
@@ -159,13 +162,13 @@
 	Lines  []IntervalReport
 	Total  Counts `json:"Sum"`
 	Price  decimal.Decimal
-	Credit decimal.Decimal // 0 where the promise was kept
-	Final  bool            `json:"Over"` // nothing is added any more
+	Credit decimal.Decimal // 0 if the promise was kept
+	Final  bool            `json:"Over"` // no further counts are added
 }
 
-// State makes the statements of a contract for its windows that touch a span, by what is known. A window is kept if each
-// interval in it is: of the txns that were asked for, up to the contract's size, the promised share was served in time. What
-// the clients gave up themselves and what is over the size counts for nobody.
+// Statements reports on a contract's windows that overlap a time range, from the counts known so far. A window
+// is kept if each of its intervals is: of the requested txns, up to the contract's size, the promised fraction
+// was served in time. Txns abandoned by their clients and those beyond the size are not counted.
 func (a *Account) Statements(c *Contract, from, to, now int64) (all []Statement) {
 	t := &c.Latest().Terms
 	for _, h := range t.ReservedWindows(from, to) {
@@ -204,7 +207,7 @@
 	return all
 }
 
-// cause is what most of those were lost to that were not served in time.
+// cause returns the most frequent reason why txns were not served in time.
 func (l *IntervalReport) cause() string {
 	most, why := l.Late, "served late"
 	for _, x := range []struct {
--- a/contracts/windows.go
+++ b/contracts/windows.go
@@ -6,18 +6,18 @@
 	"slices"
 	"sync"
 	"time"
-	_ "time/tzdata" // windows are in zones' times, wherever a gateway runs
+	_ "time/tzdata" // windows use zones' local times, and the machine may lack the zone database
 )
 
-// Window is a span of time, or a series of them, in a zone's own time: one that starts at 20:00 each day does so also after
-// the clocks were changed.
+// Window is a time range or a recurring series of them in a time zone's local time: a window that starts at
+// 20:00 each day also does so after a daylight saving change.
 type Window struct {
-	Zone   string   `json:"zone"`             // as in "Europe/Paris"
-	Start  string   `json:"start"`            // as in "2026-06-14 20:00"
-	Length int64    `json:"length"`           // nanoseconds, as they go by
-	Every  string   `json:"every,omitempty"`  // "day" or "week"; empty is once
-	Until  string   `json:"until,omitempty"`  // the last date of a series, as in "2026-07-19"
-	Except []string `json:"except,omitempty"` // dates on which it is not
+	Zone   string   `json:"zone"`             // such as "Europe/Paris"
+	Start  string   `json:"start"`            // such as "2026-06-14 20:00"
+	Length int64    `json:"length"`           // elapsed nanoseconds
+	Every  string   `json:"every,omitempty"`  // "day" or "week"; empty means once
+	Until  string   `json:"until,omitempty"`  // last date of a series, such as "2026-07-19"
+	Except []string `json:"except,omitempty"` // excluded dates
 }
 
 const (
@@ -26,7 +26,7 @@
 	maxOccurrences = 2000 // of a series
 )
 
-// zones are those that were read: each is some thousands of bytes of a table.
+// zoneCache holds loaded time zones, as each takes some thousands of bytes to parse.
 var zoneCache sync.Map
 
 func location(name string) (*time.Location, error) {
@@ -40,10 +40,10 @@
 	return z, err
 }
 
-// Span is one window: Start within, End not.
+// TimeRange is one window; Start is inclusive, End exclusive.
 type TimeRange struct{ Start, End int64 }
 
-// Check names what is wrong with it.
+// Check reports the first invalid field.
 func (w *Window) Check() error {
 	zone, err := location(w.Zone)
 	if w.Zone == "" || err != nil {
@@ -97,8 +97,8 @@
 	return 1
 }
 
-// Spans are those that touch a span, of a window that passed its check. A start that the clocks skip on its day is as much
-// later as they skip.
+// Occurrences returns the windows that overlap a time range, for a Window that passed Check. A start that a
+// daylight saving change skips on its day moves later by the skipped time.
 func (w *Window) Occurrences(from, to int64) (all []TimeRange) {
 	zone, err := location(w.Zone)
 	if err != nil {
@@ -109,7 +109,7 @@
 		return nil
 	}
 	times, i := 1, 0
-	if w.Every != "" { // from two before the first that may touch it: days are not all as long
+	if w.Every != "" { // start two occurrences early, as days differ in length
 		times, i = maxOccurrences, max(0, int((from-first.UnixNano()-w.Length)/int64(24*time.Hour))/w.stepDays()-2)
 	}
 	for ; i < times; i++ {
--- a/rehearse/audit/audit.go
+++ b/rehearse/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit holds what clients and databases saw of a fleet of gateways against the five rules, and works out the
-// service that clients had. It shares no code with the gateway and believes nothing that a gateway says of itself.
+// Package audit checks what clients and databases observed of a fleet of gateways against five rules, and
+// measures the service that clients received. It shares no code with the gateway and relies on nothing that a
+// gateway reports about itself.
 package audit
 
 import (
@@ -9,61 +10,61 @@
 	"slices"
 )
 
-// Type is a txn type, as the clients and the operators define it. Times are nanoseconds, here and in all that follows.
+// Type is a txn type, as clients and operators define it. All times in this package are nanoseconds.
 type Type struct {
 	Name          string
 	Effect        string // "repeatable", "by_key" or "once"
-	Consistency   string // what a read must see: "eventual", "lag_bound", "causal"; "mutate" is a write
+	Consistency   string // what a read must see: "eventual", "lag_bound" or "causal"; "mutate" marks a write
 	Value         float64
-	LateValue     float64 // share of its worth past its SLA time
-	TargetLatency int64   // its SLA time
-	MaxWait       int64   // that a client waits with all its tries
-	MaxAge        int64   // of lag_bound: how old what it shows may be
+	LateValue     float64 // fraction of Value if served after TargetLatency
+	TargetLatency int64   // SLA target
+	MaxWait       int64   // that a client waits over all attempts
+	MaxAge        int64   // of lag_bound: max age of the data shown
 	DedupWindow   int64   // of by_key: how long databases drop repeats
-	AnyGroup      bool    // of by_key: repeats do no harm wherever they go
+	AnyGroup      bool    // of by_key: repeats are harmless in any group
 }
 
-// Terms are what a run is held against.
+// Config holds the settings that a run is checked against.
 type Config struct {
 	Types          []Type
-	DrainGrace     int64 // that a drain leaves
-	Slack          int64 // for messages under way and timers
-	WarmUp         int64 // that a member is cold after its start
+	DrainGrace     int64 // grace period of a drain
+	Slack          int64 // tolerance for messages in flight and timers
+	WarmUp         int64 // how long a member is cold after its start
 	ColdFraction   float64
-	OverloadFactor float64 // of what it can do at its age: past it a cold member falls over
-	OverloadWindow int64   // within such a span
+	OverloadFactor float64 // multiple of its capacity at its age beyond which a cold member is overloaded
+	OverloadWindow int64   // window over which load is summed
 }
 
-// Ask is one try of a client.
+// Attempt is one attempt of a client at a txn.
 type Attempt struct {
-	ID, FirstID   uint64 // of this try, and of its first
+	ID, FirstID   uint64 // of this attempt, and of the txn's first
 	Session       uint64
 	Type          int
-	Key           uint64 // 0 is none
-	Version       uint64 // that a write brings to its session
-	MinVersion    uint64 // the latest that its session had been told when it was sent
-	DueAt, SentAt int64  // when it was to be sent, and when it was
-	Deadline      int64  // when its time is over
+	Key           uint64 // 0 if none
+	Version       uint64 // that a write creates in its session
+	MinVersion    uint64 // latest version that its session had been told when it was sent
+	DueAt, SentAt int64  // when it was due, and when it was sent
+	Deadline      int64  // when its time runs out
 	Gateway       int
 }
 
-// Kind is what a client was told.
+// Outcome is the result that a client received.
 type Outcome uint8
 
-// Answers.
+// Outcomes.
 const (
 	Served Outcome = iota
 	Declined
 	RolledBack
-	Disconnected // its connection ended without an answer
+	Disconnected // its connection ended without a response
 )
 
-// String words it.
+// String returns the outcome's name.
 func (k Outcome) String() string {
 	return [...]string{"served", "declined", "rolled back", "cut off"}[k]
 }
 
-// Answer is what a client was told of a try.
+// Response is what a client received for an attempt.
 type Response struct {
 	ID      uint64
 	At      int64
@@ -71,21 +72,21 @@
 	Version uint64 // that a read showed
 }
 
-// WorkKind is what a database did with a submission.
+// SubmissionKind is what a database did with a submission.
 type SubmissionKind uint8
 
-// Kinds of work.
+// Submission kinds.
 const (
 	Write SubmissionKind = iota
 	Repeat
 	Read
-	Rejected // turned away: no primary, or too far behind
+	Rejected // no primary, or too far behind
 )
 
-// String words it.
+// String returns the kind's name.
 func (k SubmissionKind) String() string { return [...]string{"write", "repeat", "read", "miss"}[k] }
 
-// Work is one submission at a database.
+// Submission is one submission at a database.
 type Submission struct {
 	ID, Key    uint64
 	Session    uint64
@@ -93,43 +94,43 @@
 	Member     int
 	Gateway    int
 	Kind       SubmissionKind
-	At         int64 // when it was done, or begun
-	ReceivedAt int64 // when it came, which may be long before at one that hung
-	Cost       int64 // of a core's time, warm
+	At         int64 // when it was executed, or begun
+	ReceivedAt int64 // when it was received, which may be long before At at a hung member
+	Cost       int64 // core time on a warm member
 }
 
-// NoticeKind is what happened around the gateways.
+// EventKind is the kind of an event around the gateways.
 type EventKind uint8
 
-// Kinds of notices.
+// Event kinds.
 const (
-	DrainStarted  EventKind = iota // Gateway was told that Member drains
-	Restored                       // Gateway was told that it does no more
+	DrainStarted  EventKind = iota // Gateway was notified that Member drains
+	Restored                       // Gateway was notified that Member no longer drains
 	MemberStarted                  // Member started cold
-	GatewayKilled                  // Gateway ended without a word
-	MemberDied                     // Member did: what it had not passed on may be lost
+	GatewayKilled                  // Gateway was killed without a shutdown
+	MemberDied                     // Member died; commits that it had not replicated may be lost
 	GatewayUp                      // Gateway runs again
 )
 
-// String words it.
+// String returns the kind's name.
 func (k EventKind) String() string {
 	return [...]string{"drain told", "back told", "member started", "gateway killed", "member died", "gateway up"}[k]
 }
 
-// Notice is one such event.
+// Event is something that happened around the gateways.
 type Event struct {
 	At              int64
 	Kind            EventKind
 	Member, Gateway int
 }
 
-// Log is what was seen, each list in the order of time.
+// Log holds everything observed, each list ordered by time.
 type Log struct {
 	Attempts    []Attempt
 	Responses   []Response
 	Submissions []Submission
 	Events      []Event
-	Cores       []int // of each member
+	Cores       []int // per member
 	Names       []string
 }
 
@@ -142,7 +143,7 @@
 	RuleNoStaleRead = "no stale read"
 )
 
-// Rules are all five, in their order.
+// Rules lists all rules in the order of the checks.
 var Rules = []string{RuleNoLoss, RuleNoDuplicate, RuleDrain, RuleColdStart, RuleNoStaleRead}
 
 // Violation is one broken rule.
@@ -154,7 +155,7 @@
 	History     []string
 }
 
-// auditor is an audit under way.
+// auditor is the state of one audit.
 type auditor struct {
 	config      Config
 	log         *Log
@@ -163,7 +164,7 @@
 	violations  []Violation
 }
 
-// Check gives every broken rule, in the order of time.
+// Check returns all violations, ordered by time.
 func Check(t Config, l *Log) []Violation {
 	a := &auditor{config: t, log: l, responses: map[uint64][]Response{}, submissions: map[uint64][]Submission{}}
 	for _, x := range l.Responses {
@@ -181,7 +182,8 @@
 	return a.violations
 }
 
-// mostHistories bounds how many broken rules come with the txn's life: a thousand of one kind tell no more than these.
+// maxHistories limits the violations that include the txn's history: a thousand of one kind tell no more than
+// these.
 const maxHistories = 50
 
 func (a *auditor) report(rule string, id uint64, at int64, format string, args ...any) {
@@ -192,7 +194,7 @@
 	a.violations = append(a.violations, v)
 }
 
-// history is a txn's whole life: all tries of its client, what they were told, and what databases did.
+// history returns a txn's events: all attempts of its client, their responses, and what databases did.
 func (a *auditor) history(id uint64) []string {
 	type line struct {
 		at   int64
@@ -236,7 +238,8 @@
 
 func ms(at int64) string { return fmt.Sprintf("%.1f ms", float64(at)/1e6) }
 
-// lost: each try has one final answer, in its time. One that was cut off with its gateway had no chance.
+// checkLost checks that each attempt has exactly one final response, in time. Attempts whose gateway was down
+// are excused.
 func (a *auditor) checkLost() {
 	type span struct{ from, to int64 }
 	down := map[int][]span{}
@@ -267,13 +270,14 @@
 	}
 }
 
-// twice: what changes data does so once, and what is declined, which says that nothing ran, did not.
+// checkDuplicates checks that each change takes effect once, and that declined attempts, which are reported as
+// not executed, took none.
 func (a *auditor) checkDuplicates() {
 	typeOf := map[uint64]int{}
 	for i := range a.log.Attempts {
 		typeOf[a.log.Attempts[i].ID] = a.log.Attempts[i].Type
 	}
-	type what struct{ key, id uint64 } // a key's, or where there is none the try's own
+	type what struct{ key, id uint64 } // the key's, or the attempt's own if there is no key
 	effects := map[what]int{}
 	for _, w := range a.log.Submissions {
 		if w.Kind != Write {
@@ -296,7 +300,8 @@
 	}
 }
 
-// drains: past the grace nothing new comes from a gateway that was told.
+// checkDrains checks that after the grace period a gateway that was notified of a drain submits nothing new to
+// the member.
 func (a *auditor) checkDrains() {
 	type pair struct{ member, gateway int }
 	told := map[pair][]Event{}
@@ -319,8 +324,8 @@
 	}
 }
 
-// cold: within any span of OverloadFor a member that has just started gets no more than a multiple of what it can do at
-// its age.
+// checkColdStarts checks that within any OverloadWindow a member that has just started receives no more than a
+// multiple of its capacity at its age.
 func (a *auditor) checkColdStarts() {
 	if a.config.OverloadFactor <= 0 || a.config.OverloadWindow <= 0 {
 		return
@@ -345,17 +350,17 @@
 			can := share * float64(a.log.Cores[n.Member]) * float64(a.config.OverloadWindow)
 			if float64(sum) > a.config.OverloadFactor*can {
 				a.report(RuleColdStart, w.ID, w.At, "%s gets %.1f times what it can do %s after its start", a.name(n.Member), float64(sum)/can, ms(w.At-n.At))
-				break // once a start
+				break // report once per start
 			}
 		}
 	}
 }
 
-// stale: a read shows what its session was told before it was sent, or all that is older than its bound; or what was
-// committed after that, which may be an older wish whose client had given it up.
+// checkStaleReads checks that a read shows what its session was told before it was sent, or all commits older
+// than its bound; or a commit after that, which may be an older write that its client had given up.
 func (a *auditor) checkStaleReads() {
 	died := false
-	commits := map[uint64][]Submission{} // of each session, in the order of time
+	commits := map[uint64][]Submission{} // by session, in order of time
 	for _, w := range a.log.Submissions {
 		if w.Kind == Write {
 			commits[w.Session] = append(commits[w.Session], w)
@@ -375,10 +380,10 @@
 				continue
 			}
 			owed := uint64(0)
-			at := map[uint64]int{} // which commit a version was, counted from 1
+			at := map[uint64]int{} // index of the commit of each version, counted from 1
 			for i, w := range commits[x.Session] {
 				at[w.Version] = i + 1
-				// Of a bound: but a commit that a member took with it was never there for others.
+				// For a bound; but a commit lost with a member was never visible to others.
 				if need == "lag_bound" && !died && w.At < x.SentAt-a.config.Types[x.Type].MaxAge-a.config.Slack {
 					owed = w.Version
 				}
--- a/rehearse/audit/service.go
+++ b/rehearse/audit/service.go
@@ -7,18 +7,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Service is what clients had: value answered within the SLA time over value asked for, a client's tries counted once, by
-// the time at which the first was due.
+// Service measures the service of clients: the value served within the SLA target divided by the value
+// requested. All attempts at a txn count once, at the time the first was due.
 type Service struct {
 	Overall   float64
-	Worst10   float64 // of all spans of ten seconds, by halves of a second
+	Worst10   float64 // minimum over all windows of ten seconds, at steps of half a second
 	Types     []TypeService
-	Seconds   []float64 // of each second; NaN where nothing was asked
-	Requested int       // txns, tries counted once
+	Seconds   []float64 // per second; NaN if nothing was requested
+	Requested int       // txns, all attempts counted once
 	Attempts  int
 }
 
-// TypeService is that of one txn type.
+// TypeService is the service of one txn type.
 type TypeService struct {
 	Name                                    string
 	Service                                 float64
@@ -36,7 +36,7 @@
 	slotsPer10s  = 20
 )
 
-// Measure works the service out. Latencies count from when a try was due, whenever it was sent.
+// Measure computes the service. Latencies count from when an attempt was due, not from when it was sent.
 func Measure(t Config, l *Log) Service {
 	var s Service
 	for i := range t.Types {
@@ -52,7 +52,7 @@
 			answers[x.ID] = x
 		}
 	}
-	ends := map[uint64]last{} // of the first try's id: how its client's last try ended, or the one that was served
+	ends := map[uint64]last{} // by the first attempt's ID: the served response, else that of the last attempt
 	for i := range l.Attempts {
 		x := &l.Attempts[i]
 		if y, ok := answers[x.ID]; ok && !(ends[x.FirstID].ok && ends[x.FirstID].answer.Outcome == Served) {
@@ -108,7 +108,7 @@
 		}
 		if i%2 == 1 || i == len(worth)-1 {
 			w, g := sum(worth[i&^1:i+1]), sum(got[i&^1:i+1])
-			s.Seconds = append(s.Seconds, g/w) // NaN where nothing was asked
+			s.Seconds = append(s.Seconds, g/w) // NaN if nothing was requested
 		}
 	}
 	s.Overall = ratio(had, all)
@@ -127,7 +127,7 @@
 	return s
 }
 
-// WorstType is the txn type with the least service of those that were asked for.
+// WorstType returns the requested txn type with the lowest service.
 func (s *Service) WorstType() (name string, service float64) {
 	service = 1
 	for i := range s.Types {
@@ -138,7 +138,7 @@
 	return name, service
 }
 
-// Quantiles gives a type's latencies at some quantiles, in nanoseconds.
+// Quantiles returns a type's latencies at the given quantiles, in nanoseconds.
 func (t *TypeService) Quantiles(at []float64) (all []int64) {
 	for _, q := range at {
 		all = append(all, t.histogram.ValueAtQuantile(q)*1000)
@@ -146,7 +146,7 @@
 	return all
 }
 
-// Sorted gives the seconds from the worst, without those in which nothing was asked.
+// Sorted returns the seconds from the worst to the best, without those in which nothing was requested.
 func (s *Service) Sorted() []float64 {
 	all := slices.DeleteFunc(slices.Clone(s.Seconds), math.IsNaN)
 	slices.Sort(all)
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -1,10 +1,11 @@
-// Package signals spreads what one gateway of a fleet learned of a member to all of them, and tells how much of what was
-// heard there is to it: from how many gateways, how old. All of it is hints. No rule rests on them, and what a gateway has
-// seen itself goes before. It runs without input or output, clock or chance of its own.
+// Package signals disseminates what each gateway of a fleet observes about members to all gateways by gossip,
+// and summarizes the reports received about a member: how many gateways sent them and how old they are.
+// Reports are hints: no correctness rule depends on them, and a gateway's own observations take precedence.
+// The package does no I/O and has no clock or randomness of its own.
 //
-// How it is called: New once; then, for each round, Clock with the time, then any of Fleet, Members, Saw and Heard, which
-// only update what is known; then Next until it says there is no more. Of tells at any time what is known of a member.
-// docs/fleet.md has the argument.
+// Call New once. Then, in each round, call Clock with the time, then any of SetFleet, SetMembers, Observe and
+// Receive, which only update state, then Next until it returns false. Summary returns what is known of a
+// member at any time. docs/fleet.md explains the design.
 package signals
 
 import (
@@ -16,74 +17,75 @@
 	"slices"
 )
 
-// Kind is what an item tells of its member.
+// Kind is the type of an observation.
 type Kind uint8
 
-// Kinds. Of each the latest word of each origin counts.
+// Observation kinds. For each kind, the latest report of each origin counts.
 const (
-	Position Kind = iota + 1 // a log position that it was proven to have reached
-	Primary                  // and that it was primary then
-	Health                   // Well or Ill
-	Latency                  // of its answers, microseconds
-	Load                     // txns in flight to it from the origin
-	Probe                    // what a probe of it came to, in the host's numbers, with the turn's round in the upper half
-	Traffic                  // txns a second of the origin; Member is 0
+	Position Kind = iota + 1 // a log position that the member is proven to have reached
+	Primary                  // the same, and the member was the primary then
+	Health                   // Healthy or Unhealthy
+	Latency                  // response latency, microseconds
+	Load                     // txns that the origin has in flight to the member
+	Probe                    // result of a probe, encoded by the host, with the turn's round in the upper half
+	Traffic                  // txns per second at the origin; Member is 0
 	kindCount
 )
 
-// Verdicts.
+// Values of Health reports.
 const (
 	Healthy   = 0
 	Unhealthy = 1
 )
 
-// Item is one thing that a gateway, its origin, learned of a member.
+// Item is one observation of a member by one gateway, its origin.
 type Item struct {
 	Kind     Kind
 	Member   uint64
-	Origin   uint32 // the origin's number in the fleet, which no other gateway has or had
-	Sequence uint64 // a later word of the origin has a larger one, also after it started again
-	Age      int64  // nanoseconds since it was learned, at sending
+	Origin   uint32 // the origin's number in the fleet, never reused by another gateway
+	Sequence uint64 // increases with each report of the origin, also across restarts
+	Age      int64  // nanoseconds between the observation and the sending of the message
 	Value    int64
 }
 
-// Message is a handful of items from one gateway to another. Whoever carries it vouches for its sender, not for the origins.
+// Message carries items from one gateway to another. The transport authenticates the sender, not the origins
+// of the items.
 type Message struct {
 	To    uint32
 	Items []Item
 }
 
-// Spans, sizes and shares. Sources: ours, by the measurements in docs/results.md.
+// Intervals, limits and thresholds, chosen by the measurements in docs/results.md.
 const (
-	ReportTimeToLive    = int64(10e9)          // after which a word counts for nothing
-	refreshInterval     = ReportTimeToLive / 3 // an illness that lasts, and a load, are told again so often
-	sendInterval        = int64(100e6)         // between messages of one gateway, each to fanout others
+	ReportTimeToLive    = int64(10e9)          // older reports are ignored
+	refreshInterval     = ReportTimeToLive / 3 // resend interval of positions, latencies, loads and persisting unhealthy reports
+	sendInterval        = int64(100e6)         // between batches of one gateway; a batch goes to fanout others
 	fanout              = 3
-	MaxItemsPerMessage  = 6    // in a message
-	maxReportsPerTopic  = 16   // of one kind about one member that are kept, the latest
-	maxQueuedItems      = 1024 // items on their way through this gateway, the latest
-	extraForwards       = 2    // an item is passed on so often more than the fleet has doublings
-	maxSendBudget       = 50.0 // messages that may be sent before the first txn
-	budgetPerTxn        = 0.5  // messages that a txn pays for, beside floor a second: a fleet at rest talks little
+	MaxItemsPerMessage  = 6
+	maxReportsPerTopic  = 16   // reports kept of one kind about one member; the latest win
+	maxQueuedItems      = 1024 // items queued for forwarding; the oldest are dropped
+	extraForwards       = 2    // an item is forwarded this many times more than the fleet size has doublings
+	maxSendBudget       = 50.0 // initial and maximum message budget
+	budgetPerTxn        = 0.5  // messages that each txn adds to the budget, on top of budgetPerSecond: an idle fleet sends little
 	budgetPerSecond     = 20.0
-	MinUnhealthyReports = 3   // gateways that must find a member ill, for others to take it for ill
-	sufficientReports   = 6   // that say one thing of a member: more say nothing new
-	expectedRebuttals   = 4.0 // gateways, about, that answer each word of an illness, of those that find the member well
-	unhealthyFraction   = 0.5 // and their part of those that spoke of it of late: one that half can reach is not ill
-	changeDivisor       = 4   // a latency or a load is told again once it has changed by this part of it
+	MinUnhealthyReports = 3   // gateways that must report a member unhealthy before others treat it as unhealthy
+	sufficientReports   = 6   // further equal reports about a member add no information
+	expectedRebuttals   = 4.0 // expected number of gateways with a healthy view that contradict an unhealthy report
+	unhealthyFraction   = 0.5 // of the recent health reports that must be exceeded: a member that half of the gateways can reach is not unhealthy
+	changeDivisor       = 4   // a latency or load is resent early once it has changed by more than 1/changeDivisor
 )
 
-// DecisionKind is what the host is to do.
+// DecisionKind is the kind of an action for the host.
 type DecisionKind uint8
 
-// What it is to do.
+// Actions for the host.
 const (
-	Send    DecisionKind = iota // Message
-	Deliver                     // Item is news to this gateway, of another one
-	Wake                        // one more round After so many nanoseconds
+	Send    DecisionKind = iota // send Message
+	Deliver                     // Item is a new report of another gateway
+	Wake                        // run one more round in After nanoseconds
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host to perform.
 type Decision struct {
 	Kind    DecisionKind
 	Message Message
@@ -91,7 +93,7 @@
 	After   int64
 }
 
-// Signals is one gateway's part.
+// Signals is one gateway's state of the gossip protocol.
 type Signals struct {
 	self            uint32
 	rng             *rand.Rand
@@ -100,15 +102,15 @@
 	others          []uint32
 	members         map[uint64]bool
 	reports         map[topic]map[uint32]report
-	ownReports      map[topic]report // as last told
+	ownReports      map[topic]report // as last sent
 	relayQueue      []queuedItem
 	sendAt          int64
-	sendBudget      float64 // messages that may be sent
+	sendBudget      float64 // messages that may be sent now
 	budgetUpdatedAt int64
 	pending         []Decision
 	wakeAt          int64
-	Sent            uint64 // messages, for who counts
-	staleItems      uint64 // items that were no news
+	Sent            uint64 // messages sent, for statistics
+	staleItems      uint64 // received items that were already known or outdated
 }
 
 type topic struct {
@@ -118,18 +120,19 @@
 
 type report struct {
 	sequence  uint64
-	learnedAt int64 // by this gateway's clock, when it was learned at its origin or later
+	learnedAt int64 // by this gateway's clock; the observation at the origin is not later
 	value     int64
 }
 
-// rumor is an item that is passed on so many times more.
+// queuedItem is an item waiting to be forwarded forwardsLeft more times.
 type queuedItem struct {
 	item         Item
 	learnedAt    int64
 	forwardsLeft int
 }
 
-// New makes the part of a gateway. no is larger than any that a former run of it has used: nanoseconds of Unix time will do.
+// New creates the state of a gateway. sequence must be larger than any that an earlier run of it used: Unix
+// time in nanoseconds will do.
 func New(self uint32, sequence, seed uint64) (*Signals, error) {
 	if sequence == 0 {
 		return nil, errors.New("signals: numbers begin above 0")
@@ -138,7 +141,7 @@
 		ownReports: map[topic]report{}, sendBudget: maxSendBudget}, nil
 }
 
-// Clock begins a round. Times are nanoseconds of a clock that never goes back.
+// Clock begins a round at a time in nanoseconds of a monotonic clock.
 func (s *Signals) Clock(now int64) {
 	if s.budgetUpdatedAt > 0 {
 		s.addBudget(budgetPerSecond * float64(now-s.budgetUpdatedAt) / 1e9)
@@ -150,10 +153,10 @@
 	s.sendBudget = min(s.sendBudget+messages, maxSendBudget)
 }
 
-// Txn tells that a txn came: messages are paid for by txns.
+// AddTxn adds the message budget of one arrived txn.
 func (s *Signals) AddTxn() { s.addBudget(budgetPerTxn) }
 
-// Fleet tells this gateway's number and those of the others.
+// SetFleet sets this gateway's number and those of the others.
 func (s *Signals) SetFleet(self uint32, others []uint32) {
 	s.self, s.others = self, slices.Clone(others)
 	slices.Sort(s.others)
@@ -162,7 +165,7 @@
 	}
 }
 
-// Members tells which there are; of others nothing is kept.
+// SetMembers sets the known members; reports about any other member are dropped.
 func (s *Signals) SetMembers(all []uint64) {
 	s.members = map[uint64]bool{0: true}
 	for _, m := range all {
@@ -173,9 +176,11 @@
 	s.relayQueue = slices.DeleteFunc(s.relayQueue, func(r queuedItem) bool { return !s.members[r.item.Member] })
 }
 
-// Saw takes what this gateway learned itself. It is told if that is new enough: measures when they have changed, an illness
-// again and again while it lasts and not enough others tell of it. That a member is well is told by who found it ill before,
-// and by some of those that hear that it is ill: else three whose link is broken would have it ill for all.
+// Observe records an observation of this gateway and queues it for sending if it is news: measurements when
+// they have changed, an unhealthy state repeatedly while it lasts and too few others report it. A healthy
+// state is reported by a gateway that reported the member unhealthy before, and by some of those that receive
+// unhealthy reports about it: otherwise three gateways with a broken link would make the member unhealthy for
+// the whole fleet.
 func (s *Signals) Observe(kind Kind, member uint64, value int64) {
 	a := topic{kind, member}
 	previous, reported := s.ownReports[a]
@@ -184,7 +189,8 @@
 		return
 	case kind == Probe:
 	case kind == Position || kind == Primary:
-		// Who starts has heard nothing: what stays as it is is told again, by some.
+		// A gateway that just started has no reports, so unchanged values are resent, though only by some
+		// gateways.
 		if reported && (value < previous.value || value == previous.value && (s.now-previous.learnedAt < refreshInterval || s.countRecent(a) >= sufficientReports)) {
 			return
 		}
@@ -202,7 +208,7 @@
 	s.enqueue(Item{Kind: kind, Member: member, Origin: s.self, Sequence: s.sequence, Value: value}, s.now)
 }
 
-// live counts the words of one kind about a member that are not too old.
+// countRecent counts the reports of one topic that are younger than refreshInterval.
 func (s *Signals) countRecent(a topic) (n int) {
 	for _, w := range s.reports[a] {
 		if s.now-w.learnedAt < refreshInterval {
@@ -212,7 +218,7 @@
 	return n
 }
 
-// speaks tells whether a verdict is worth telling.
+// shouldReportHealth decides whether a health observation is worth sending.
 func (s *Signals) shouldReportHealth(a topic, value int64, previous report, reported bool) bool {
 	if reported && previous.value == value && s.now-previous.learnedAt < refreshInterval {
 		return false
@@ -227,7 +233,7 @@
 	return k.UnhealthyReports > 0 && k.HealthReports-k.UnhealthyReports < sufficientReports && s.rng.Float64()*float64(len(s.others)) < expectedRebuttals
 }
 
-// spread has an item passed on, in the place of an older one of its origin.
+// enqueue queues an item for forwarding, replacing an older one of the same topic and origin.
 func (s *Signals) enqueue(x Item, at int64) {
 	if len(s.others) == 0 {
 		return
@@ -240,11 +246,12 @@
 	}
 	s.relayQueue = append(s.relayQueue, queuedItem{x, at, extraForwards + bits.Len(uint(len(s.others)))})
 	if s.sendAt <= s.now {
-		s.sendAt = s.now + int64(s.rng.Float64()*float64(sendInterval)/4) // what comes together goes together
+		s.sendAt = s.now + int64(s.rng.Float64()*float64(sendInterval)/4) // batch items that are queued close together
 	}
 }
 
-// Heard takes a message. What is old, came already or is this gateway's own is no news, whoever passes it on.
+// Receive processes a message. Items that are expired, already known or this gateway's own are ignored,
+// whoever forwarded them.
 func (s *Signals) Receive(m *Message) {
 	for _, x := range m.Items {
 		if x.Kind == 0 || x.Kind >= kindCount || x.Origin == s.self || !s.members[x.Member] || x.Age < 0 || x.Age >= ReportTimeToLive {
@@ -273,7 +280,7 @@
 	}
 }
 
-// makesRoom forgets the oldest word, if that is older than a time.
+// evictOlder drops the oldest report if it is older than the given time, and returns whether it did.
 func (s *Signals) evictOlder(all map[uint32]report, at int64) bool {
 	oldest, from := at, uint32(0)
 	for _, o := range slices.Sorted(maps.Keys(all)) {
@@ -288,7 +295,7 @@
 	return true
 }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns the next decision of this round, or false if there is none.
 func (s *Signals) Next() (Decision, bool) {
 	if len(s.pending) == 0 && s.now >= s.sendAt {
 		s.sendBatch()
@@ -305,7 +312,7 @@
 	return Decision{}, false
 }
 
-// sends tells some others, by chance, the items that were passed on least.
+// sendBatch sends the least forwarded items to randomly chosen gateways.
 func (s *Signals) sendBatch() {
 	s.relayQueue = slices.DeleteFunc(s.relayQueue, func(r queuedItem) bool { return s.now-r.learnedAt >= ReportTimeToLive })
 	if len(s.relayQueue) == 0 || len(s.others) == 0 {
@@ -322,7 +329,7 @@
 	}
 	for range min(fanout, len(s.others)) {
 		if s.sendBudget < 1 {
-			return // what is left goes once it is paid for
+			return // the rest is sent once the budget allows
 		}
 		s.sendBudget--
 		s.Sent++
@@ -335,17 +342,17 @@
 	s.relayQueue = slices.DeleteFunc(s.relayQueue, func(r queuedItem) bool { return r.forwardsLeft <= 0 })
 }
 
-// Known is what others say of a member.
+// MemberSummary aggregates what other gateways report about a member.
 type MemberSummary struct {
 	Position         int64
-	UnhealthyReports int   `json:"Ill"`   // gateways that find it ill
-	HealthReports    int   `json:"Spoke"` // gateways that said of late whether it is ill or well
-	Latency          int64 // the median of what is told, microseconds, 0 for nothing
-	Load             int64 // the sum of what is told
-	OldestAge        int64 `json:"Oldest"` // age of the oldest word that counts, nanoseconds
+	UnhealthyReports int   `json:"Ill"`   // gateways that report it unhealthy
+	HealthReports    int   `json:"Spoke"` // gateways with a recent health report of either value
+	Latency          int64 // median of the reported latencies, microseconds, 0 if there are none
+	Load             int64 // sum of the reported loads
+	OldestAge        int64 `json:"Oldest"` // age of the oldest report that counts, nanoseconds
 }
 
-// Of tells what is known of a member by others.
+// Summary aggregates the unexpired reports of other gateways about a member.
 func (s *Signals) Summary(member uint64) (k MemberSummary) {
 	live := func(kind Kind, f func(report)) {
 		for _, w := range s.reports[topic{kind, member}] {
@@ -371,13 +378,14 @@
 	return k
 }
 
-// TakenForIll tells whether enough gateways find a member ill for others to go by it. In a fleet of few all others must.
+// IsUnhealthy returns whether enough gateways report a member unhealthy for others to act on it. In a small
+// fleet all others must report it.
 func (s *Signals) IsUnhealthy(member uint64) bool {
 	k := s.Summary(member)
 	return k.UnhealthyReports > 0 && k.UnhealthyReports >= min(MinUnhealthyReports, len(s.others)) && float64(k.UnhealthyReports) > unhealthyFraction*float64(k.HealthReports)
 }
 
-// Traffic is what a gateway told of its txns a second, 0 for nothing.
+// Traffic returns the txns per second that a gateway last reported, 0 if there is no unexpired report.
 func (s *Signals) Traffic(of uint32) int64 {
 	if w := s.reports[topic{Traffic, 0}][of]; s.now-w.learnedAt < ReportTimeToLive {
 		return w.value
--- a/standin/front.go
+++ b/standin/front.go
@@ -13,41 +13,41 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// Front gives clients their connections to gateways, and moves them between those.
+// ClientPool creates clients that connect to gateways and can switch between them.
 type ClientPool struct {
 	gateways []string
 	lastID   atomic.Uint64
 }
 
-// NewFront makes a front of gateways, by their addresses.
+// NewClientPool creates a pool for the gateways with the given addresses.
 func NewClientPool(gateways ...string) *ClientPool { return &ClientPool{gateways: gateways} }
 
-// Client is one client, with a connection to each gateway that it has used. It is not for several goroutines at once.
+// Client is one client with a connection to each gateway that it has used. It is not safe for concurrent use.
 type Client struct {
-	User        string // of its startup message; empty is the portal
+	User        string // user of the startup message; empty means portal
 	pool        *ClientPool
-	SessionCode string // of its session
+	SessionCode string // identifies the session's row
 	Group       int
-	Timeout     time.Duration // that it waits for an answer
-	MinPosition int64         // position that it says its session has reached, in Unix milliseconds
-	Token       string        // signed position that it carries, as it was given last
+	Timeout     time.Duration // response timeout
+	MinPosition int64         // position that its session claims to have reached, Unix milliseconds
+	Token       string        // latest signed position token received
 	Types       TxnTypes
 	conns       map[int]*pgconn.PgConn
 }
 
-// Classes are the names of txn types that a client uses.
+// TxnTypes are the names of the txn types that a client uses.
 type TxnTypes struct{ Write, Read string }
 
-// Answer is what a client got.
+// Response is the result of a client's request.
 type Response struct {
 	Value      string
-	Code       string // SQLSTATE, empty if it was served
-	RetryAfter string // in how many milliseconds it should come back, if it was told so
+	Code       string // SQLSTATE, empty if the request was served
+	RetryAfter string // suggested retry delay in milliseconds, empty if none
 	Err        error  // of the connection
 	Latency    time.Duration
 }
 
-// String words an answer.
+// String describes the response.
 func (a Response) String() string {
 	switch {
 	case a.Err != nil:
@@ -58,18 +58,18 @@
 	return "served " + a.Value
 }
 
-// NewClient makes a client of a session.
+// NewClient creates a client of a session.
 func (f *ClientPool) NewClient(code string, classes TxnTypes) *Client {
 	return &Client{pool: f, SessionCode: code, Timeout: time.Second, Types: classes, conns: map[int]*pgconn.PgConn{}}
 }
 
-// Write writes the next value of its session by a gateway; key is the mark against repeats.
+// Write writes the next value of its session through a gateway; key deduplicates repeats.
 func (c *Client) Write(gateway int, key, value string) Response {
 	return c.query(gateway, fmt.Sprintf("c=%s,k=%s", c.Types.Write, key),
 		fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%s') RETURNING data", c.SessionCode, value))
 }
 
-// WriteAs and ReadAs do the same under an id of the caller's; an empty key is none.
+// WriteWithID writes with a txn id of the caller's choice; an empty key sends none.
 func (c *Client) WriteWithID(id uint64, gateway int, key, value string) Response {
 	more := "c=" + c.Types.Write
 	if key != "" {
@@ -78,12 +78,12 @@
 	return c.queryWithID(id, gateway, more, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%s') RETURNING data", c.SessionCode, value))
 }
 
-// ReadAs reads its session's value.
+// ReadWithID reads its session's value with a txn id of the caller's choice.
 func (c *Client) ReadWithID(id uint64, gateway int) Response {
 	return c.queryWithID(id, gateway, "c="+c.Types.Read, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", c.SessionCode))
 }
 
-// Read reads its session's value by a gateway.
+// Read reads its session's value through a gateway.
 func (c *Client) Read(gateway int) Response {
 	more := "c=" + c.Types.Read
 	if c.MinPosition > 0 {
@@ -95,7 +95,7 @@
 	return c.query(gateway, more, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", c.SessionCode))
 }
 
-// Drop closes a connection as one that fails does.
+// Drop closes the connection to a gateway without a goodbye, as a failed one ends.
 func (c *Client) Drop(gateway int) {
 	if conn := c.conns[gateway]; conn != nil {
 		_ = conn.Conn().Close()
@@ -103,7 +103,7 @@
 	}
 }
 
-// Close closes all.
+// Close closes all connections.
 func (c *Client) Close() {
 	for gateway := range c.conns {
 		c.Drop(gateway)
@@ -117,7 +117,7 @@
 func (c *Client) queryWithID(id uint64, gateway int, more, sql string) (a Response) {
 	began := time.Now()
 	defer func() { a.Latency = time.Since(began) }()
-	// Longer than its own time, so that an answer that comes too late is seen as such.
+	// Longer than the request's own timeout, so that a late response is still observed.
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+eventTimeout)
 	defer cancel()
 	conn := c.conns[gateway]
--- a/standin/group.go
+++ b/standin/group.go
@@ -1,9 +1,11 @@
-// Package standin holds what stands around a gateway, for tests, rehearsals and measurements on one machine: groups of
-// databases with a primary and replicas, the list service, and a front whose clients move between gateways. It is
-// written from the public specifications of PostgreSQL's protocol and of HTTP, listens on loopback alone, and shares
-// no code with the gateway, so that what it sees can be held against what the gateway says.
+// Package standin provides the environment of a gateway for tests, rehearsals and measurements on one machine:
+// groups of databases with a primary and replicas, the list service, the network between gateways, and clients
+// that switch between gateways. It is written from the public specifications of PostgreSQL's protocol and of
+// HTTP, listens on loopback only, and shares no code with the gateway, so that its observations can be checked
+// against what the gateway reports.
 //
-// group.go has a group's log, member.go its servers, list.go the list service, front.go the clients.
+// group.go implements a group's log, member.go its servers, list.go the list service, front.go the clients and
+// wire.go the network.
 package standin
 
 import (
@@ -13,16 +15,16 @@
 	"time"
 )
 
-// Group is one log of commits, the servers that hold it, and which of them takes writes. Positions are Unix times in
-// milliseconds by the group's own clock: a commit's is rounded up, and a server's says that it has applied every
-// commit up to there. All of its methods may be called at any time.
+// Group is a log of commits, the servers that hold it, and which of them is the primary. Positions are Unix
+// times in milliseconds by the group's own clock: a commit's is rounded up, and a server's means that it has
+// applied every commit up to it. All methods are safe for concurrent use.
 type Group struct {
 	ID          int
-	DedupWindow time.Duration // for how long repeats of a keyed write are dropped
-	ReplicaWait time.Duration // how long a replica waits for the position that a read must see; below 0 it does not look
+	DedupWindow time.Duration // how long repeats of a keyed write are dropped
+	ReplicaWait time.Duration // how long a replica waits for the position that a read requires; if negative, it does not check
 
 	mu      sync.Mutex
-	changed *sync.Cond // something has changed that somebody may wait for
+	changed *sync.Cond // signals any change that a caller may wait for
 	skew    time.Duration
 	commits []commit // by position
 	last    int64
@@ -36,37 +38,37 @@
 	position  int64
 	code, key string
 	value     []byte
-	lost      bool // in a switch of the primary
+	lost      bool // in a failover
 }
 
-// keyed is what a group remembers of a key.
+// keyRecord is what a group remembers of a deduplication key.
 type keyRecord struct {
 	firstSeen time.Time
 	commit    commit
 	effects   int
 }
 
-// Event is one thing that a server did.
+// Event is an action of a server.
 type Event struct {
 	At       time.Time
 	Member   string
 	Kind     string // "write", "repeat", "read", "probe", "miss", "behind", "turned away", "hung"
-	ID       string // the txn's, as its comment has it
+	ID       string // the txn's id, from its comment
 	Code     string
 	Key      string
 	Value    string
-	Timeout  time.Duration // that the statement gives it
-	Position int64         // of the commit, or up to which the server had applied all when it read
+	Timeout  time.Duration // timeout that the statement specifies
+	Position int64         // of the commit, or the position applied by the server at the read
 }
 
-// NewGroup makes a group without members.
+// NewGroup creates a group without members.
 func NewGroup(id int) *Group {
 	g := &Group{ID: id, DedupWindow: 2 * time.Second, ReplicaWait: 20 * time.Millisecond, keys: map[string]*keyRecord{}}
 	g.changed = sync.NewCond(&g.mu)
 	return g
 }
 
-// Skew sets how far the group's clock is ahead of this machine's.
+// SetClockSkew sets how far the group's clock is ahead of this machine's.
 func (g *Group) SetClockSkew(by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -75,7 +77,7 @@
 
 func (g *Group) now() time.Time { return time.Now().Add(g.skew) }
 
-// position is up to where a member has applied all commits.
+// position returns the position up to which a member has applied all commits.
 func (g *Group) position(m *Member) int64 {
 	if m.primary {
 		return max(g.now().UnixMilli(), g.last)
@@ -88,7 +90,7 @@
 	return m.applied
 }
 
-// write commits a write at its primary, or drops a repeat; ok is false where the member is no primary.
+// write commits a write at the primary, or drops a repeat; ok is false if the member is not the primary.
 func (g *Group) write(m *Member, id, code, key string, value []byte) (c commit, repeat, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -118,7 +120,7 @@
 	return c, false, true
 }
 
-// read gives the latest value of a code that a member has applied.
+// read returns the latest value of a session code that a member has applied.
 func (g *Group) read(m *Member, id, code string, limit time.Duration) (value []byte, position int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -139,15 +141,15 @@
 	g.changed.Broadcast()
 }
 
-// Events gives what the servers did so far, in its order.
+// Events returns the events so far, in order.
 func (g *Group) Events() []Event {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.events)
 }
 
-// AwaitEvent waits until a server has done such a thing, from the event of that number on, and gives the number behind
-// it; it panics after some time, as no test passes by waiting.
+// AwaitEvent waits for an event that matches, starting at the given index, and returns it with the index after
+// it. It panics after eventTimeout, so that a missing event fails the test.
 func (g *Group) AwaitEvent(from int, is func(Event) bool) (Event, int) {
 	stop := time.AfterFunc(eventTimeout, func() { g.mu.Lock(); defer g.mu.Unlock(); g.changed.Broadcast() })
 	defer stop.Stop()
@@ -167,10 +169,10 @@
 	}
 }
 
-// soon is how long an event may take.
+// eventTimeout limits every wait for an event.
 const eventTimeout = 20 * time.Second
 
-// Effects counts how often a keyed write has had its effect.
+// Effects returns how often a keyed write took effect.
 func (g *Group) Effects(key string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +182,7 @@
 	return 0
 }
 
-// Primary is the member that takes writes, nil while there is none.
+// Primary returns the primary, or nil if there is none.
 func (g *Group) Primary() *Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// Demote leaves the group without a primary. The member applies as a replica does from where it stood.
+// Demote leaves the group without a primary. The former primary continues as a replica from its position.
 func (g *Group) Demote() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,8 +207,9 @@
 	g.changed.Broadcast()
 }
 
-// Elect makes a member the primary. With sync all commits outlive the switch; without, those that it had not applied
-// are lost, and it stands where it stood. Either way a commit of its own comes after them.
+// Elect makes a member the primary. With sync, all commits survive the failover; without, those that the
+// member had not applied are lost and it keeps its position. Either way its own commits come after the
+// remaining ones.
 func (g *Group) Elect(m *Member, sync bool) (lost int) {
 	g.Demote()
 	g.mu.Lock()
@@ -227,5 +230,5 @@
 	return lost
 }
 
-// String names the group.
+// String returns the group's name.
 func (g *Group) String() string { return fmt.Sprintf("group %d", g.ID) }
--- a/standin/list.go
+++ b/standin/list.go
@@ -22,20 +22,20 @@
 	BornMs float64 `json:"born_ms"`
 }
 
-// List is the list service: the whole list by GET, and a watch that waits until it changes.
+// List is the list service: GET returns the whole list, and a watch waits until it changes.
 type List struct {
 	l            net.Listener
 	server       *http.Server
 	mu           sync.Mutex
-	requests     int // that were ever made
+	requests     int // since the start
 	seq          int
 	hosts        []Host
 	down         bool
 	changed      chan struct{}
-	deliveredSeq int           // the latest that was given
-	deliveries   int           // how often the one in force was given
-	delivered    chan struct{} // closed with the next
-	watchedSeq   int           // the latest that a gateway watched from: it has read that one
+	deliveredSeq int           // latest sequence number delivered
+	deliveries   int           // how often the current list was delivered
+	delivered    chan struct{} // closed at the next delivery or watch
+	watchedSeq   int           // latest sequence number that a gateway watched from, which means that it has read that list
 }
 
 // NewList starts a list service.
@@ -50,20 +50,20 @@
 	return s
 }
 
-// Address is where it listens.
+// Address returns the listening address.
 func (s *List) Address() string { return s.l.Addr().String() }
 
-// Close ends it.
+// Close stops the service.
 func (s *List) Close() { _ = s.server.Close() }
 
-// Calls counts those that were ever made.
+// Requests returns the number of requests since the start.
 func (s *List) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// Set puts another list in force; watches are told of it at once.
+// SetHosts replaces the list and notifies watches at once.
 func (s *List) SetHosts(hosts ...Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +72,7 @@
 	s.notifyWatchers()
 }
 
-// Down makes calls fail, and ends the watches, or lets them come again.
+// SetDown makes requests fail and ends the watches, or restores the service.
 func (s *List) SetDown(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	s.changed = make(chan struct{})
 }
 
-// Whole is the list as a gateway holds it.
+// Snapshot returns the list in the form that a gateway holds.
 func (s *List) Snapshot() map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,15 +96,15 @@
 	return map[string]any{"seq": s.seq, "whole": true, "hosts": s.hosts}
 }
 
-// AwaitTold waits until a gateway has been given the list that is in force.
+// AwaitDelivered waits until the current list has been delivered to a gateway.
 func (s *List) AwaitDelivered() { s.AwaitDeliveredTo(1) }
 
-// AwaitToldTo waits until so many gateways, each with one watch, have been given it.
+// AwaitDeliveredTo waits until the current list has been delivered to this many gateways, each with one watch.
 func (s *List) AwaitDeliveredTo(gateways int) {
 	s.await(func() bool { return s.deliveredSeq >= s.seq && s.deliveries >= gateways })
 }
 
-// AwaitRead waits until a gateway watches for what comes after it: it has read it then.
+// AwaitRead waits until a gateway watches for changes after the current list, which means that it has read it.
 func (s *List) AwaitRead() { s.await(func() bool { return s.watchedSeq >= s.seq }) }
 
 func (s *List) await(done func() bool) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (s *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
--- a/standin/member.go
+++ b/standin/member.go
@@ -13,29 +13,30 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Member is one database server of a group. It speaks version 3 of PostgreSQL's protocol, simple queries alone.
+// Member is one database server of a group. It speaks version 3 of PostgreSQL's protocol, with simple queries
+// only.
 type Member struct {
 	Name  string
 	group *Group
 	addr  string
 
-	// Of the group's lock.
+	// Guarded by the group's lock.
 	primary bool
-	lag     time.Duration // of what it applies behind its primary
-	frozen  int64         // it applies nothing beyond this; 0 is no bound
+	lag     time.Duration // replication lag behind the primary
+	frozen  int64         // position at which replication is frozen; 0 if it is not
 	applied int64
 
 	mu            sync.Mutex
-	l             net.Listener // nil while it is down
+	l             net.Listener // nil while the server is down
 	conns         map[net.Conn]bool
-	resume        chan struct{} // closed once it goes on; nil while it runs
+	resume        chan struct{} // closed when a hung server resumes; nil while it runs
 	draining      bool
 	delay         time.Duration
-	failRatio     float64 // share of queries
+	failRatio     float64 // fraction of queries
 	failureDebt   float64
-	cores         chan struct{}                    // one for each query that is served at a time; nil is no bound
-	costOf        func(class string) time.Duration // of a core's time, for a query of a class
-	dropResponses map[string]int                   // queries of a class that get no answer after their effect
+	cores         chan struct{}                    // one slot per concurrent query; nil means unlimited
+	costOf        func(class string) time.Duration // core time of a query by txn type
+	dropResponses map[string]int                   // queries by txn type whose response is still to be dropped after they take effect
 
 	utilization atomic.Int64 // in thousandths
 	queries     atomic.Int64
@@ -58,19 +59,19 @@
 	return m
 }
 
-// Address is where it listens.
+// Address returns the listening address.
 func (m *Member) Address() string { return m.addr }
 
-// Group is the one that it belongs to.
+// Group returns the group that the member belongs to.
 func (m *Member) Group() *Group { return m.group }
 
-// Queries counts the queries that it got, probes too.
+// Queries returns the number of queries received, including probes.
 func (m *Member) Queries() int { return int(m.queries.Load()) }
 
-// Busy is how many queries are under way.
+// Busy returns the number of queries in progress.
 func (m *Member) Busy() int { return int(m.busy.Load()) }
 
-// Connections is how many are open.
+// Connections returns the number of open connections.
 func (m *Member) Connections() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,7 +96,7 @@
 	}()
 }
 
-// Lag sets how far it applies behind its primary.
+// SetLag sets the replication lag behind the primary.
 func (m *Member) SetLag(by time.Duration) {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
@@ -104,14 +105,14 @@
 	m.group.changed.Broadcast()
 }
 
-// Freeze stops what it applies where that stands; Thaw goes on.
+// Freeze stops replication at the current position until Thaw.
 func (m *Member) Freeze() {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	m.frozen = m.group.position(m)
 }
 
-// Thaw ends Freeze.
+// Thaw resumes replication.
 func (m *Member) Thaw() {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
@@ -119,14 +120,14 @@
 	m.group.changed.Broadcast()
 }
 
-// Position is up to where it has applied all.
+// Position returns the position up to which all commits are applied.
 func (m *Member) Position() int64 {
 	m.group.mu.Lock()
 	defer m.group.mu.Unlock()
 	return m.group.position(m)
 }
 
-// Hang makes it take queries and answer nothing, or go on with what it took.
+// SetHung makes the server accept queries without answering, or resume with those it accepted.
 func (m *Member) SetHung(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -138,35 +139,35 @@
 	}
 }
 
-// Drain makes it turn new queries away, as a server that is being taken out does.
+// SetDraining makes the server reject new queries, as one that is being removed does.
 func (m *Member) SetDraining(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.draining = on
 }
 
-// Delay sets how long a query takes.
+// SetDelay sets how long a query takes.
 func (m *Member) SetDelay(by time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.delay = by
 }
 
-// Serve has it serve so many queries at a time, each for a time by its class; the others wait.
+// SetCapacity limits the concurrent queries to cores, each taking a time by its txn type; the others queue.
 func (m *Member) SetCapacity(cores int, cost func(class string) time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.cores, m.costOf = make(chan struct{}, cores), cost
 }
 
-// Fail has it answer this share of queries with an error and do nothing for them, evenly.
+// SetFailRatio makes the server answer this fraction of queries, evenly spaced, with an error and no effect.
 func (m *Member) SetFailRatio(share float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.failRatio, m.failureDebt = share, 0
 }
 
-// fails tells whether the next query is one of those.
+// shouldFail returns whether the next query fails.
 func (m *Member) shouldFail() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -177,14 +178,15 @@
 	return false
 }
 
-// Swallow has so many next queries of a txn type carried out without an answer: the connection breaks instead.
+// DropResponses makes the next n queries of a txn type take effect without a response: the connection breaks
+// instead.
 func (m *Member) DropResponses(class string, n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.dropResponses[class] = n
 }
 
-// Kill ends the process that it stands for: connections break, new ones are refused.
+// Kill simulates the end of the process: connections break and new ones are refused.
 func (m *Member) Kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -200,7 +202,7 @@
 	}
 }
 
-// Start starts it again at its address.
+// Start restarts the server at its address.
 func (m *Member) Start() error {
 	l, err := net.Listen("tcp4", m.addr)
 	if err == nil {
@@ -209,7 +211,7 @@
 	return err
 }
 
-// Host is its entry in the list.
+// ListEntry returns the server's entry in the list.
 func (m *Member) ListEntry(health string) Host {
 	return Host{Host: m.Name, Dial: m.addr, Site: "a", Class: "m", Block: m.group.ID, Health: health, Share: 1}
 }
@@ -248,7 +250,7 @@
 	statement = regexp.MustCompile(`^/\*(.*?)\*/\s*(\w+)`)
 )
 
-// answer answers one query; false ends the connection.
+// answer handles one query; false ends the connection.
 func (m *Member) answer(b *pgproto3.Backend, sql string) bool {
 	m.queries.Add(1)
 	m.busy.Add(1)
@@ -334,7 +336,7 @@
 	return m.dropResponses[class] >= 0
 }
 
-// reach waits until a read's position is reached, as long as the group says.
+// waitForPosition waits up to the group's ReplicaWait until the required position is applied.
 func (m *Member) waitForPosition(after float64) bool {
 	g := m.group
 	if g.ReplicaWait < 0 {
@@ -361,7 +363,7 @@
 	return fmt.Sprintf("x0=%d,x1=%d,util=%.3f", g.position(m), role, float64(m.utilization.Load())/1000)
 }
 
-// tell says which role it has and where it stands; 0 is where it stands now.
+// sendStatus reports the server's role and a position; 0 stands for the current one.
 func (m *Member) sendStatus(b *pgproto3.Backend, position int64) {
 	g := m.group
 	g.mu.Lock()
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Wire is the network between gateways. Each is reached at an address of the wire's, which passes datagrams on to the
-// gateway's own, or does not: by sender and receiver they are lost, late, or come twice. What one sends comes from its
-// address on the wire, so that answers take the same way.
+// Network is the network between gateways. Each gateway is reached at an address of the network, which
+// forwards datagrams to the gateway's own address or, by sender and receiver, drops, delays or duplicates
+// them. Datagrams are sent from the sender's address on the network, so that replies take the same way.
 type Network struct {
 	mu             sync.Mutex
 	rng            *rand.Rand
@@ -21,18 +21,18 @@
 	duplicateRatio float64
 }
 
-// port is one gateway's place on it.
+// endpoint is one gateway's connection to the network.
 type endpoint struct {
 	conn    *net.UDPConn
 	gateway netip.AddrPort // where the gateway listens
 }
 
-// NewWire makes a wire; seed is of what is lost.
+// NewNetwork creates a network; seed determines the random faults.
 func NewNetwork(seed uint64) *Network {
 	return &Network{rng: rand.New(rand.NewPCG(seed, 2)), blocked: map[[2]int]bool{}}
 }
 
-// Join gives a gateway that listens at an address of its own one on the wire, the next place.
+// Join connects a gateway, given its own listening address, and returns its address on the network.
 func (w *Network) Join(own string) (address string) {
 	at := netip.MustParseAddrPort(own)
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 5)})
@@ -47,7 +47,7 @@
 	return conn.LocalAddr().String()
 }
 
-// carry passes on what comes for a gateway.
+// forward forwards the datagrams for a gateway.
 func (w *Network) forward(to int, conn *net.UDPConn) {
 	buf := make([]byte, 1<<16)
 	for {
@@ -87,14 +87,14 @@
 	}
 }
 
-// Cut has nothing of what one gateway sends reach another, or lets it through again.
+// Block drops all datagrams from one gateway to another, or stops doing so.
 func (w *Network) Block(from, to int, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.blocked[[2]int{from, to}] = on
 }
 
-// Part cuts a gateway off from all others and them from it, or joins them again.
+// Isolate blocks a gateway and all others from each other, or stops doing so.
 func (w *Network) Isolate(gateway int, on bool) {
 	for i := range w.endpoints {
 		w.Block(i, gateway, on)
@@ -102,7 +102,7 @@
 	}
 }
 
-// Halves cuts two groups from each other: those up to a place, and the others.
+// Partition blocks the gateways below an index and the others from each other, or stops doing so.
 func (w *Network) Partition(upTo int, on bool) {
 	for i := range w.endpoints {
 		for k := range w.endpoints {
@@ -113,14 +113,15 @@
 	}
 }
 
-// Rough has a share of datagrams lost, some come twice, and all late by up to a span.
+// SetFaults makes the network drop and duplicate fractions of the datagrams, and delay each by up to a
+// duration.
 func (w *Network) SetFaults(loss, twice float64, late time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lossRatio, w.duplicateRatio, w.maxDelay = loss, twice, late
 }
 
-// Close ends it.
+// Close closes the network.
 func (w *Network) Close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/turns/turns.go
+++ b/turns/turns.go
@@ -1,10 +1,11 @@
-// Package turns decides which gateway of a fleet goes first where one is enough: to probe a member for all, to ask a list
-// service that was down. The others wait for its word for a stated time and take the turn over, ever more of them, when it is
-// silent. Nothing is agreed on: two may go at once, as they do in two halves of a fleet that is cut, but few of many do.
-// It runs without input or output, clock or chance of its own. docs/fleet.md has the argument.
+// Package turns decides which gateway of a fleet performs a task that needs only one: probing a member for
+// all, or querying a list service that was down. The others wait for its completion notice for a configured
+// time and take the task over, in batches of growing size, when none arrives. There is no consensus: two
+// gateways may perform a task at once, as in the two halves of a partitioned fleet, but only a few of many do.
+// The package does no I/O and has no clock or randomness of its own. docs/fleet.md explains the design.
 //
-// How it is called: New once; then, for each round, Clock with the time, then any of Ask, Did and Word, which only update
-// what is known; then Next until it says there is no more.
+// Call New once. Then, in each round, call Clock with the time, then any of Request, Complete and
+// PeerCompleted, which only update state, then Next until it returns false.
 package turns
 
 import (
@@ -16,16 +17,16 @@
 	"slices"
 )
 
-// Config are what all gateways of a fleet have alike.
+// Config holds the settings of a gateway's turns. Wait is the same at all gateways of a fleet.
 type Config struct {
 	Self uint32 // this gateway's number in the fleet
-	Wait int64  // for the word of who goes first, and for that of each further lot, nanoseconds
+	Wait int64  // for the completion notice of the first gateway, and for that of each further batch, nanoseconds
 }
 
-// DefaultWait is Wait for who does not say: a probe and some messages fit in.
+// DefaultWait is the Wait used if none is configured: enough for a probe and a few messages.
 const DefaultWait = int64(300e6)
 
-// Check names the first term that is out of range.
+// Check reports the first setting that is out of range.
 func (t *Config) Check() error {
 	if t.Wait < 1e6 {
 		return errors.New("turns: wait is shorter than 1ms")
@@ -33,37 +34,38 @@
 	return nil
 }
 
-// idleExpiry is how long a turn that nobody asks for is remembered. Ours.
+// idleExpiry is how long a turn that nobody requests is remembered, in nanoseconds.
 const idleExpiry = int64(60e9)
 
-// maxTurns are remembered.
+// maxTurns is the number of turns remembered.
 const maxTurns = 4096
 
-// Candidate is a gateway that may go, and its traffic against others', above 0: who has more of it goes more often.
+// Candidate is a gateway that may perform a task. Weight is its traffic relative to the others', above 0: a
+// gateway with more traffic goes first more often.
 type Candidate struct {
 	ID     uint32
 	Weight float64
 }
 
-// DecisionKind is what the host is to do.
+// DecisionKind is the kind of an action for the host.
 type DecisionKind uint8
 
-// What it is to do.
+// Actions for the host.
 const (
-	Perform DecisionKind = iota // do what Key stands for, tell all, then call Did
-	Wake                        // one more round After so many nanoseconds
+	Perform DecisionKind = iota // perform the task of Key, notify all gateways, then call Complete
+	Wake                        // run one more round in After nanoseconds
 )
 
-// Decision is one thing for the host to do.
+// Decision is one action for the host to perform.
 type Decision struct {
 	Kind  DecisionKind
 	Key   uint64
 	Round uint32
-	Batch int // 0 where it goes first, else in the how manieth lot that takes the turn over
+	Batch int // 0 if this gateway goes first, otherwise the number of the takeover batch that it belongs to
 	After int64
 }
 
-// Turns is one gateway's part.
+// Turns is one gateway's state of all tasks.
 type Turns struct {
 	config Config
 	now    int64
@@ -72,15 +74,15 @@
 }
 
 type turn struct {
-	round           uint32 // that comes next
-	startAt         int64  // when this gateway goes, if nobody's word comes, 0 for not asked
+	round           uint32 // next round
+	startAt         int64  // when this gateway performs the task unless a completion notice arrives first, 0 if not requested
 	batch           int
 	running         bool
-	lastRequestedAt int64 // when it was last asked for or told of
-	completedAt     int64 // when it was last done, here or as another's word came
+	lastRequestedAt int64 // last local request or notice from a peer
+	completedAt     int64 // last completion, here or at a peer
 }
 
-// New makes the part of a gateway.
+// New creates the state of a gateway.
 func New(t Config) (*Turns, error) {
 	if err := t.Check(); err != nil {
 		return nil, err
@@ -88,14 +90,15 @@
 	return &Turns{config: t, turns: map[uint64]*turn{}}, nil
 }
 
-// Clock begins a round. Times are nanoseconds of a clock that never goes back.
+// Clock begins a round at a time in nanoseconds of a monotonic clock.
 func (t *Turns) Clock(now int64) { t.now = now }
 
-// SetSelf tells this gateway's number.
+// SetSelf sets this gateway's number.
 func (t *Turns) SetSelf(self uint32) { t.config.Self = self }
 
-// Request says that this gateway would do what a key stands for, if none of the others among does. One that it asked for already,
-// or is about to do, goes on; fresh tells that it was done a moment ago, and need not be again.
+// Request schedules the task of a key at this gateway, unless another candidate completes it first. A task
+// that is already scheduled or running is left as it is. recentlyDone is true if the task was completed less
+// than Wait ago and need not be repeated.
 func (t *Turns) Request(key uint64, candidates []Candidate) (recentlyDone bool) {
 	x := t.getOrCreate(key)
 	if x.lastRequestedAt = t.now; x.startAt != 0 || x.running {
@@ -121,7 +124,8 @@
 	return x
 }
 
-// evictIdle forgets turns that nobody asked for of late; if there are too many all the same, those whose word is awaited stay.
+// evictIdle drops turns that nobody requested recently. If too many remain, it drops all that are neither
+// scheduled nor running.
 func (t *Turns) evictIdle() {
 	maps.DeleteFunc(t.turns, func(_ uint64, x *turn) bool {
 		return x.startAt == 0 && !x.running && t.now-x.lastRequestedAt > idleExpiry
@@ -131,8 +135,9 @@
 	}
 }
 
-// rank is this gateway's among the candidates for a round, by weighted rendezvous hashing: another order each round, in
-// which who has twice the weight is twice as often first. 0 is the first; lots are of one, two, four and so on.
+// rank returns this gateway's position among the candidates of a round, 0 being the first, by weighted
+// rendezvous hashing: the order differs in each round, and twice the weight is first twice as often. Batches
+// hold one, two, four and so on ranks.
 func (t *Turns) rank(key uint64, round uint32, candidates []Candidate) (rank int) {
 	score := func(c Candidate) float64 {
 		x := key ^ uint64(round)*0x9e3779b97f4a7c15 ^ uint64(c.ID)<<32
@@ -156,12 +161,12 @@
 	return rank
 }
 
-// PeerCompleted takes another gateway's that it did what a key stands for in a round. One that this gateway waits for is so over; it
-// is told whether it was.
+// PeerCompleted records that another gateway performed the task of a key in a round. It cancels a task that is
+// scheduled or running here, and returns whether there was one.
 func (t *Turns) PeerCompleted(key uint64, round uint32) (awaited bool) {
 	x := t.getOrCreate(key)
 	x.lastRequestedAt = t.now
-	if round < x.round { // of one before
+	if round < x.round { // notice of an earlier round
 		return false
 	}
 	awaited = x.startAt != 0 || x.running
@@ -169,14 +174,14 @@
 	return awaited
 }
 
-// Complete tells that this gateway has done it.
+// Complete records that this gateway has performed the task.
 func (t *Turns) Complete(key uint64, round uint32) {
 	if x := t.turns[key]; x != nil {
 		x.running, x.startAt, x.round, x.completedAt = false, 0, max(x.round, round+1), t.now
 	}
 }
 
-// Next gives one decision of this round, or says that there is none left.
+// Next returns the next decision of this round, or false if there is none.
 func (t *Turns) Next() (Decision, bool) {
 	first := int64(0)
 	for _, key := range slices.SortedFunc(maps.Keys(t.turns), func(x, y uint64) int { return cmp.Compare(x, y) }) {
@@ -199,16 +204,16 @@
 	return Decision{}, false
 }
 
-// TurnStatus is how a turn stands at this gateway.
+// TurnStatus is the state of one turn at this gateway.
 type TurnStatus struct {
 	Key     uint64
-	Round   uint32 // that comes next
-	Batch   int    `json:"Lot"` // in which it goes
-	After   int64  // nanoseconds until then, below 0 where it waits for nothing
+	Round   uint32 // next round
+	Batch   int    `json:"Lot"` // number of the batch that this gateway belongs to
+	After   int64  // nanoseconds until this gateway starts, below 0 if it is not scheduled
 	Running bool   `json:"Going"`
 }
 
-// Status are the turns that it knows of, by key.
+// Status returns all known turns, by key.
 func (t *Turns) Status() (all []TurnStatus) {
 	for _, key := range slices.Sorted(maps.Keys(t.turns)) {
 		x := t.turns[key]
