--- a/contracts/book.go
+++ b/contracts/book.go
@@ -86,7 +86,7 @@
 		err = json.Unmarshal(plain, b)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("contracts: the book can't be read: %w", err)
+		return nil, fmt.Errorf("contracts: decode book: %w", err)
 	}
 	return b, nil
 }
--- a/contracts/calendar.go
+++ b/contracts/calendar.go
@@ -96,11 +96,11 @@
 const planningHorizon = int64(400 * 24 * time.Hour)
 
 // NewCalendar computes the reservations of the booked contracts from a time on, excluding one contract.
-func NewCalendar(b *Book, fleet Fleet, now int64, without uint64) *Calendar {
+func NewCalendar(b *Book, fleet Fleet, now int64, excludedNo uint64) *Calendar {
 	c := &Calendar{book: b, fleet: fleet, now: now, groups: slices.Sorted(maps.Keys(fleet)), steps: map[reservationKey][]capacityStep{}}
 	for _, x := range b.BookedContracts() {
 		t := &x.Latest().Terms
-		if x.No == without {
+		if x.No == excludedNo {
 			continue
 		}
 		for _, h := range t.ReservedWindows(now, now+planningHorizon) {
@@ -165,19 +165,19 @@
 
 // ShortfallError explains why a contract does not fit, and which alternatives would.
 type ShortfallError struct {
-	Name         string
-	Shortfalls   []string // what, when and where
-	Reads        float64  // would fit in all of the contract's windows
-	Writes       float64
-	EarlierStart int64 // the nearest start at which the whole contract fits, Unix nanoseconds, 0 for none within a week
-	LaterStart   int64
+	Name          string
+	Shortfalls    []string // what, when and where
+	FittingReads  float64  // would fit in all of the contract's windows
+	FittingWrites float64
+	EarlierStart  int64 // the nearest start at which the whole contract fits, Unix nanoseconds, 0 for none within a week
+	LaterStart    int64
 }
 
 // Error describes the shortfall and the alternatives.
 func (l *ShortfallError) Error() string {
 	text := fmt.Sprintf("contract %q does not fit: %s", l.Name, joinReasons(l.Shortfalls))
-	if l.Reads > 0 || l.Writes > 0 {
-		text += fmt.Sprintf("; %.0f reads and %.0f writes a second would fit", l.Reads, l.Writes)
+	if l.FittingReads > 0 || l.FittingWrites > 0 {
+		text += fmt.Sprintf("; %.0f reads and %.0f writes a second would fit", l.FittingReads, l.FittingWrites)
 	}
 	switch {
 	case l.EarlierStart > 0 && l.LaterStart > 0:
@@ -202,7 +202,7 @@
 	if len(spans) == 0 {
 		return fmt.Errorf("contract %q: all of its windows are over, or more than 400 days ahead", t.Name)
 	}
-	l := &ShortfallError{Name: t.Name, Reads: math.Inf(1), Writes: math.Inf(1)}
+	shortfall := &ShortfallError{Name: t.Name, FittingReads: math.Inf(1), FittingWrites: math.Inf(1)}
 	covered := false
 	for _, g := range c.groups {
 		if !t.covers(g) {
@@ -210,14 +210,14 @@
 		}
 		covered = true
 		if n, zones := c.fleet.replicas(g, t.ToleratedLoss); n < t.MinReplicas || zones < t.MinZones {
-			l.Shortfalls = append(l.Shortfalls, fmt.Sprintf("group %d has %d replicas in %d zones with a loss of %s, %d in %d are wanted", g, n, zones, t.ToleratedLoss, t.MinReplicas, t.MinZones))
+			shortfall.Shortfalls = append(shortfall.Shortfalls, fmt.Sprintf("group %d has %d replicas in %d zones with a loss of %s, %d in %d are wanted", g, n, zones, t.ToleratedLoss, t.MinReplicas, t.MinZones))
 		}
 		for _, h := range spans {
 			free := c.Free(g, t.ToleratedLoss, h.From, h.To)
-			l.Reads, l.Writes = min(l.Reads, free[reads]), min(l.Writes, free[writes])
+			shortfall.FittingReads, shortfall.FittingWrites = min(shortfall.FittingReads, free[reads]), min(shortfall.FittingWrites, free[writes])
 			for k, want := range [accessKinds]float64{t.Reads, t.Writes} {
-				if short := want - free[k]; short > 1e-9 && len(l.Shortfalls) < maxShortfalls {
-					l.Shortfalls = append(l.Shortfalls, fmt.Sprintf("group %d lacks %.0f %v a second at %s with a loss of %s", g, math.Ceil(short), accessKind(k), formatTime(h.Start), t.ToleratedLoss))
+				if short := want - free[k]; short > 1e-9 && len(shortfall.Shortfalls) < maxShortfalls {
+					shortfall.Shortfalls = append(shortfall.Shortfalls, fmt.Sprintf("group %d lacks %.0f %v a second at %s with a loss of %s", g, math.Ceil(short), accessKind(k), formatTime(h.Start), t.ToleratedLoss))
 				}
 			}
 		}
@@ -230,19 +230,19 @@
 	if !covered {
 		return fmt.Errorf("contract %q: there are no groups", t.Name)
 	}
-	if len(l.Shortfalls) == 0 {
+	if len(shortfall.Shortfalls) == 0 {
 		return nil
 	}
-	l.Reads, l.Writes = min(l.Reads, t.Reads), min(l.Writes, t.Writes)
-	for by := shiftStep; by <= maxShift && (l.EarlierStart == 0 || l.LaterStart == 0); by += shiftStep {
-		if l.EarlierStart == 0 && spans[0].From-by > c.now && c.fitsShifted(t, spans, -by) {
-			l.EarlierStart = spans[0].Start - by
+	shortfall.FittingReads, shortfall.FittingWrites = min(shortfall.FittingReads, t.Reads), min(shortfall.FittingWrites, t.Writes)
+	for by := shiftStep; by <= maxShift && (shortfall.EarlierStart == 0 || shortfall.LaterStart == 0); by += shiftStep {
+		if shortfall.EarlierStart == 0 && spans[0].From-by > c.now && c.fitsShifted(t, spans, -by) {
+			shortfall.EarlierStart = spans[0].Start - by
 		}
-		if l.LaterStart == 0 && c.fitsShifted(t, spans, by) {
-			l.LaterStart = spans[0].Start + by
+		if shortfall.LaterStart == 0 && c.fitsShifted(t, spans, by) {
+			shortfall.LaterStart = spans[0].Start + by
 		}
 	}
-	return l
+	return shortfall
 }
 
 // fitsShifted returns whether windows would fit if they were moved by an offset.
--- a/contracts/contracts_test.go
+++ b/contracts/contracts_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-// noon is a time to count from.
+// noon is the start of the tests' time.
 var noon = time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC).UnixNano()
 
 const hour = int64(time.Hour)
@@ -25,7 +25,7 @@
 		RampDuration: hour / 2, CooldownDuration: hour / 2, PromisedFraction: 0.99, ExcessPolicy: BestEffort, ToleratedLoss: MemberLoss, Price: decimal.RequireFromString("120.50"), Credit: decimal.RequireFromString("60.25")}
 }
 
-// two groups of four members in two zones, each of which does 100 reads and 40 writes a second.
+// Two groups of four members in two zones; each member has a capacity of 100 reads and 40 writes per second.
 var fleet = Fleet{0: {"a": 2, "b": 2}, 1: {"a": 2, "b": 2}}
 
 func sizedBook() *Book {
@@ -37,7 +37,7 @@
 	return b
 }
 
-// booked does all that comes before a booking, and that.
+// bookContract drafts, quotes and books a contract.
 func bookContract(b *Book, t Terms, now int64) (*Book, error) {
 	for _, w := range []Proposal{{Draft: &t}, {Quote: t.Name, Until: now + hour}, {Book: t.Name}} {
 		w.At, w.Author = now, "test"
@@ -50,9 +50,10 @@
 	return b, nil
 }
 
-// A series at 20:00 in Paris stays at 20:00 when clocks are put back, on which day the day has 25 hours, and exceptions are
-// left out. A time that the clocks skip is refused as a start, and comes as much later within a series.
-func TestWindows(t *testing.T) {
+// A daily series at 20:00 in Paris must stay at 20:00 after the clocks go back, on a day of 25 hours, and skip
+// its exceptions. A time that does not exist because the clocks go forward is refused as a start, and moves
+// later within a series.
+func TestWindowsAcrossClockChanges(t *testing.T) {
 	w := Window{Zone: "Europe/Paris", Start: "2026-10-23 20:00", Length: 3 * hour, Every: "day", Until: "2026-10-27", Except: []string{"2026-10-24"}}
 	if err := w.Check(); err != nil {
 		t.Fatal(err)
@@ -83,8 +84,8 @@
 	}
 }
 
-// What the calendar says is what a plain one says, which looks at each half hour of each group by itself.
-func TestCalendar(t *testing.T) {
+// The calendar must agree with a simple model that checks each half hour of each group separately.
+func TestCalendarMatchesReferenceModel(t *testing.T) {
 	start := func(r *rapid.T, name string) string {
 		return time.Unix(0, noon+hour/2*int64(rapid.IntRange(2, 96).Draw(r, name))).UTC().Format(startLayout)
 	}
@@ -126,28 +127,29 @@
 		if (err == nil) != fits {
 			r.Fatalf("fits %v, but %v", fits, err)
 		}
-		// What is said to fit instead does.
+		// The suggested alternatives must fit.
 		var l *ShortfallError
 		if !errors.As(err, &l) {
 			return
 		}
 		less := x
-		less.Reads, less.Writes = l.Reads, l.Writes
-		if l.Reads+l.Writes > 0 && NewCalendar(b, fleet, noon, 0).CheckFit(&less) != nil {
-			r.Fatalf("less does not fit: %v", l)
+		less.Reads, less.Writes = l.FittingReads, l.FittingWrites
+		if l.FittingReads+l.FittingWrites > 0 && NewCalendar(b, fleet, noon, 0).CheckFit(&less) != nil {
+			r.Fatalf("reduced contract does not fit: %v", l)
 		}
 		for _, at := range []int64{l.EarlierStart, l.LaterStart} {
 			moved := x
 			moved.Windows = []Window{{Zone: "UTC", Start: time.Unix(0, at).UTC().Format(startLayout), Length: x.Windows[0].Length}}
 			if err := NewCalendar(b, fleet, noon, 0).CheckFit(&moved); at > 0 && err != nil {
-				r.Fatalf("another time does not fit: %v, %v", l, err)
+				r.Fatalf("shifted window does not fit: %v, %v", l, err)
 			}
 		}
 	})
 }
 
-// By chance contracts are drafted, quoted, booked, amended and cancelled, and the fleet shrinks and grows: nothing is ever sold
-// that is not there, no version is rewritten, and what a smaller fleet can't keep is told and not dropped.
+// Contracts are randomly drafted, quoted, booked, amended and cancelled while the fleet shrinks and grows.
+// Capacity must never be oversold, no version may be rewritten, and contracts that a smaller fleet cannot keep
+// must be reported, not dropped.
 func TestNeverOversold(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -177,7 +179,7 @@
 			before, _ := json.Marshal(b)
 			next, err := b.Apply(&w, there)
 			if after, _ := json.Marshal(b); string(after) != string(before) {
-				t.Fatal("seed ", seed, ": a book was rewritten")
+				t.Fatal("seed ", seed, ": the book was modified in place")
 			}
 			if err != nil {
 				refused++
@@ -191,18 +193,18 @@
 					}
 				}
 			}
-			if sold := w.Book != "" || w.Amend != nil; sold { // what was just sold fits beside all that is kept by rank or not
-				c := next.Find(cmpOr(w.Book, name))
+			if sold := w.Book != "" || w.Amend != nil; sold { // a contract just booked or amended must fit beside all other booked ones
+				c := next.Find(firstNonEmpty(w.Book, name))
 				if c.Latest().State == Booked {
 					if err := NewCalendar(next, there, now, c.No).CheckFit(&c.Latest().Terms); err != nil {
-						t.Fatal("seed ", seed, ": sold what is not there: ", err)
+						t.Fatal("seed ", seed, ": oversold: ", err)
 					}
 				}
 			}
 			b = next
 		}
 		if again, err := DecodeBook(b.Encode()); err != nil || string(again.Encode()) != string(b.Encode()) {
-			t.Fatal("seed ", seed, ": the text: ", err)
+			t.Fatal("seed ", seed, ": encoding: ", err)
 		}
 		if done == 0 || refused == 0 {
 			t.Fatal("seed ", seed, ": ", done, refused)
@@ -214,20 +216,21 @@
 			}
 		}
 		if risks := b.UnmetContracts(Fleet{0: {"a": 1}, 1: {"a": 1}}, now); len(risks) != live {
-			t.Fatalf("seed %d: one member a group keeps %d of %d", seed, live-len(risks), live)
+			t.Fatalf("seed %d: one member per group keeps %d of %d", seed, live-len(risks), live)
 		}
 	}
 }
 
-func cmpOr(x, y string) string {
+func firstNonEmpty(x, y string) string {
 	if x != "" {
 		return x
 	}
 	return y
 }
 
-// A contract's life, a refusal with its way out, and a fleet that shrinks, as a person reads them: -update writes them anew.
-func TestTranscript(t *testing.T) {
+// Golden transcript of a contract's lifecycle, a refusal with alternatives, and a shrinking fleet; -update
+// rewrites it.
+func TestLifecycleTranscript(t *testing.T) {
 	b, there := sizedBook(), fleet
 	var out []string
 	say := func(format string, x ...any) { out = append(out, fmt.Sprintf(format, x...)) }
@@ -258,7 +261,7 @@
 	final.Reads = 190
 	do(noon+24*hour, "amend final to 190 reads a second", Proposal{Amend: &final})
 	there = Fleet{0: {"a": 2, "b": 1}, 1: {"a": 2, "b": 2}}
-	say("a member of group 0 is taken away for good")
+	say("a member of group 0 is removed")
 	for _, r := range b.UnmetContracts(there, noon+48*hour) {
 		say("  at risk from %s: %s", formatTime(r.Start), r.Reason)
 	}
@@ -270,7 +273,7 @@
 		if next > 0 {
 			then = formatTime(next)
 		}
-		say("%s  final is %s; held: %v; changes next at %s", formatTime(x.UnixNano()), p, holdings, then)
+		say("%s  final is %s; reserved: %v; next change at %s", formatTime(x.UnixNano()), p, holdings, then)
 	}
 	do(noon+400*hour, "cancel gala, afterwards", Proposal{Cancel: "gala"})
 	for _, v := range b.Find("gala").Versions {
@@ -279,7 +282,7 @@
 	goldie.New(t, goldie.WithNameSuffix(".txt")).Assert(t, "life", []byte(strings.Join(out, "\n")+"\n"))
 }
 
-// What booking costs beside 10,000 contracts over a year, and the length of their book's text.
+// Measures the cost of a booking beside 10,000 contracts over a year, and the size of their encoded book.
 func BenchmarkBooking(b *testing.B) {
 	book := sizedBook()
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/contracts/usage_test.go
+++ b/contracts/usage_test.go
@@ -11,13 +11,14 @@
 	"github.com/shopspring/decimal"
 )
 
-// Gateways count txns and report to three that keep accounts, by a network that loses, delays and repeats; gateways are
-// killed and start again, those that keep accounts too, which tell each other. Each txn is counted once: what is stated is
-// never more than the truth, and less by no more than what the killed had counted since their last report.
-func TestCountedOnce(t *testing.T) {
+// Gateways report counts to three of them that keep accounts, over a network that loses, delays and duplicates
+// messages. Gateways are killed and restarted, including those that keep accounts, which also report to each
+// other. Each txn must be counted at most once: a statement never exceeds the true count, and falls short by
+// no more than what killed gateways had counted since their last report.
+func TestTxnsAreCountedOnce(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 9))
-		const n = 8 // the first three keep accounts of all
+		const n = 8 // the first three keep accounts of all gateways
 		run := make([]uint64, n)
 		all := make([]*Account, n)
 		disk := make([][]Count, n)
@@ -45,7 +46,7 @@
 		}
 		for step := range 400 {
 			now += ReportInterval / 2
-			if step == 380 { // then all is well
+			if step == 380 { // no more faults
 				loss = 0
 			}
 			for i, a := range all {
@@ -64,7 +65,7 @@
 						disk[i] = a.All()
 					}
 				}
-				if step < 360 && rng.IntN(60) == 0 { // killed; what it had not told and kept is lost
+				if step < 360 && rng.IntN(60) == 0 { // killed: counts neither reported nor saved are lost
 					kept := disk[i]
 					if i > 2 {
 						kept = nil
@@ -83,7 +84,7 @@
 				all[l.to].Merge(l.what, now)
 			}
 			way = rest
-			if step%20 == 0 { // told many times by now, unless lost again and again
+			if step%20 == 0 { // by now resent many times, unless lost each time
 				clear(fresh)
 			}
 		}
@@ -91,22 +92,22 @@
 		for v := range 3 {
 			s := all[v].Statements(c, noon, noon+hour, now)[0]
 			if s.Total.Requested > truth || s.Total.Requested+unsure < truth {
-				t.Fatalf("seed %d: %d stated, %d were, %d unsure", seed, s.Total.Requested, truth, unsure)
+				t.Fatalf("seed %d: %d stated, %d true, %d possibly lost", seed, s.Total.Requested, truth, unsure)
 			}
 			if s.Total.Requested != s.Total.InTime {
-				t.Fatal("seed ", seed, ": counts of one interval are torn")
+				t.Fatal("seed ", seed, ": counts of one interval are inconsistent")
 			}
 		}
 	}
 }
 
-// A window whose intervals were kept has no credit; one interval that was not has it, with its cause; what is over the size
-// counts for nobody.
-func TestStatement(t *testing.T) {
+// A window whose intervals were all kept earns no credit; one missed interval earns it and has a cause. Txns
+// beyond the contract's size are not counted.
+func TestStatementCredit(t *testing.T) {
 	x := terms("x", "2026-06-01 12:00", 1, 10, 0)
 	c := &Contract{No: 7, Versions: []Version{{State: Booked, Terms: x}}}
 	a := NewAccount(1, 1, nil)
-	a.Add(7, noon+1e9, Counts{Requested: 9000, InTime: 3000, Overloaded: 6000}) // 3000 is its size
+	a.Add(7, noon+1e9, Counts{Requested: 9000, InTime: 3000, Overloaded: 6000}) // the contract's size is 3000
 	s := a.Statements(c, noon, noon+hour, noon+hour)[0]
 	if !s.Credit.IsZero() || s.Lines[0].ServedFraction != 1 || s.Lines[0].Size != 3000 {
 		t.Fatalf("%+v", s)
@@ -122,9 +123,9 @@
 	}
 }
 
-// An event during which one of three gateways is cut off, as a person reads it: what is stated while its counts are not heard
-// of, and after, with the credit that its careful spell costs. -update writes it anew.
-func TestEventTranscript(t *testing.T) {
+// Golden transcript of an event during which one of three gateways is partitioned: the statement while its
+// counts are missing, and afterwards with the credit for the time it was in careful mode. -update rewrites it.
+func TestPartitionTranscript(t *testing.T) {
 	x := terms("final", "2026-06-01 12:00", 1, 20, 0)
 	c := &Contract{No: 7, Versions: []Version{{State: Booked, Terms: x}}}
 	var out []string
@@ -138,9 +139,9 @@
 	}
 	state := func() {
 		for _, s := range all[0].Statements(c, noon, noon+hour, now) {
-			say("stated at g1: %d asked, %d in time, credit %s, over %v", s.Total.Requested, s.Total.InTime, s.Credit, s.Final)
+			say("statement at g1: %d requested, %d in time, credit %s, final %v", s.Total.Requested, s.Total.InTime, s.Credit, s.Final)
 			for _, l := range s.Lines {
-				out = append(out, fmt.Sprintf("            from %s: %d gateways, %d asked of %.0f, kept %.4f %s", time.Unix(0, l.At).UTC().Format("15:04"), l.Gateways, l.Requested, l.Size, l.ServedFraction, l.Cause))
+				out = append(out, fmt.Sprintf("            from %s: %d gateways, %d requested of %.0f, served %.4f %s", time.Unix(0, l.At).UTC().Format("15:04"), l.Gateways, l.Requested, l.Size, l.ServedFraction, l.Cause))
 			}
 		}
 	}
@@ -149,15 +150,15 @@
 		switch second {
 		case 300:
 			cut = true
-			say("g3 is cut off; its clients stay")
+			say("g3 is partitioned; its clients stay")
 		case 600:
 			state()
 			cut = false
-			say("g3 is back")
+			say("g3 is reachable again")
 		}
 		for i, a := range all {
 			n := Counts{Requested: 5, InTime: 5}
-			if i == 2 && cut && second > 302 { // careful, as its lease has run out
+			if i == 2 && cut && second > 302 { // in careful mode, as its lease has expired
 				n = Counts{Requested: 5, NoAgreement: 5}
 			}
 			a.Add(7, now, n)
--- a/rehearse/audit/audit.go
+++ b/rehearse/audit/audit.go
@@ -212,7 +212,7 @@
 		if x.FirstID != first {
 			continue
 		}
-		lines = append(lines, line{x.SentAt, fmt.Sprintf("asked as %d at gateway %d: %s, session %d, owed version %d, until %s",
+		lines = append(lines, line{x.SentAt, fmt.Sprintf("attempt %d at gateway %d: %s, session %d, required version %d, deadline %s",
 			x.ID, x.Gateway, a.config.Types[x.Type].Name, x.Session, x.MinVersion, ms(x.Deadline))})
 		for _, y := range a.responses[x.ID] {
 			lines = append(lines, line{y.At, fmt.Sprintf("%d %s, version %d", x.ID, y.Outcome, y.Version)})
@@ -259,13 +259,13 @@
 		got := a.responses[x.ID]
 		switch {
 		case len(got) == 0 && !excused(x):
-			a.report(RuleNoLoss, x.ID, x.Deadline, "it has no answer")
+			a.report(RuleNoLoss, x.ID, x.Deadline, "no response")
 		case len(got) > 1:
-			a.report(RuleNoLoss, x.ID, got[1].At, "it has %d answers", len(got))
+			a.report(RuleNoLoss, x.ID, got[1].At, "%d responses", len(got))
 		case len(got) == 1 && got[0].Outcome == Disconnected && !excused(x):
-			a.report(RuleNoLoss, x.ID, got[0].At, "its connection ended without an answer")
+			a.report(RuleNoLoss, x.ID, got[0].At, "connection ended without a response")
 		case len(got) == 1 && got[0].Outcome != Disconnected && got[0].At > x.Deadline+a.config.Slack:
-			a.report(RuleNoLoss, x.ID, got[0].At, "its answer came %s after its time", ms(got[0].At-x.Deadline))
+			a.report(RuleNoLoss, x.ID, got[0].At, "response %s after the deadline", ms(got[0].At-x.Deadline))
 		}
 	}
 }
@@ -288,12 +288,12 @@
 			of.id = w.ID
 		}
 		if effects[of]++; effects[of] == 2 {
-			a.report(RuleNoDuplicate, w.ID, w.At, "it has its effect a second time, at %s", a.name(w.Member))
+			a.report(RuleNoDuplicate, w.ID, w.At, "takes effect a second time, at %s", a.name(w.Member))
 		}
 		if n, ok := typeOf[w.ID]; ok && !a.config.Types[n].AnyGroup {
 			for _, x := range a.responses[w.ID] {
 				if x.Outcome == Declined {
-					a.report(RuleNoDuplicate, w.ID, max(x.At, w.At), "it is declined, and has its effect")
+					a.report(RuleNoDuplicate, w.ID, max(x.At, w.At), "declined, but takes effect")
 				}
 			}
 		}
@@ -319,7 +319,7 @@
 			}
 		}
 		if latest != nil && latest.Kind == DrainStarted && w.ReceivedAt > latest.At+a.config.DrainGrace+a.config.Slack {
-			a.report(RuleDrain, w.ID, w.At, "%s gets it %s after gateway %d was told that it drains", a.name(w.Member), ms(w.ReceivedAt-latest.At), w.Gateway)
+			a.report(RuleDrain, w.ID, w.At, "%s receives it %s after gateway %d was notified of the drain", a.name(w.Member), ms(w.ReceivedAt-latest.At), w.Gateway)
 		}
 	}
 }
@@ -349,7 +349,7 @@
 			share := a.config.ColdFraction + (1-a.config.ColdFraction)*float64(w.At-n.At)/float64(a.config.WarmUp)
 			can := share * float64(a.log.Cores[n.Member]) * float64(a.config.OverloadWindow)
 			if float64(sum) > a.config.OverloadFactor*can {
-				a.report(RuleColdStart, w.ID, w.At, "%s gets %.1f times what it can do %s after its start", a.name(n.Member), float64(sum)/can, ms(w.At-n.At))
+				a.report(RuleColdStart, w.ID, w.At, "%s receives %.1f times its capacity %s after its start", a.name(n.Member), float64(sum)/can, ms(w.At-n.At))
 				break // report once per start
 			}
 		}
@@ -392,7 +392,7 @@
 				owed = x.MinVersion
 			}
 			if at[y.Version] < at[owed] {
-				a.report(RuleNoStaleRead, x.ID, y.At, "it shows version %d of session %d, and is owed %d", y.Version, x.Session, owed)
+				a.report(RuleNoStaleRead, x.ID, y.At, "shows version %d of session %d, but version %d is required", y.Version, x.Session, owed)
 			}
 		}
 	}
--- a/rehearse/audit/audit_test.go
+++ b/rehearse/audit/audit_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func terms() Config {
+func testConfig() Config {
 	return Config{Types: []Type{
 		{Name: "session", Effect: "repeatable", Consistency: "causal", Value: 1, TargetLatency: 300e6, MaxWait: 1e9},
 		{Name: "bounded", Effect: "repeatable", Consistency: "lag_bound", Value: 1, TargetLatency: 300e6, MaxWait: 1e9, MaxAge: 200e6},
@@ -13,7 +13,7 @@
 		DrainGrace: 250e6, Slack: 10e6, WarmUp: 10e9, ColdFraction: 0.2, OverloadFactor: 2, OverloadWindow: 1e9}
 }
 
-// good is a day without a broken rule: a write, and reads of what it wrote.
+// validLog is a log without violations: a write, and reads of what it wrote.
 func validLog() *Log {
 	l := &Log{Cores: []int{1, 1}, Names: []string{"p", "r"}}
 	defer func() {
@@ -33,13 +33,13 @@
 	return l
 }
 
-// Each rule, broken on purpose, is found, and nothing else is; what only looks like it is not.
+// Each rule must detect a deliberate violation and nothing else, and must accept logs that only resemble one.
 func Example_planted() {
 	plant := func(what string, change func(*Log)) {
 		l := validLog()
 		change(l)
 		fmt.Println(what + ":")
-		for _, v := range Check(terms(), l) {
+		for _, v := range Check(testConfig(), l) {
 			fmt.Println(" ", v.Rule, v.ID, v.Description)
 		}
 	}
@@ -93,47 +93,47 @@
 	// Output:
 	// nothing:
 	// no answer:
-	//   no txn lost 5 it has no answer
+	//   no txn lost 5 no response
 	// no answer, gateway killed:
 	// no answer, gateway up again before:
-	//   no txn lost 5 it has no answer
+	//   no txn lost 5 no response
 	// cut off:
-	//   no txn lost 5 its connection ended without an answer
+	//   no txn lost 5 connection ended without a response
 	// two answers:
-	//   no txn lost 5 it has 2 answers
+	//   no txn lost 5 2 responses
 	// too late:
-	//   no txn lost 5 its answer came 30.0 ms after its time
+	//   no txn lost 5 response 30.0 ms after the deadline
 	// effect twice:
-	//   no effect twice 9 it has its effect a second time, at p
+	//   no effect twice 9 takes effect a second time, at p
 	// a repeat:
 	// declined with its effect:
-	//   no effect twice 1 it is declined, and has its effect
+	//   no effect twice 1 declined, but takes effect
 	// drain:
-	//   drains kept 2 r gets it 321.0 ms after gateway 0 was told that it drains
-	//   drains kept 3 r gets it 331.0 ms after gateway 0 was told that it drains
-	//   drains kept 4 r gets it 341.0 ms after gateway 0 was told that it drains
-	//   drains kept 5 r gets it 351.0 ms after gateway 0 was told that it drains
+	//   drains kept 2 r receives it 321.0 ms after gateway 0 was notified of the drain
+	//   drains kept 3 r receives it 331.0 ms after gateway 0 was notified of the drain
+	//   drains kept 4 r receives it 341.0 ms after gateway 0 was notified of the drain
+	//   drains kept 5 r receives it 351.0 ms after gateway 0 was notified of the drain
 	// drain while it hung:
 	// drain in its grace:
 	// drain that is over:
 	// cold:
-	//   no cold server pushed over 4 r gets 2.2 times what it can do 41.0 ms after its start
+	//   no cold server pushed over 4 r receives 2.2 times its capacity 41.0 ms after its start
 	// stale:
-	//   no stale read 4 it shows version 0 of session 7, and is owed 1
+	//   no stale read 4 shows version 0 of session 7, but version 1 is required
 	// a later commit of an older version:
 	// older than its bound:
-	//   no stale read 5 it shows version 0 of session 7, and is owed 1
+	//   no stale read 5 shows version 0 of session 7, but version 1 is required
 	// within its bound:
 }
 
-// A broken rule comes with the txn's whole life, all tries of its client.
+// A violation includes the txn's history, with all attempts of its client.
 func Example_history() {
 	l := validLog()
 	l.Responses[0].Outcome = RolledBack
 	l.Attempts = append(l.Attempts, Attempt{ID: 8, FirstID: 1, Session: 7, Type: 2, Key: 11, Version: 1, DueAt: 0, SentAt: 100e6, Deadline: 2e9})
 	l.Submissions = append(l.Submissions, Submission{ID: 8, Key: 11, Session: 7, Version: 1, Kind: Write, At: 101e6})
 	l.Responses = append(l.Responses, Response{ID: 8, At: 105e6, Outcome: Served})
-	for _, v := range Check(terms(), l) {
+	for _, v := range Check(testConfig(), l) {
 		fmt.Println(v.Rule)
 		for _, h := range v.History {
 			fmt.Println(" ", h)
@@ -141,22 +141,23 @@
 	}
 	// Output:
 	// no effect twice
-	//   0.0 ms asked as 1 at gateway 0: record, session 7, owed version 0, until 2000.0 ms
+	//   0.0 ms attempt 1 at gateway 0: record, session 7, required version 0, deadline 2000.0 ms
 	//   5.0 ms 1 at p: write, version 1
 	//   10.0 ms 1 rolled back, version 0
-	//   100.0 ms asked as 8 at gateway 0: record, session 7, owed version 0, until 2000.0 ms
+	//   100.0 ms attempt 8 at gateway 0: record, session 7, required version 0, deadline 2000.0 ms
 	//   101.0 ms 8 at p: write, version 1
 	//   105.0 ms 8 served, version 0
 }
 
-// Tries count with their first, late answers by their late value, and a try that was sent late from when it was due.
+// Attempts count with their txn's first, late responses by LateValue, and an attempt sent late from when it
+// was due.
 func TestService(t *testing.T) {
 	l := validLog()
-	l.Responses[1].Outcome = Declined // a session read, which comes again
+	l.Responses[1].Outcome = Declined // a session read, retried later
 	l.Attempts = append(l.Attempts, Attempt{ID: 8, FirstID: 2, Session: 7, Type: 0, MinVersion: 1, DueAt: 20e6, SentAt: 200e6, Deadline: 1020e6})
 	l.Responses = append(l.Responses, Response{ID: 8, At: 321e6, Outcome: Served, Version: 1}) // 301 ms after it was first due
 	l.Responses[0].At = 501e6
-	s := Measure(terms(), l)
+	s := Measure(testConfig(), l)
 	if s.Requested != 5 || s.Attempts != 6 || s.Types[0].Service != 0.5 || s.Types[2].Service != 0.5 || s.Overall != (2+0+1+2)/8.0 {
 		t.Fatalf("%+v", s)
 	}
--- a/rehearse/audit/service.go
+++ b/rehearse/audit/service.go
@@ -59,7 +59,7 @@
 			ends[x.FirstID] = last{y, true}
 		}
 	}
-	var worth, got []float64
+	var requested, served []float64
 	s.Attempts = len(l.Attempts)
 	for i := range l.Attempts {
 		x := &l.Attempts[i]
@@ -70,8 +70,8 @@
 		s.Requested++
 		ts.Requested++
 		n := int(max(0, x.DueAt) / slotDuration)
-		for len(worth) <= n {
-			worth, got = append(worth, 0), append(got, 0)
+		for len(requested) <= n {
+			requested, served = append(requested, 0), append(served, 0)
 		}
 		value := 0.0
 		switch end := ends[x.FirstID]; {
@@ -91,28 +91,28 @@
 				value *= k.LateValue
 			}
 		}
-		worth[n] += k.Value
-		got[n] += value
+		requested[n] += k.Value
+		served[n] += value
 		ts.worth += k.Value
 		ts.value += value
 	}
-	all, had := 0.0, 0.0
+	totalRequested, totalServed := 0.0, 0.0
 	s.Worst10 = 1
-	for i := range worth {
-		all, had = all+worth[i], had+got[i]
+	for i := range requested {
+		totalRequested, totalServed = totalRequested+requested[i], totalServed+served[i]
 		if i+1 >= slotsPer10s {
-			w, g := sum(worth[i+1-slotsPer10s:i+1]), sum(got[i+1-slotsPer10s:i+1])
+			w, g := sum(requested[i+1-slotsPer10s:i+1]), sum(served[i+1-slotsPer10s:i+1])
 			if w > 0 {
 				s.Worst10 = min(s.Worst10, g/w)
 			}
 		}
-		if i%2 == 1 || i == len(worth)-1 {
-			w, g := sum(worth[i&^1:i+1]), sum(got[i&^1:i+1])
+		if i%2 == 1 || i == len(requested)-1 {
+			w, g := sum(requested[i&^1:i+1]), sum(served[i&^1:i+1])
 			s.Seconds = append(s.Seconds, g/w) // NaN if nothing was requested
 		}
 	}
-	s.Overall = ratio(had, all)
-	if len(worth) < slotsPer10s {
+	s.Overall = ratio(totalServed, totalRequested)
+	if len(requested) < slotsPer10s {
 		s.Worst10 = s.Overall
 	}
 	for i := range s.Types {
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -135,7 +135,7 @@
 // time in nanoseconds will do.
 func New(self uint32, sequence, seed uint64) (*Signals, error) {
 	if sequence == 0 {
-		return nil, errors.New("signals: numbers begin above 0")
+		return nil, errors.New("signals: sequence must be above 0")
 	}
 	return &Signals{self: self, sequence: sequence, rng: rand.New(rand.NewPCG(seed, uint64(self))), members: map[uint64]bool{}, reports: map[topic]map[uint32]report{},
 		ownReports: map[topic]report{}, sendBudget: maxSendBudget}, nil
--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -10,7 +10,8 @@
 
 const second = int64(1e9)
 
-// world is a fleet on a virtual clock, whose gateways hear of members by one another and sometimes by themselves.
+// fleetSimulation runs a fleet on a virtual clock. Its gateways learn about members from one another and,
+// where a test says so, by their own observations.
 type fleetSimulation struct {
 	agenda.Agenda
 	t         testing.TB
@@ -26,9 +27,9 @@
 	w              *fleetSimulation
 	id             uint32
 	s              *Signals
-	learned        map[Item]int // of its word, by content
-	wake           int
-	reportsHealthy bool // it finds member 1 well itself, and says so when it hears otherwise
+	received       map[Item]int // how often each item was delivered as new
+	wakeCount      int
+	reportsHealthy bool // observes member 1 as healthy, and reports so when it receives the contrary
 	down           bool
 }
 
@@ -55,7 +56,7 @@
 			others = append(others, o.id)
 		}
 	}
-	x.s, x.learned, x.down = s, map[Item]int{}, false
+	x.s, x.received, x.down = s, map[Item]int{}, false
 	s.Clock(w.Now)
 	s.SetFleet(x.id, others)
 	s.SetMembers([]uint64{1, 2, 3})
@@ -82,15 +83,15 @@
 		case Deliver:
 			same := d.Item
 			same.Age = 0
-			x.learned[same]++
+			x.received[same]++
 			if d.Item.Kind == Health && d.Item.Value == Unhealthy && x.reportsHealthy {
 				x.s.Observe(Health, d.Item.Member, Healthy)
 			}
 		case Wake:
-			x.wake++
-			no := x.wake
+			x.wakeCount++
+			no := x.wakeCount
 			w.After(d.After, func() {
-				if x.wake == no {
+				if x.wakeCount == no {
 					x.runRound(func() {})
 				}
 			})
@@ -109,8 +110,9 @@
 	return n
 }
 
-// What one learned all know, within a second up to 2,000 gateways, though a tenth of the messages is lost; nobody learns one
-// word twice, and messages a gateway do not grow with the fleet.
+// An observation of one gateway must reach all within a second, for up to 2,000 gateways and with a tenth of
+// the messages lost. No gateway may receive an item as new twice, and the messages per gateway must not grow
+// with the fleet.
 func TestReportsReachAllGateways(t *testing.T) {
 	for _, n := range []int{5, 50, 300, 2000} {
 		w := newFleetSimulation(t, n, 1)
@@ -129,21 +131,22 @@
 		}
 		w.run(3 * second)
 		for _, x := range w.nodes {
-			for item, times := range x.learned {
+			for item, times := range x.received {
 				if times > 1 || item.Origin == x.id {
-					t.Fatal("an echo was learned as news: ", item, times)
+					t.Fatal("an own or known item was delivered as new: ", item, times)
 				}
 			}
 		}
-		t.Logf("%d gateways: half know after %d ms, all after %d; %.1f messages each", n, half/1e6, all/1e6, float64(w.sent)/float64(n))
+		t.Logf("%d gateways: half reached after %d ms, all after %d ms; %.1f messages per gateway", n, half/1e6, all/1e6, float64(w.sent)/float64(n))
 		if all == 0 || all > second || float64(w.sent)/float64(n) > 20 {
 			t.Fatal(n, all, w.sent)
 		}
 	}
 }
 
-// A member that two gateways alone can't reach is ill for nobody else, nor one that three can't while others can; one that
-// nobody can reach is ill for all, with the words of a few; it is well again once some say so, or the words are old.
+// A broken link must not exclude a member: one that only two gateways cannot reach, or three while all others
+// can, stays healthy for the rest. A member that many cannot reach is unhealthy for all, with few messages,
+// and healthy again once the reports expire.
 func TestBrokenLinkDoesNotExcludeMember(t *testing.T) {
 	for _, n := range []int{10, 100} {
 		for _, c := range []struct {
@@ -154,14 +157,14 @@
 			for i, x := range w.nodes {
 				x.reportsHealthy = i >= c.ill && i < c.ill+c.well
 			}
-			for range 50 { // they find it so again and again
+			for range 50 { // each keeps observing the member as unhealthy
 				for _, x := range w.nodes[:c.ill] {
 					x.runRound(func() { x.s.Observe(Health, 1, Unhealthy) })
 				}
 				w.run(second / 10)
 			}
 			others := w.countNodes(func(x *node) bool { return x.id >= uint32(c.ill) && x.s.IsUnhealthy(1) })
-			t.Logf("%d of %d find it ill and %d well: %d of the others take it for ill, %d messages a gateway a second", c.ill, n, c.well, others, w.sent/n/5)
+			t.Logf("%d of %d report it unhealthy and %d healthy: unhealthy for %d of the others, %d messages per gateway and second", c.ill, n, c.well, others, w.sent/n/5)
 			if c.want && others < n-c.ill || !c.want && others > (n-c.ill)/20 {
 				t.Fatal(n, c, others)
 			}
@@ -170,14 +173,15 @@
 			}
 			w.run(ReportTimeToLive + second)
 			if x := w.countNodes(func(x *node) bool { x.s.Clock(w.Now); return x.s.IsUnhealthy(1) }); x > 0 {
-				t.Fatal("ill for ever at ", x)
+				t.Fatal("still unhealthy after expiry, at gateways: ", x)
 			}
 		}
 	}
 }
 
-// By chance gateways are killed, cut and come back while all tell of positions, verdicts and loads: a later word is never
-// replaced by an earlier one of the same origin, tables stay within their bounds, and what is sent within what may be.
+// Gateways are randomly killed, partitioned and restarted while all report positions, health, latencies and
+// loads. A report must never be replaced by an earlier one of the same origin, the tables must stay within
+// their limits, and the messages sent within the budget.
 func TestRandomizedReports(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 5))
@@ -212,12 +216,12 @@
 				}
 				for a, all := range x.s.reports {
 					if len(all) > maxReportsPerTopic {
-						t.Fatal("words: ", len(all))
+						t.Fatal("reports: ", len(all))
 					}
 					for o, word := range all {
 						key := fmt.Sprint(seed, x.id, a, o, x.s.sequence>>20)
 						if truth[key] > word.sequence {
-							t.Fatal("seed ", seed, ": an older word took the place of a newer")
+							t.Fatal("seed ", seed, ": an older report replaced a newer one")
 						}
 						truth[key] = word.sequence
 					}
@@ -225,7 +229,7 @@
 			}
 		}
 		if most := float64(n) * (12.5*budgetPerSecond + maxSendBudget) * 2; float64(w.sent) > most {
-			t.Fatal("seed ", seed, ": ", w.sent, " messages, ", most, " may be")
+			t.Fatal("seed ", seed, ": ", w.sent, " messages sent, at most ", most, " allowed")
 		}
 	}
 }
--- a/standin/front.go
+++ b/standin/front.go
@@ -51,7 +51,7 @@
 func (a Response) String() string {
 	switch {
 	case a.Err != nil:
-		return "no answer: " + a.Err.Error()
+		return "no response: " + a.Err.Error()
 	case a.Code != "":
 		return strings.TrimSpace(a.Code + " " + a.RetryAfter)
 	}
@@ -110,13 +110,13 @@
 	}
 }
 
-func (c *Client) query(gateway int, more, sql string) Response {
-	return c.queryWithID(c.pool.lastID.Add(1), gateway, more, sql)
+func (c *Client) query(gateway int, parameters, sql string) Response {
+	return c.queryWithID(c.pool.lastID.Add(1), gateway, parameters, sql)
 }
 
-func (c *Client) queryWithID(id uint64, gateway int, more, sql string) (a Response) {
-	began := time.Now()
-	defer func() { a.Latency = time.Since(began) }()
+func (c *Client) queryWithID(id uint64, gateway int, parameters, sql string) (a Response) {
+	start := time.Now()
+	defer func() { a.Latency = time.Since(start) }()
 	// Longer than the request's own timeout, so that a late response is still observed.
 	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+eventTimeout)
 	defer cancel()
@@ -128,15 +128,15 @@
 		}
 		c.conns[gateway] = conn
 	}
-	text := fmt.Sprintf("/* id=%016x,%s,d=%d,cluster=%d */ %s", id, more, c.Timeout.Milliseconds(), c.Group, sql)
+	text := fmt.Sprintf("/* id=%016x,%s,d=%d,cluster=%d */ %s", id, parameters, c.Timeout.Milliseconds(), c.Group, sql)
 	results, err := conn.Exec(ctx, text).ReadAll()
-	var told *pgconn.PgError
+	var pgErr *pgconn.PgError
 	switch {
-	case errors.As(err, &told):
+	case errors.As(err, &pgErr):
 		if conn.IsClosed() {
 			delete(c.conns, gateway)
 		}
-		return Response{Code: told.Code, RetryAfter: told.Detail}
+		return Response{Code: pgErr.Code, RetryAfter: pgErr.Detail}
 	case err != nil:
 		c.Drop(gateway)
 		return Response{Err: err}
--- a/standin/group.go
+++ b/standin/group.go
@@ -150,7 +150,7 @@
 
 // AwaitEvent waits for an event that matches, starting at the given index, and returns it with the index after
 // it. It panics after eventTimeout, so that a missing event fails the test.
-func (g *Group) AwaitEvent(from int, is func(Event) bool) (Event, int) {
+func (g *Group) AwaitEvent(from int, matches func(Event) bool) (Event, int) {
 	stop := time.AfterFunc(eventTimeout, func() { g.mu.Lock(); defer g.mu.Unlock(); g.changed.Broadcast() })
 	defer stop.Stop()
 	end := time.Now().Add(eventTimeout)
@@ -159,11 +159,11 @@
 	for i := from; ; i++ {
 		for i >= len(g.events) {
 			if time.Now().After(end) {
-				panic("an event of a stand-in did not come")
+				panic("stand-in: expected event did not occur in time")
 			}
 			g.changed.Wait()
 		}
-		if is(g.events[i]) {
+		if matches(g.events[i]) {
 			return g.events[i], i + 1
 		}
 	}
--- a/standin/list.go
+++ b/standin/list.go
@@ -118,7 +118,7 @@
 		select {
 		case <-more:
 		case <-time.After(eventTimeout):
-			panic("the list was not asked for")
+			panic("stand-in: list was not requested in time")
 		}
 	}
 }
--- a/standin/member.go
+++ b/standin/member.go
@@ -270,59 +270,59 @@
 		m.group.mu.Unlock()
 		return m.sendRow(b, []byte(m.stats()))
 	}
-	head := statement.FindStringSubmatch(sql)
-	if head == nil {
+	statementMatch := statement.FindStringSubmatch(sql)
+	if statementMatch == nil {
 		return m.sendError(b, "08P01", "unknown statement")
 	}
-	names := map[string]string{}
-	for _, w := range parameter.FindAllStringSubmatch(head[1], -1) {
-		names[w[1]] = w[2]
+	parameters := map[string]string{}
+	for _, w := range parameter.FindAllStringSubmatch(statementMatch[1], -1) {
+		parameters[w[1]] = w[2]
 	}
-	values := quoted.FindAllStringSubmatch(sql[len(head[0]):], -1)
-	if len(values) == 0 || names["id"] == "" {
+	values := quoted.FindAllStringSubmatch(sql[len(statementMatch[0]):], -1)
+	if len(values) == 0 || parameters["id"] == "" {
 		return m.sendError(b, "08P01", "unknown statement")
 	}
 	code := values[0][1]
 	if drain {
 		m.group.mu.Lock()
-		m.group.record(Event{Member: m.Name, Kind: "turned away", ID: names["id"], Code: code})
+		m.group.record(Event{Member: m.Name, Kind: "turned away", ID: parameters["id"], Code: code})
 		m.group.mu.Unlock()
 		return m.sendError(b, "53300", "draining")
 	}
 	if cores != nil {
 		cores <- struct{}{}
-		delay += cost(names["c"])
+		delay += cost(parameters["c"])
 		defer func() { <-cores }()
 	}
 	time.Sleep(delay)
 	if m.shouldFail() {
 		return m.sendError(b, "XX000", "something went wrong")
 	}
-	if head[2] == "INSERT" {
+	if statementMatch[2] == "INSERT" {
 		value := []byte{}
 		if len(values) > 1 {
 			value = []byte(values[1][1])
 		}
-		c, _, ok := m.group.write(m, names["id"], code, names["k"], value)
+		c, _, ok := m.group.write(m, parameters["id"], code, parameters["k"], value)
 		if !ok {
 			return m.sendError(b, "25006", "this is a replica")
 		}
-		if m.dropsResponse(names["c"]) {
+		if m.dropsResponse(parameters["c"]) {
 			return false
 		}
 		m.sendStatus(b, c.position)
 		return m.sendRow(b, c.value)
 	}
-	if after, err := strconv.ParseFloat(names["after"], 64); err == nil && !m.waitForPosition(after) {
+	if after, err := strconv.ParseFloat(parameters["after"], 64); err == nil && !m.waitForPosition(after) {
 		m.group.mu.Lock()
-		m.group.record(Event{Member: m.Name, Kind: "behind", ID: names["id"], Code: code, Position: m.group.position(m)})
+		m.group.record(Event{Member: m.Name, Kind: "behind", ID: parameters["id"], Code: code, Position: m.group.position(m)})
 		m.group.mu.Unlock()
 		m.sendStatus(b, 0)
 		return m.sendError(b, "72000", "too far behind")
 	}
-	ms, _ := strconv.Atoi(names["d"])
-	value, position := m.group.read(m, names["id"], code, time.Duration(ms)*time.Millisecond)
-	if m.dropsResponse(names["c"]) {
+	ms, _ := strconv.Atoi(parameters["d"])
+	value, position := m.group.read(m, parameters["id"], code, time.Duration(ms)*time.Millisecond)
+	if m.dropsResponse(parameters["c"]) {
 		return false
 	}
 	m.sendStatus(b, position)
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -56,33 +56,33 @@
 			return
 		}
 		w.mu.Lock()
-		by := -1
+		sender := -1
 		for i, p := range w.endpoints {
 			if p.gateway == from {
-				by = i
+				sender = i
 			}
 		}
-		lost := by < 0 || w.blocked[[2]int{by, to}] || w.rng.Float64() < w.lossRatio
-		times, delay := 1, time.Duration(w.rng.Float64()*float64(w.maxDelay))
+		lost := sender < 0 || w.blocked[[2]int{sender, to}] || w.rng.Float64() < w.lossRatio
+		copies, delay := 1, time.Duration(w.rng.Float64()*float64(w.maxDelay))
 		if w.rng.Float64() < w.duplicateRatio {
-			times = 2
+			copies = 2
 		}
 		if lost {
 			w.mu.Unlock()
 			continue
 		}
-		out, at := w.endpoints[by].conn, net.UDPAddrFromAddrPort(w.endpoints[to].gateway)
+		out, at := w.endpoints[sender].conn, net.UDPAddrFromAddrPort(w.endpoints[to].gateway)
 		w.mu.Unlock()
-		text := append([]byte(nil), buf[:n]...)
-		pass := func() {
-			for range times {
-				_, _ = out.WriteToUDP(text, at)
+		payload := append([]byte(nil), buf[:n]...)
+		deliver := func() {
+			for range copies {
+				_, _ = out.WriteToUDP(payload, at)
 			}
 		}
 		if delay > 0 {
-			time.AfterFunc(delay, pass)
+			time.AfterFunc(delay, deliver)
 		} else {
-			pass()
+			deliver()
 		}
 	}
 }
--- a/turns/turns.go
+++ b/turns/turns.go
@@ -29,7 +29,7 @@
 // Check reports the first setting that is out of range.
 func (t *Config) Check() error {
 	if t.Wait < 1e6 {
-		return errors.New("turns: wait is shorter than 1ms")
+		return errors.New("turns: wait must be at least 1ms")
 	}
 	return nil
 }
--- a/turns/turns_test.go
+++ b/turns/turns_test.go
@@ -13,32 +13,33 @@
 
 const second = int64(1e9)
 
-// world is a fleet whose gateways all want the same done at about the same time, on a virtual clock.
+// fleetSimulation runs a fleet on a virtual clock, whose gateways all request the same task at about the same
+// time.
 type fleetSimulation struct {
 	agenda.Agenda
 	t            testing.TB
 	rng          *rand.Rand
-	all          []*Turns
+	gateways     []*Turns
 	candidates   []Candidate
-	wake         []int
+	wakeCounts   []int
 	blocked      func(from, to int) bool
-	dead         map[int]bool
-	maxDelay     int64 // of words, at the most
-	taskDuration int64 // to do it
-	startedBy    []int // who, in order
+	down         map[int]bool
+	maxDelay     int64 // max delay of completion notices
+	taskDuration int64
+	startedBy    []int // gateways, in order
 	batches      []int
 	transcript   []string
 }
 
 func newFleetSimulation(t testing.TB, n int, seed uint64) *fleetSimulation {
-	w := &fleetSimulation{t: t, rng: rand.New(rand.NewPCG(seed, 2)), blocked: func(_, _ int) bool { return false }, dead: map[int]bool{}, maxDelay: 100e6, taskDuration: 20e6,
+	w := &fleetSimulation{t: t, rng: rand.New(rand.NewPCG(seed, 2)), blocked: func(_, _ int) bool { return false }, down: map[int]bool{}, maxDelay: 100e6, taskDuration: 20e6,
 		Agenda: agenda.Agenda{Now: second}}
 	for i := range n {
 		x, err := New(Config{Self: uint32(i), Wait: DefaultWait})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.all, w.wake = append(w.all, x), append(w.wake, 0)
+		w.gateways, w.wakeCounts = append(w.gateways, x), append(w.wakeCounts, 0)
 		w.candidates = append(w.candidates, Candidate{uint32(i), 1})
 	}
 	return w
@@ -49,28 +50,28 @@
 }
 
 func (w *fleetSimulation) runRound(i int, f func(*Turns)) {
-	if w.dead[i] {
+	if w.down[i] {
 		return
 	}
-	x := w.all[i]
+	x := w.gateways[i]
 	x.Clock(w.Now)
 	f(x)
 	for d, ok := x.Next(); ok; d, ok = x.Next() {
 		switch d.Kind {
 		case Perform:
 			w.startedBy, w.batches = append(w.startedBy, i), append(w.batches, d.Batch)
-			w.logf("g%d goes, round %d, lot %d", i, d.Round, d.Batch)
+			w.logf("g%d starts, round %d, batch %d", i, d.Round, d.Batch)
 			w.After(w.taskDuration, func() {
 				w.runRound(i, func(x *Turns) {
 					x.Complete(d.Key, d.Round)
-					w.logf("g%d has done it, and tells", i)
+					w.logf("g%d completed, notifies the others", i)
 				})
-				for o := range w.all {
-					if o != i && !w.dead[i] && !w.blocked(i, o) {
+				for o := range w.gateways {
+					if o != i && !w.down[i] && !w.blocked(i, o) {
 						w.After(int64(w.rng.Float64()*float64(w.maxDelay)), func() {
 							w.runRound(o, func(x *Turns) {
-								if x.PeerCompleted(d.Key, d.Round) && len(w.all) < 10 {
-									w.logf("g%d need not go", o)
+								if x.PeerCompleted(d.Key, d.Round) && len(w.gateways) < 10 {
+									w.logf("g%d cancels", o)
 								}
 							})
 						})
@@ -78,10 +79,10 @@
 				}
 			})
 		case Wake:
-			w.wake[i]++
-			no := w.wake[i]
+			w.wakeCounts[i]++
+			no := w.wakeCounts[i]
 			w.After(d.After, func() {
-				if w.wake[i] == no {
+				if w.wakeCounts[i] == no {
 					w.runRound(i, func(*Turns) {})
 				}
 			})
@@ -89,17 +90,17 @@
 	}
 }
 
-// asks has all ask for a key within a tenth of a second.
+// requestAll makes all gateways request a key within a tenth of a second.
 func (w *fleetSimulation) requestAll(key uint64) {
-	for i := range w.all {
+	for i := range w.gateways {
 		w.After(int64(w.rng.Float64()*100e6), func() { w.runRound(i, func(x *Turns) { x.Request(key, w.candidates) }) })
 	}
 }
 
 func (w *fleetSimulation) run(span int64) { w.Run(w.Now + span) }
 
-// Of all that would go one does, as a rule, however large the fleet; each goes as often as the others over many rounds, and
-// one with thrice the weight about thrice as often.
+// Of all gateways that request a task, usually one performs it, whatever the fleet size. Over many rounds all
+// take it equally often, and one with three times the weight about three times as often.
 func TestOneGatewayRuns(t *testing.T) {
 	for _, n := range []int{3, 30, 300} {
 		w := newFleetSimulation(t, n, 1)
@@ -114,7 +115,7 @@
 			times[i]++
 		}
 		mean := float64(rounds) / float64(n+2)
-		t.Logf("%d gateways: %d went in %d rounds, the one with three times the weight %.1f times as often as the mean", n, len(w.startedBy), rounds, float64(times[1])/mean)
+		t.Logf("%d gateways: %d runs in %d rounds, the one with three times the weight %.1f times as often as the mean", n, len(w.startedBy), rounds, float64(times[1])/mean)
 		if len(w.startedBy) > rounds*11/10 || len(w.startedBy) < rounds {
 			t.Fatal(n, len(w.startedBy))
 		}
@@ -124,24 +125,25 @@
 	}
 }
 
-// Whoever goes first dies: others take the turn over, lot by lot, and few go. In two halves each has somebody go.
+// If the first gateway has died, the others take over in batches, and only a few perform the task. In a
+// partitioned fleet, each half performs it.
 func TestTakenOver(t *testing.T) {
 	for seed := range uint64(100) {
 		for _, n := range []int{5, 100} {
 			w := newFleetSimulation(t, n, seed)
-			for i := range w.all { // a third is dead, and nobody knows yet
-				w.dead[i] = w.rng.IntN(3) == 0
+			for i := range w.gateways { // a third is down, unnoticed by the others
+				w.down[i] = w.rng.IntN(3) == 0
 			}
 			w.requestAll(uint64(seed))
 			w.run(5 * second)
 			alive := 0
-			for i := range w.all {
-				if !w.dead[i] {
+			for i := range w.gateways {
+				if !w.down[i] {
 					alive++
 				}
 			}
 			if alive > 0 && (len(w.startedBy) == 0 || len(w.startedBy) > 10) {
-				t.Fatal("seed ", seed, ": went ", len(w.startedBy), " of ", n)
+				t.Fatal("seed ", seed, ": started ", len(w.startedBy), " of ", n)
 			}
 			w = newFleetSimulation(t, n, seed)
 			w.blocked = func(from, to int) bool { return (from < n/2) != (to < n/2) }
@@ -162,7 +164,7 @@
 	}
 }
 
-// Nothing is kept of turns that nobody asks for any more.
+// Idle turns must not accumulate.
 func TestIdleTurnsAreEvicted(t *testing.T) {
 	x, _ := New(Config{Self: 1, Wait: DefaultWait})
 	for key := range uint64(5 * maxTurns) {
@@ -174,19 +176,19 @@
 	}
 }
 
-// A turn that is taken over, as a person reads it: -update writes it anew.
+// Golden transcript of takeovers; -update rewrites it.
 func TestTranscript(t *testing.T) {
 	w := newFleetSimulation(t, 5, 3)
-	w.logf("all five ask")
+	w.logf("all five request the task")
 	w.requestAll(9)
 	w.run(2 * second)
 	first := w.startedBy[0]
-	w.logf("again; g%d is next in order", w.nextFirst(9))
-	w.dead[w.nextFirst(9)] = true
-	w.logf("it has died")
+	w.logf("second request; g%d is first", w.nextFirst(9))
+	w.down[w.nextFirst(9)] = true
+	w.logf("it is down")
 	w.requestAll(9)
 	w.run(2 * second)
-	w.logf("two halves: g0, g1 and g2, g3, g4")
+	w.logf("partition: g0, g1 and g2, g3, g4")
 	w.blocked = func(from, to int) bool { return (from < 2) != (to < 2) }
 	w.requestAll(9)
 	w.run(3 * second)
@@ -194,10 +196,10 @@
 	goldie.New(t, goldie.WithNameSuffix(".txt")).Assert(t, "taken-over", []byte(strings.Join(w.transcript, "\n")+"\n"))
 }
 
-// next is who goes first in a key's next round.
+// nextFirst returns the gateway that goes first in a key's next round.
 func (w *fleetSimulation) nextFirst(key uint64) int {
-	for i, x := range w.all {
-		if !w.dead[i] && x.rank(key, x.getOrCreate(key).round, w.candidates) == 0 {
+	for i, x := range w.gateways {
+		if !w.down[i] && x.rank(key, x.getOrCreate(key).round, w.candidates) == 0 {
 			return i
 		}
 	}
