--- a/contracts/book.go
+++ b/contracts/book.go
@@ -64,13 +64,13 @@
 // Encode serializes a book deterministically. The text is compressed because contracts have most content in
 // common.
 func (b *Book) Encode() []byte {
-	text, err := json.Marshal(b)
+	plain, err := json.Marshal(b)
 	if err != nil {
 		panic(err) // every field can be encoded as JSON
 	}
 	var out bytes.Buffer
 	w, _ := flate.NewWriter(&out, flate.BestCompression) // the level is valid, and a buffer accepts all writes
-	_, _ = w.Write(text)
+	_, _ = w.Write(plain)
 	_ = w.Close()
 	return out.Bytes()
 }
--- a/contracts/calendar.go
+++ b/contracts/calendar.go
@@ -113,13 +113,13 @@
 	}
 	for key, all := range c.steps { // turn changes into running sums
 		slices.SortFunc(all, func(x, y capacityStep) int { return cmp.Compare(x.from, y.from) })
-		kept, sum := all[:0], 0.0
+		sums, sum := all[:0], 0.0
 		for i, s := range all {
 			if sum += s.reserved; i+1 == len(all) || all[i+1].from != s.from {
-				kept = append(kept, capacityStep{s.from, sum})
+				sums = append(sums, capacityStep{s.from, sum})
 			}
 		}
-		c.steps[key] = kept
+		c.steps[key] = sums
 	}
 	return c
 }
@@ -134,19 +134,19 @@
 }
 
 // peakReserved returns the highest reservation within a time range, and when it begins.
-func (c *Calendar) peakReserved(key reservationKey, from, to int64) (sold float64, at int64) {
+func (c *Calendar) peakReserved(key reservationKey, from, to int64) (reserved float64, at int64) {
 	all := c.steps[key]
 	i, _ := slices.BinarySearchFunc(all, from, func(s capacityStep, at int64) int { return cmp.Compare(s.from, at+1) })
 	at = from
 	if i > 0 {
-		sold = all[i-1].reserved
+		reserved = all[i-1].reserved
 	}
 	for ; i < len(all) && all[i].from < to; i++ {
-		if all[i].reserved > sold {
-			sold, at = all[i].reserved, all[i].from
+		if all[i].reserved > reserved {
+			reserved, at = all[i].reserved, all[i].from
 		}
 	}
-	return sold, at
+	return reserved, at
 }
 
 // Free returns what can still be sold of a group throughout a time range, per second, to a contract that
@@ -154,10 +154,10 @@
 func (c *Calendar) Free(group int, loss string, from, to int64) (free [2]float64) {
 	free = [2]float64{math.Inf(1), math.Inf(1)}
 	for _, l := range lossLevels[:slices.Index(lossLevels, loss)+1] {
-		can := c.book.Capacity(c.fleet, group, l)
+		capacity := c.book.Capacity(c.fleet, group, l)
 		for k := range accessKinds {
-			sold, _ := c.peakReserved(reservationKey{group, k, l}, from, to)
-			free[k] = max(0, min(free[k], can[k]-sold))
+			reserved, _ := c.peakReserved(reservationKey{group, k, l}, from, to)
+			free[k] = max(0, min(free[k], capacity[k]-reserved))
 		}
 	}
 	return free
@@ -188,7 +188,7 @@
 	return text
 }
 
-// Search for alternative times.
+// Limits of a ShortfallError: the search for alternative times and the reasons listed.
 const (
 	shiftStep     = int64(30 * time.Minute)
 	maxShift      = int64(7 * 24 * time.Hour)
@@ -198,8 +198,8 @@
 // CheckFit returns nil if a contract fits beside the booked ones, otherwise an error, which is a
 // *ShortfallError where capacity or replicas are missing.
 func (c *Calendar) CheckFit(t *Terms) error {
-	spans := t.ReservedWindows(c.now, c.now+planningHorizon)
-	if len(spans) == 0 {
+	windows := t.ReservedWindows(c.now, c.now+planningHorizon)
+	if len(windows) == 0 {
 		return fmt.Errorf("contract %q: all of its windows are over, or more than 400 days ahead", t.Name)
 	}
 	shortfall := &ShortfallError{Name: t.Name, FittingReads: math.Inf(1), FittingWrites: math.Inf(1)}
@@ -212,7 +212,7 @@
 		if n, zones := c.fleet.replicas(g, t.ToleratedLoss); n < t.MinReplicas || zones < t.MinZones {
 			shortfall.Shortfalls = append(shortfall.Shortfalls, fmt.Sprintf("group %d has %d replicas in %d zones with a loss of %s, %d in %d are wanted", g, n, zones, t.ToleratedLoss, t.MinReplicas, t.MinZones))
 		}
-		for _, h := range spans {
+		for _, h := range windows {
 			free := c.Free(g, t.ToleratedLoss, h.From, h.To)
 			shortfall.FittingReads, shortfall.FittingWrites = min(shortfall.FittingReads, free[reads]), min(shortfall.FittingWrites, free[writes])
 			for k, want := range [accessKinds]float64{t.Reads, t.Writes} {
@@ -235,18 +235,18 @@
 	}
 	shortfall.FittingReads, shortfall.FittingWrites = min(shortfall.FittingReads, t.Reads), min(shortfall.FittingWrites, t.Writes)
 	for by := shiftStep; by <= maxShift && (shortfall.EarlierStart == 0 || shortfall.LaterStart == 0); by += shiftStep {
-		if shortfall.EarlierStart == 0 && spans[0].From-by > c.now && c.fitsShifted(t, spans, -by) {
-			shortfall.EarlierStart = spans[0].Start - by
+		if shortfall.EarlierStart == 0 && windows[0].From-by > c.now && c.fitsShifted(t, windows, -by) {
+			shortfall.EarlierStart = windows[0].Start - by
 		}
-		if shortfall.LaterStart == 0 && c.fitsShifted(t, spans, by) {
-			shortfall.LaterStart = spans[0].Start + by
+		if shortfall.LaterStart == 0 && c.fitsShifted(t, windows, by) {
+			shortfall.LaterStart = windows[0].Start + by
 		}
 	}
 	return shortfall
 }
 
 // fitsShifted returns whether windows would fit if they were moved by an offset.
-func (c *Calendar) fitsShifted(t *Terms, spans []ReservedWindow, by int64) bool {
+func (c *Calendar) fitsShifted(t *Terms, windows []ReservedWindow, by int64) bool {
 	for _, g := range c.groups {
 		if !t.covers(g) {
 			continue
@@ -254,7 +254,7 @@
 		if n, zones := c.fleet.replicas(g, t.ToleratedLoss); n < t.MinReplicas || zones < t.MinZones {
 			return false
 		}
-		for _, h := range spans {
+		for _, h := range windows {
 			if free := c.Free(g, t.ToleratedLoss, h.From+by, h.To+by); t.Reads > free[reads]+1e-9 || t.Writes > free[writes]+1e-9 {
 				return false
 			}
@@ -267,8 +267,8 @@
 // group or needs more replicas or zones than exist.
 func (c *Calendar) overbooked() bool {
 	for key, all := range c.steps {
-		can := c.book.Capacity(c.fleet, key.group, key.loss)[key.kind]
-		if slices.ContainsFunc(all, func(s capacityStep) bool { return s.reserved > can+1e-9 }) {
+		capacity := c.book.Capacity(c.fleet, key.group, key.loss)[key.kind]
+		if slices.ContainsFunc(all, func(s capacityStep) bool { return s.reserved > capacity+1e-9 }) {
 			return true
 		}
 	}
@@ -300,18 +300,18 @@
 	if c := NewCalendar(b, fleet, now, 0); !c.overbooked() { // the usual case; otherwise each contract is checked beside those of higher priority, which takes longer
 		return nil
 	}
-	kept := &Book{Sizes: b.Sizes, Floor: b.Floor}
+	satisfied := &Book{Sizes: b.Sizes, Floor: b.Floor}
 	for _, c := range b.BookedContracts() {
 		t := &c.Latest().Terms
-		spans := t.ReservedWindows(now, now+planningHorizon)
-		if len(spans) == 0 {
+		windows := t.ReservedWindows(now, now+planningHorizon)
+		if len(windows) == 0 {
 			continue
 		}
-		if err := NewCalendar(kept, fleet, now, 0).CheckFit(t); err != nil {
-			all = append(all, UnmetContract{c.No, t.Name, err.Error(), spans[0].Start})
+		if err := NewCalendar(satisfied, fleet, now, 0).CheckFit(t); err != nil {
+			all = append(all, UnmetContract{c.No, t.Name, err.Error(), windows[0].Start})
 			continue
 		}
-		kept.Contracts = append(kept.Contracts, *c)
+		satisfied.Contracts = append(satisfied.Contracts, *c)
 	}
 	return all
 }
@@ -327,9 +327,9 @@
 }
 
 // HourlyCapacities returns n hours from a time on, by time and group.
-func (c *Calendar) HourlyCapacities(from int64, n int) (all []HourlyCapacity) {
+func (c *Calendar) HourlyCapacities(from int64, hours int) (all []HourlyCapacity) {
 	from -= from % int64(time.Hour)
-	for i := range n {
+	for i := range hours {
 		at := from + int64(i)*int64(time.Hour)
 		for _, g := range c.groups {
 			h := HourlyCapacity{At: at, Group: g, Capacity: c.book.Capacity(c.fleet, g, MemberLoss), Free: c.Free(g, MemberLoss, at, at+int64(time.Hour))}
--- a/contracts/holding.go
+++ b/contracts/holding.go
@@ -14,7 +14,7 @@
 // are reserved from the start of the ramp to the end of the cooldown by the gateway's own clock, so ramp and
 // cooldown must cover the clock difference between gateways.
 func (b *Book) Reservations(now int64) (all []Reservation, next int64) {
-	sooner := func(at int64) {
+	noteChange := func(at int64) {
 		if at > now && (next == 0 || at < next) {
 			next = at
 		}
@@ -26,10 +26,10 @@
 		case Ended:
 			continue
 		case Pending:
-			sooner(h.From)
+			noteChange(h.From)
 			continue
 		}
-		sooner(h.To)
+		noteChange(h.To)
 		i := slices.IndexFunc(all, func(x Reservation) bool { return x.Tenant == t.Tenant })
 		if i < 0 {
 			i = len(all)
--- a/contracts/usage.go
+++ b/contracts/usage.go
@@ -90,9 +90,9 @@
 		if k.origin == a.origin && k.run == a.run || len(a.counts) >= maxCounts {
 			continue
 		}
-		before, known := a.counts[k]
-		x := before
-		if x.combine(&c.Counts, func(x, y uint64) uint64 { return max(x, y) }); x != before || !known {
+		previous, known := a.counts[k]
+		x := previous
+		if x.combine(&c.Counts, func(x, y uint64) uint64 { return max(x, y) }); x != previous || !known {
 			a.counts[k] = x
 			if now > 0 {
 				a.changed[k] = now
@@ -105,9 +105,9 @@
 
 // Report returns the counts to send now: those changed recently, and periodically all. own limits it to this
 // gateway's counts of this run.
-func (a *Account) Report(now int64, own bool) (all []Count) {
-	whole := now-a.lastFullReportAt >= fullReportInterval
-	if whole && !own {
+func (a *Account) Report(now int64, ownOnly bool) (all []Count) {
+	full := now-a.lastFullReportAt >= fullReportInterval
+	if full && !ownOnly {
 		a.lastFullReportAt = now
 	}
 	maps.DeleteFunc(a.counts, func(k countKey, _ Counts) bool {
@@ -118,10 +118,10 @@
 		return true
 	})
 	for k, c := range a.counts {
-		if own && (k.origin != a.origin || k.run != a.run) {
+		if ownOnly && (k.origin != a.origin || k.run != a.run) {
 			continue
 		}
-		if at := a.changed[k]; whole && !own || at > 0 && now-at < resendWindow {
+		if at := a.changed[k]; full && !ownOnly || at > 0 && now-at < resendWindow {
 			all = append(all, Count{k.origin, k.run, k.no, k.at, c})
 		}
 	}
@@ -173,28 +173,28 @@
 	t := &c.Latest().Terms
 	for _, h := range t.ReservedWindows(from, to) {
 		s := Statement{No: c.No, Name: t.Name, Window: h, Price: t.Price, Credit: decimal.Zero, Final: now > h.To+CountInterval}
-		by := map[int64]*IntervalReport{}
+		intervals := map[int64]*IntervalReport{}
 		for k, x := range a.counts {
 			if k.no != c.No || k.at+CountInterval <= h.Start || k.at >= h.End {
 				continue
 			}
-			l := by[k.at]
+			l := intervals[k.at]
 			if l == nil {
 				l = &IntervalReport{At: k.at}
-				by[k.at] = l
+				intervals[k.at] = l
 			}
 			l.Gateways++
 			l.combine(&x, func(x, y uint64) uint64 { return x + y })
 			s.Total.combine(&x, func(x, y uint64) uint64 { return x + y })
 		}
-		for _, at := range slices.Sorted(maps.Keys(by)) {
-			l := by[at]
-			span := min(at+CountInterval, h.End) - max(at, h.Start)
+		for _, at := range slices.Sorted(maps.Keys(intervals)) {
+			l := intervals[at]
+			duration := min(at+CountInterval, h.End) - max(at, h.Start)
 			groups := max(1, len(t.Groups))
-			l.Size = math.Floor((t.Reads + t.Writes) * float64(groups) * float64(span) / 1e9)
-			due := min(float64(l.Requested-min(l.Requested, l.Abandoned)), l.Size)
-			if l.ServedFraction = 1; due > 0 {
-				l.ServedFraction = min(1, float64(l.InTime)/due)
+			l.Size = math.Floor((t.Reads + t.Writes) * float64(groups) * float64(duration) / 1e9)
+			covered := min(float64(l.Requested-min(l.Requested, l.Abandoned)), l.Size)
+			if l.ServedFraction = 1; covered > 0 {
+				l.ServedFraction = min(1, float64(l.InTime)/covered)
 			}
 			if l.ServedFraction < t.PromisedFraction {
 				l.Cause = l.cause()
@@ -209,14 +209,14 @@
 
 // cause returns the most frequent reason why txns were not served in time.
 func (l *IntervalReport) cause() string {
-	most, why := l.Late, "served late"
+	highest, cause := l.Late, "served late"
 	for _, x := range []struct {
 		n   uint64
 		why string
 	}{{l.Overloaded, "no room at the gateway"}, {l.NoMember, "no member could in time"}, {l.NoAgreement, "gateways without the agreement"}, {l.RolledBack, "rolled back"}} {
-		if x.n > most {
-			most, why = x.n, x.why
+		if x.n > highest {
+			highest, cause = x.n, x.why
 		}
 	}
-	return why
+	return cause
 }
--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -109,7 +109,7 @@
 	settled(all...)
 
 	// The primary moves: those that don't have it hear of it, or look for it.
-	g.Elect(members[8], true)
+	g.Promote(members[8], true)
 	u.await("all have the new primary", func() bool { return u.holders(all...)[members[8].Name] == 8 })
 	for _, i := range all {
 		u.await("writes are served at every gateway", func() bool { a := c.Write(i, fmt.Sprint("k", i), "v"); return a.Err == nil && a.Code == "" })
--- a/gateway/sessions_test.go
+++ b/gateway/sessions_test.go
@@ -238,7 +238,7 @@
 	got := make(chan standin.Response)
 	go func() { got <- c.Read(0) }()
 	g.AwaitEvent(len(g.Events()), func(e standin.Event) bool { return e.Kind == "probe" })
-	g.Elect(next, true)
+	g.Promote(next, true)
 	fmt.Println(await(got))
 	// Output:
 	// served 1
@@ -253,7 +253,7 @@
 	f := newFleet(2, covered, members...)
 	defer f.stop()
 	c := f.front.NewClient("dd01", classes)
-	fmt.Println(c.Write(0, "f1", "1"), g.Elect(members[1], false))
+	fmt.Println(c.Write(0, "f1", "1"), g.Promote(members[1], false))
 	c.Timeout = 2 * time.Second
 	r := c.Read(1)
 	fmt.Println(r.Code == "" && r.Value == "", r.Err)
--- a/rehearse/audit/audit.go
+++ b/rehearse/audit/audit.go
@@ -241,31 +241,31 @@
 // checkLost checks that each attempt has exactly one final response, in time. Attempts whose gateway was down
 // are excused.
 func (a *auditor) checkLost() {
-	type span struct{ from, to int64 }
-	down := map[int][]span{}
+	type downtime struct{ from, to int64 }
+	down := map[int][]downtime{}
 	for _, n := range a.log.Events {
 		switch all := down[n.Gateway]; {
 		case n.Kind == GatewayKilled:
-			down[n.Gateway] = append(all, span{n.At, math.MaxInt64})
+			down[n.Gateway] = append(all, downtime{n.At, math.MaxInt64})
 		case n.Kind == GatewayUp && len(all) > 0:
 			all[len(all)-1].to = n.At
 		}
 	}
 	excused := func(x *Attempt) bool {
-		return slices.ContainsFunc(down[x.Gateway], func(s span) bool { return s.from <= x.Deadline+a.config.Slack && s.to >= x.SentAt-a.config.Slack })
+		return slices.ContainsFunc(down[x.Gateway], func(s downtime) bool { return s.from <= x.Deadline+a.config.Slack && s.to >= x.SentAt-a.config.Slack })
 	}
 	for i := range a.log.Attempts {
 		x := &a.log.Attempts[i]
-		got := a.responses[x.ID]
+		responses := a.responses[x.ID]
 		switch {
-		case len(got) == 0 && !excused(x):
+		case len(responses) == 0 && !excused(x):
 			a.report(RuleNoLoss, x.ID, x.Deadline, "no response")
-		case len(got) > 1:
-			a.report(RuleNoLoss, x.ID, got[1].At, "%d responses", len(got))
-		case len(got) == 1 && got[0].Outcome == Disconnected && !excused(x):
-			a.report(RuleNoLoss, x.ID, got[0].At, "connection ended without a response")
-		case len(got) == 1 && got[0].Outcome != Disconnected && got[0].At > x.Deadline+a.config.Slack:
-			a.report(RuleNoLoss, x.ID, got[0].At, "response %s after the deadline", ms(got[0].At-x.Deadline))
+		case len(responses) > 1:
+			a.report(RuleNoLoss, x.ID, responses[1].At, "%d responses", len(responses))
+		case len(responses) == 1 && responses[0].Outcome == Disconnected && !excused(x):
+			a.report(RuleNoLoss, x.ID, responses[0].At, "connection ended without a response")
+		case len(responses) == 1 && responses[0].Outcome != Disconnected && responses[0].At > x.Deadline+a.config.Slack:
+			a.report(RuleNoLoss, x.ID, responses[0].At, "response %s after the deadline", ms(responses[0].At-x.Deadline))
 		}
 	}
 }
@@ -277,17 +277,17 @@
 	for i := range a.log.Attempts {
 		typeOf[a.log.Attempts[i].ID] = a.log.Attempts[i].Type
 	}
-	type what struct{ key, id uint64 } // the key's, or the attempt's own if there is no key
-	effects := map[what]int{}
+	type effectKey struct{ key, id uint64 } // the key's, or the attempt's own if there is no key
+	effects := map[effectKey]int{}
 	for _, w := range a.log.Submissions {
 		if w.Kind != Write {
 			continue
 		}
-		of := what{key: w.Key}
+		key := effectKey{key: w.Key}
 		if w.Key == 0 {
-			of.id = w.ID
+			key.id = w.ID
 		}
-		if effects[of]++; effects[of] == 2 {
+		if effects[key]++; effects[key] == 2 {
 			a.report(RuleNoDuplicate, w.ID, w.At, "takes effect a second time, at %s", a.name(w.Member))
 		}
 		if n, ok := typeOf[w.ID]; ok && !a.config.Types[n].AnyGroup {
@@ -304,18 +304,18 @@
 // the member.
 func (a *auditor) checkDrains() {
 	type pair struct{ member, gateway int }
-	told := map[pair][]Event{}
+	notifications := map[pair][]Event{}
 	for _, n := range a.log.Events {
 		if n.Kind == DrainStarted || n.Kind == Restored {
-			of := pair{n.Member, n.Gateway}
-			told[of] = append(told[of], n)
+			key := pair{n.Member, n.Gateway}
+			notifications[key] = append(notifications[key], n)
 		}
 	}
 	for _, w := range a.log.Submissions {
 		var latest *Event
-		for i, n := range told[pair{w.Member, w.Gateway}] {
+		for i, n := range notifications[pair{w.Member, w.Gateway}] {
 			if n.At <= w.ReceivedAt {
-				latest = &told[pair{w.Member, w.Gateway}][i]
+				latest = &notifications[pair{w.Member, w.Gateway}][i]
 			}
 		}
 		if latest != nil && latest.Kind == DrainStarted && w.ReceivedAt > latest.At+a.config.DrainGrace+a.config.Slack {
@@ -346,10 +346,10 @@
 				sum -= window[0].Cost
 				window = window[1:]
 			}
-			share := a.config.ColdFraction + (1-a.config.ColdFraction)*float64(w.At-n.At)/float64(a.config.WarmUp)
-			can := share * float64(a.log.Cores[n.Member]) * float64(a.config.OverloadWindow)
-			if float64(sum) > a.config.OverloadFactor*can {
-				a.report(RuleColdStart, w.ID, w.At, "%s receives %.1f times its capacity %s after its start", a.name(n.Member), float64(sum)/can, ms(w.At-n.At))
+			capacityRatio := a.config.ColdFraction + (1-a.config.ColdFraction)*float64(w.At-n.At)/float64(a.config.WarmUp)
+			capacity := capacityRatio * float64(a.log.Cores[n.Member]) * float64(a.config.OverloadWindow)
+			if float64(sum) > a.config.OverloadFactor*capacity {
+				a.report(RuleColdStart, w.ID, w.At, "%s receives %.1f times its capacity %s after its start", a.name(n.Member), float64(sum)/capacity, ms(w.At-n.At))
 				break // report once per start
 			}
 		}
@@ -359,7 +359,7 @@
 // checkStaleReads checks that a read shows what its session was told before it was sent, or all commits older
 // than its bound; or a commit after that, which may be an older write that its client had given up.
 func (a *auditor) checkStaleReads() {
-	died := false
+	memberDied := false
 	commits := map[uint64][]Submission{} // by session, in order of time
 	for _, w := range a.log.Submissions {
 		if w.Kind == Write {
@@ -367,32 +367,32 @@
 		}
 	}
 	for _, n := range a.log.Events {
-		died = died || n.Kind == MemberDied
+		memberDied = memberDied || n.Kind == MemberDied
 	}
 	for i := range a.log.Attempts {
 		x := &a.log.Attempts[i]
-		need := a.config.Types[x.Type].Consistency
-		if need != "causal" && need != "lag_bound" {
+		consistency := a.config.Types[x.Type].Consistency
+		if consistency != "causal" && consistency != "lag_bound" {
 			continue
 		}
 		for _, y := range a.responses[x.ID] {
 			if y.Outcome != Served {
 				continue
 			}
-			owed := uint64(0)
+			required := uint64(0)
 			at := map[uint64]int{} // index of the commit of each version, counted from 1
 			for i, w := range commits[x.Session] {
 				at[w.Version] = i + 1
 				// For a bound; but a commit lost with a member was never visible to others.
-				if need == "lag_bound" && !died && w.At < x.SentAt-a.config.Types[x.Type].MaxAge-a.config.Slack {
-					owed = w.Version
+				if consistency == "lag_bound" && !memberDied && w.At < x.SentAt-a.config.Types[x.Type].MaxAge-a.config.Slack {
+					required = w.Version
 				}
 			}
-			if need == "causal" {
-				owed = x.MinVersion
+			if consistency == "causal" {
+				required = x.MinVersion
 			}
-			if at[y.Version] < at[owed] {
-				a.report(RuleNoStaleRead, x.ID, y.At, "shows version %d of session %d, but version %d is required", y.Version, x.Session, owed)
+			if at[y.Version] < at[required] {
+				a.report(RuleNoStaleRead, x.ID, y.At, "shows version %d of session %d, but version %d is required", y.Version, x.Session, required)
 			}
 		}
 	}
--- a/rehearse/audit/audit_test.go
+++ b/rehearse/audit/audit_test.go
@@ -35,7 +35,7 @@
 
 // Each rule must detect a deliberate violation and nothing else, and must accept logs that only resemble one.
 func Example_planted() {
-	plant := func(what string, change func(*Log)) {
+	checkModified := func(what string, change func(*Log)) {
 		l := validLog()
 		change(l)
 		fmt.Println(what + ":")
@@ -43,53 +43,53 @@
 			fmt.Println(" ", v.Rule, v.ID, v.Description)
 		}
 	}
-	plant("nothing", func(*Log) {})
-	plant("no answer", func(l *Log) { l.Responses = l.Responses[:4] })
-	plant("no answer, gateway killed", func(l *Log) {
+	checkModified("nothing", func(*Log) {})
+	checkModified("no answer", func(l *Log) { l.Responses = l.Responses[:4] })
+	checkModified("no answer, gateway killed", func(l *Log) {
 		l.Responses = l.Responses[:4]
 		l.Events = []Event{{At: 60e6, Kind: GatewayKilled}}
 	})
-	plant("no answer, gateway up again before", func(l *Log) {
+	checkModified("no answer, gateway up again before", func(l *Log) {
 		l.Responses = l.Responses[:4]
 		l.Events = []Event{{At: 10e6, Kind: GatewayKilled}, {At: 30e6, Kind: GatewayUp}}
 	})
-	plant("cut off", func(l *Log) { l.Responses[4].Outcome = Disconnected })
-	plant("two answers", func(l *Log) { l.Responses = append(l.Responses, Response{ID: 5, At: 70e6, Outcome: Declined}) })
-	plant("too late", func(l *Log) { l.Responses[4].At = 1080e6 })
-	plant("effect twice", func(l *Log) {
+	checkModified("cut off", func(l *Log) { l.Responses[4].Outcome = Disconnected })
+	checkModified("two answers", func(l *Log) { l.Responses = append(l.Responses, Response{ID: 5, At: 70e6, Outcome: Declined}) })
+	checkModified("too late", func(l *Log) { l.Responses[4].At = 1080e6 })
+	checkModified("effect twice", func(l *Log) {
 		l.Submissions = append(l.Submissions, Submission{ID: 9, Key: 11, Session: 7, Version: 1, Kind: Write, At: 90e6})
 	})
-	plant("a repeat", func(l *Log) {
+	checkModified("a repeat", func(l *Log) {
 		l.Submissions = append(l.Submissions, Submission{ID: 9, Key: 11, Kind: Repeat, At: 90e6})
 	})
-	plant("declined with its effect", func(l *Log) { l.Responses[0].Outcome = Declined })
-	plant("drain", func(l *Log) { l.Events = []Event{{At: -300e6, Kind: DrainStarted, Member: 1}} })
-	plant("drain while it hung", func(l *Log) {
+	checkModified("declined with its effect", func(l *Log) { l.Responses[0].Outcome = Declined })
+	checkModified("drain", func(l *Log) { l.Events = []Event{{At: -300e6, Kind: DrainStarted, Member: 1}} })
+	checkModified("drain while it hung", func(l *Log) {
 		l.Events = []Event{{At: -300e6, Kind: DrainStarted, Member: 1}}
 		for i := range l.Submissions {
 			l.Submissions[i].ReceivedAt = -400e6
 		}
 	})
-	plant("drain in its grace", func(l *Log) { l.Events = []Event{{At: 0, Kind: DrainStarted, Member: 1}} })
-	plant("drain that is over", func(l *Log) {
+	checkModified("drain in its grace", func(l *Log) { l.Events = []Event{{At: 0, Kind: DrainStarted, Member: 1}} })
+	checkModified("drain that is over", func(l *Log) {
 		l.Events = []Event{{At: -300e6, Kind: DrainStarted, Member: 1}, {At: 1e6, Kind: Restored, Member: 1}}
 	})
-	plant("cold", func(l *Log) {
+	checkModified("cold", func(l *Log) {
 		l.Events = []Event{{At: 0, Kind: MemberStarted, Member: 1}}
 		for i := range l.Submissions {
 			l.Submissions[i].Cost = 150e6
 		}
 	})
-	plant("stale", func(l *Log) { l.Responses[3].Version = 0 })
-	plant("a later commit of an older version", func(l *Log) { // its client had given it up
+	checkModified("stale", func(l *Log) { l.Responses[3].Version = 0 })
+	checkModified("a later commit of an older version", func(l *Log) { // its client had given it up
 		l.Submissions = append([]Submission{l.Submissions[0], {ID: 99, Session: 7, Version: 9, Kind: Write, At: 6e6}}, l.Submissions[1:]...)
 		l.Attempts[1].MinVersion, l.Responses[1].Version = 1, 9
 		l.Attempts[3].MinVersion, l.Responses[3].Version = 9, 9
 	})
-	plant("older than its bound", func(l *Log) {
+	checkModified("older than its bound", func(l *Log) {
 		l.Attempts[4].SentAt, l.Attempts[4].Deadline, l.Responses[4].At, l.Responses[4].Version = 300e6, 1300e6, 310e6, 0
 	})
-	plant("within its bound", func(l *Log) { l.Responses[2].Version = 0 })
+	checkModified("within its bound", func(l *Log) { l.Responses[2].Version = 0 })
 	// Output:
 	// nothing:
 	// no answer:
--- a/rehearse/audit/service.go
+++ b/rehearse/audit/service.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Service measures the service of clients: the value served within the SLA target divided by the value
+// Service measures the service of clients: the value served, late responses counting at LateValue, divided by the value
 // requested. All attempts at a txn count once, at the time the first was due.
 type Service struct {
 	Overall   float64
@@ -42,21 +42,21 @@
 	for i := range t.Types {
 		s.Types = append(s.Types, TypeService{Name: t.Types[i].Name, histogram: hdrhistogram.New(1, 3_600_000_000, 3)})
 	}
-	type last struct {
+	type finalResponse struct {
 		answer Response
 		ok     bool
 	}
-	answers := map[uint64]Response{}
+	firstResponses := map[uint64]Response{}
 	for _, x := range l.Responses {
-		if _, ok := answers[x.ID]; !ok {
-			answers[x.ID] = x
+		if _, ok := firstResponses[x.ID]; !ok {
+			firstResponses[x.ID] = x
 		}
 	}
-	ends := map[uint64]last{} // by the first attempt's ID: the served response, else that of the last attempt
+	finalResponses := map[uint64]finalResponse{} // by the first attempt's ID: the served response, else that of the last attempt
 	for i := range l.Attempts {
 		x := &l.Attempts[i]
-		if y, ok := answers[x.ID]; ok && !(ends[x.FirstID].ok && ends[x.FirstID].answer.Outcome == Served) {
-			ends[x.FirstID] = last{y, true}
+		if y, ok := firstResponses[x.ID]; ok && !(finalResponses[x.FirstID].ok && finalResponses[x.FirstID].answer.Outcome == Served) {
+			finalResponses[x.FirstID] = finalResponse{y, true}
 		}
 	}
 	var requested, served []float64
@@ -74,7 +74,7 @@
 			requested, served = append(requested, 0), append(served, 0)
 		}
 		value := 0.0
-		switch end := ends[x.FirstID]; {
+		switch end := finalResponses[x.FirstID]; {
 		case !end.ok || end.answer.Outcome == Disconnected:
 			ts.Unanswered++
 		case end.answer.Outcome == Declined:
@@ -82,11 +82,11 @@
 		case end.answer.Outcome == RolledBack:
 			ts.RolledBack++
 		default:
-			took := end.answer.At - x.DueAt
-			_ = ts.histogram.RecordValue(max(1, took/1000))
+			latency := end.answer.At - x.DueAt
+			_ = ts.histogram.RecordValue(max(1, latency/1000))
 			ts.Served++
 			value = k.Value
-			if took > k.TargetLatency {
+			if latency > k.TargetLatency {
 				ts.late++
 				value *= k.LateValue
 			}
--- a/rehearse/real.go
+++ b/rehearse/real.go
@@ -480,7 +480,7 @@
 			}
 			m.Group().Demote()
 			time.Sleep(time.Duration(st.planOf(m).HandOver))
-			m.Group().Elect(m, st.planOf(m).Sync)
+			m.Group().Promote(m, st.planOf(m).Sync)
 			st.said("%s is the primary", m.Name)
 		}, func() {})
 	case "list":
@@ -527,7 +527,7 @@
 	if best == nil || g.Primary() != nil {
 		return
 	}
-	g.Elect(best, sync)
+	g.Promote(best, sync)
 	st.said("%s is the primary", best.Name)
 }
 
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -55,23 +55,32 @@
 	Items []Item
 }
 
-// Intervals, limits and thresholds, chosen by the measurements in docs/results.md.
+// Timing, limits and thresholds. docs/results.md has the measurements behind them.
 const (
-	ReportTimeToLive    = int64(10e9)          // older reports are ignored
-	refreshInterval     = ReportTimeToLive / 3 // resend interval of positions, latencies, loads and persisting unhealthy reports
-	sendInterval        = int64(100e6)         // between batches of one gateway; a batch goes to fanout others
-	fanout              = 3
-	MaxItemsPerMessage  = 6
-	maxReportsPerTopic  = 16   // reports kept of one kind about one member; the latest win
-	maxQueuedItems      = 1024 // items queued for forwarding; the oldest are dropped
-	extraForwards       = 2    // an item is forwarded this many times more than the fleet size has doublings
-	maxSendBudget       = 50.0 // initial and maximum message budget
-	budgetPerTxn        = 0.5  // messages that each txn adds to the budget, on top of budgetPerSecond: an idle fleet sends little
-	budgetPerSecond     = 20.0
+	// Report age.
+	ReportTimeToLive = int64(10e9)          // older reports are ignored
+	refreshInterval  = ReportTimeToLive / 3 // resend interval of unchanged positions, loads, latencies and unhealthy reports
+
+	// Sending and forwarding.
+	sendInterval       = int64(100e6) // between batches of one gateway, each to fanout others
+	fanout             = 3
+	MaxItemsPerMessage = 6
+	extraForwards      = 2 // an item is forwarded this many times more than the fleet size has doublings
+
+	// Message budget.
+	maxSendBudget   = 50.0 // messages, also the initial budget
+	budgetPerTxn    = 0.5  // messages that each txn adds to budgetPerSecond: an idle fleet sends little
+	budgetPerSecond = 20.0 // messages
+
+	// Memory.
+	maxReportsPerTopic = 16   // reports kept of one kind about one member, the latest
+	maxQueuedItems     = 1024 // items queued for forwarding, the latest
+
+	// Health and significance of reports.
 	MinUnhealthyReports = 3   // gateways that must report a member unhealthy before others treat it as unhealthy
 	sufficientReports   = 6   // further equal reports about a member add no information
 	expectedRebuttals   = 4.0 // expected number of gateways with a healthy view that contradict an unhealthy report
-	unhealthyFraction   = 0.5 // of the recent health reports that must be exceeded: a member that half of the gateways can reach is not unhealthy
+	unhealthyFraction   = 0.5 // of the health reports, to be exceeded: a member that half of the gateways reach is not unhealthy
 	changeDivisor       = 4   // a latency or load is resent early once it has changed by more than 1/changeDivisor
 )
 
@@ -209,8 +218,8 @@
 }
 
 // countRecent counts the reports of one topic that are younger than refreshInterval.
-func (s *Signals) countRecent(a topic) (n int) {
-	for _, w := range s.reports[a] {
+func (s *Signals) countRecent(t topic) (n int) {
+	for _, w := range s.reports[t] {
 		if s.now-w.learnedAt < refreshInterval {
 			n++
 		}
@@ -261,37 +270,37 @@
 			continue
 		}
 		a := topic{x.Kind, x.Member}
-		all := s.reports[a]
-		if all == nil {
-			all = map[uint32]report{}
-			s.reports[a] = all
+		byOrigin := s.reports[a]
+		if byOrigin == nil {
+			byOrigin = map[uint32]report{}
+			s.reports[a] = byOrigin
 		}
-		if all[x.Origin].sequence >= x.Sequence {
+		if byOrigin[x.Origin].sequence >= x.Sequence {
 			s.staleItems++
 			continue
 		}
 		at := s.now - x.Age
-		if _, known := all[x.Origin]; !known && len(all) >= maxReportsPerTopic && !s.evictOlder(all, at) {
+		if _, known := byOrigin[x.Origin]; !known && len(byOrigin) >= maxReportsPerTopic && !s.evictOlder(byOrigin, at) {
 			continue
 		}
-		all[x.Origin] = report{x.Sequence, at, x.Value}
+		byOrigin[x.Origin] = report{x.Sequence, at, x.Value}
 		s.enqueue(x, at)
 		s.pending = append(s.pending, Decision{Kind: Deliver, Item: x})
 	}
 }
 
 // evictOlder drops the oldest report if it is older than the given time, and returns whether it did.
-func (s *Signals) evictOlder(all map[uint32]report, at int64) bool {
-	oldest, from := at, uint32(0)
-	for _, o := range slices.Sorted(maps.Keys(all)) {
-		if all[o].learnedAt < oldest {
-			oldest, from = all[o].learnedAt, o
+func (s *Signals) evictOlder(byOrigin map[uint32]report, at int64) bool {
+	oldest, oldestOrigin := at, uint32(0)
+	for _, o := range slices.Sorted(maps.Keys(byOrigin)) {
+		if byOrigin[o].learnedAt < oldest {
+			oldest, oldestOrigin = byOrigin[o].learnedAt, o
 		}
 	}
 	if oldest == at {
 		return false
 	}
-	delete(all, from)
+	delete(byOrigin, oldestOrigin)
 	return true
 }
 
--- a/standin/group.go
+++ b/standin/group.go
@@ -207,10 +207,10 @@
 	g.changed.Broadcast()
 }
 
-// Elect makes a member the primary. With sync, all commits survive the failover; without, those that the
+// Promote makes a member the primary. With sync, all commits survive the failover; without, those that the
 // member had not applied are lost and it keeps its position. Either way its own commits come after the
 // remaining ones.
-func (g *Group) Elect(m *Member, sync bool) (lost int) {
+func (g *Group) Promote(m *Member, sync bool) (lost int) {
 	g.Demote()
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/member.go
+++ b/standin/member.go
@@ -238,7 +238,7 @@
 			return
 		}
 		q, ok := message.(*pgproto3.Query)
-		if !ok || !m.answer(b, q.String) {
+		if !ok || !m.handleQuery(b, q.String) {
 			return
 		}
 	}
@@ -250,8 +250,8 @@
 	statement = regexp.MustCompile(`^/\*(.*?)\*/\s*(\w+)`)
 )
 
-// answer handles one query; false ends the connection.
-func (m *Member) answer(b *pgproto3.Backend, sql string) bool {
+// handleQuery handles one query; false ends the connection.
+func (m *Member) handleQuery(b *pgproto3.Backend, sql string) bool {
 	m.queries.Add(1)
 	m.busy.Add(1)
 	defer m.busy.Add(-1)
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -115,10 +115,10 @@
 
 // SetFaults makes the network drop and duplicate fractions of the datagrams, and delay each by up to a
 // duration.
-func (w *Network) SetFaults(loss, twice float64, late time.Duration) {
+func (w *Network) SetFaults(lossRatio, duplicateRatio float64, maxDelay time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.lossRatio, w.duplicateRatio, w.maxDelay = loss, twice, late
+	w.lossRatio, w.duplicateRatio, w.maxDelay = lossRatio, duplicateRatio, maxDelay
 }
 
 // Close closes the network.
