--- a/contracts/book.go
+++ b/contracts/book.go
@@ -118,24 +118,24 @@
 
 // ChangesReservations returns whether a proposal changes reserved capacity. In that case no two gateways may
 // act on the old and the new book at the same time.
-func (w *Proposal) ChangesReservations(b *Book) bool {
-	if w.Amend != nil {
-		c := b.Find(w.Amend.Name)
+func (p *Proposal) ChangesReservations(b *Book) bool {
+	if p.Amend != nil {
+		c := b.Find(p.Amend.Name)
 		return c != nil && c.Latest().State == Booked
 	}
-	if w.Cancel != "" {
-		c := b.Find(w.Cancel)
+	if p.Cancel != "" {
+		c := b.Find(p.Cancel)
 		return c != nil && c.Latest().State == Booked
 	}
-	return w.Book != ""
+	return p.Book != ""
 }
 
 // Apply returns the book after a proposal, or the reason for refusing it; missing capacity is a
 // *ShortfallError.
-func (b *Book) Apply(w *Proposal, fleet Fleet) (*Book, error) {
+func (b *Book) Apply(p *Proposal, fleet Fleet) (*Book, error) {
 	next := &Book{Contracts: slices.Clone(b.Contracts), Sizes: b.Sizes, Floor: b.Floor}
 	add := func(c *Contract, v Version) {
-		v.Author, v.Reason, v.At = w.Author, w.Reason, w.At
+		v.Author, v.Reason, v.At = p.Author, p.Reason, p.At
 		c.Versions = append(slices.Clone(c.Versions), v)
 	}
 	find := func(name string, states ...State) (*Contract, error) {
@@ -149,75 +149,75 @@
 		return c, nil
 	}
 	fits := func(c *Contract, t *Terms) error {
-		return NewCalendar(next, fleet, w.At, c.No).CheckFit(t)
+		return NewCalendar(next, fleet, p.At, c.No).CheckFit(t)
 	}
 	switch {
-	case w.Draft != nil:
-		if err := w.Draft.Check(); err != nil {
+	case p.Draft != nil:
+		if err := p.Draft.Check(); err != nil {
 			return nil, err
 		}
-		if c := next.Find(w.Draft.Name); c != nil && c.Latest().State != Cancelled {
-			return nil, fmt.Errorf("contract %q is %s already; amend it, or give another name", w.Draft.Name, c.Latest().State)
+		if c := next.Find(p.Draft.Name); c != nil && c.Latest().State != Cancelled {
+			return nil, fmt.Errorf("contract %q is %s already; amend it, or give another name", p.Draft.Name, c.Latest().State)
 		}
 		no := uint64(len(next.Contracts) + 1)
 		next.Contracts = append(next.Contracts, Contract{No: no})
-		add(&next.Contracts[no-1], Version{State: Draft, Terms: *w.Draft})
-	case w.Amend != nil:
-		if err := w.Amend.Check(); err != nil {
+		add(&next.Contracts[no-1], Version{State: Draft, Terms: *p.Draft})
+	case p.Amend != nil:
+		if err := p.Amend.Check(); err != nil {
 			return nil, err
 		}
-		c, err := find(w.Amend.Name, Draft, Quoted, Booked)
+		c, err := find(p.Amend.Name, Draft, Quoted, Booked)
 		if err != nil {
 			return nil, err
 		}
 		state := Draft // changed terms need a new price
 		if c.Latest().State == Booked {
-			if state = Booked; w.Amend.Tenant != c.Latest().Terms.Tenant {
+			if state = Booked; p.Amend.Tenant != c.Latest().Terms.Tenant {
 				return nil, errors.New("a booked contract stays its tenant's: cancel it, and book another")
 			}
-			if err := fits(c, w.Amend); err != nil {
+			if err := fits(c, p.Amend); err != nil {
 				return nil, err
 			}
 		}
-		add(c, Version{State: state, Terms: *w.Amend})
-	case w.Quote != "":
-		c, err := find(w.Quote, Draft, Quoted)
+		add(c, Version{State: state, Terms: *p.Amend})
+	case p.Quote != "":
+		c, err := find(p.Quote, Draft, Quoted)
 		if err != nil {
 			return nil, err
 		}
-		if w.Until <= w.At {
+		if p.Until <= p.At {
 			return nil, errors.New("a quote holds until some time to come")
 		}
 		if err := fits(c, &c.Latest().Terms); err != nil {
 			return nil, err
 		}
-		add(c, Version{State: Quoted, Terms: c.Latest().Terms, Until: w.Until})
-	case w.Book != "":
-		c, err := find(w.Book, Quoted)
+		add(c, Version{State: Quoted, Terms: c.Latest().Terms, Until: p.Until})
+	case p.Book != "":
+		c, err := find(p.Book, Quoted)
 		if err != nil {
 			return nil, err
 		}
-		if w.At > c.Latest().Until {
-			return nil, fmt.Errorf("the quote of %q held until %s", w.Book, formatTime(c.Latest().Until))
+		if p.At > c.Latest().Until {
+			return nil, fmt.Errorf("the quote of %q held until %s", p.Book, formatTime(c.Latest().Until))
 		}
 		if err := fits(c, &c.Latest().Terms); err != nil {
 			return nil, err
 		}
 		add(c, Version{State: Booked, Terms: c.Latest().Terms})
-	case w.Cancel != "":
-		c, err := find(w.Cancel, Draft, Quoted, Booked)
+	case p.Cancel != "":
+		c, err := find(p.Cancel, Draft, Quoted, Booked)
 		if err != nil {
 			return nil, err
 		}
 		add(c, Version{State: Cancelled, Terms: c.Latest().Terms})
-	case w.Sizes != nil || w.Floor != nil:
-		if w.Floor != nil {
-			if *w.Floor < 0 || *w.Floor >= 1 {
+	case p.Sizes != nil || p.Floor != nil:
+		if p.Floor != nil {
+			if *p.Floor < 0 || *p.Floor >= 1 {
 				return nil, errors.New("floor is a share below 1")
 			}
-			next.Floor = *w.Floor
+			next.Floor = *p.Floor
 		}
-		for _, s := range w.Sizes {
+		for _, s := range p.Sizes {
 			if s.Reads < 0 || s.Writes < 0 {
 				return nil, fmt.Errorf("group %d: a member does no fewer than 0 a second", s.Group)
 			}
--- a/contracts/contracts_test.go
+++ b/contracts/contracts_test.go
@@ -154,14 +154,14 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		b, now := sizedBook(), noon
-		there := Fleet{0: {"a": 2, "b": 2}, 1: {"a": 2, "b": 2}}
-		done, refused := 0, 0
+		currentFleet := Fleet{0: {"a": 2, "b": 2}, 1: {"a": 2, "b": 2}}
+		applied, refused := 0, 0
 		for range 60 {
 			now += int64(rng.Float64() * float64(2*hour))
 			name := fmt.Sprint("c", rng.IntN(8))
 			x := terms(name, time.Unix(0, now+int64(rng.IntN(40))*hour/2+hour).UTC().Format(startLayout), int64(1+rng.IntN(8)), float64(rng.IntN(150)), float64(1+rng.IntN(20)))
 			x.ToleratedLoss, x.Priority = lossLevels[rng.IntN(3)], rng.IntN(3)
-			w := Proposal{Author: "chance", At: now}
+			w := Proposal{Author: "random", At: now}
 			switch rng.IntN(6) {
 			case 0:
 				w.Draft = &x
@@ -174,10 +174,10 @@
 			case 4:
 				w.Cancel = name
 			case 5:
-				there[rng.IntN(2)]["a"] = rng.IntN(4)
+				currentFleet[rng.IntN(2)]["a"] = rng.IntN(4)
 			}
 			before, _ := json.Marshal(b)
-			next, err := b.Apply(&w, there)
+			next, err := b.Apply(&w, currentFleet)
 			if after, _ := json.Marshal(b); string(after) != string(before) {
 				t.Fatal("seed ", seed, ": the book was modified in place")
 			}
@@ -185,7 +185,7 @@
 				refused++
 				continue
 			}
-			done++
+			applied++
 			for i := range b.Contracts {
 				for k, v := range b.Contracts[i].Versions {
 					if fmt.Sprint(next.Contracts[i].Versions[k]) != fmt.Sprint(v) {
@@ -196,7 +196,7 @@
 			if sold := w.Book != "" || w.Amend != nil; sold { // a contract just booked or amended must fit beside all other booked ones
 				c := next.Find(firstNonEmpty(w.Book, name))
 				if c.Latest().State == Booked {
-					if err := NewCalendar(next, there, now, c.No).CheckFit(&c.Latest().Terms); err != nil {
+					if err := NewCalendar(next, currentFleet, now, c.No).CheckFit(&c.Latest().Terms); err != nil {
 						t.Fatal("seed ", seed, ": oversold: ", err)
 					}
 				}
@@ -206,8 +206,8 @@
 		if again, err := DecodeBook(b.Encode()); err != nil || string(again.Encode()) != string(b.Encode()) {
 			t.Fatal("seed ", seed, ": encoding: ", err)
 		}
-		if done == 0 || refused == 0 {
-			t.Fatal("seed ", seed, ": ", done, refused)
+		if applied == 0 || refused == 0 {
+			t.Fatal("seed ", seed, ": ", applied, refused)
 		}
 		live := 0
 		for _, c := range b.BookedContracts() {
@@ -231,39 +231,39 @@
 // Golden transcript of a contract's lifecycle, a refusal with alternatives, and a shrinking fleet; -update
 // rewrites it.
 func TestLifecycleTranscript(t *testing.T) {
-	b, there := sizedBook(), fleet
+	b, currentFleet := sizedBook(), fleet
 	var out []string
-	say := func(format string, x ...any) { out = append(out, fmt.Sprintf(format, x...)) }
-	do := func(now int64, what string, w Proposal) {
+	logf := func(format string, x ...any) { out = append(out, fmt.Sprintf(format, x...)) }
+	apply := func(now int64, what string, w Proposal) {
 		w.At, w.Author = now, "anna@desk"
-		next, err := b.Apply(&w, there)
+		next, err := b.Apply(&w, currentFleet)
 		if err != nil {
-			say("%s  %s: refused: %v", formatTime(now), what, err)
+			logf("%s  %s: refused: %v", formatTime(now), what, err)
 			return
 		}
 		b = next
-		say("%s  %s: done", formatTime(now), what)
+		logf("%s  %s: done", formatTime(now), what)
 	}
 	final := terms("final", "2026-06-14 20:00", 3, 150, 20)
 	other := terms("gala", "2026-06-14 21:00", 2, 50, 5)
-	do(noon, "draft final", Proposal{Draft: &final})
-	do(noon+hour, "book final", Proposal{Book: "final"})
-	do(noon+hour, "quote final until the evening", Proposal{Quote: "final", Until: noon + 8*hour})
-	do(noon+2*hour, "book final", Proposal{Book: "final"})
-	do(noon+3*hour, "draft gala", Proposal{Draft: &other})
-	do(noon+3*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 8*hour})
+	apply(noon, "draft final", Proposal{Draft: &final})
+	apply(noon+hour, "book final", Proposal{Book: "final"})
+	apply(noon+hour, "quote final until the evening", Proposal{Quote: "final", Until: noon + 8*hour})
+	apply(noon+2*hour, "book final", Proposal{Book: "final"})
+	apply(noon+3*hour, "draft gala", Proposal{Draft: &other})
+	apply(noon+3*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 8*hour})
 	other.Windows[0].Start = "2026-06-15 00:00"
-	do(noon+4*hour, "amend gala to midnight", Proposal{Amend: &other})
-	do(noon+4*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 5*hour})
-	do(noon+6*hour, "book gala, late", Proposal{Book: "gala"})
-	do(noon+6*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 8*hour})
-	do(noon+6*hour, "book gala", Proposal{Book: "gala"})
+	apply(noon+4*hour, "amend gala to midnight", Proposal{Amend: &other})
+	apply(noon+4*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 5*hour})
+	apply(noon+6*hour, "book gala, late", Proposal{Book: "gala"})
+	apply(noon+6*hour, "quote gala", Proposal{Quote: "gala", Until: noon + 8*hour})
+	apply(noon+6*hour, "book gala", Proposal{Book: "gala"})
 	final.Reads = 190
-	do(noon+24*hour, "amend final to 190 reads a second", Proposal{Amend: &final})
-	there = Fleet{0: {"a": 2, "b": 1}, 1: {"a": 2, "b": 2}}
-	say("a member of group 0 is removed")
-	for _, r := range b.UnmetContracts(there, noon+48*hour) {
-		say("  at risk from %s: %s", formatTime(r.Start), r.Reason)
+	apply(noon+24*hour, "amend final to 190 reads a second", Proposal{Amend: &final})
+	currentFleet = Fleet{0: {"a": 2, "b": 1}, 1: {"a": 2, "b": 2}}
+	logf("a member of group 0 is removed")
+	for _, r := range b.UnmetContracts(currentFleet, noon+48*hour) {
+		logf("  at risk from %s: %s", formatTime(r.Start), r.Reason)
 	}
 	for _, at := range []string{"2026-06-14 19:29", "2026-06-14 19:30", "2026-06-14 20:00", "2026-06-14 23:00", "2026-06-14 23:30", "2026-06-15 02:30"} {
 		x, _ := time.Parse(startLayout, at)
@@ -273,11 +273,11 @@
 		if next > 0 {
 			then = formatTime(next)
 		}
-		say("%s  final is %s; reserved: %v; next change at %s", formatTime(x.UnixNano()), p, holdings, then)
+		logf("%s  final is %s; reserved: %v; next change at %s", formatTime(x.UnixNano()), p, holdings, then)
 	}
-	do(noon+400*hour, "cancel gala, afterwards", Proposal{Cancel: "gala"})
+	apply(noon+400*hour, "cancel gala, afterwards", Proposal{Cancel: "gala"})
 	for _, v := range b.Find("gala").Versions {
-		say("gala, %s: %s by %s", formatTime(v.At), v.State, v.Author)
+		logf("gala, %s: %s by %s", formatTime(v.At), v.State, v.Author)
 	}
 	goldie.New(t, goldie.WithNameSuffix(".txt")).Assert(t, "life", []byte(strings.Join(out, "\n")+"\n"))
 }
--- a/contracts/usage_test.go
+++ b/contracts/usage_test.go
@@ -20,24 +20,24 @@
 		rng := rand.New(rand.NewPCG(seed, 9))
 		const n = 8 // the first three keep accounts of all gateways
 		run := make([]uint64, n)
-		all := make([]*Account, n)
-		disk := make([][]Count, n)
-		truth, unsure := uint64(0), uint64(0)
-		fresh := make([]uint64, n) // counted since the last report
-		for i := range all {
-			run[i], all[i] = 1, NewAccount(uint64(i+1), 1, nil)
+		accounts := make([]*Account, n)
+		saved := make([][]Count, n)
+		trueCount, possiblyLost := uint64(0), uint64(0)
+		unreported := make([]uint64, n) // counted since the last report
+		for i := range accounts {
+			run[i], accounts[i] = 1, NewAccount(uint64(i+1), 1, nil)
 		}
-		type letter struct {
+		type datagram struct {
 			to, at int64
-			what   []Count
+			counts []Count
 		}
-		var way []letter
+		var inFlight []datagram
 		now := noon
 		loss := rng.Float64() * 0.3
 		send := func(to int, what []Count) {
 			for rng.Float64() < 0.2 || len(what) > 0 {
 				if rng.Float64() > loss {
-					way = append(way, letter{int64(to), now + rng.Int64N(3e9), what})
+					inFlight = append(inFlight, datagram{int64(to), now + rng.Int64N(3e9), what})
 				}
 				if rng.Float64() > 0.1 {
 					break
@@ -49,11 +49,11 @@
 			if step == 380 { // no more faults
 				loss = 0
 			}
-			for i, a := range all {
+			for i, a := range accounts {
 				if step < 380 && rng.IntN(3) > 0 {
 					k := uint64(rng.IntN(5))
 					a.Add(7, now, Counts{Requested: k, InTime: k})
-					truth, fresh[i] = truth+k, fresh[i]+k
+					trueCount, unreported[i] = trueCount+k, unreported[i]+k
 				}
 				if step%2 == 0 {
 					for v := range 3 {
@@ -62,37 +62,37 @@
 						}
 					}
 					if i < 3 && rng.IntN(3) == 0 {
-						disk[i] = a.All()
+						saved[i] = a.All()
 					}
 				}
 				if step < 360 && rng.IntN(60) == 0 { // killed: counts neither reported nor saved are lost
-					kept := disk[i]
+					kept := saved[i]
 					if i > 2 {
 						kept = nil
 					}
 					run[i]++
-					all[i] = NewAccount(uint64(i+1), run[i], kept)
-					unsure, fresh[i] = unsure+fresh[i], 0
+					accounts[i] = NewAccount(uint64(i+1), run[i], kept)
+					possiblyLost, unreported[i] = possiblyLost+unreported[i], 0
 				}
 			}
-			rest := way[:0]
-			for _, l := range way {
+			later := inFlight[:0]
+			for _, l := range inFlight {
 				if l.at > now {
-					rest = append(rest, l)
+					later = append(later, l)
 					continue
 				}
-				all[l.to].Merge(l.what, now)
+				accounts[l.to].Merge(l.counts, now)
 			}
-			way = rest
+			inFlight = later
 			if step%20 == 0 { // by now resent many times, unless lost each time
-				clear(fresh)
+				clear(unreported)
 			}
 		}
 		c := &Contract{No: 7, Versions: []Version{{State: Booked, Terms: terms("x", "2026-06-01 12:00", 1, 1000, 0)}}}
 		for v := range 3 {
-			s := all[v].Statements(c, noon, noon+hour, now)[0]
-			if s.Total.Requested > truth || s.Total.Requested+unsure < truth {
-				t.Fatalf("seed %d: %d stated, %d true, %d possibly lost", seed, s.Total.Requested, truth, unsure)
+			s := accounts[v].Statements(c, noon, noon+hour, now)[0]
+			if s.Total.Requested > trueCount || s.Total.Requested+possiblyLost < trueCount {
+				t.Fatalf("seed %d: %d stated, %d true, %d possibly lost", seed, s.Total.Requested, trueCount, possiblyLost)
 			}
 			if s.Total.Requested != s.Total.InTime {
 				t.Fatal("seed ", seed, ": counts of one interval are inconsistent")
@@ -129,17 +129,17 @@
 	x := terms("final", "2026-06-01 12:00", 1, 20, 0)
 	c := &Contract{No: 7, Versions: []Version{{State: Booked, Terms: x}}}
 	var out []string
-	var all []*Account
+	var accounts []*Account
 	for i := range 3 {
-		all = append(all, NewAccount(uint64(i+1), 1, nil))
+		accounts = append(accounts, NewAccount(uint64(i+1), 1, nil))
 	}
-	cut, now := false, noon
-	say := func(format string, x ...any) {
+	partitioned, now := false, noon
+	logf := func(format string, x ...any) {
 		out = append(out, fmt.Sprintf("%s  ", time.Unix(0, now).UTC().Format("15:04:05"))+fmt.Sprintf(format, x...))
 	}
 	state := func() {
-		for _, s := range all[0].Statements(c, noon, noon+hour, now) {
-			say("statement at g1: %d requested, %d in time, credit %s, final %v", s.Total.Requested, s.Total.InTime, s.Credit, s.Final)
+		for _, s := range accounts[0].Statements(c, noon, noon+hour, now) {
+			logf("statement at g1: %d requested, %d in time, credit %s, final %v", s.Total.Requested, s.Total.InTime, s.Credit, s.Final)
 			for _, l := range s.Lines {
 				out = append(out, fmt.Sprintf("            from %s: %d gateways, %d requested of %.0f, served %.4f %s", time.Unix(0, l.At).UTC().Format("15:04"), l.Gateways, l.Requested, l.Size, l.ServedFraction, l.Cause))
 			}
@@ -149,21 +149,21 @@
 		now = noon + int64(second)*1e9
 		switch second {
 		case 300:
-			cut = true
-			say("g3 is partitioned; its clients stay")
+			partitioned = true
+			logf("g3 is partitioned; its clients stay")
 		case 600:
 			state()
-			cut = false
-			say("g3 is reachable again")
+			partitioned = false
+			logf("g3 is reachable again")
 		}
-		for i, a := range all {
+		for i, a := range accounts {
 			n := Counts{Requested: 5, InTime: 5}
-			if i == 2 && cut && second > 302 { // in careful mode, as its lease has expired
+			if i == 2 && partitioned && second > 302 { // in careful mode, as its lease has expired
 				n = Counts{Requested: 5, NoAgreement: 5}
 			}
 			a.Add(7, now, n)
-			for k, o := range all {
-				if k != i && !(cut && (i == 2 || k == 2)) {
+			for k, o := range accounts {
+				if k != i && !(partitioned && (i == 2 || k == 2)) {
 					o.Merge(a.Report(now, i > 0), now)
 				}
 			}
--- a/fleet/coordination.go
+++ b/fleet/coordination.go
@@ -25,7 +25,7 @@
 	Subset  *subset.Terms // nil: each gateway has every member
 	Signals bool
 	Turns   bool  // needs Signals, by which words go
-	Wait    int64 // turns.Terms
+	Wait    int64 // see turns.Config
 }
 
 // Check names what is wrong with it.
--- a/rehearse/audit/audit.go
+++ b/rehearse/audit/audit.go
@@ -42,7 +42,7 @@
 	Type          int
 	Key           uint64 // 0 if none
 	Version       uint64 // that a write creates in its session
-	MinVersion    uint64 // latest version that its session had been told when it was sent
+	MinVersion    uint64 // latest version acknowledged to its session when it was sent
 	DueAt, SentAt int64  // when it was due, and when it was sent
 	Deadline      int64  // when its time runs out
 	Gateway       int
@@ -165,8 +165,8 @@
 }
 
 // Check returns all violations, ordered by time.
-func Check(t Config, l *Log) []Violation {
-	a := &auditor{config: t, log: l, responses: map[uint64][]Response{}, submissions: map[uint64][]Submission{}}
+func Check(config Config, l *Log) []Violation {
+	a := &auditor{config: config, log: l, responses: map[uint64][]Response{}, submissions: map[uint64][]Submission{}}
 	for _, x := range l.Responses {
 		a.responses[x.ID] = append(a.responses[x.ID], x)
 	}
@@ -356,7 +356,7 @@
 	}
 }
 
-// checkStaleReads checks that a read shows what its session was told before it was sent, or all commits older
+// checkStaleReads checks that a read shows the version acknowledged to its session before it was sent, or all commits older
 // than its bound; or a commit after that, which may be an older write that its client had given up.
 func (a *auditor) checkStaleReads() {
 	memberDied := false
--- a/rehearse/audit/service.go
+++ b/rehearse/audit/service.go
@@ -27,7 +27,7 @@
 	P50, P90, P99, Max                      int64 // from due to served
 	LateFraction                            float64
 	histogram                               *hdrhistogram.Histogram
-	value, worth                            float64
+	servedValue, requestedValue             float64
 	late                                    int
 }
 
@@ -37,10 +37,10 @@
 )
 
 // Measure computes the service. Latencies count from when an attempt was due, not from when it was sent.
-func Measure(t Config, l *Log) Service {
+func Measure(config Config, l *Log) Service {
 	var s Service
-	for i := range t.Types {
-		s.Types = append(s.Types, TypeService{Name: t.Types[i].Name, histogram: hdrhistogram.New(1, 3_600_000_000, 3)})
+	for i := range config.Types {
+		s.Types = append(s.Types, TypeService{Name: config.Types[i].Name, histogram: hdrhistogram.New(1, 3_600_000_000, 3)})
 	}
 	type finalResponse struct {
 		answer Response
@@ -66,7 +66,7 @@
 		if x.ID != x.FirstID {
 			continue
 		}
-		k, ts := &t.Types[x.Type], &s.Types[x.Type]
+		k, ts := &config.Types[x.Type], &s.Types[x.Type]
 		s.Requested++
 		ts.Requested++
 		n := int(max(0, x.DueAt) / slotDuration)
@@ -93,8 +93,8 @@
 		}
 		requested[n] += k.Value
 		served[n] += value
-		ts.worth += k.Value
-		ts.value += value
+		ts.requestedValue += k.Value
+		ts.servedValue += value
 	}
 	totalRequested, totalServed := 0.0, 0.0
 	s.Worst10 = 1
@@ -117,7 +117,7 @@
 	}
 	for i := range s.Types {
 		ts := &s.Types[i]
-		ts.Service = ratio(ts.value, ts.worth)
+		ts.Service = ratio(ts.servedValue, ts.requestedValue)
 		ts.P50, ts.P90 = ts.histogram.ValueAtQuantile(50)*1000, ts.histogram.ValueAtQuantile(90)*1000
 		ts.P99, ts.Max = ts.histogram.ValueAtQuantile(99)*1000, ts.histogram.Max()*1000
 		if ts.Served > 0 {
--- a/signals/signals_test.go
+++ b/signals/signals_test.go
@@ -150,23 +150,23 @@
 func TestBrokenLinkDoesNotExcludeMember(t *testing.T) {
 	for _, n := range []int{10, 100} {
 		for _, c := range []struct {
-			ill, well int
-			want      bool
+			unhealthy, healthy int
+			want               bool
 		}{{1, 0, false}, {2, 0, false}, {3, n - 3, false}, {n / 2, 0, true}, {n, 0, true}} {
-			w := newFleetSimulation(t, n, uint64(c.ill))
+			w := newFleetSimulation(t, n, uint64(c.unhealthy))
 			for i, x := range w.nodes {
-				x.reportsHealthy = i >= c.ill && i < c.ill+c.well
+				x.reportsHealthy = i >= c.unhealthy && i < c.unhealthy+c.healthy
 			}
 			for range 50 { // each keeps observing the member as unhealthy
-				for _, x := range w.nodes[:c.ill] {
+				for _, x := range w.nodes[:c.unhealthy] {
 					x.runRound(func() { x.s.Observe(Health, 1, Unhealthy) })
 				}
 				w.run(second / 10)
 			}
-			others := w.countNodes(func(x *node) bool { return x.id >= uint32(c.ill) && x.s.IsUnhealthy(1) })
-			t.Logf("%d of %d report it unhealthy and %d healthy: unhealthy for %d of the others, %d messages per gateway and second", c.ill, n, c.well, others, w.sent/n/5)
-			if c.want && others < n-c.ill || !c.want && others > (n-c.ill)/20 {
-				t.Fatal(n, c, others)
+			unhealthyAt := w.countNodes(func(x *node) bool { return x.id >= uint32(c.unhealthy) && x.s.IsUnhealthy(1) })
+			t.Logf("%d of %d report it unhealthy and %d healthy: unhealthy for %d of the others, %d messages per gateway and second", c.unhealthy, n, c.healthy, unhealthyAt, w.sent/n/5)
+			if c.want && unhealthyAt < n-c.unhealthy || !c.want && unhealthyAt > (n-c.unhealthy)/20 {
+				t.Fatal(n, c, unhealthyAt)
 			}
 			if w.sent/n/5 > 30 {
 				t.Fatal("messages: ", w.sent/n/5)
--- a/turns/turns.go
+++ b/turns/turns.go
@@ -27,8 +27,8 @@
 const DefaultWait = int64(300e6)
 
 // Check reports the first setting that is out of range.
-func (t *Config) Check() error {
-	if t.Wait < 1e6 {
+func (c *Config) Check() error {
+	if c.Wait < 1e6 {
 		return errors.New("turns: wait must be at least 1ms")
 	}
 	return nil
@@ -83,11 +83,11 @@
 }
 
 // New creates the state of a gateway.
-func New(t Config) (*Turns, error) {
-	if err := t.Check(); err != nil {
+func New(c Config) (*Turns, error) {
+	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	return &Turns{config: t, turns: map[uint64]*turn{}}, nil
+	return &Turns{config: c, turns: map[uint64]*turn{}}, nil
 }
 
 // Clock begins a round at a time in nanoseconds of a monotonic clock.
--- a/turns/turns_test.go
+++ b/turns/turns_test.go
@@ -127,7 +127,7 @@
 
 // If the first gateway has died, the others take over in batches, and only a few perform the task. In a
 // partitioned fleet, each half performs it.
-func TestTakenOver(t *testing.T) {
+func TestTakeover(t *testing.T) {
 	for seed := range uint64(100) {
 		for _, n := range []int{5, 100} {
 			w := newFleetSimulation(t, n, seed)
