--- a/contracts/usage.go
+++ b/contracts/usage.go
@@ -9,40 +9,44 @@
 	"github.com/shopspring/decimal"
 )
 
-// Interval is over how long txns are counted together, nanoseconds. Ours: short against a window, and a fleet of thousands
-// tells few of them.
-const Interval = int64(300e9)
+// CountInterval is the interval over which txns are counted, nanoseconds. It is short against a window, and
+// long enough that a fleet of thousands reports few intervals.
+const CountInterval = int64(300e9)
 
-// Spans of reports. Ours: what a gateway that dies has not told is at most of the last second or two.
+// Report timing and retention, in nanoseconds, and the size limit. A gateway that crashes loses at most the
+// unreported counts of the last second or two.
 const (
-	ReportSpan = int64(1e9)             // between reports of what has changed
-	repeatSpan = int64(10e9)            // what changed of late is told again so long, as reports may be lost
-	wholeSpan  = int64(60e9)            // and all that is kept so often
-	KeepSpan   = int64(7 * 24 * 3600e9) // counts are kept after their interval; a statement is made before
-	mostCells  = 1 << 20
+	ReportInterval     = int64(1e9)             // between reports of changed counts
+	resendWindow       = int64(10e9)            // changed counts are resent for this long, as reports may be lost
+	fullReportInterval = int64(60e9)            // between reports of all counts
+	CountRetention     = int64(7 * 24 * 3600e9) // counts are kept this long after their interval; statements are made earlier
+	maxCounts          = 1 << 20
 )
 
-// Counts are of one contract's txns in one interval at one gateway. They only grow.
+// Counts are the txns of one contract in one interval at one gateway. They only grow.
 type Counts struct {
-	Asked, InTime, Late uint64
-	NoRoom              uint64 // declined: more than the gateway has room for, or than a bound of its tenant's
-	NoMember            uint64 // declined: no member could do them in time
-	Unagreed            uint64 // declined: the gateway was careful
-	RolledBack, Left    uint64 // rolled back; given up by their clients
+	Requested   uint64 `json:"Asked"`
+	InTime      uint64
+	Late        uint64
+	Overloaded  uint64 `json:"NoRoom"` // declined: beyond the gateway's capacity or a limit of the tenant
+	NoMember    uint64 // declined: no member could serve them in time
+	NoAgreement uint64 `json:"Unagreed"` // declined: the gateway was in careful mode, without a lease on the agreed settings
+	RolledBack  uint64
+	Abandoned   uint64 `json:"Left"` // given up by the client
 }
 
-func (c *Counts) each(o *Counts, f func(x, y uint64) uint64) {
-	for _, p := range [][2]*uint64{{&c.Asked, &o.Asked}, {&c.InTime, &o.InTime}, {&c.Late, &o.Late}, {&c.NoRoom, &o.NoRoom}, {&c.NoMember, &o.NoMember},
-		{&c.Unagreed, &o.Unagreed}, {&c.RolledBack, &o.RolledBack}, {&c.Left, &o.Left}} {
+func (c *Counts) combine(o *Counts, f func(x, y uint64) uint64) {
+	for _, p := range [][2]*uint64{{&c.Requested, &o.Requested}, {&c.InTime, &o.InTime}, {&c.Late, &o.Late}, {&c.Overloaded, &o.Overloaded}, {&c.NoMember, &o.NoMember},
+		{&c.NoAgreement, &o.NoAgreement}, {&c.RolledBack, &o.RolledBack}, {&c.Abandoned, &o.Abandoned}} {
 		*p[0] = f(*p[0], *p[1])
 	}
 }
 
-// Count is of one gateway in one of its runs.
+// Count is the Counts of one gateway in one of its runs.
 type Count struct {
-	Origin, Run uint64 // the gateway, and its start
+	Origin, Run uint64 // the gateway and its start
 	No          uint64 // the contract
-	At          int64  // the interval's beginning, Unix nanoseconds
+	At          int64  // start of the interval, Unix nanoseconds
 	Counts
 }
 
@@ -53,69 +57,71 @@
 
 func (c *Count) key() countKey { return countKey{c.Origin, c.Run, c.No, c.At} }
 
-// Account is what a gateway knows of counts, its own among them. Each count has one origin, which alone adds to it; of what
-// others tell the larger holds, so that reports may be lost, late and come twice: each txn is counted once.
+// Account holds the counts known to a gateway, including its own. Only the origin adds to a count, and of
+// reported values the larger one wins, so reports may be lost, late or duplicated and each txn is still
+// counted once.
 type Account struct {
-	origin, run uint64
-	counts      map[countKey]Counts
-	changed     map[countKey]int64  // when
-	heard       map[[2]uint64]int64 // of each origin and run, the latest that it reported
-	wholeAt     int64
+	origin, run      uint64
+	counts           map[countKey]Counts
+	changed          map[countKey]int64  // time of the last change
+	lastReportAt     map[[2]uint64]int64 // by origin and run
+	lastFullReportAt int64
 }
 
-// NewAccount is that of a gateway in one of its runs, with what was kept of former ones.
+// NewAccount creates the account of a gateway in one of its runs, from the counts saved by earlier runs.
 func NewAccount(origin, run uint64, kept []Count) *Account {
-	a := &Account{origin: origin, run: run, counts: map[countKey]Counts{}, changed: map[countKey]int64{}, heard: map[[2]uint64]int64{}}
-	a.Heard(kept, 0)
+	a := &Account{origin: origin, run: run, counts: map[countKey]Counts{}, changed: map[countKey]int64{}, lastReportAt: map[[2]uint64]int64{}}
+	a.Merge(kept, 0)
 	return a
 }
 
-// Add counts a txn of this gateway.
+// Add adds counts of this gateway.
 func (a *Account) Add(no uint64, now int64, add Counts) {
-	k := countKey{a.origin, a.run, no, now - now%Interval}
+	k := countKey{a.origin, a.run, no, now - now%CountInterval}
 	c := a.counts[k]
-	c.each(&add, func(x, y uint64) uint64 { return x + y })
+	c.combine(&add, func(x, y uint64) uint64 { return x + y })
 	a.counts[k], a.changed[k] = c, now
 }
 
-// Heard takes what another gateway told, at a time.
-func (a *Account) Heard(all []Count, now int64) {
+// Merge merges counts received from another gateway at a time.
+func (a *Account) Merge(all []Count, now int64) {
 	for _, c := range all {
 		k := c.key()
-		if k.origin == a.origin && k.run == a.run || len(a.counts) >= mostCells {
+		if k.origin == a.origin && k.run == a.run || len(a.counts) >= maxCounts {
 			continue
 		}
-		before, known := a.counts[k]
-		x := before
-		if x.each(&c.Counts, func(x, y uint64) uint64 { return max(x, y) }); x != before || !known {
+		previous, known := a.counts[k]
+		x := previous
+		if x.combine(&c.Counts, func(x, y uint64) uint64 { return max(x, y) }); x != previous || !known {
 			a.counts[k] = x
 			if now > 0 {
 				a.changed[k] = now
 			}
 		}
 		o := [2]uint64{k.origin, k.run}
-		a.heard[o] = max(a.heard[o], now)
+		a.lastReportAt[o] = max(a.lastReportAt[o], now)
 	}
 }
 
-// Report is what is to be told now: what has changed of late, and now and then all. own leaves out what came from others.
-func (a *Account) Report(now int64, own bool) (all []Count) {
-	whole := now-a.wholeAt >= wholeSpan
-	if whole && !own {
-		a.wholeAt = now
+// Report returns the counts to send now: those changed recently, and periodically all. own limits it to this
+// gateway's counts of this run.
+func (a *Account) Report(now int64, ownOnly bool) (all []Count) {
+	full := now-a.lastFullReportAt >= fullReportInterval
+	if full && !ownOnly {
+		a.lastFullReportAt = now
 	}
 	maps.DeleteFunc(a.counts, func(k countKey, _ Counts) bool {
-		if now-k.at < KeepSpan {
+		if now-k.at < CountRetention {
 			return false
 		}
 		delete(a.changed, k)
 		return true
 	})
 	for k, c := range a.counts {
-		if own && (k.origin != a.origin || k.run != a.run) {
+		if ownOnly && (k.origin != a.origin || k.run != a.run) {
 			continue
 		}
-		if at := a.changed[k]; whole && !own || at > 0 && now-at < repeatSpan {
+		if at := a.changed[k]; full && !ownOnly || at > 0 && now-at < resendWindow {
 			all = append(all, Count{k.origin, k.run, k.no, k.at, c})
 		}
 	}
@@ -123,7 +129,7 @@
 	return all
 }
 
-// All is every count, for who keeps them.
+// All returns every count, for storage.
 func (a *Account) All() (all []Count) {
 	for k, c := range a.counts {
 		all = append(all, Count{k.origin, k.run, k.no, k.at, c})
@@ -138,59 +144,59 @@
 	})
 }
 
-// Line is one interval of a statement.
-type Line struct {
+// IntervalReport is one interval of a statement.
+type IntervalReport struct {
 	At       int64
 	Gateways int // that counted something
 	Counts
-	Size  float64 // txns that the contract is for in it
-	Kept  float64 // in time, of those asked that it is for; 1 if none was
-	Cause string  // why it was not kept, empty if it was
+	Size           float64 // txns that the contract covers in the interval
+	ServedFraction float64 `json:"Kept"` // served in time, as a fraction of the covered requests; 1 if there were none
+	Cause          string  // main reason if the promise was not kept, else empty
 }
 
-// Statement is what was kept in one window.
+// Statement reports how a contract was kept in one window.
 type Statement struct {
 	No     uint64
 	Name   string
-	Window Held
-	Lines  []Line
-	Sum    Counts
+	Window ReservedWindow
+	Lines  []IntervalReport
+	Total  Counts `json:"Sum"`
 	Price  decimal.Decimal
-	Credit decimal.Decimal // 0 where the promise was kept
-	Over   bool            // nothing is added any more
+	Credit decimal.Decimal // 0 if the promise was kept
+	Final  bool            `json:"Over"` // no further counts are added
 }
 
-// State makes the statements of a contract for its windows that touch a span, by what is known. A window is kept if each
-// interval in it is: of the txns that were asked for, up to the contract's size, the promised share was served in time. What
-// the clients gave up themselves and what is over the size counts for nobody.
-func (a *Account) State(c *Contract, from, to, now int64) (all []Statement) {
-	t := &c.Now().Terms
-	for _, h := range t.Spans(from, to) {
-		s := Statement{No: c.No, Name: t.Name, Window: h, Price: t.Price, Credit: decimal.Zero, Over: now > h.To+Interval}
-		by := map[int64]*Line{}
+// Statements reports on a contract's windows that overlap a time range, from the counts known so far. A window
+// is kept if each of its intervals is: of the requested txns, up to the contract's size, the promised fraction
+// was served in time. Txns abandoned by their clients and those beyond the size are not counted.
+func (a *Account) Statements(c *Contract, from, to, now int64) (all []Statement) {
+	t := &c.Latest().Terms
+	for _, h := range t.ReservedWindows(from, to) {
+		s := Statement{No: c.No, Name: t.Name, Window: h, Price: t.Price, Credit: decimal.Zero, Final: now > h.To+CountInterval}
+		intervals := map[int64]*IntervalReport{}
 		for k, x := range a.counts {
-			if k.no != c.No || k.at+Interval <= h.Start || k.at >= h.End {
+			if k.no != c.No || k.at+CountInterval <= h.Start || k.at >= h.End {
 				continue
 			}
-			l := by[k.at]
+			l := intervals[k.at]
 			if l == nil {
-				l = &Line{At: k.at}
-				by[k.at] = l
+				l = &IntervalReport{At: k.at}
+				intervals[k.at] = l
 			}
 			l.Gateways++
-			l.each(&x, func(x, y uint64) uint64 { return x + y })
-			s.Sum.each(&x, func(x, y uint64) uint64 { return x + y })
+			l.combine(&x, func(x, y uint64) uint64 { return x + y })
+			s.Total.combine(&x, func(x, y uint64) uint64 { return x + y })
 		}
-		for _, at := range slices.Sorted(maps.Keys(by)) {
-			l := by[at]
-			span := min(at+Interval, h.End) - max(at, h.Start)
+		for _, at := range slices.Sorted(maps.Keys(intervals)) {
+			l := intervals[at]
+			duration := min(at+CountInterval, h.End) - max(at, h.Start)
 			groups := max(1, len(t.Groups))
-			l.Size = math.Floor((t.Reads + t.Writes) * float64(groups) * float64(span) / 1e9)
-			due := min(float64(l.Asked-min(l.Asked, l.Left)), l.Size)
-			if l.Kept = 1; due > 0 {
-				l.Kept = min(1, float64(l.InTime)/due)
+			l.Size = math.Floor((t.Reads + t.Writes) * float64(groups) * float64(duration) / 1e9)
+			covered := min(float64(l.Requested-min(l.Requested, l.Abandoned)), l.Size)
+			if l.ServedFraction = 1; covered > 0 {
+				l.ServedFraction = min(1, float64(l.InTime)/covered)
 			}
-			if l.Kept < t.Promised {
+			if l.ServedFraction < t.PromisedFraction {
 				l.Cause = l.cause()
 				s.Credit = t.Credit
 			}
@@ -201,16 +207,16 @@
 	return all
 }
 
-// cause is what most of those were lost to that were not served in time.
-func (l *Line) cause() string {
-	most, why := l.Late, "served late"
+// cause returns the most frequent reason why txns were not served in time.
+func (l *IntervalReport) cause() string {
+	highest, cause := l.Late, "served late"
 	for _, x := range []struct {
 		n   uint64
 		why string
-	}{{l.NoRoom, "no room at the gateway"}, {l.NoMember, "no member could in time"}, {l.Unagreed, "gateways without the agreement"}, {l.RolledBack, "rolled back"}} {
-		if x.n > most {
-			most, why = x.n, x.why
+	}{{l.Overloaded, "no room at the gateway"}, {l.NoMember, "no member could in time"}, {l.NoAgreement, "gateways without the agreement"}, {l.RolledBack, "rolled back"}} {
+		if x.n > highest {
+			highest, cause = x.n, x.why
 		}
 	}
-	return why
+	return cause
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -33,7 +33,7 @@
 	Why      string
 	No       uint64              // of a version
 	Wish     *agreement.Proposal // of a fleet
-	Contract *contracts.Wish     // of the book of contracts
+	Contract *contracts.Proposal // of the book of contracts
 }
 
 // Reply tells what came of a request.
--- a/standin/front.go
+++ b/standin/front.go
@@ -13,89 +13,89 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// Front gives clients their connections to gateways, and moves them between those.
-type Front struct {
+// ClientPool creates clients that connect to gateways and can switch between them.
+type ClientPool struct {
 	gateways []string
-	ids      atomic.Uint64
+	lastID   atomic.Uint64
 }
 
-// NewFront makes a front of gateways, by their addresses.
-func NewFront(gateways ...string) *Front { return &Front{gateways: gateways} }
+// NewClientPool creates a pool for the gateways with the given addresses.
+func NewClientPool(gateways ...string) *ClientPool { return &ClientPool{gateways: gateways} }
 
-// Client is one client, with a connection to each gateway that it has used. It is not for several goroutines at once.
+// Client is one client with a connection to each gateway that it has used. It is not safe for concurrent use.
 type Client struct {
-	User  string // of its startup message; empty is the portal
-	front *Front
-	Code  string // of its session
-	Group int
-	Time  time.Duration // that it waits for an answer
-	After int64         // position that it says its session has reached, in Unix milliseconds
-	Token string        // signed position that it carries, as it was given last
-	Class Classes
-	conns map[int]*pgconn.PgConn
+	User        string // user of the startup message; empty means portal
+	pool        *ClientPool
+	SessionCode string // identifies the session's row
+	Group       int
+	Timeout     time.Duration // response timeout
+	MinPosition int64         // position that its session claims to have reached, Unix milliseconds
+	Token       string        // latest signed position token received
+	Types       TxnTypes
+	conns       map[int]*pgconn.PgConn
 }
 
-// Classes are the names of txn types that a client uses.
-type Classes struct{ Write, Read string }
+// TxnTypes are the names of the txn types that a client uses.
+type TxnTypes struct{ Write, Read string }
 
-// Answer is what a client got.
-type Answer struct {
-	Value string
-	Code  string // SQLSTATE, empty if it was served
-	After string // in how many milliseconds it should come back, if it was told so
-	Err   error  // of the connection
-	Took  time.Duration
+// Response is the result of a client's request.
+type Response struct {
+	Value      string
+	Code       string // SQLSTATE, empty if the request was served
+	RetryAfter string // suggested retry delay in milliseconds, empty if none
+	Err        error  // of the connection
+	Latency    time.Duration
 }
 
-// String words an answer.
-func (a Answer) String() string {
+// String describes the response.
+func (a Response) String() string {
 	switch {
 	case a.Err != nil:
-		return "no answer: " + a.Err.Error()
+		return "no response: " + a.Err.Error()
 	case a.Code != "":
-		return strings.TrimSpace(a.Code + " " + a.After)
+		return strings.TrimSpace(a.Code + " " + a.RetryAfter)
 	}
 	return "served " + a.Value
 }
 
-// NewClient makes a client of a session.
-func (f *Front) NewClient(code string, classes Classes) *Client {
-	return &Client{front: f, Code: code, Time: time.Second, Class: classes, conns: map[int]*pgconn.PgConn{}}
+// NewClient creates a client of a session.
+func (f *ClientPool) NewClient(code string, classes TxnTypes) *Client {
+	return &Client{pool: f, SessionCode: code, Timeout: time.Second, Types: classes, conns: map[int]*pgconn.PgConn{}}
 }
 
-// Write writes the next value of its session by a gateway; key is the mark against repeats.
-func (c *Client) Write(gateway int, key, value string) Answer {
-	return c.ask(gateway, fmt.Sprintf("c=%s,k=%s", c.Class.Write, key),
-		fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%s') RETURNING data", c.Code, value))
+// Write writes the next value of its session through a gateway; key deduplicates repeats.
+func (c *Client) Write(gateway int, key, value string) Response {
+	return c.query(gateway, fmt.Sprintf("c=%s,k=%s", c.Types.Write, key),
+		fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%s') RETURNING data", c.SessionCode, value))
 }
 
-// WriteAs and ReadAs do the same under an id of the caller's; an empty key is none.
-func (c *Client) WriteAs(id uint64, gateway int, key, value string) Answer {
-	more := "c=" + c.Class.Write
+// WriteWithID writes with a txn id of the caller's choice; an empty key sends none.
+func (c *Client) WriteWithID(id uint64, gateway int, key, value string) Response {
+	more := "c=" + c.Types.Write
 	if key != "" {
 		more += ",k=" + key
 	}
-	return c.askAs(id, gateway, more, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%s') RETURNING data", c.Code, value))
+	return c.queryWithID(id, gateway, more, fmt.Sprintf("INSERT INTO facts (code, data) VALUES ('%s', '%s') RETURNING data", c.SessionCode, value))
 }
 
-// ReadAs reads its session's value.
-func (c *Client) ReadAs(id uint64, gateway int) Answer {
-	return c.askAs(id, gateway, "c="+c.Class.Read, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", c.Code))
+// ReadWithID reads its session's value with a txn id of the caller's choice.
+func (c *Client) ReadWithID(id uint64, gateway int) Response {
+	return c.queryWithID(id, gateway, "c="+c.Types.Read, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", c.SessionCode))
 }
 
-// Read reads its session's value by a gateway.
-func (c *Client) Read(gateway int) Answer {
-	more := "c=" + c.Class.Read
-	if c.After > 0 {
-		more += ",after=" + strconv.FormatInt(c.After, 10)
+// Read reads its session's value through a gateway.
+func (c *Client) Read(gateway int) Response {
+	more := "c=" + c.Types.Read
+	if c.MinPosition > 0 {
+		more += ",after=" + strconv.FormatInt(c.MinPosition, 10)
 	}
 	if c.Token != "" {
 		more += ",at=" + c.Token
 	}
-	return c.ask(gateway, more, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", c.Code))
+	return c.query(gateway, more, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", c.SessionCode))
 }
 
-// Drop closes a connection as one that fails does.
+// Drop closes the connection to a gateway without a goodbye, as a failed one ends.
 func (c *Client) Drop(gateway int) {
 	if conn := c.conns[gateway]; conn != nil {
 		_ = conn.Conn().Close()
@@ -103,43 +103,43 @@
 	}
 }
 
-// Close closes all.
+// Close closes all connections.
 func (c *Client) Close() {
 	for gateway := range c.conns {
 		c.Drop(gateway)
 	}
 }
 
-func (c *Client) ask(gateway int, more, sql string) Answer {
-	return c.askAs(c.front.ids.Add(1), gateway, more, sql)
+func (c *Client) query(gateway int, parameters, sql string) Response {
+	return c.queryWithID(c.pool.lastID.Add(1), gateway, parameters, sql)
 }
 
-func (c *Client) askAs(id uint64, gateway int, more, sql string) (a Answer) {
-	began := time.Now()
-	defer func() { a.Took = time.Since(began) }()
-	// Longer than its own time, so that an answer that comes too late is seen as such.
-	ctx, cancel := context.WithTimeout(context.Background(), c.Time+soon)
+func (c *Client) queryWithID(id uint64, gateway int, parameters, sql string) (a Response) {
+	start := time.Now()
+	defer func() { a.Latency = time.Since(start) }()
+	// Longer than the request's own timeout, so that a late response is still observed.
+	ctx, cancel := context.WithTimeout(context.Background(), c.Timeout+eventTimeout)
 	defer cancel()
 	conn := c.conns[gateway]
 	if conn == nil {
 		var err error
-		if conn, err = pgconn.Connect(ctx, "postgres://"+cmp.Or(c.User, "portal")+"@"+c.front.gateways[gateway]+"/crm?sslmode=disable"); err != nil {
-			return Answer{Err: err}
+		if conn, err = pgconn.Connect(ctx, "postgres://"+cmp.Or(c.User, "portal")+"@"+c.pool.gateways[gateway]+"/crm?sslmode=disable"); err != nil {
+			return Response{Err: err}
 		}
 		c.conns[gateway] = conn
 	}
-	text := fmt.Sprintf("/* id=%016x,%s,d=%d,cluster=%d */ %s", id, more, c.Time.Milliseconds(), c.Group, sql)
+	text := fmt.Sprintf("/* id=%016x,%s,d=%d,cluster=%d */ %s", id, parameters, c.Timeout.Milliseconds(), c.Group, sql)
 	results, err := conn.Exec(ctx, text).ReadAll()
-	var told *pgconn.PgError
+	var pgErr *pgconn.PgError
 	switch {
-	case errors.As(err, &told):
+	case errors.As(err, &pgErr):
 		if conn.IsClosed() {
 			delete(c.conns, gateway)
 		}
-		return Answer{Code: told.Code, After: told.Detail}
+		return Response{Code: pgErr.Code, RetryAfter: pgErr.Detail}
 	case err != nil:
 		c.Drop(gateway)
-		return Answer{Err: err}
+		return Response{Err: err}
 	}
 	if token := conn.ParameterStatus("session_token"); token != "" && strings.Contains(sql, "INSERT") {
 		c.Token = token
--- a/standin/group.go
+++ b/standin/group.go
@@ -1,9 +1,11 @@
-// Package standin holds what stands around a gateway, for tests, rehearsals and measurements on one machine: groups of
-// databases with a primary and replicas, the list service, and a front whose clients move between gateways. It is
-// written from the public specifications of PostgreSQL's protocol and of HTTP, listens on loopback alone, and shares
-// no code with the gateway, so that what it sees can be held against what the gateway says.
+// Package standin provides the environment of a gateway for tests, rehearsals and measurements on one machine:
+// groups of databases with a primary and replicas, the list service, the network between gateways, and clients
+// that switch between gateways. It is written from the public specifications of PostgreSQL's protocol and of
+// HTTP, listens on loopback only, and shares no code with the gateway, so that its observations can be checked
+// against what the gateway reports.
 //
-// group.go has a group's log, member.go its servers, list.go the list service, front.go the clients.
+// group.go implements a group's log, member.go its servers, list.go the list service, front.go the clients and
+// wire.go the network.
 package standin
 
 import (
@@ -13,20 +15,20 @@
 	"time"
 )
 
-// Group is one log of commits, the servers that hold it, and which of them takes writes. Positions are Unix times in
-// milliseconds by the group's own clock: a commit's is rounded up, and a server's says that it has applied every
-// commit up to there. All of its methods may be called at any time.
+// Group is a log of commits, the servers that hold it, and which of them is the primary. Positions are Unix
+// times in milliseconds by the group's own clock: a commit's is rounded up, and a server's means that it has
+// applied every commit up to it. All methods are safe for concurrent use.
 type Group struct {
-	ID     int
-	Window time.Duration // for how long repeats of a keyed write are dropped
-	Await  time.Duration // how long a replica waits for the position that a read must see; below 0 it does not look
+	ID          int
+	DedupWindow time.Duration // how long repeats of a keyed write are dropped
+	ReplicaWait time.Duration // how long a replica waits for the position that a read requires; if negative, it does not check
 
 	mu      sync.Mutex
-	moved   *sync.Cond // something has changed that somebody may wait for
+	changed *sync.Cond // signals any change that a caller may wait for
 	skew    time.Duration
 	commits []commit // by position
 	last    int64
-	keys    map[string]*keyed
+	keys    map[string]*keyRecord
 	members []*Member
 	events  []Event
 }
@@ -36,38 +38,38 @@
 	position  int64
 	code, key string
 	value     []byte
-	lost      bool // in a switch of the primary
+	lost      bool // in a failover
 }
 
-// keyed is what a group remembers of a key.
-type keyed struct {
-	first   time.Time
-	commit  commit
-	effects int
+// keyRecord is what a group remembers of a deduplication key.
+type keyRecord struct {
+	firstSeen time.Time
+	commit    commit
+	effects   int
 }
 
-// Event is one thing that a server did.
+// Event is an action of a server.
 type Event struct {
 	At       time.Time
 	Member   string
 	Kind     string // "write", "repeat", "read", "probe", "miss", "behind", "turned away", "hung"
-	ID       string // the txn's, as its comment has it
+	ID       string // the txn's id, from its comment
 	Code     string
 	Key      string
 	Value    string
-	Limit    time.Duration // that the statement gives it
-	Position int64         // of the commit, or up to which the server had applied all when it read
+	Timeout  time.Duration // timeout that the statement specifies
+	Position int64         // of the commit, or the position applied by the server at the read
 }
 
-// NewGroup makes a group without members.
+// NewGroup creates a group without members.
 func NewGroup(id int) *Group {
-	g := &Group{ID: id, Window: 2 * time.Second, Await: 20 * time.Millisecond, keys: map[string]*keyed{}}
-	g.moved = sync.NewCond(&g.mu)
+	g := &Group{ID: id, DedupWindow: 2 * time.Second, ReplicaWait: 20 * time.Millisecond, keys: map[string]*keyRecord{}}
+	g.changed = sync.NewCond(&g.mu)
 	return g
 }
 
-// Skew sets how far the group's clock is ahead of this machine's.
-func (g *Group) Skew(by time.Duration) {
+// SetClockSkew sets how far the group's clock is ahead of this machine's.
+func (g *Group) SetClockSkew(by time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.skew = by
@@ -75,7 +77,7 @@
 
 func (g *Group) now() time.Time { return time.Now().Add(g.skew) }
 
-// position is up to where a member has applied all commits.
+// position returns the position up to which a member has applied all commits.
 func (g *Group) position(m *Member) int64 {
 	if m.primary {
 		return max(g.now().UnixMilli(), g.last)
@@ -88,18 +90,18 @@
 	return m.applied
 }
 
-// write commits a write at its primary, or drops a repeat; ok is false where the member is no primary.
+// write commits a write at the primary, or drops a repeat; ok is false if the member is not the primary.
 func (g *Group) write(m *Member, id, code, key string, value []byte) (c commit, repeat, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !m.primary {
-		g.note(Event{Member: m.Name, Kind: "miss", ID: id, Code: code, Key: key})
+		g.record(Event{Member: m.Name, Kind: "miss", ID: id, Code: code, Key: key})
 		return c, false, false
 	}
 	now := time.Now()
 	k := g.keys[key]
-	if key != "" && k != nil && now.Sub(k.first) < g.Window {
-		g.note(Event{Member: m.Name, Kind: "repeat", ID: id, Code: code, Key: key, Position: k.commit.position})
+	if key != "" && k != nil && now.Sub(k.firstSeen) < g.DedupWindow {
+		g.record(Event{Member: m.Name, Kind: "repeat", ID: id, Code: code, Key: key, Position: k.commit.position})
 		return k.commit, true, true
 	}
 	p := g.now().UnixMicro()
@@ -108,17 +110,17 @@
 	g.commits = append(g.commits, c)
 	if key != "" {
 		if k == nil {
-			k = new(keyed)
+			k = new(keyRecord)
 			g.keys[key] = k
 		}
-		k.first, k.commit = now, c
+		k.firstSeen, k.commit = now, c
 		k.effects++
 	}
-	g.note(Event{Member: m.Name, Kind: "write", ID: id, Code: code, Key: key, Value: string(value), Position: c.position})
+	g.record(Event{Member: m.Name, Kind: "write", ID: id, Code: code, Key: key, Value: string(value), Position: c.position})
 	return c, false, true
 }
 
-// read gives the latest value of a code that a member has applied.
+// read returns the latest value of a session code that a member has applied.
 func (g *Group) read(m *Member, id, code string, limit time.Duration) (value []byte, position int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -129,48 +131,48 @@
 			break
 		}
 	}
-	g.note(Event{Member: m.Name, Kind: "read", ID: id, Code: code, Value: string(value), Limit: limit, Position: position})
+	g.record(Event{Member: m.Name, Kind: "read", ID: id, Code: code, Value: string(value), Timeout: limit, Position: position})
 	return value, position
 }
 
-func (g *Group) note(e Event) {
+func (g *Group) record(e Event) {
 	e.At = time.Now()
 	g.events = append(g.events, e)
-	g.moved.Broadcast()
+	g.changed.Broadcast()
 }
 
-// Events gives what the servers did so far, in its order.
+// Events returns the events so far, in order.
 func (g *Group) Events() []Event {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.events)
 }
 
-// AwaitEvent waits until a server has done such a thing, from the event of that number on, and gives the number behind
-// it; it panics after some time, as no test passes by waiting.
-func (g *Group) AwaitEvent(from int, is func(Event) bool) (Event, int) {
-	stop := time.AfterFunc(soon, func() { g.mu.Lock(); defer g.mu.Unlock(); g.moved.Broadcast() })
+// AwaitEvent waits for an event that matches, starting at the given index, and returns it with the index after
+// it. It panics after eventTimeout, so that a missing event fails the test.
+func (g *Group) AwaitEvent(from int, matches func(Event) bool) (Event, int) {
+	stop := time.AfterFunc(eventTimeout, func() { g.mu.Lock(); defer g.mu.Unlock(); g.changed.Broadcast() })
 	defer stop.Stop()
-	end := time.Now().Add(soon)
+	end := time.Now().Add(eventTimeout)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for i := from; ; i++ {
 		for i >= len(g.events) {
 			if time.Now().After(end) {
-				panic("an event of a stand-in did not come")
+				panic("stand-in: expected event did not occur in time")
 			}
-			g.moved.Wait()
+			g.changed.Wait()
 		}
-		if is(g.events[i]) {
+		if matches(g.events[i]) {
 			return g.events[i], i + 1
 		}
 	}
 }
 
-// soon is how long an event may take.
-const soon = 20 * time.Second
+// eventTimeout limits every wait for an event.
+const eventTimeout = 20 * time.Second
 
-// Effects counts how often a keyed write has had its effect.
+// Effects returns how often a keyed write took effect.
 func (g *Group) Effects(key string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +182,7 @@
 	return 0
 }
 
-// Primary is the member that takes writes, nil while there is none.
+// Primary returns the primary, or nil if there is none.
 func (g *Group) Primary() *Member {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -192,7 +194,7 @@
 	return nil
 }
 
-// Demote leaves the group without a primary. The member applies as a replica does from where it stood.
+// Demote leaves the group without a primary. The former primary continues as a replica from its position.
 func (g *Group) Demote() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -202,12 +204,13 @@
 			m.primary = false
 		}
 	}
-	g.moved.Broadcast()
+	g.changed.Broadcast()
 }
 
-// Elect makes a member the primary. With sync all commits outlive the switch; without, those that it had not applied
-// are lost, and it stands where it stood. Either way a commit of its own comes after them.
-func (g *Group) Elect(m *Member, sync bool) (lost int) {
+// Promote makes a member the primary. With sync, all commits survive the failover; without, those that the
+// member had not applied are lost and it keeps its position. Either way its own commits come after the
+// remaining ones.
+func (g *Group) Promote(m *Member, sync bool) (lost int) {
 	g.Demote()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -223,9 +226,9 @@
 		g.last = at
 	}
 	m.primary, m.frozen = true, 0
-	g.moved.Broadcast()
+	g.changed.Broadcast()
 	return lost
 }
 
-// String names the group.
+// String returns the group's name.
 func (g *Group) String() string { return fmt.Sprintf("group %d", g.ID) }
--- a/standin/list.go
+++ b/standin/list.go
@@ -22,20 +22,20 @@
 	BornMs float64 `json:"born_ms"`
 }
 
-// List is the list service: the whole list by GET, and a watch that waits until it changes.
+// List is the list service: GET returns the whole list, and a watch waits until it changes.
 type List struct {
-	l       net.Listener
-	server  *http.Server
-	mu      sync.Mutex
-	calls   int // that were ever made
-	seq     int
-	hosts   []Host
-	down    bool
-	changed chan struct{}
-	toldSeq int           // the latest that was given
-	times   int           // how often the one in force was given
-	told    chan struct{} // closed with the next
-	heldSeq int           // the latest that a gateway watched from: it has read that one
+	l            net.Listener
+	server       *http.Server
+	mu           sync.Mutex
+	requests     int // since the start
+	seq          int
+	hosts        []Host
+	down         bool
+	changed      chan struct{}
+	deliveredSeq int           // latest sequence number delivered
+	deliveries   int           // how often the current list was delivered
+	delivered    chan struct{} // closed at the next delivery or watch
+	watchedSeq   int           // latest sequence number that a gateway watched from, which means that it has read that list
 }
 
 // NewList starts a list service.
@@ -44,96 +44,96 @@
 	if err != nil {
 		panic(err)
 	}
-	s := &List{l: l, seq: 1, hosts: hosts, changed: make(chan struct{}), told: make(chan struct{})}
+	s := &List{l: l, seq: 1, hosts: hosts, changed: make(chan struct{}), delivered: make(chan struct{})}
 	s.server = &http.Server{Handler: s}
 	go func() { _ = s.server.Serve(l) }()
 	return s
 }
 
-// Address is where it listens.
+// Address returns the listening address.
 func (s *List) Address() string { return s.l.Addr().String() }
 
-// Close ends it.
+// Close stops the service.
 func (s *List) Close() { _ = s.server.Close() }
 
-// Calls counts those that were ever made.
-func (s *List) Calls() int {
+// Requests returns the number of requests since the start.
+func (s *List) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls
+	return s.requests
 }
 
-// Set puts another list in force; watches are told of it at once.
-func (s *List) Set(hosts ...Host) {
+// SetHosts replaces the list and notifies watches at once.
+func (s *List) SetHosts(hosts ...Host) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seq++
-	s.hosts, s.times = hosts, 0
-	s.wake()
+	s.hosts, s.deliveries = hosts, 0
+	s.notifyWatchers()
 }
 
-// Down makes calls fail, and ends the watches, or lets them come again.
-func (s *List) Down(on bool) {
+// SetDown makes requests fail and ends the watches, or restores the service.
+func (s *List) SetDown(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = on
-	s.wake()
+	s.notifyWatchers()
 }
 
-func (s *List) wake() {
+func (s *List) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// Whole is the list as a gateway holds it.
-func (s *List) Whole() map[string]any {
+// Snapshot returns the list in the form that a gateway holds.
+func (s *List) Snapshot() map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.whole()
+	return s.snapshot()
 }
 
-func (s *List) whole() map[string]any {
+func (s *List) snapshot() map[string]any {
 	return map[string]any{"seq": s.seq, "whole": true, "hosts": s.hosts}
 }
 
-// AwaitTold waits until a gateway has been given the list that is in force.
-func (s *List) AwaitTold() { s.AwaitToldTo(1) }
+// AwaitDelivered waits until the current list has been delivered to a gateway.
+func (s *List) AwaitDelivered() { s.AwaitDeliveredTo(1) }
 
-// AwaitToldTo waits until so many gateways, each with one watch, have been given it.
-func (s *List) AwaitToldTo(gateways int) {
-	s.await(func() bool { return s.toldSeq >= s.seq && s.times >= gateways })
+// AwaitDeliveredTo waits until the current list has been delivered to this many gateways, each with one watch.
+func (s *List) AwaitDeliveredTo(gateways int) {
+	s.await(func() bool { return s.deliveredSeq >= s.seq && s.deliveries >= gateways })
 }
 
-// AwaitRead waits until a gateway watches for what comes after it: it has read it then.
-func (s *List) AwaitRead() { s.await(func() bool { return s.heldSeq >= s.seq }) }
+// AwaitRead waits until a gateway watches for changes after the current list, which means that it has read it.
+func (s *List) AwaitRead() { s.await(func() bool { return s.watchedSeq >= s.seq }) }
 
 func (s *List) await(done func() bool) {
 	for {
 		s.mu.Lock()
-		ok, more := done(), s.told
+		ok, more := done(), s.delivered
 		s.mu.Unlock()
 		if ok {
 			return
 		}
 		select {
 		case <-more:
-		case <-time.After(soon):
-			panic("the list was not asked for")
+		case <-time.After(eventTimeout):
+			panic("stand-in: list was not requested in time")
 		}
 	}
 }
 
-// ServeHTTP answers a call.
+// ServeHTTP implements http.Handler.
 func (s *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls++
+	s.requests++
 	if wait, _ := strconv.Atoi(q.Get("wait_ms")); wait > 0 && q.Get("after") == fmt.Sprint(s.seq) && !s.down {
 		changed := s.changed
-		s.heldSeq = s.seq
-		close(s.told)
-		s.told = make(chan struct{})
+		s.watchedSeq = s.seq
+		close(s.delivered)
+		s.delivered = make(chan struct{})
 		s.mu.Unlock()
 		select {
 		case <-changed:
@@ -146,9 +146,9 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(s.whole())
-	s.toldSeq = s.seq
-	s.times++
-	close(s.told)
-	s.told = make(chan struct{})
+	_ = json.NewEncoder(w).Encode(s.snapshot())
+	s.deliveredSeq = s.seq
+	s.deliveries++
+	close(s.delivered)
+	s.delivered = make(chan struct{})
 }
