--- a/cli/watch_test.go
+++ b/cli/watch_test.go
@@ -31,32 +31,32 @@
 	_, end := m.Update(tea.KeyMsg{Type: tea.KeyCtrlC})
 	fmt.Println(end() == tea.Quit())
 	// Output:
-	// lease [############### ]
+	// lease [###############               ]
 	// n1 may act for 1.5s; versions contradict each other for 3s at most
 	// votes; n2 leads, term 4
 	// routes: version 3 (000000000000) by ann, next version 4 (000000000000) by bob
-	// gateway address zone build votes lease holds
-	// n1 10.0.0.4:7946 a - true 1.5s all
-	// n2 10.0.0.5:7946 - - true - -
+	// gateway  address        zone  build  votes  lease  holds
+	// n1       10.0.0.4:7946  a     -      true   1.5s   all
+	// n2       10.0.0.5:7946  -     -      true   -      -
 	//
-	// bound of keeper holder part used wanted for
-	// portal, rate 20/s n1 this gateway 5/s - 4/s 2.0s
-	// portal, rate 20/s n1 n1 5/s - 4/s 3.0s
-	// portal, rate 20/s n1 not lent 15/s
+	// bound         of    keeper  holder        part  used  wanted  for
+	// portal, rate  20/s  n1      this gateway  5/s   -     4/s     2.0s
+	// portal, rate  20/s  n1        n1          5/s   -     4/s     3.0s
+	// portal, rate  20/s  n1        not lent    15/s
 	// q ends
 	// ! the gateway is gone
-	// lease [############### ]
+	// lease [###############               ]
 	// n1 may act for 1.5s; versions contradict each other for 3s at most
 	// votes; n2 leads, term 4
 	// routes: version 3 (000000000000) by ann, next version 4 (000000000000) by bob
-	// gateway address zone build votes lease holds
-	// n1 10.0.0.4:7946 a - true 1.5s all
-	// n2 10.0.0.5:7946 - - true - -
+	// gateway  address        zone  build  votes  lease  holds
+	// n1       10.0.0.4:7946  a     -      true   1.5s   all
+	// n2       10.0.0.5:7946  -     -      true   -      -
 	//
-	// bound of keeper holder part used wanted for
-	// portal, rate 20/s n1 this gateway 5/s - 4/s 2.0s
-	// portal, rate 20/s n1 n1 5/s - 4/s 3.0s
-	// portal, rate 20/s n1 not lent 15/s
+	// bound         of    keeper  holder        part  used  wanted  for
+	// portal, rate  20/s  n1      this gateway  5/s   -     4/s     2.0s
+	// portal, rate  20/s  n1        n1          5/s   -     4/s     3.0s
+	// portal, rate  20/s  n1        not lent    15/s
 	// q ends
 	// true
 }
