--- a/cli/chosen.go
+++ b/cli/chosen.go
@@ -39,7 +39,7 @@
 	fmt.Fprintln(table, "group\tmember\tzone\there\tgateways\t\tin flight\twho")
 	for _, m := range inOrder(v, names) {
 		here := "-"
-		if m.Here {
+		if m.Assigned {
 			here = "yes"
 		}
 		if m.Primary {
@@ -47,8 +47,8 @@
 		}
 		bar := strings.Repeat("#", int(20*float64(len(m.Holders))*float64(count[m.Group])/max(1, mean[m.Group])+0.5))
 		load := "-"
-		if m.Known.HealthReports+int(m.Known.Latency) > 0 {
-			load = fmt.Sprint(m.Known.Load)
+		if m.Summary.HealthReports+int(m.Summary.Latency) > 0 {
+			load = fmt.Sprint(m.Summary.Load)
 		}
 		who := m.Holders
 		if more := len(who) - 6; more > 0 {
@@ -60,8 +60,8 @@
 		return err
 	}
 	for no := range v.Size {
-		if v.Wider[no] > 0 {
-			fmt.Fprintf(out, "group %d: wider by %d here, as members are suspect, lag or no primary is known\n", no, v.Wider[no])
+		if v.WidenedBy[no] > 0 {
+			fmt.Fprintf(out, "group %d: wider by %d here, as members are suspect, lag or no primary is known\n", no, v.WidenedBy[no])
 		}
 	}
 	return nil
@@ -102,10 +102,10 @@
 	}
 	fmt.Fprintln(table, "member\tothers find it\tlatency\tin flight\toldest word")
 	for _, m := range inOrder(v, names) {
-		k, found := m.Known, "-"
+		k, found := m.Summary, "-"
 		if k.HealthReports > 0 {
 			found = fmt.Sprintf("ill %d of %d", k.UnhealthyReports, k.HealthReports)
-			if m.Ill {
+			if m.Unhealthy {
 				found += ", so it is taken for ill"
 			}
 		}
@@ -118,6 +118,6 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "%d messages sent to others so far\n", v.Sent)
+	_, err := fmt.Fprintf(out, "%d messages sent to others so far\n", v.SentMessages)
 	return err
 }
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -62,26 +62,26 @@
 // fleetTo writes how a gateway stands.
 func fleetTo(out io.Writer, s *fleet.Status) error {
 	lease := "careful: its lease has run out"
-	if s.Left > 0 {
-		lease = fmt.Sprintf("may act for %v", time.Duration(s.Left).Round(10*time.Millisecond))
+	if s.LeaseRemaining > 0 {
+		lease = fmt.Sprintf("may act for %v", time.Duration(s.LeaseRemaining).Round(10*time.Millisecond))
 	}
 	name := func(id agreement.ID) string {
-		for _, g := range s.Held.Gateways {
+		for _, g := range s.Manifest.Gateways {
 			if g.ID == id {
 				return g.Name
 			}
 		}
 		return fmt.Sprintf("%x", uint64(id))
 	}
-	fmt.Fprintf(out, "%s %s; versions contradict each other for %v at most\n", name(s.Self), lease, time.Duration(s.Stated))
-	if s.Votes {
+	fmt.Fprintf(out, "%s %s; versions contradict each other for %v at most\n", name(s.Self), lease, time.Duration(s.MaxDivergence))
+	if s.IsVoter {
 		leader := "nobody it knows of"
 		if s.Leader != 0 {
 			leader = name(s.Leader)
 		}
 		fmt.Fprintf(out, "votes; %s leads, term %d\n", leader, s.Term)
 	}
-	for _, x := range s.Held.Subjects {
+	for _, x := range s.Manifest.Subjects {
 		fmt.Fprintf(out, "%s: %s", x.Name, versionOf(x.InForce))
 		switch {
 		case x.Next != nil && x.Step > 0:
@@ -97,13 +97,13 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "gateway\taddress\tzone\tbuild\tvotes\tlease\tholds\n")
-	for _, g := range s.Held.Gateways {
+	for _, g := range s.Manifest.Gateways {
 		left, holds := "-", "-" // no voter heard of it of late: it is careful, away, or its voter is
-		if i := slices.IndexFunc(s.Seen, func(x agreement.GatewayLease) bool { return x.ID == g.ID }); i >= 0 {
-			if x := s.Seen[i]; x.Remaining > 0 {
+		if i := slices.IndexFunc(s.Leases, func(x agreement.GatewayLease) bool { return x.ID == g.ID }); i >= 0 {
+			if x := s.Leases[i]; x.Remaining > 0 {
 				left = fmt.Sprintf("%.1fs", float64(x.Remaining)/1e9)
 			}
-			if holds = "all"; s.Seen[i].KnownRevision < s.Held.Revision {
+			if holds = "all"; s.Leases[i].KnownRevision < s.Manifest.Revision {
 				holds = "an earlier state"
 			}
 		}
@@ -112,7 +112,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, g := range s.Held.Departed {
+	for _, g := range s.Manifest.Departed {
 		fmt.Fprintf(out, "%s at %s was taken out and may serve clients yet: reads of sessions ask it too, until it says that it has ended or fleet evict %s --ended does\n", g.Name, g.Address, g.Name)
 	}
 	return nil
@@ -134,7 +134,7 @@
 		}
 	}
 	if len(all) == 0 {
-		for _, x := range s.Held.Subjects {
+		for _, x := range s.Manifest.Subjects {
 			for _, v := range []*agreement.Version{x.InForce, x.Next} {
 				if v != nil && x.Name == gateway.SubjectRoutes {
 					all = append(all, *v)
@@ -167,7 +167,7 @@
 		if err != nil {
 			return err
 		}
-		for _, s := range r.Fleet.Held.Subjects {
+		for _, s := range r.Fleet.Manifest.Subjects {
 			if s.Name == gateway.SubjectRoutes && s.InForce != nil && s.InForce.No >= no {
 				fmt.Fprintf(out, "version %d is in force\n", s.InForce.No)
 				return nil
@@ -206,9 +206,9 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	all := slices.Concat(r.Fleet.Held.Gateways, r.Fleet.Held.Departed)
+	all := slices.Concat(r.Fleet.Manifest.Gateways, r.Fleet.Manifest.Departed)
 	if ended {
-		all = slices.Concat(r.Fleet.Held.Departed, r.Fleet.Held.Gateways)
+		all = slices.Concat(r.Fleet.Manifest.Departed, r.Fleet.Manifest.Gateways)
 	}
 	i := slices.IndexFunc(all, func(g agreement.Gateway) bool { return g.Name == name })
 	if name != "" && i < 0 {
--- a/cli/ledger.go
+++ b/cli/ledger.go
@@ -44,12 +44,12 @@
 
 // Run reads the folder, also while a gateway has it.
 func (v *verify) Run(out io.Writer) error {
-	f, err := ledger.Look(v.Folder)
+	f, err := ledger.Read(v.Folder)
 	if err != nil {
 		return err
 	}
-	all := verdict{Complete: f.Complete, Clean: f.Clean, Changes: len(f.Changes), Torn: f.Torn, Spoilt: f.Spoilt,
-		Unread: f.Unread, Verdict: verdictOf(f), Segments: []part{}}
+	all := verdict{Complete: f.Complete, Clean: f.Clean, Changes: len(f.Changes), Torn: f.TornBytes, Spoilt: f.Corrupt,
+		Unread: f.UnknownRecords, Verdict: verdictOf(f), Segments: []part{}}
 	for _, s := range f.Segments {
 		all.Segments = append(all.Segments, part{s.Name, s.Bytes, s.Records, s.SnapshotComplete, s.Torn, s.Corrupt})
 	}
@@ -69,13 +69,13 @@
 
 var errIncomplete = fmt.Errorf("the ledger is not complete")
 
-func verdictOf(f *ledger.Found) string {
+func verdictOf(f *ledger.Recovered) string {
 	switch {
 	case len(f.Segments) == 0:
 		return "no ledger"
-	case f.Spoilt > 0:
+	case f.Corrupt > 0:
 		return "spoilt: the disk or somebody has changed it; its gateway fences each group once after a restart"
-	case f.Unread > 0:
+	case f.UnknownRecords > 0:
 		return "records of another version; its gateway fences each group once after a restart"
 	case f.Complete && f.Clean:
 		return "complete, ended in order"
@@ -105,7 +105,7 @@
 
 // Run lists it.
 func (s *show) Run(out io.Writer) error {
-	f, err := ledger.Look(s.Folder)
+	f, err := ledger.Read(s.Folder)
 	if err != nil {
 		return err
 	}
--- a/cli/shares.go
+++ b/cli/shares.go
@@ -22,14 +22,14 @@
 }
 
 // sharesTo writes what a gateway holds of the fleet's bounds, and of those that it keeps who holds what.
-func sharesTo(out io.Writer, all []fleet.Part) error {
+func sharesTo(out io.Writer, all []fleet.LimitStatus) error {
 	if len(all) == 0 {
 		_, err := fmt.Fprintln(out, "no bound is of the fleet: a tenant's are with fleet = true")
 		return err
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "bound\tof\tkeeper\tholder\tpart\tused\twanted\tfor")
-	row := func(p *fleet.Part, holder string, part, used, want, left int64) {
+	row := func(p *fleet.LimitStatus, holder string, part, used, want, left int64) {
 		span := "-"
 		if left > 0 {
 			span = fmt.Sprintf("%.1fs", float64(left)/1e9)
@@ -39,18 +39,18 @@
 		if p.Rate {
 			u = "-"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Name, unit(p.Amount), p.Keeper, holder, unit(part), u, unit(want), span)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Name, unit(p.Amount), p.Allocator, holder, unit(part), u, unit(want), span)
 	}
 	for i := range all {
 		p := &all[i]
-		row(p, "this gateway", p.Part, p.Used, p.Want, p.Left)
+		row(p, "this gateway", p.Allocation, p.Used, p.Demand, p.LeaseRemaining)
 		lent := int64(0)
-		for k, l := range p.Loans {
-			row(p, "  "+p.Names[k], l.Amount, l.Used, l.Demand, l.Remaining)
+		for k, l := range p.Grants {
+			row(p, "  "+p.HolderNames[k], l.Amount, l.Used, l.Demand, l.Remaining)
 			lent += l.Amount
 		}
-		if len(p.Loans) > 0 {
-			fmt.Fprintf(table, "%s\t%s\t%s\t  not lent\t%s\t\t\t\n", p.Name, amount(p.Amount, p.Rate), p.Keeper, amount(max(0, p.Amount-lent), p.Rate))
+		if len(p.Grants) > 0 {
+			fmt.Fprintf(table, "%s\t%s\t%s\t  not lent\t%s\t\t\t\n", p.Name, amount(p.Amount, p.Rate), p.Allocator, amount(max(0, p.Amount-lent), p.Rate))
 		}
 	}
 	return table.Flush()
--- a/cli/watch.go
+++ b/cli/watch.go
@@ -27,7 +27,7 @@
 type screen struct {
 	control string
 	now     *fleet.Status
-	shares  []fleet.Part
+	shares  []fleet.LimitStatus
 	chosen  *fleet.CoordinationView // nil where gateways choose nothing together
 	names   map[uint64]string
 	problem string
@@ -35,7 +35,7 @@
 
 type looked struct {
 	status *fleet.Status
-	shares []fleet.Part
+	shares []fleet.LimitStatus
 	chosen *fleet.CoordinationView
 	names  map[uint64]string
 	err    error
@@ -80,7 +80,7 @@
 		fmt.Fprintf(&b, "! %s\n", s.problem)
 	}
 	if s.now != nil {
-		part := min(1, max(0, float64(s.now.Left)/float64(max(1, s.now.Stated))))
+		part := min(1, max(0, float64(s.now.LeaseRemaining)/float64(max(1, s.now.MaxDivergence))))
 		fmt.Fprintf(&b, "lease [%-30s]\n", strings.Repeat("#", int(30*part)))
 		_ = fleetTo(&b, s.now)
 		if len(s.shares) > 0 {
--- a/cli/watch_test.go
+++ b/cli/watch_test.go
@@ -22,11 +22,11 @@
 		}
 	}
 	v := &agreement.Version{No: 3, Author: "ann"}
-	show(looked{status: &fleet.Status{Self: 1, Votes: true, Leader: 2, Term: 4, Left: 15e8, Stated: 3e9, Held: agreement.Manifest{
+	show(looked{status: &fleet.Status{Self: 1, IsVoter: true, Leader: 2, Term: 4, LeaseRemaining: 15e8, MaxDivergence: 3e9, Manifest: agreement.Manifest{
 		Subjects: []agreement.SubjectStatus{{Name: "routes", InForce: v, Next: &agreement.Version{No: 4, Author: "bob"}}},
 		Gateways: []agreement.Gateway{{ID: 1, Name: "n1", Address: "10.0.0.4:7946", Zone: "a", Vote: true}, {ID: 2, Name: "n2", Address: "10.0.0.5:7946", Vote: true}}},
-		Seen: []agreement.GatewayLease{{ID: 1, Voter: 1, Remaining: 15e8}}}, shares: []fleet.Part{{Name: "portal, rate", Rate: true, Amount: 20000, Keeper: "n1", Part: 5000, Want: 4000, Left: 2e9,
-		Loans: []quota.Grant{{Holder: 1, Amount: 5000, Demand: 4000, Remaining: 3e9}}, Names: []string{"n1"}}}})
+		Leases: []agreement.GatewayLease{{ID: 1, Voter: 1, Remaining: 15e8}}}, shares: []fleet.LimitStatus{{Name: "portal, rate", Rate: true, Amount: 20000, Allocator: "n1", Allocation: 5000, Demand: 4000, LeaseRemaining: 2e9,
+		Grants: []quota.Grant{{Holder: 1, Amount: 5000, Demand: 4000, Remaining: 3e9}}, HolderNames: []string{"n1"}}}})
 	show(looked{err: errors.New("the gateway is gone")})
 	_, end := m.Update(tea.KeyMsg{Type: tea.KeyCtrlC})
 	fmt.Println(end() == tea.Quit())
--- a/fleet/coordination.go
+++ b/fleet/coordination.go
@@ -18,10 +18,10 @@
 )
 
 // kindOfSignals begins a sealed message that is the signals'.
-const kindOfSignals = 65
+const signalsMessageKind = 65
 
 // CoordinationPlan is what the operator says of choices that many gateways make together.
-type CoordinationPlan struct {
+type CoordinationConfig struct {
 	Subset  *subset.Config // nil: each gateway has every member
 	Signals bool
 	Turns   bool  // needs Signals, by which words go
@@ -29,7 +29,7 @@
 }
 
 // Check names what is wrong with it.
-func (p *CoordinationPlan) Check() error {
+func (p *CoordinationConfig) Validate() error {
 	if p.Turns && !p.Signals {
 		return errors.New("coordination: turns need signals")
 	}
@@ -44,32 +44,32 @@
 
 // CoordinationHost is what it needs of the event loop.
 type CoordinationHost interface {
-	Beside(work func() (then func()))         // run work beside the loop, then what it gives on it
-	WakeAfter(span int64)                     //
-	Now() int64                               //
-	Have(key uint64, on bool)                 // the decisions are to know of a member, or to forget it
-	Learned(x signals.Item, ill bool)         // another gateway's word; ill: enough find its member ill
-	Go(key uint64)                            // do what was asked for by Ask, then call Did
-	Logger() *slog.Logger                     //
-	Observe(key uint64) (s Observed, ok bool) // of a member that the decisions know of
+	Beside(work func() (then func()))                  // run work beside the loop, then what it gives on it
+	WakeAfter(span int64)                              //
+	Now() int64                                        //
+	Have(key uint64, on bool)                          // the decisions are to know of a member, or to forget it
+	Learned(x signals.Item, ill bool)                  // another gateway's word; ill: enough find its member ill
+	Go(key uint64)                                     // do what was asked for by Ask, then call Did
+	Logger() *slog.Logger                              //
+	Observe(key uint64) (s MemberObservation, ok bool) // of a member that the decisions know of
 	// Sees gives a group back, whether its primary is known, how many replicas the decisions know of and how many lack proof.
 	Sees(group int) (no int, primary bool, replicas, lacking int)
 }
 
 // Observed is what this gateway itself knows of a member, as far as others may want it.
-type Observed struct {
-	Suspect  bool
-	Latency  int64 // microseconds, 0 for none
-	InFlight int64
-	Primary  int64 // its position, Unix nanoseconds, where it is its group's primary, else 0
+type MemberObservation struct {
+	Suspect         bool
+	Latency         int64 // microseconds, 0 for none
+	InFlight        int64
+	PrimaryPosition int64 // its position, Unix nanoseconds, where it is its group's primary, else 0
 }
 
 // Spans. Ours: signals and subsets need no more than what a person takes for at once, a rate is told when it has settled.
 const (
-	lookSpan    = int64(100e6) // between looks at the members
-	trafficSpan = int64(5e9)   // between words on this gateway's traffic
-	spreadSpan  = int64(500e6) // over which calls come that all may make
-	inline      = 20_000       // pairs of gateways and members up to which a division is worked out on the loop
+	observeInterval       = int64(100e6) // between looks at the members
+	trafficReportInterval = int64(5e9)   // between words on this gateway's traffic
+	maxStartDelay         = int64(500e6) // over which calls come that all may make
+	maxInlinePairs        = 20_000       // pairs of gateways and members up to which a division is worked out on the loop
 )
 
 // ListKey stands for the list service among turns.
@@ -77,38 +77,38 @@
 
 // Coordination hosts what gateways choose together without agreeing on it. It belongs to the loop.
 type Coordination struct {
-	f       *Fleet
-	plan    *CoordinationPlan
+	fleet   *Fleet
+	config  *CoordinationConfig
 	host    CoordinationHost
 	Signals *signals.Signals // nil where gateways tell each other nothing
 	Turns   *turns.Turns     // nil where each goes for itself
 	Subset  *subset.Subset   // nil where each has every member
 
-	rng      *rand.Rand
-	self     uint32
-	places   map[uint32]agreement.ID
-	names    map[uint32]string
-	numbers  []uint32 // of all, in order
-	gateways []subset.Gateway
-	members  []subset.Member
-	holders  map[uint64][]uint32 // who has a member, by their numbers
-	stamp    uint64              // of the list that is known
-	wide     map[int]bool        // groups whose subset is wider than it is to be
-	changed  bool                // a list has changed since the last division
-	dividing bool
-	lookAt   int64
-	txns     int64 // since tellAt
-	tellAt   int64
-	out      []byte
+	rng               *rand.Rand
+	self              uint32
+	idByNumber        map[uint32]agreement.ID
+	nameByNumber      map[uint32]string
+	numbers           []uint32 // of all, in order
+	gateways          []subset.Gateway
+	members           []subset.Member
+	holders           map[uint64][]uint32 // who has a member, by their numbers
+	revision          uint64              // of the list that is known
+	widened           map[int]bool        // groups whose subset is wider than it is to be
+	listsChanged      bool                // a list has changed since the last division
+	dividing          bool
+	nextObserveAt     int64
+	txnsSinceReport   int64 // since tellAt
+	trafficReportedAt int64
+	buffer            []byte
 }
 
 // NewCoordination prepares it.
-func NewCoordination(f *Fleet, p *CoordinationPlan, h CoordinationHost, seed uint64) (*Coordination, error) {
-	c := &Coordination{f: f, plan: p, host: h, places: map[uint32]agreement.ID{}, names: map[uint32]string{}, holders: map[uint64][]uint32{}, wide: map[int]bool{},
-		rng: rand.New(rand.NewPCG(seed, uint64(f.me.ID)))}
+func NewCoordination(f *Fleet, p *CoordinationConfig, h CoordinationHost, seed uint64) (*Coordination, error) {
+	c := &Coordination{fleet: f, config: p, host: h, idByNumber: map[uint32]agreement.ID{}, nameByNumber: map[uint32]string{}, holders: map[uint64][]uint32{}, widened: map[int]bool{},
+		rng: rand.New(rand.NewPCG(seed, uint64(f.identity.ID)))}
 	var err error
 	if p.Signals {
-		if c.Signals, err = signals.New(0, f.me.Epoch, seed); err != nil {
+		if c.Signals, err = signals.New(0, f.identity.Epoch, seed); err != nil {
 			return nil, err
 		}
 	}
@@ -118,7 +118,7 @@
 		}
 	}
 	if p.Subset != nil {
-		if c.Subset, err = subset.New(*p.Subset, subset.Gateway{ID: uint64(f.me.ID), Zone: f.plan.Zone}, seed); err != nil {
+		if c.Subset, err = subset.New(*p.Subset, subset.Gateway{ID: uint64(f.identity.ID), Zone: f.config.Zone}, seed); err != nil {
 			return nil, err
 		}
 	}
@@ -127,11 +127,11 @@
 }
 
 // Members takes the list of members as this gateway has it.
-func (c *Coordination) Members(all []subset.Member) {
-	c.members, c.changed = slices.Clone(all), true
+func (c *Coordination) SetMembers(members []subset.Member) {
+	c.members, c.listsChanged = slices.Clone(members), true
 	if c.Signals != nil {
 		var keys []uint64
-		for _, m := range all {
+		for _, m := range members {
 			keys = append(keys, m.Key)
 		}
 		c.Signals.SetMembers(keys)
@@ -140,33 +140,33 @@
 }
 
 // list takes the list of gateways, if it has changed.
-func (c *Coordination) list() {
-	held := c.f.Held()
-	if held.Revision == c.stamp {
+func (c *Coordination) updateGateways() {
+	manifest := c.fleet.Manifest()
+	if manifest.Revision == c.revision {
 		return
 	}
-	c.stamp = held.Revision
-	clear(c.places)
-	clear(c.names)
+	c.revision = manifest.Revision
+	clear(c.idByNumber)
+	clear(c.nameByNumber)
 	c.gateways, c.numbers = c.gateways[:0:0], nil
 	var others []uint32
-	self, in := c.self, false
-	for _, g := range held.Gateways {
+	self, listed := c.self, false
+	for _, g := range manifest.Gateways {
 		no := uint32(g.Number)
-		c.places[no], c.names[no] = g.ID, g.Name
+		c.idByNumber[no], c.nameByNumber[no] = g.ID, g.Name
 		c.numbers = append(c.numbers, no)
 		c.gateways = append(c.gateways, subset.Gateway{ID: uint64(g.ID), Zone: g.Zone})
-		if g.ID == c.f.me.ID {
-			self, in = no, true
+		if g.ID == c.fleet.identity.ID {
+			self, listed = no, true
 		} else {
 			others = append(others, no)
 		}
 	}
-	if !in {
+	if !listed {
 		others = nil // its words would be nobody's
 	}
 	slices.Sort(c.numbers)
-	c.self, c.changed = self, true
+	c.self, c.listsChanged = self, true
 	if c.Signals != nil {
 		c.Signals.SetFleet(self, others)
 	}
@@ -177,33 +177,33 @@
 
 // divide works out who has which member, once a list has changed: a large one beside the loop.
 func (c *Coordination) divide() {
-	if c.Subset == nil || !c.changed || c.dividing {
+	if c.Subset == nil || !c.listsChanged || c.dividing {
 		return
 	}
-	c.changed = false
-	terms, self, gateways, members := *c.plan.Subset, uint64(c.f.me.ID), c.gateways, c.members
-	if len(gateways)*len(members) <= inline {
-		c.divided(subset.Divide(terms, gateways, members).For(self))
+	c.listsChanged = false
+	config, self, gateways, members := *c.config.Subset, uint64(c.fleet.identity.ID), c.gateways, c.members
+	if len(gateways)*len(members) <= maxInlinePairs {
+		c.applyDivision(subset.Divide(config, gateways, members).For(self))
 		return
 	}
 	c.dividing = true
 	c.host.Beside(func() func() {
-		all := subset.Divide(terms, gateways, members).For(self)
+		divisions := subset.Divide(config, gateways, members).For(self)
 		return func() {
 			c.dividing = false
-			c.divided(all)
+			c.applyDivision(divisions)
 			c.divide()
 		}
 	})
 }
 
-func (c *Coordination) divided(all []subset.GroupDivision) {
+func (c *Coordination) applyDivision(divisions []subset.GroupDivision) {
 	clear(c.holders)
 	numbers := map[uint64]uint32{}
-	for no, id := range c.places {
+	for no, id := range c.idByNumber {
 		numbers[uint64(id)] = no
 	}
-	for _, d := range all {
+	for _, d := range divisions {
 		for i, m := range d.Members {
 			for _, id := range d.Holders[i] {
 				c.holders[m.Key] = append(c.holders[m.Key], numbers[id])
@@ -211,26 +211,26 @@
 		}
 	}
 	c.Subset.Clock(c.host.Now())
-	c.Subset.SetDivision(all)
-	c.subsets()
+	c.Subset.SetDivision(divisions)
+	c.applySubset()
 }
 
 // Chance is a time by chance by which calls that all may make now are spread.
-func (c *Coordination) Chance() int64 { return int64(c.rng.Float64() * float64(spreadSpan)) }
+func (c *Coordination) StartDelay() int64 { return int64(c.rng.Float64() * float64(maxStartDelay)) }
 
 // Has tells whether the decisions are to know of a member.
 func (c *Coordination) Has(key uint64) bool { return c.Subset == nil || c.Subset.Has(key) }
 
 // Txn counts one that came.
-func (c *Coordination) Txn() {
-	c.txns++
+func (c *Coordination) AddTxn() {
+	c.txnsSinceReport++
 	if c.Signals != nil {
 		c.Signals.AddTxn()
 	}
 }
 
 // Saw has the others told of what this gateway learned.
-func (c *Coordination) Saw(kind signals.Kind, key uint64, value int64) {
+func (c *Coordination) Report(kind signals.Kind, key uint64, value int64) {
 	if c.Signals != nil {
 		c.Signals.Clock(c.host.Now())
 		c.Signals.Observe(kind, key, value)
@@ -239,96 +239,96 @@
 
 // Ask has this gateway, or another one, do what a key stands for. fresh tells that it was done a moment ago; Known gives
 // what it came to.
-func (c *Coordination) Ask(key uint64) (fresh bool) {
-	var among []turns.Candidate
-	all := c.holders[key]
-	if len(all) == 0 || !slices.Contains(all, c.self) {
-		all = c.numbers
+func (c *Coordination) RequestTurn(key uint64) (fresh bool) {
+	var candidates []turns.Candidate
+	numbers := c.holders[key]
+	if len(numbers) == 0 || !slices.Contains(numbers, c.self) {
+		numbers = c.numbers
 	}
-	for _, no := range all {
+	for _, no := range numbers {
 		weight := 1.0
 		if no == c.self {
-			weight += float64(c.txns)
+			weight += float64(c.txnsSinceReport)
 		} else {
 			weight += float64(c.Signals.Traffic(no))
 		}
-		among = append(among, turns.Candidate{ID: no, Weight: weight})
+		candidates = append(candidates, turns.Candidate{ID: no, Weight: weight})
 	}
 	c.Turns.Clock(c.host.Now())
-	return c.Turns.Request(key, among)
+	return c.Turns.Request(key, candidates)
 }
 
 // Did tells what came of what a key stands for, in the host's numbers below 2^32, and has the others told.
-func (c *Coordination) Did(key uint64, result uint32) {
+func (c *Coordination) CompleteTurn(key uint64, result uint32) {
 	now := c.host.Now()
 	c.Turns.Clock(now)
 	for _, t := range c.Turns.Status() {
 		if t.Key == key && t.Running {
 			c.Turns.Complete(key, t.Round)
-			c.Saw(signals.Probe, key, int64(t.Round)<<32|int64(result))
+			c.Report(signals.Probe, key, int64(t.Round)<<32|int64(result))
 		}
 	}
 }
 
 // Turn carries out what the modules decide until there is nothing left.
-func (c *Coordination) Turn() {
+func (c *Coordination) ProcessDecisions() {
 	now := c.host.Now()
-	c.list()
+	c.updateGateways()
 	c.divide()
-	if now >= c.lookAt {
-		c.look(now)
+	if now >= c.nextObserveAt {
+		c.observeMembers(now)
 	}
-	c.subsets()
-	c.takeTurns(now)
-	c.tell(now)
+	c.applySubset()
+	c.processTurns(now)
+	c.processSignals(now)
 }
 
 // look has the modules know what this gateway itself sees of its members.
-func (c *Coordination) look(now int64) {
-	c.lookAt = now + lookSpan
-	c.host.WakeAfter(lookSpan)
-	if span := now - c.tellAt; span >= trafficSpan {
-		if c.tellAt > 0 {
-			c.Saw(signals.Traffic, 0, c.txns*1e9/span)
+func (c *Coordination) observeMembers(now int64) {
+	c.nextObserveAt = now + observeInterval
+	c.host.WakeAfter(observeInterval)
+	if elapsed := now - c.trafficReportedAt; elapsed >= trafficReportInterval {
+		if c.trafficReportedAt > 0 {
+			c.Report(signals.Traffic, 0, c.txnsSinceReport*1e9/elapsed)
 		}
-		c.tellAt, c.txns = now, 0
+		c.trafficReportedAt, c.txnsSinceReport = now, 0
 	}
 	groups := map[int]bool{}
 	for _, m := range c.members {
 		groups[m.Group] = true
-		s, ok := c.host.Observe(m.Key)
+		observed, ok := c.host.Observe(m.Key)
 		if ok && c.Signals != nil {
 			c.Signals.Clock(now)
-			if s.Suspect {
+			if observed.Suspect {
 				c.Signals.Observe(signals.Health, m.Key, signals.Unhealthy)
-			} else if s.Latency > 0 {
+			} else if observed.Latency > 0 {
 				c.Signals.Observe(signals.Health, m.Key, signals.Healthy)
 			}
-			if s.Primary > 0 {
-				c.Signals.Observe(signals.Primary, m.Key, s.Primary)
+			if observed.PrimaryPosition > 0 {
+				c.Signals.Observe(signals.Primary, m.Key, observed.PrimaryPosition)
 			}
-			if s.Latency > 0 {
-				c.Signals.Observe(signals.Latency, m.Key, s.Latency)
-				c.Signals.Observe(signals.Load, m.Key, s.InFlight)
+			if observed.Latency > 0 {
+				c.Signals.Observe(signals.Latency, m.Key, observed.Latency)
+				c.Signals.Observe(signals.Load, m.Key, observed.InFlight)
 			}
 		}
 		if c.Subset != nil {
-			c.Subset.SetSuspect(m.Key, s.Suspect || c.Signals != nil && !ok && c.Signals.IsUnhealthy(m.Key))
+			c.Subset.SetSuspect(m.Key, observed.Suspect || c.Signals != nil && !ok && c.Signals.IsUnhealthy(m.Key))
 		}
 	}
 	if c.Subset != nil {
 		c.Subset.Clock(now)
 		for _, no := range slices.Sorted(maps.Keys(groups)) {
-			lacks := c.Subset.Observe(c.host.Sees(no))
-			if wide := c.Subset.Widened(no) > 0; wide != c.wide[no] {
-				c.wide[no] = wide
-				c.host.Logger().Info("coordination: subset of members", "group", no, "wider", wide, "no_primary_known", lacks == subset.NeedPrimary, "none_fresh", lacks == subset.NeedFresh)
+			need := c.Subset.Observe(c.host.Sees(no))
+			if widened := c.Subset.Widened(no) > 0; widened != c.widened[no] {
+				c.widened[no] = widened
+				c.host.Logger().Info("coordination: subset of members", "group", no, "wider", widened, "no_primary_known", need == subset.NeedPrimary, "none_fresh", need == subset.NeedFresh)
 			}
 		}
 	}
 }
 
-func (c *Coordination) subsets() {
+func (c *Coordination) applySubset() {
 	if c.Subset == nil {
 		return
 	}
@@ -345,7 +345,7 @@
 	}
 }
 
-func (c *Coordination) takeTurns(now int64) {
+func (c *Coordination) processTurns(now int64) {
 	if c.Turns == nil {
 		return
 	}
@@ -361,7 +361,7 @@
 }
 
 // tell carries messages out, and what others told.
-func (c *Coordination) tell(now int64) {
+func (c *Coordination) processSignals(now int64) {
 	if c.Signals == nil {
 		return
 	}
@@ -369,36 +369,36 @@
 	for d, ok := c.Signals.Next(); ok; d, ok = c.Signals.Next() {
 		switch d.Kind {
 		case signals.Send:
-			if to, known := c.f.known[c.places[d.Message.To]]; known {
-				c.f.sendSealed(appendSignals(c.out[:0], d.Message.Items), to)
+			if to, known := c.fleet.addresses[c.idByNumber[d.Message.To]]; known {
+				c.fleet.sendSealed(appendSignals(c.buffer[:0], d.Message.Items), to)
 			}
 		case signals.Deliver:
-			c.learn(d.Item)
+			c.deliver(d.Item)
 		case signals.Wake:
 			c.host.WakeAfter(d.After)
 		}
 	}
 }
 
-func (c *Coordination) learn(x signals.Item) {
-	ill := x.Kind == signals.Health && c.Signals.IsUnhealthy(x.Member)
-	if x.Kind == signals.Probe {
+func (c *Coordination) deliver(item signals.Item) {
+	unhealthy := item.Kind == signals.Health && c.Signals.IsUnhealthy(item.Member)
+	if item.Kind == signals.Probe {
 		if c.Turns == nil {
 			return
 		}
 		c.Turns.Clock(c.host.Now())
-		if !c.Turns.PeerCompleted(x.Member, uint32(x.Value>>32)) {
+		if !c.Turns.PeerCompleted(item.Member, uint32(item.Value>>32)) {
 			return
 		}
 	}
-	c.host.Learned(x, ill)
+	c.host.Learned(item, unhealthy)
 }
 
 // heard takes a message.
-func (c *Coordination) heard(body []byte) error {
-	items, err := readSignals(body)
+func (c *Coordination) receive(body []byte) error {
+	items, err := decodeSignals(body)
 	if err == nil && c.Signals != nil {
-		c.list()
+		c.updateGateways()
 		c.Signals.Clock(c.host.Now())
 		c.Signals.Receive(&signals.Message{Items: items})
 	}
@@ -407,80 +407,80 @@
 
 // signalItem is one on its way, big-endian.
 type signalItem struct {
-	Kind   uint8
-	Member uint64
-	Origin uint32
-	No     uint64
-	Age    uint32 // microseconds x 4
-	Value  int64
+	Kind     uint8
+	Member   uint64
+	Origin   uint32
+	Sequence uint64
+	Age      uint32 // microseconds x 4
+	Value    int64
 }
 
 const ageUnit = 4e3 // nanoseconds
 
-var errSignals = errors.New("malformed message of the signals")
+var errMalformedSignals = errors.New("malformed message of the signals")
 
 func appendSignals(dst []byte, items []signals.Item) []byte {
-	dst = append(dst, kindOfSignals)
+	dst = append(dst, signalsMessageKind)
 	for _, x := range items {
 		dst, _ = binary.Append(dst, binary.BigEndian, &signalItem{uint8(x.Kind), x.Member, x.Origin, x.Sequence, uint32(min(x.Age/ageUnit, 1<<32-1)), x.Value})
 	}
 	return dst
 }
 
-func readSignals(text []byte) ([]signals.Item, error) {
+func decodeSignals(data []byte) ([]signals.Item, error) {
 	size := binary.Size(signalItem{})
-	if len(text) < 1 || (len(text)-1)%size != 0 || len(text) > 1+signals.MaxItemsPerMessage*size {
-		return nil, errSignals
+	if len(data) < 1 || (len(data)-1)%size != 0 || len(data) > 1+signals.MaxItemsPerMessage*size {
+		return nil, errMalformedSignals
 	}
-	all := make([]signalItem, (len(text)-1)/size)
-	if binary.Read(bytes.NewReader(text[1:]), binary.BigEndian, all) != nil {
-		return nil, errSignals
+	decoded := make([]signalItem, (len(data)-1)/size)
+	if binary.Read(bytes.NewReader(data[1:]), binary.BigEndian, decoded) != nil {
+		return nil, errMalformedSignals
 	}
 	var items []signals.Item
-	for _, x := range all {
-		items = append(items, signals.Item{Kind: signals.Kind(x.Kind), Member: x.Member, Origin: x.Origin, Sequence: x.No, Age: int64(x.Age) * ageUnit, Value: x.Value})
+	for _, x := range decoded {
+		items = append(items, signals.Item{Kind: signals.Kind(x.Kind), Member: x.Member, Origin: x.Origin, Sequence: x.Sequence, Age: int64(x.Age) * ageUnit, Value: x.Value})
 	}
 	return items, nil
 }
 
 // MemberView is a member as the fleet's gateways have it.
 type MemberView struct {
-	Key      uint64
-	Group    int
-	Zone     string
-	Primary  bool
-	Here     bool     // this gateway has it
-	Holders  []string // who has it by the division
-	Known    signals.MemberSummary
-	Ill      bool // taken for ill by what others say
-	Gateways int  // in the list
+	Key          uint64
+	Group        int
+	Zone         string
+	Primary      bool
+	Assigned     bool                  `json:"Here"` // this gateway has it
+	Holders      []string              // who has it by the division
+	Summary      signals.MemberSummary `json:"Known"`
+	Unhealthy    bool                  `json:"Ill"`      // taken for ill by what others say
+	GatewayCount int                   `json:"Gateways"` // in the list
 }
 
 // CoordinationView is all of it.
 type CoordinationView struct {
-	Subsets bool
-	Self    string
-	Size    map[int]int // by group, members of a gateway
-	Wider   map[int]int // and by how many more this one has
-	Members []MemberView
-	Turns   []turns.TurnStatus
-	Sent    uint64 // messages of the signals
+	Subsets      bool
+	Self         string
+	Size         map[int]int // by group, members of a gateway
+	WidenedBy    map[int]int `json:"Wider"` // and by how many more this one has
+	Members      []MemberView
+	Turns        []turns.TurnStatus
+	SentMessages uint64 `json:"Sent"` // messages of the signals
 }
 
 // View tells how it stands.
 func (c *Coordination) View() CoordinationView {
-	v := CoordinationView{Subsets: c.Subset != nil, Self: c.f.plan.Name, Size: map[int]int{}, Wider: map[int]int{}}
+	v := CoordinationView{Subsets: c.Subset != nil, Self: c.fleet.config.Name, Size: map[int]int{}, WidenedBy: map[int]int{}}
 	groups := map[int]int{}
 	for _, m := range c.members {
 		groups[m.Group]++
-		x := MemberView{Key: m.Key, Group: m.Group, Zone: m.Zone, Primary: m.Primary, Here: c.Has(m.Key), Gateways: len(c.gateways)}
+		x := MemberView{Key: m.Key, Group: m.Group, Zone: m.Zone, Primary: m.Primary, Assigned: c.Has(m.Key), GatewayCount: len(c.gateways)}
 		for _, no := range c.holders[m.Key] {
-			x.Holders = append(x.Holders, c.names[no])
+			x.Holders = append(x.Holders, c.nameByNumber[no])
 		}
 		slices.Sort(x.Holders)
 		if c.Signals != nil {
 			c.Signals.Clock(c.host.Now())
-			x.Known, x.Ill = c.Signals.Summary(m.Key), c.Signals.IsUnhealthy(m.Key)
+			x.Summary, x.Unhealthy = c.Signals.Summary(m.Key), c.Signals.IsUnhealthy(m.Key)
 		}
 		v.Members = append(v.Members, x)
 	}
@@ -488,7 +488,7 @@
 	for _, no := range slices.Sorted(maps.Keys(groups)) {
 		v.Size[no] = groups[no]
 		if c.Subset != nil {
-			v.Size[no], v.Wider[no] = c.plan.Subset.Size(len(c.gateways), groups[no]), c.Subset.Widened(no)
+			v.Size[no], v.WidenedBy[no] = c.config.Subset.Size(len(c.gateways), groups[no]), c.Subset.Widened(no)
 		}
 	}
 	if c.Turns != nil {
@@ -496,13 +496,13 @@
 		v.Turns = c.Turns.Status()
 	}
 	if c.Signals != nil {
-		v.Sent = c.Signals.Sent
+		v.SentMessages = c.Signals.Sent
 	}
 	return v
 }
 
 // MarkOf is by which name gateways know a member: its name in the list, which is the same at all, as its address may not be.
-func MarkOf(name string) uint64 {
+func MemberKey(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
 	return h.Sum64()
--- a/fleet/datagrams.go
+++ b/fleet/datagrams.go
@@ -15,8 +15,8 @@
 
 // mostWaiting is how many datagrams wait for the loop at the most, and mostDatagram how long each may be.
 const (
-	mostWaiting  = 4096
-	mostDatagram = 1401
+	maxQueuedDatagrams = 4096
+	maxDatagramSize    = 1401
 )
 
 // Datagrams is the address at which other gateways reach this one. One goroutine reads and leaves what came for the
@@ -26,22 +26,22 @@
 	raw  interface {
 		Write(func(uintptr) bool) error
 	}
-	failures atomic.Uint64 // reads
-	mu       sync.Mutex
-	came     []Datagram
-	spare    [][]byte
-	over     uint64 // that came while too many waited
+	readFailures atomic.Uint64 // reads
+	mu           sync.Mutex
+	received     []Datagram
+	freeBuffers  [][]byte
+	dropped      uint64 // that came while too many waited
 }
 
 // Datagram is one, and where it came from.
 type Datagram struct {
-	Text []byte
+	Data []byte
 	From netip.AddrPort
 }
 
 // Listen takes an address, before anybody is served: a former run that still holds it would else answer for this one.
-func Listen(at netip.AddrPort) (*Datagrams, error) {
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
+func Listen(address netip.AddrPort) (*Datagrams, error) {
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
@@ -54,61 +54,61 @@
 }
 
 // Receive reads until the address is given back, whatever single reads come to. arrived is called when the first of what waits has come.
-func (d *Datagrams) Receive(arrived func()) {
-	buf := make([]byte, mostDatagram)
-	var pause neterr.Backoff
+func (d *Datagrams) Receive(onReceive func()) {
+	buf := make([]byte, maxDatagramSize)
+	var backoff neterr.Backoff
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			d.failures.Add(1)
-			time.Sleep(pause.Next())
+			d.readFailures.Add(1)
+			time.Sleep(backoff.Next())
 			continue
 		}
-		pause.Reset()
+		backoff.Reset()
 		d.mu.Lock()
-		first := len(d.came) == 0
-		if len(d.came) < mostWaiting {
+		first := len(d.received) == 0
+		if len(d.received) < maxQueuedDatagrams {
 			var text []byte
-			if k := len(d.spare); k > 0 {
-				text, d.spare = d.spare[k-1], d.spare[:k-1]
+			if k := len(d.freeBuffers); k > 0 {
+				text, d.freeBuffers = d.freeBuffers[k-1], d.freeBuffers[:k-1]
 			}
-			d.came = append(d.came, Datagram{append(text[:0], buf[:n]...), from})
+			d.received = append(d.received, Datagram{append(text[:0], buf[:n]...), from})
 		} else {
-			d.over++
+			d.dropped++
 		}
 		d.mu.Unlock()
 		if first {
-			arrived()
+			onReceive()
 		}
 	}
 }
 
 // Take hands out what came; none of it may be kept.
-func (d *Datagrams) Take(f func(Datagram)) {
+func (d *Datagrams) Consume(f func(Datagram)) {
 	d.mu.Lock()
-	came := d.came
-	d.came = nil
+	received := d.received
+	d.received = nil
 	d.mu.Unlock()
-	for _, x := range came {
+	for _, x := range received {
 		f(x)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, x := range came {
-		if len(d.spare) < mostWaiting/4 {
-			d.spare = append(d.spare, x.Text)
+	for _, x := range received {
+		if len(d.freeBuffers) < maxQueuedDatagrams/4 {
+			d.freeBuffers = append(d.freeBuffers, x.Data)
 		}
 	}
 }
 
 // Send writes one without waiting; false is that it is lost already.
-func (d *Datagrams) Send(text []byte, to *unix.SockaddrInet4) bool {
+func (d *Datagrams) Send(data []byte, to *unix.SockaddrInet4) bool {
 	var err error
 	sent := d.raw.Write(func(fd uintptr) bool {
-		err = unix.Sendto(int(fd), text, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, to)
+		err = unix.Sendto(int(fd), data, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, to)
 		return true
 	})
 	return err == nil && sent == nil
--- a/fleet/datagrams_test.go
+++ b/fleet/datagrams_test.go
@@ -14,17 +14,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	came, over := make(chan struct{}, 10), make(chan struct{})
+	received, stopped := make(chan struct{}, 10), make(chan struct{})
 	if err := d.conn.SetReadDeadline(time.Unix(1, 0)); err != nil { // each read fails until it is taken back
 		t.Fatal(err)
 	}
 	go func() {
-		d.Receive(func() { came <- struct{}{} })
-		close(over)
+		d.Receive(func() { received <- struct{}{} })
+		close(stopped)
 	}()
-	for d.failures.Load() < 3 {
+	for d.readFailures.Load() < 3 {
 		select {
-		case <-over:
+		case <-stopped:
 			t.Fatal("it reads no more")
 		default:
 		}
@@ -38,10 +38,10 @@
 		t.Fatal("not sent")
 	}
 	select {
-	case <-came:
+	case <-received:
 	case <-time.After(20 * time.Second):
 		t.Fatal("nothing came")
 	}
 	d.Close()
-	<-over
+	<-stopped
 }
--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -32,8 +32,8 @@
 }
 
 // identify reads who this gateway is, or has it be another: one without its disk never comes back under its old ID.
-func identify(folder string, now uint64) (identity, error) {
-	var me identity
+func loadIdentity(folder string, now uint64) (identity, error) {
+	var id identity
 	if folder == "" {
 		id, err := newID()
 		return identity{id, now}, err
@@ -42,37 +42,37 @@
 	text, err := os.ReadFile(path)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		if me.ID, err = newID(); err != nil {
-			return me, err
+		if id.ID, err = newID(); err != nil {
+			return id, err
 		}
 		if err := os.MkdirAll(folder, 0o700); err != nil {
-			return me, err
+			return id, err
 		}
 	case err != nil:
-		return me, err
+		return id, err
 	default:
-		if err := json.Unmarshal(text, &me); err != nil || me.ID == 0 {
-			return me, fmt.Errorf("%s can't be read: move the folder away, and this gateway joins as another one", path)
+		if err := json.Unmarshal(text, &id); err != nil || id.ID == 0 {
+			return id, fmt.Errorf("%s can't be read: move the folder away, and this gateway joins as another one", path)
 		}
 	}
-	me.Epoch = max(me.Epoch+1, now) // later than any before, wherever the clock stands
-	if text, err = json.Marshal(me); err != nil {
-		return me, err
+	id.Epoch = max(id.Epoch+1, now) // later than any before, wherever the clock stands
+	if text, err = json.Marshal(id); err != nil {
+		return id, err
 	}
-	return me, renameio.WriteFile(path, text, 0o600)
+	return id, renameio.WriteFile(path, text, 0o600)
 }
 
 // disk keeps the log of a voter. A record is on the disk when done is called: what a voter has said must outlast power.
-type disk struct {
+type voterLog struct {
 	store *store.Store
 }
 
 // openDisk gives what a former run left.
-func openDisk(folder string, files store.FileSystem, log func(string, error), wanted func()) (*disk, [][]byte, error) {
+func openVoterLog(folder string, fileSystem store.FileSystem, log func(string, error), snapshotNeeded func()) (*voterLog, [][]byte, error) {
 	if folder == "" {
-		return &disk{}, nil, nil
+		return &voterLog{}, nil, nil
 	}
-	s, r, err := store.Open(filepath.Join(folder, "log"), store.Options{FileSystem: files, SyncOnAppend: true, Log: log, SnapshotNeeded: wanted})
+	s, r, err := store.Open(filepath.Join(folder, "log"), store.Options{FileSystem: fileSystem, SyncOnAppend: true, Log: log, SnapshotNeeded: snapshotNeeded})
 	if err != nil {
 		return nil, nil, err
 	}
@@ -83,10 +83,10 @@
 	if err := s.Start(r.Records, true); err != nil {
 		return nil, nil, err
 	}
-	return &disk{s}, r.Records, nil
+	return &voterLog{s}, r.Records, nil
 }
 
-func (d *disk) close() error {
+func (d *voterLog) close() error {
 	if d.store == nil {
 		return nil
 	}
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -24,25 +24,25 @@
 )
 
 // Plan is what the operator says of the agreement.
-type Plan struct {
-	Terms   agreement.Config // Self, Epoch, Seed and Seeds are set by New
-	Name    string           // of this gateway, in the list
-	Zone    string
-	Listen  netip.AddrPort // where this gateway takes what others send
-	Build   string
-	Form    int              // of settings that this build reads
-	Address netip.AddrPort   // at which others reach it: Listen, where nothing stands between
-	Ask     []netip.AddrPort // gateways that vote, or did when this was written
-	Folder  string           // where a gateway that votes keeps the log; without one it never votes
-	Disk    store.FileSystem // nil is the operating system's
-	Keys    peerwire.Keys
-	Share   float64 // of the gateways that get a version before all do, if it does not contradict its predecessor; 0 is all at once
-	Serve   bool    // txns that no tenant's setting speaks of, while this gateway can't renew: served, not declined
+type Config struct {
+	Agreement             agreement.Config // Self, Epoch, Seed and Seeds are set by New
+	Name                  string           // of this gateway, in the list
+	Zone                  string
+	Listen                netip.AddrPort // where this gateway takes what others send
+	Build                 string
+	FormatVersion         int              // of settings that this build reads
+	Address               netip.AddrPort   // at which others reach it: Listen, where nothing stands between
+	Seeds                 []netip.AddrPort // gateways that vote, or did when this was written
+	Folder                string           // where a gateway that votes keeps the log; without one it never votes
+	FileSystem            store.FileSystem // nil is the operating system's
+	Keys                  peerwire.Keys
+	CanaryFraction        float64 // of the gateways that get a version before all do, if it does not contradict its predecessor; 0 is all at once
+	ServeWithoutAgreement bool    // txns that no tenant's setting speaks of, while this gateway can't renew: served, not declined
 }
 
 // Check names what is wrong with it.
-func (p *Plan) Check() error {
-	t := p.Terms
+func (p *Config) Validate() error {
+	t := p.Agreement
 	t.Self = 1
 	switch {
 	case p.Name == "":
@@ -51,7 +51,7 @@
 		return errors.New("agreement: listen is no IPv4 address with a port")
 	case !p.Address.IsValid() || !p.Address.Addr().Is4() || p.Address.Port() == 0:
 		return errors.New("agreement: address is no IPv4 address with a port")
-	case p.Folder == "" && len(p.Ask) == 0:
+	case p.Folder == "" && len(p.Seeds) == 0:
 		return errors.New("agreement: it has neither a folder, to vote, nor voters to ask")
 	}
 	if err := p.Keys.Check(); err != nil {
@@ -74,56 +74,56 @@
 
 // Fleet is one gateway's part.
 type Fleet struct {
-	plan   *Plan
-	host   Host
-	module *agreement.Agreement
-	me     identity
-	link   *Datagrams
-	sealer *peerwire.Sealer
-	disk   *disk
-	known  map[agreement.ID]netip.AddrPort // by the list, by the plan, or by what came from there
-	out    []byte
-	body   []byte
-	joinNo uint64 // the wish to be in the list that is under way
-	joined bool
-	listed bool    // it was in the list since its start
-	inList bool    // and is
-	quotas *Quotas // nil where no bound is the fleet's
+	config       *Config
+	host         Host
+	module       *agreement.Agreement
+	identity     identity
+	datagrams    *Datagrams
+	sealer       *peerwire.Sealer
+	voterLog     *voterLog
+	addresses    map[agreement.ID]netip.AddrPort // by the list, by the plan, or by what came from there
+	sealed       []byte
+	body         []byte
+	joinProposal uint64 // the wish to be in the list that is under way
+	joined       bool
+	everListed   bool    // it was in the list since its start
+	inList       bool    // and is
+	quotas       *Quotas // nil where no bound is the fleet's
 
 	coordination *Coordination // nil where each gateway chooses for itself
 
-	lost    uint64
-	refuse  map[error]int
-	ended   bool
-	wakeAt  int64 // when the module wants a round
-	stirred bool  // it was told something since its last one
+	dropped    uint64
+	refusals   map[error]int
+	closed     bool
+	wakeAt     int64 // when the module wants a round
+	needsRound bool  // it was told something since its last one
 }
 
 // Open takes up what a former run left. link is the address that the gateway has for others.
-func Open(p *Plan, h Host, link *Datagrams, seed uint64) (*Fleet, error) {
-	me, err := identify(p.Folder, uint64(time.Now().UnixNano()))
+func Open(p *Config, h Host, link *Datagrams, seed uint64) (*Fleet, error) {
+	me, err := loadIdentity(p.Folder, uint64(time.Now().UnixNano()))
 	if err != nil {
 		return nil, fmt.Errorf("agreement: %w", err)
 	}
-	f := &Fleet{plan: p, host: h, me: me, link: link, known: map[agreement.ID]netip.AddrPort{}, refuse: map[error]int{}}
+	f := &Fleet{config: p, host: h, identity: me, datagrams: link, addresses: map[agreement.ID]netip.AddrPort{}, refusals: map[error]int{}}
 	if f.sealer, err = peerwire.NewSealer(uint64(me.ID), uint32(me.Epoch>>16), p.Keys); err != nil {
 		return nil, err
 	}
 	var records [][]byte
-	if f.disk, records, err = openDisk(p.Folder, p.Disk, func(text string, err error) { h.Logger().Error("agreement: "+text, "why", err) }, f.wanted); err != nil {
+	if f.voterLog, records, err = openVoterLog(p.Folder, p.FileSystem, func(text string, err error) { h.Logger().Error("agreement: "+text, "why", err) }, f.writeSnapshot); err != nil {
 		return nil, fmt.Errorf("agreement: %w", err)
 	}
-	t := p.Terms
+	t := p.Agreement
 	t.Self, t.Epoch, t.Seed = me.ID, me.Epoch, seed
-	for _, a := range p.Ask {
+	for _, a := range p.Seeds {
 		if a != p.Address {
 			id := seedID(a)
-			f.known[id] = a
+			f.addresses[id] = a
 			t.Seeds = append(t.Seeds, id)
 		}
 	}
 	if f.module, err = agreement.New(t, records); err != nil {
-		return nil, errors.Join(err, f.disk.close())
+		return nil, errors.Join(err, f.voterLog.close())
 	}
 	return f, nil
 }
@@ -137,71 +137,71 @@
 
 // Close ends it; nothing is posted afterwards that it would take.
 func (f *Fleet) Close() error {
-	f.ended = true
-	return f.disk.close()
+	f.closed = true
+	return f.voterLog.close()
 }
 
 // Heard takes a datagram.
-func (f *Fleet) Heard(d Datagram) {
-	from, body, err := f.sealer.Open(d.Text)
+func (f *Fleet) Receive(d Datagram) {
+	from, body, err := f.sealer.Open(d.Data)
 	var m agreement.Message
-	if err == nil && len(body) > 0 && body[0] == kindOfQuota {
+	if err == nil && len(body) > 0 && body[0] == quotaMessageKind {
 		if f.quotas == nil {
 			return
 		}
-		if err = f.quotas.heard(agreement.ID(from), body); err == nil {
+		if err = f.quotas.receive(agreement.ID(from), body); err == nil {
 			return
 		}
-	} else if err == nil && len(body) > 0 && body[0] == kindOfSignals {
+	} else if err == nil && len(body) > 0 && body[0] == signalsMessageKind {
 		if f.coordination == nil {
 			return
 		}
-		if err = f.coordination.heard(body); err == nil {
+		if err = f.coordination.receive(body); err == nil {
 			return
 		}
-	} else if err == nil && len(body) > 0 && body[0] == kindOfCounts {
-		var all []contracts.Count
-		var asks bool
-		if all, asks, err = readCounts(body); err == nil {
-			f.host.Counts(agreement.ID(from), all, asks)
+	} else if err == nil && len(body) > 0 && body[0] == countsMessageKind {
+		var counts []contracts.Count
+		var requestsAll bool
+		if counts, requestsAll, err = decodeCounts(body); err == nil {
+			f.host.Counts(agreement.ID(from), counts, requestsAll)
 			return
 		}
 	} else if err == nil {
-		m, err = readMessage(body)
+		m, err = decodeMessage(body)
 	}
 	if err != nil {
-		if f.refuse[err]++; f.refuse[err] == 1 {
+		if f.refusals[err]++; f.refusals[err] == 1 {
 			f.host.Logger().Warn("message of the agreement refused", "why", err, "from", d.From)
 		}
 		return
 	}
 	if m.To == 0 {
-		m.To = f.me.ID
+		m.To = f.identity.ID
 	}
 	m.From = agreement.ID(from)
-	if _, listed := f.known[m.From]; !listed {
-		f.known[m.From] = d.From
+	if _, listed := f.addresses[m.From]; !listed {
+		f.addresses[m.From] = d.From
 	}
-	f.stir()
+	f.requestRound()
 	f.module.Receive(m)
 }
 
 // stir has the module take something, and Turn ask it.
-func (f *Fleet) stir() {
-	f.stirred = true
+func (f *Fleet) requestRound() {
+	f.needsRound = true
 	f.module.Clock(f.host.Now())
 }
 
 // Turn carries out what the module decides until there is nothing left. It comes with each of the loop's turns, most of
 // which are txns': then nothing was told to the module, and nothing of it is due.
-func (f *Fleet) Turn() {
+func (f *Fleet) ProcessDecisions() {
 	now := f.host.Now()
-	if !f.stirred && now < f.wakeAt {
+	if !f.needsRound && now < f.wakeAt {
 		return
 	}
-	f.stirred = false
+	f.needsRound = false
 	f.module.Clock(now)
-	f.join()
+	f.proposeJoin()
 	for d, ok := f.module.Next(); ok; d, ok = f.module.Next() {
 		switch d.Kind {
 		case agreement.Send:
@@ -211,11 +211,11 @@
 		case agreement.Prepare:
 			f.host.Prepare(f.module.Pending())
 		case agreement.Answer:
-			if d.ProposalNo == f.joinNo {
-				f.joinNo, f.joined = 0, d.Result.Done
+			if d.ProposalNo == f.joinProposal {
+				f.joinProposal, f.joined = 0, d.Result.Done
 				continue
 			}
-			if f.quotas == nil || !f.quotas.outcome(d.ProposalNo, d.Result) {
+			if f.quotas == nil || !f.quotas.handleOutcome(d.ProposalNo, d.Result) {
 				f.host.Outcome(d.ProposalNo, d.Result)
 			}
 		case agreement.Wake:
@@ -228,24 +228,24 @@
 }
 
 // join has this gateway in the list, once in each of its lives; one that is taken out stays out until it starts again.
-func (f *Fleet) join() {
-	if f.joined || f.joinNo != 0 {
+func (f *Fleet) proposeJoin() {
+	if f.joined || f.joinProposal != 0 {
 		return
 	}
-	if v, _, _, _ := f.module.Role(); !v && len(f.plan.Ask) == 0 {
+	if v, _, _, _ := f.module.Role(); !v && len(f.config.Seeds) == 0 {
 		return // nobody has founded the fleet yet
 	}
-	f.joinNo, _ = f.module.Propose(agreement.Proposal{Join: f.entry()}, nil, f.plan.Terms.StartupWait())
+	f.joinProposal, _ = f.module.Propose(agreement.Proposal{Join: f.ownEntry()}, nil, f.config.Agreement.StartupWait())
 }
 
-func (f *Fleet) entry() *agreement.Gateway {
-	return &agreement.Gateway{ID: f.me.ID, Name: f.plan.Name, Address: f.plan.Address.String(), Zone: f.plan.Zone, Build: f.plan.Build, FormatVersion: f.plan.Form}
+func (f *Fleet) ownEntry() *agreement.Gateway {
+	return &agreement.Gateway{ID: f.identity.ID, Name: f.config.Name, Address: f.config.Address.String(), Zone: f.config.Zone, Build: f.config.Build, FormatVersion: f.config.FormatVersion}
 }
 
 func (f *Fleet) send(m *agreement.Message) {
-	to, ok := f.known[m.To]
+	to, ok := f.addresses[m.To]
 	if !ok {
-		f.lost++
+		f.dropped++
 		return
 	}
 	x := *m
@@ -254,7 +254,7 @@
 	}
 	var err error
 	if f.body, err = appendMessage(f.body[:0], &x); err != nil {
-		f.lost++
+		f.dropped++
 		return
 	}
 	f.sendSealed(f.body, to)
@@ -262,29 +262,29 @@
 
 func (f *Fleet) sendSealed(body []byte, to netip.AddrPort) {
 	var err error
-	if f.out, err = f.sealer.Seal(f.out[:0], body); err != nil || !f.link.Send(f.out, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}) {
-		f.lost++
+	if f.sealed, err = f.sealer.Seal(f.sealed[:0], body); err != nil || !f.datagrams.Send(f.sealed, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}) {
+		f.dropped++
 	}
 }
 
 // save has records on the disk, again and again while it takes none: a voter that can't keep what it says says nothing.
-func (f *Fleet) save(records [][]byte, whole bool) {
-	if f.disk.store == nil {
+func (f *Fleet) save(records [][]byte, replaceAll bool) {
+	if f.voterLog.store == nil {
 		f.host.Logger().Error("agreement: this gateway has no folder and can't vote")
 		return
 	}
-	f.disk.store.Append(records, func(err error) {
+	f.voterLog.store.Append(records, func(err error) {
 		f.host.Post(func() {
 			switch {
-			case f.ended:
+			case f.closed:
 			case err != nil:
 				f.host.Logger().Error("agreement: the log is not kept, this gateway does not vote meanwhile", "why", err)
-				time.AfterFunc(time.Second, func() { f.host.Post(func() { f.save(records, whole) }) })
+				time.AfterFunc(time.Second, func() { f.host.Post(func() { f.save(records, replaceAll) }) })
 			default:
-				if whole {
-					f.disk.store.Snapshot(records)
+				if replaceAll {
+					f.voterLog.store.Snapshot(records)
 				}
-				f.stir()
+				f.requestRound()
 				f.module.Saved()
 			}
 		})
@@ -292,52 +292,52 @@
 }
 
 // wanted: the store asks for all records in the place of those before, as it has grown or takes none.
-func (f *Fleet) wanted() {
+func (f *Fleet) writeSnapshot() {
 	f.host.Post(func() {
-		if !f.ended && f.module != nil {
-			f.disk.store.Snapshot(f.module.Records())
+		if !f.closed && f.module != nil {
+			f.voterLog.store.Snapshot(f.module.Records())
 		}
 	})
 }
 
 // Adopt tells that txns are decided by what was prepared, if that was of this stamp.
-func (f *Fleet) Adopt(stamp uint64) {
-	f.stir()
-	if m := f.module.Pending(); f.quotas != nil && m != nil && m.Revision == stamp { // before it is said that this gateway knows
-		f.quotas.offices(m, f.module.Text)
+func (f *Fleet) Adopt(revision uint64) {
+	f.requestRound()
+	if m := f.module.Pending(); f.quotas != nil && m != nil && m.Revision == revision { // before it is said that this gateway knows
+		f.quotas.updateAssignment(m, f.module.Text)
 	}
-	f.module.Adopt(stamp)
+	f.module.Adopt(revision)
 	f.inList = false
 	listed := map[agreement.ID]bool{}
 	for _, g := range f.module.Manifest().Gateways {
 		listed[g.ID] = true
-		if g.ID == f.me.ID {
-			f.inList, f.listed = true, true
+		if g.ID == f.identity.ID {
+			f.inList, f.everListed = true, true
 		}
 		if a, err := netip.ParseAddrPort(g.Address); err == nil {
-			f.known[g.ID] = a
+			f.addresses[g.ID] = a
 		}
 	}
-	for id := range f.known { // of those that left, and of seeds whose place the list has taken
+	for id := range f.addresses { // of those that left, and of seeds whose place the list has taken
 		if id>>63 == 0 && !listed[id] {
-			delete(f.known, id)
+			delete(f.addresses, id)
 		}
 	}
 }
 
 // Ask has the fleet agree on something; Host.Outcome tells what became of it.
-func (f *Fleet) Ask(w agreement.Proposal, text []byte, patience time.Duration) (uint64, error) {
-	f.stir()
-	return f.module.Propose(w, text, int64(patience))
+func (f *Fleet) Propose(proposal agreement.Proposal, text []byte, timeout time.Duration) (uint64, error) {
+	f.requestRound()
+	return f.module.Propose(proposal, text, int64(timeout))
 }
 
 // Found begins a fleet with this gateway as its one voter.
-func (f *Fleet) Found() error {
-	if f.disk.store == nil {
+func (f *Fleet) Bootstrap() error {
+	if f.voterLog.store == nil {
 		return errors.New("this gateway has no folder to keep the log in")
 	}
-	f.stir()
-	if err := f.module.Bootstrap(*f.entry()); err != nil {
+	f.requestRound()
+	if err := f.module.Bootstrap(*f.ownEntry()); err != nil {
 		return err
 	}
 	f.joined = true
@@ -345,69 +345,69 @@
 }
 
 // Self is this gateway's ID, and Well tells that a version which it tries is well with it.
-func (f *Fleet) Self() agreement.ID { return f.me.ID }
+func (f *Fleet) Self() agreement.ID { return f.identity.ID }
 
 // Well tells that.
-func (f *Fleet) Well(version uint64) {
-	f.stir()
+func (f *Fleet) ReportHealthy(version uint64) {
+	f.requestRound()
 	f.module.ReportHealthy(version)
 }
 
 // Leased is until when this gateway may act on what it holds.
-func (f *Fleet) Leased() int64 { return f.module.LeaseUntil() }
+func (f *Fleet) LeaseUntil() int64 { return f.module.LeaseUntil() }
 
 // Held is what it holds, and Text the text of one of its versions.
-func (f *Fleet) Held() *agreement.Manifest { return f.module.Manifest() }
+func (f *Fleet) Manifest() *agreement.Manifest { return f.module.Manifest() }
 
 // Awaits tells whether a manifest of this stamp is what it waits to act on: a later one may have taken its place.
-func (f *Fleet) Awaits(stamp uint64) bool {
+func (f *Fleet) IsPending(revision uint64) bool {
 	m := f.module.Pending()
-	return m != nil && m.Revision == stamp
+	return m != nil && m.Revision == revision
 }
 
 // Coming is what it waits to act on.
-func (f *Fleet) Coming() *agreement.Manifest { return f.module.Pending() }
+func (f *Fleet) Pending() *agreement.Manifest { return f.module.Pending() }
 
 // Out tells that this gateway was taken out of the list.
-func (f *Fleet) Out() bool {
-	return f.module.Manifest().Revision > 0 && f.joined && f.listed && f.joinNo == 0 && !f.inList
+func (f *Fleet) Removed() bool {
+	return f.module.Manifest().Revision > 0 && f.joined && f.everListed && f.joinProposal == 0 && !f.inList
 }
 
 // Text gives a version's.
 func (f *Fleet) Text(d agreement.Digest) []byte { return f.module.Text(d) }
 
 // Plan is what the operator said.
-func (f *Fleet) Plan() *Plan { return f.plan }
+func (f *Fleet) Config() *Config { return f.config }
 
 // Status is how this gateway stands to the fleet.
 type Status struct {
-	Self    agreement.ID
-	Votes   bool
-	Leader  agreement.ID
-	Term    uint64
-	Left    int64 // of its lease; below 0 it is careful
-	Stated  int64
-	Held    agreement.Manifest
-	History []agreement.Subject      // at one that votes
-	Seen    []agreement.GatewayLease // what voters know of all gateways, where they were asked
+	Self           agreement.ID
+	IsVoter        bool `json:"Votes"`
+	Leader         agreement.ID
+	Term           uint64
+	LeaseRemaining int64                    `json:"Left"` // of its lease; below 0 it is careful
+	MaxDivergence  int64                    `json:"Stated"`
+	Manifest       agreement.Manifest       `json:"Held"`
+	History        []agreement.Subject      // at one that votes
+	Leases         []agreement.GatewayLease `json:"Seen"` // what voters know of all gateways, where they were asked
 }
 
 // Survey asks all voters what they know of the others; Surveyed gives what has come and whether it is all.
 func (f *Fleet) Survey() {
-	f.stir()
+	f.requestRound()
 	f.module.Survey()
 }
 
 // Surveyed gives it.
-func (f *Fleet) Surveyed() ([]agreement.GatewayLease, bool) {
-	f.stir()
+func (f *Fleet) SurveyResult() ([]agreement.GatewayLease, bool) {
+	f.requestRound()
 	return f.module.SurveyResult()
 }
 
 // Status tells it.
 func (f *Fleet) Status() Status {
-	s := Status{Self: f.me.ID, Left: f.Leased() - f.host.Now(), Stated: f.plan.Terms.MaxDivergence(), Held: *f.Held()}
-	s.Votes, s.Leader, s.Term, _ = f.module.Role()
+	s := Status{Self: f.identity.ID, LeaseRemaining: f.LeaseUntil() - f.host.Now(), MaxDivergence: f.config.Agreement.MaxDivergence(), Manifest: *f.Manifest()}
+	s.IsVoter, s.Leader, s.Term, _ = f.module.Role()
 	if b := f.module.State(); b != nil {
 		s.History = slices.Clone(b.Subjects)
 	}
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -13,16 +13,16 @@
 
 // SessionPlan is what the operator says of the guarantee of sessions. Without one a gateway covers what clients
 // bring and, where the settings say `kept`, what it answered itself.
-type SessionPlan struct {
-	Terms    session.Config // Self and Fleet are set by Gateways, or where the fleet agrees on its list by that
+type SessionConfig struct {
+	Session  session.Config // Self and Fleet are set by Gateways, or where the fleet agrees on its list by that
 	Tokens   TokenUse
 	Listen   netip.AddrPort   // for other gateways; not valid where there are none
 	Gateways []netip.AddrPort // of the whole fleet, this one among them, in the same order everywhere
 	Keys     []PeerKey        // the first signs, all are valid
 	// Positions has gateways tell each other the positions of members, beside what sessions need. The decision module
 	// shares them as limits.peers of the settings has it do.
-	Positions bool
-	Ledger    LedgerPlan
+	SharePositions bool
+	Ledger         LedgerConfig
 }
 
 // TokenUse is what the positions that clients bring are good for.
@@ -41,11 +41,11 @@
 }
 
 // LedgerPlan says where marks are kept over a restart; without a folder nowhere.
-type LedgerPlan struct {
+type LedgerConfig struct {
 	Folder       string
 	BeforeAnswer Durability
-	AtMost       int64       // nanoseconds that an answer waits for the disk; past it the ledger is no longer complete
-	Disk         ledger.Disk // nil is the system's
+	MaxWait      int64             // nanoseconds that an answer waits for the disk; past it the ledger is no longer complete
+	FileSystem   ledger.FileSystem // nil is the system's
 }
 
 // Durability is how far a mark has come when its write is answered.
@@ -58,64 +58,64 @@
 
 // Check names the first value that is lacking or wrong, and completes the terms. reports tells whether members answer probes
 // with their position.
-func (p *SessionPlan) Check(reports bool) error {
-	wrong := func(format string, a ...any) error { return fmt.Errorf("sessions: "+format, a...) }
+func (p *SessionConfig) Validate(probesReportPosition bool) error {
+	errorf := func(format string, a ...any) error { return fmt.Errorf("sessions: "+format, a...) }
 	if p.Tokens == "" {
 		p.Tokens = TokensHints
 	}
 	switch p.Tokens {
 	case TokensHints, TokensComplete, TokensSigned:
 	default:
-		return wrong("tokens has the unknown value %q", p.Tokens)
+		return errorf("tokens has the unknown value %q", p.Tokens)
 	}
-	if p.Terms.DynamicMembership && len(p.Gateways) > 0 {
-		return wrong("the fleet agrees on its list of gateways")
+	if p.Session.DynamicMembership && len(p.Gateways) > 0 {
+		return errorf("the fleet agrees on its list of gateways")
 	}
-	p.Terms.FleetSize, p.Terms.Self = max(1, len(p.Gateways)), 0
+	p.Session.FleetSize, p.Session.Self = max(1, len(p.Gateways)), 0
 	if len(p.Gateways) > 1 {
-		if p.Terms.Self = slices.Index(p.Gateways, p.Listen); p.Terms.Self < 0 {
-			return wrong("gateways does not name %v, where this one listens for them", p.Listen)
+		if p.Session.Self = slices.Index(p.Gateways, p.Listen); p.Session.Self < 0 {
+			return errorf("gateways does not name %v, where this one listens for them", p.Listen)
 		}
 		for i, g := range p.Gateways {
 			if !g.IsValid() || !g.Addr().Is4() || g.Port() == 0 || slices.Contains(p.Gateways[:i], g) {
-				return wrong("gateways has %v twice, or it is no IPv4 address with a port", g)
+				return errorf("gateways has %v twice, or it is no IPv4 address with a port", g)
 			}
 		}
 	}
-	if p.Positions && p.Alone() {
-		return wrong("positions need other gateways to be told to")
+	if p.SharePositions && p.Standalone() {
+		return errorf("positions need other gateways to be told to")
 	}
-	if !p.Alone() || p.Tokens == TokensSigned {
+	if !p.Standalone() || p.Tokens == TokensSigned {
 		if err := p.keys().Check(); err != nil {
-			return wrong("%w", err)
+			return errorf("%w", err)
 		}
 	}
 	switch p.Ledger.BeforeAnswer {
 	case "", DurableNone, DurableProcess:
 	default:
-		return wrong("before_answer has the unknown value %q", p.Ledger.BeforeAnswer)
+		return errorf("before_answer has the unknown value %q", p.Ledger.BeforeAnswer)
 	}
-	if !reports {
+	if !probesReportPosition {
 		return errors.New("sessions: members must answer probes with their position (settings: limits.probes, loadReport)")
 	}
-	return p.Terms.Validate()
+	return p.Session.Validate()
 }
 
 // Alone tells that there are no other gateways.
-func (p *SessionPlan) Alone() bool { return len(p.Gateways) < 2 && !p.Terms.DynamicMembership }
+func (p *SessionConfig) Standalone() bool { return len(p.Gateways) < 2 && !p.Session.DynamicMembership }
 
 // others are the addresses of the other gateways, by their places in the list.
-func (p *SessionPlan) others() map[int]netip.AddrPort {
+func (p *SessionConfig) peerAddresses() map[int]netip.AddrPort {
 	all := map[int]netip.AddrPort{}
 	for i, a := range p.Gateways {
-		if i != p.Terms.Self {
+		if i != p.Session.Self {
 			all[i] = a
 		}
 	}
 	return all
 }
 
-func (p *SessionPlan) keys() (keys peerwire.Keys) {
+func (p *SessionConfig) keys() (keys peerwire.Keys) {
 	for _, k := range p.Keys {
 		keys = append(keys, peerwire.Key{ID: k.ID, Secret: k.Secret})
 	}
@@ -123,7 +123,7 @@
 }
 
 // fleet is a mark of the list of gateways.
-func (p *SessionPlan) fleet() uint32 {
+func (p *SessionConfig) fleetHash() uint32 {
 	var all []string
 	for _, g := range p.Gateways {
 		all = append(all, g.String())
--- a/fleet/sessions.go
+++ b/fleet/sessions.go
@@ -33,97 +33,97 @@
 // Sessions hosts the module in session: it tells it of reads, commits, fences and other gateways, and carries out what it
 // decides. It belongs to the loop.
 type Sessions struct {
-	Plan   *SessionPlan
-	Module *session.Sessions
-	host   SessionHost
-	peers  *Peers // nil where there are none
-	tokens *peerwire.Codec
-	marks  *marks // nil where nothing is kept
-	agreed *Fleet // whose list and lease it goes by, nil where there is one list for good
-	turns  int    // members asked in turn while there is no primary
-	run    time.Time
+	Config        *SessionConfig
+	Module        *session.Sessions
+	host          SessionHost
+	peers         *Peers // nil where there are none
+	tokens        *peerwire.Codec
+	ledger        *ledgerWriter // nil where nothing is kept
+	fleet         *Fleet        // whose list and lease it goes by, nil where there is one list for good
+	fenceAttempts int           // members asked in turn while there is no primary
+	startedAt     time.Time
 }
 
 // NewSessions prepares them; Open starts them. began is another at each start: nobody takes this run's notes for those of
 // the last.
-func NewSessions(h SessionHost, plan *SessionPlan, seed uint64, began time.Time) (*Sessions, error) {
-	s := &Sessions{host: h, Plan: plan, run: began}
+func NewSessions(h SessionHost, config *SessionConfig, seed uint64, startedAt time.Time) (*Sessions, error) {
+	s := &Sessions{host: h, Config: config, startedAt: startedAt}
 	var err error
-	s.Module, err = session.New(plan.Terms, seed, uint64(began.UnixNano()))
+	s.Module, err = session.New(config.Session, seed, uint64(startedAt.UnixNano()))
 	return s, err
 }
 
 // Open takes up the ledger, and the address for other gateways. agreed is nil where no list is agreed on.
-func (s *Sessions) Open(link *Datagrams, agreed *Fleet) (err error) {
-	run := uint32(s.run.UnixNano() >> 16)
-	s.agreed = agreed
-	if s.Plan.Ledger.Folder != "" {
-		if s.marks, err = openMarks(s, s.Plan.Ledger); err != nil {
+func (s *Sessions) Open(link *Datagrams, fleet *Fleet) (err error) {
+	incarnation := uint32(s.startedAt.UnixNano() >> 16)
+	s.fleet = fleet
+	if s.Config.Ledger.Folder != "" {
+		if s.ledger, err = openLedger(s, s.Config.Ledger); err != nil {
 			return err
 		}
 	}
-	if s.Plan.Alone() && s.Plan.Tokens != TokensSigned {
+	if s.Config.Standalone() && s.Config.Tokens != TokensSigned {
 		return nil
 	}
-	if s.tokens, err = peerwire.NewCodec(s.Plan.Terms.Self, s.Plan.fleet(), run, s.Plan.keys()); err != nil {
+	if s.tokens, err = peerwire.NewCodec(s.Config.Session.Self, s.Config.fleetHash(), incarnation, s.Config.keys()); err != nil {
 		s.Close()
 		return err
 	}
-	if !s.Plan.Alone() {
+	if !s.Config.Standalone() {
 		s.peers = NewPeers(s.tokens, link, s.host.Logger())
-		s.peers.List(s.Plan.Terms.Self, s.Plan.others())
+		s.peers.SetPeers(s.Config.Session.Self, s.Config.peerAddresses())
 	}
 	return nil
 }
 
 // Listed takes the fleet's list, before this gateway says that it holds it.
-func (s *Sessions) Listed(m *agreement.Manifest) {
-	l := session.Membership{Self: -1, EndedVersion: m.LastEnded}
+func (s *Sessions) SetMembership(m *agreement.Manifest) {
+	membership := session.Membership{Self: -1, EndedVersion: m.LastEnded}
 	others := map[int]netip.AddrPort{}
-	for _, all := range [][]agreement.Gateway{m.Gateways, m.Departed} {
-		for _, g := range all {
-			if g.ID == s.agreed.Self() {
-				l.Self, l.KnownToAll = g.Number, g.KnownToAll // a departed gateway is not
+	for _, gateways := range [][]agreement.Gateway{m.Gateways, m.Departed} {
+		for _, g := range gateways {
+			if g.ID == s.fleet.Self() {
+				membership.Self, membership.KnownToAll = g.Number, g.KnownToAll // a departed gateway is not
 				continue
 			}
-			l.Peers = append(l.Peers, g.Number)
+			membership.Peers = append(membership.Peers, g.Number)
 			if a, err := netip.ParseAddrPort(g.Address); err == nil {
 				others[g.Number] = a
 			}
 		}
 	}
-	s.peers.List(max(0, l.Self), others)
-	s.Clock()
-	s.Module.SetMembership(l)
+	s.peers.SetPeers(max(0, membership.Self), others)
+	s.UpdateClock()
+	s.Module.SetMembership(membership)
 }
 
 // Started tells that the loop runs.
 func (s *Sessions) Started() {
-	s.host.Logger().Info("sessions are covered", "source", s.Plan.Terms.Source, "gateways", s.Plan.Terms.FleetSize, "tokens", s.Plan.Tokens)
+	s.host.Logger().Info("sessions are covered", "source", s.Config.Session.Source, "gateways", s.Config.Session.FleetSize, "tokens", s.Config.Tokens)
 }
 
 // Close ends them.
 func (s *Sessions) Close() {
-	if s.marks != nil {
-		if err := s.marks.ledger.Close(); err != nil {
+	if s.ledger != nil {
+		if err := s.ledger.ledger.Close(); err != nil {
 			s.host.Logger().Info("ledger not closed in order", "why", err)
 		}
 	}
 }
 
 // Clock has the module know the time: what comes is told at its time.
-func (s *Sessions) Clock() { s.Module.SetTime(s.host.Now()) }
+func (s *Sessions) UpdateClock() { s.Module.SetTime(s.host.Now()) }
 
 // Talks tells whether there are other gateways to hear.
-func (s *Sessions) Talks() bool { return s.peers != nil }
+func (s *Sessions) HasPeers() bool { return s.peers != nil }
 
 // Heard tells the module what another gateway said.
-func (s *Sessions) Heard(text []byte) {
-	m, ok := s.peers.Read(text)
+func (s *Sessions) Receive(data []byte) {
+	m, ok := s.peers.Read(data)
 	if !ok {
 		return
 	}
-	s.Clock()
+	s.UpdateClock()
 	switch m.Type {
 	case peerwire.TypeRequest:
 		s.Module.HandleRequest(m.From, m.RequestNumber, m.Epoch, m.Last)
@@ -141,66 +141,66 @@
 
 // Read takes a session read, which waits for its floor until a time. brought is the position that its client says, 0 for
 // none, and token a signed one.
-func (s *Sessions) Read(id uint64, group int, of uint64, brought session.Position, token []byte, until int64) {
+func (s *Sessions) AddRead(id uint64, group int, sessionKey uint64, clientPosition session.Position, token []byte, deadline int64) {
 	complete := false
-	switch s.Plan.Tokens {
+	switch s.Config.Tokens {
 	case TokensComplete:
 		complete = true
 	case TokensSigned:
-		brought = 0
-		if p, ok := s.tokens.ReadToken(token, uint16(group), of); ok {
-			brought, complete = session.Position(p), true
+		clientPosition = 0
+		if p, ok := s.tokens.ReadToken(token, uint16(group), sessionKey); ok {
+			clientPosition, complete = session.Position(p), true
 		}
 	}
-	s.Module.AddRead(id, group, of, brought, complete, until)
+	s.Module.AddRead(id, group, sessionKey, clientPosition, complete, deadline)
 }
 
 // Committed notes a session's write before it is answered, and gives the token that its client is to carry, if any.
-func (s *Sessions) Committed(group int, of uint64, p session.Position) (token []byte) {
-	if of == 0 {
+func (s *Sessions) RecordCommit(group int, sessionKey uint64, position session.Position) (token []byte) {
+	if sessionKey == 0 {
 		return nil
 	}
-	s.Module.RecordCommit(group, of, p)
-	if s.Plan.Tokens != TokensSigned || p == 0 {
+	s.Module.RecordCommit(group, sessionKey, position)
+	if s.Config.Tokens != TokensSigned || position == 0 {
 		return nil
 	}
-	return s.tokens.AppendToken(nil, uint16(group), of, int64(p))
+	return s.tokens.AppendToken(nil, uint16(group), sessionKey, int64(position))
 }
 
 // Waits tells whether answers to sessions' writes are to wait for the ledger; Keep has one wait.
-func (s *Sessions) Waits() bool { return s.marks != nil && s.marks.waits }
+func (s *Sessions) WaitsForLedger() bool { return s.ledger != nil && s.ledger.waitForWrite }
 
 // Keep gives what has changed to the ledger; the answer is given once it is written, or it is overdue.
-func (s *Sessions) Keep(answer slots.Ref) { s.marks.keep(answer) }
+func (s *Sessions) SaveChanges(answer slots.Ref) { s.ledger.append(answer) }
 
 // Overdue is called at the time that AnswerBy told.
-func (s *Sessions) Overdue(answer slots.Ref) { s.marks.overdue(answer) }
+func (s *Sessions) AnswerOverdue(answer slots.Ref) { s.ledger.overdue(answer) }
 
 // Fenced takes the answer to a fence: a position, 0 for none, and whether its member called itself primary in that very
 // answer.
-func (s *Sessions) Fenced(group int, no uint64, at session.Position, primary bool) {
-	if primary && at > 0 {
-		s.Module.FenceCompleted(group, no, at)
+func (s *Sessions) FenceCompleted(group int, no uint64, position session.Position, primary bool) {
+	if primary && position > 0 {
+		s.Module.FenceCompleted(group, no, position)
 		return
 	}
-	s.turns++
-	if at > 0 {
-		s.Module.RecordMemberPosition(group, at)
+	s.fenceAttempts++
+	if position > 0 {
+		s.Module.RecordMemberPosition(group, position)
 	}
 	s.Module.FenceFailed(group, no)
 }
 
 // Turn carries out what the module decides until there is nothing left.
-func (s *Sessions) Turn() {
-	s.Clock()
-	if s.agreed != nil {
-		s.Module.SetLeaseExpiry(s.agreed.Leased())
+func (s *Sessions) ProcessDecisions() {
+	s.UpdateClock()
+	if s.fleet != nil {
+		s.Module.SetLeaseExpiry(s.fleet.LeaseUntil())
 	}
 	for {
 		d, ok := s.Module.Next()
 		if !ok {
-			if s.marks != nil {
-				s.marks.keep(slots.Ref{})
+			if s.ledger != nil {
+				s.ledger.append(slots.Ref{})
 			}
 			return
 		}
@@ -210,7 +210,7 @@
 		case session.Refuse:
 			s.host.Refuse(d.ReadID, d.Delay)
 		case session.Fence:
-			if !s.host.Fence(d.Group, d.RequestID, s.turns, s.Plan.Terms.FenceTimeout) {
+			if !s.host.Fence(d.Group, d.RequestID, s.fenceAttempts, s.Config.Session.FenceTimeout) {
 				s.Module.FenceFailed(d.Group, d.RequestID)
 			}
 		case session.RequestEntries, session.SendEntries:
@@ -236,11 +236,11 @@
 }
 
 // TellNews tells all other gateways of members.
-func (s *Sessions) TellNews(entries []peerwire.Entry) {
+func (s *Sessions) SendPositions(entries []peerwire.Entry) {
 	for len(entries) > 0 {
 		n := min(len(entries), peerwire.MaxEntries)
 		m := peerwire.Message{Type: peerwire.TypePositions, Entries: entries[:n]}
-		for _, to := range s.peers.Others() {
+		for _, to := range s.peers.Numbers() {
 			s.peers.Send(to, &m)
 		}
 		entries = entries[n:]
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -9,7 +9,7 @@
 
 // Every field of a message goes over the wire but its sender, which is said around it: one that is forgotten there would
 // be there on the virtual clock alone.
-func TestMessagesAreWhole(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	var m agreement.Message
 	v := reflect.ValueOf(&m).Elem()
 	for i := range v.NumField() {
@@ -29,11 +29,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := readMessage(text); err != nil || !reflect.DeepEqual(got, m) {
+	if got, err := decodeMessage(text); err != nil || !reflect.DeepEqual(got, m) {
 		t.Fatalf("%+v came as %+v, %v", m, got, err)
 	}
-	for n := range wiredSize {
-		if _, err := readMessage(text[:n]); err == nil {
+	for n := range wireMessageSize {
+		if _, err := decodeMessage(text[:n]); err == nil {
 			t.Fatal("half a message")
 		}
 	}
--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -133,7 +133,7 @@
 				a.g.log.Error("a version of the fleet can't be taken by this gateway", "why", err)
 				return
 			}
-			if !a.f.Awaits(p.stamp) { // it took longer than what came after it
+			if !a.f.IsPending(p.stamp) { // it took longer than what came after it
 				return
 			}
 			for d, x := range made {
@@ -153,9 +153,9 @@
 
 // carryOut puts what was prepared in force, and does what the module decides.
 func (a *agreed) carryOut() {
-	a.f.Turn()
+	a.f.ProcessDecisions()
 	gs := a.g.generations
-	if p := a.prepared; p != nil && !a.f.Awaits(p.stamp) {
+	if p := a.prepared; p != nil && !a.f.IsPending(p.stamp) {
 		a.prepared = nil
 	} else if p != nil {
 		want := p.inForce
@@ -177,16 +177,16 @@
 			gs.tell(p.next)
 			a.prepared = nil
 			if a.g.sessions != nil {
-				a.g.sessions.Listed(a.f.Coming())
+				a.g.sessions.SetMembership(a.f.Pending())
 			}
 			a.f.Adopt(p.stamp)
 			a.forget(p)
 			a.log(p)
-			a.f.Turn()
+			a.f.ProcessDecisions()
 		}
 	}
 	a.ends()
-	if careful := a.held && a.Now() >= a.f.Leased(); careful != a.careful {
+	if careful := a.held && a.Now() >= a.f.LeaseUntil(); careful != a.careful {
 		a.careful = careful
 		a.g.log.Info("agreement", "careful", careful, "version", a.version())
 	}
@@ -195,7 +195,7 @@
 // ends says, once it was taken out of the list and answers no session's write any more, that it has ended to the others:
 // until then they ask it what it noted. It comes back into the list by a start alone.
 func (a *agreed) ends() {
-	if a.saidEnded || !a.f.Out() {
+	if a.saidEnded || !a.f.Removed() {
 		return
 	}
 	for _, ref := range a.g.txns.Refs() {
@@ -203,7 +203,7 @@
 			return
 		}
 	}
-	no, err := a.f.Ask(agreement.Proposal{Leave: a.f.Self(), ProcessEnded: true}, nil, askPatience)
+	no, err := a.f.Propose(agreement.Proposal{Leave: a.f.Self(), ProcessEnded: true}, nil, askPatience)
 	if err != nil {
 		return
 	}
@@ -240,9 +240,9 @@
 // one is on its way, whether both come to the same. It looks at the clock itself: a gateway that stood still is careful
 // from its first decision on.
 func (a *agreed) may(t *txn, x *routes.Txn, group int) (routes.RejectReason, int64) {
-	stated := a.f.Plan().Terms.MaxDivergence()
+	stated := a.f.Config().Agreement.MaxDivergence()
 	gs := a.g.generations
-	usual := a.f.Plan().Serve
+	usual := a.f.Config().ServeWithoutAgreement
 	if !a.held {
 		if usual {
 			return routes.Allowed, 0
@@ -259,7 +259,7 @@
 		alike, ruled = routes.SameOutcome(gs.inForce.table, t.route, n.table, y, group), ruled || y.Route >= 0
 		t.alsoTenant = y.Tenant
 	}
-	if alike && (!ruled || a.Now() < a.f.Leased()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, usual) {
+	if alike && (!ruled || a.Now() < a.f.LeaseUntil()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, usual) {
 		return routes.Allowed, 0
 	}
 	a.g.counts.unagreed++
@@ -291,7 +291,7 @@
 // ready tells whether clients may come: not before it knows what holds, or has asked for it long enough.
 func (a *agreed) ready() bool {
 	known := a.held && (a.g.sessions == nil || a.g.sessions.Module.AcceptsSessionWrites())
-	return known || a.f.Plan().Serve || a.g.clock.passed() > time.Duration(a.f.Plan().Terms.StartupWait())
+	return known || a.f.Config().ServeWithoutAgreement || a.g.clock.passed() > time.Duration(a.f.Config().Agreement.StartupWait())
 }
 
 // ask has the fleet agree on something and waits for what becomes of it.
@@ -305,7 +305,7 @@
 		if err != nil {
 			return err
 		}
-		no, err := g.agreed.f.Ask(w, text, askPatience)
+		no, err := g.agreed.f.Propose(w, text, askPatience)
 		if err == nil {
 			g.agreed.waits[no] = func(o agreement.Outcome) { done <- o }
 		}
@@ -329,7 +329,7 @@
 func (a *agreed) propose(c Change) (agreement.Proposal, []byte, error) {
 	v := agreement.Version{Subject: SubjectRoutes, Author: c.Who, ProposedAt: time.Now().UnixNano(), Reason: c.Why, FormatVersion: c.Document.RequiredFormat(), WatchDuration: c.Watch}
 	var before *routes.Document
-	for _, s := range a.f.Held().Subjects {
+	for _, s := range a.f.Manifest().Subjects {
 		if s.Name != SubjectRoutes {
 			continue
 		}
@@ -346,14 +346,14 @@
 		return agreement.Proposal{}, nil, errors.New("this gateway does not hold what the fleet agreed on yet")
 	}
 	if v.Conflicts = routes.Conflicts(before, c.Document); len(v.Conflicts) == 0 {
-		v.CanaryFraction = a.f.Plan().Share
+		v.CanaryFraction = a.f.Config().CanaryFraction
 	}
 	return agreement.Proposal{Version: &v}, c.Text, nil
 }
 
 // tries tells whether a version is tried here by steps.
 func (a *agreed) tries(x *generation) bool {
-	for _, s := range a.f.Held().Subjects {
+	for _, s := range a.f.Manifest().Subjects {
 		if s.Name == SubjectRoutes && s.InCanary(a.f.Self()) && s.Next.No == x.version {
 			return true
 		}
@@ -364,7 +364,7 @@
 // kept tells that the watch of a version is over, and that it is well.
 func (a *agreed) kept(x *generation) {
 	if x != nil && x.version != 0 {
-		a.f.Well(x.version)
+		a.f.ReportHealthy(x.version)
 	}
 }
 
@@ -390,7 +390,7 @@
 	} else {
 		text = nil
 	}
-	no, err := a.f.Ask(wish, text, askPatience)
+	no, err := a.f.Propose(wish, text, askPatience)
 	if err != nil {
 		a.g.log.Error("a version is not undone", "version", x.version, "why", err)
 		return
@@ -406,7 +406,7 @@
 		if g.agreed == nil {
 			return errors.New("its operator's file has no block agreement")
 		}
-		return g.agreed.f.Found()
+		return g.agreed.f.Bootstrap()
 	})
 }
 
@@ -432,7 +432,7 @@
 	for over := !all || s == nil; !over && err == nil; {
 		time.Sleep(surveyLook)
 		err = g.inLoop(ctx, func() error {
-			s.Seen, over = g.agreed.f.Surveyed()
+			s.Leases, over = g.agreed.f.SurveyResult()
 			return nil
 		})
 	}
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -39,7 +39,7 @@
 	began := time.Now()
 	c.Elapsed = func() time.Duration { return time.Duration(float64(time.Since(began)) * rate) }
 	if slow > 0 {
-		c.Agreement.Disk = &slowDisk{FileSystem: store.System(), most: slow}
+		c.Agreement.FileSystem = &slowDisk{FileSystem: store.System(), most: slow}
 	}
 	g, err := gateway.New(c)
 	must(err)
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -32,11 +32,11 @@
 
 	// What the operator's own file says, see deploy/; the platform does not know it.
 	Log          *slog.Logger                                `json:"-"` // nil is the default
-	Sessions     *fleet.SessionPlan                          `json:"-"`
+	Sessions     *fleet.SessionConfig                        `json:"-"`
 	Change       *Change                                     `json:"-"` // applied at the start, and kept at once unless another was kept before
 	Changes      *ChangeFolder                               `json:"-"` // nil where changes do not outlive the process
-	Agreement    *fleet.Plan                                 `json:"-"` // nil where gateways agree on nothing
-	Coordination *fleet.CoordinationPlan                     `json:"-"` // what many gateways choose together; nil where each does for itself
+	Agreement    *fleet.Config                               `json:"-"` // nil where gateways agree on nothing
+	Coordination *fleet.CoordinationConfig                   `json:"-"` // what many gateways choose together; nil where each does for itself
 	Parse        func(text []byte) (*routes.Document, error) `json:"-"` // of a version that was agreed on
 	Elapsed      func() time.Duration                        `json:"-"` // since some moment, never back; nil is the system's clock
 	Network      Network                                     `json:"-"` // nil is the operating system's
@@ -160,7 +160,7 @@
 		if c.Agreement == nil {
 			return 0, n, errors.New("configuration: coordination needs an agreement on the list of gateways")
 		}
-		if err := c.Coordination.Check(); err != nil {
+		if err := c.Coordination.Validate(); err != nil {
 			return 0, n, fmt.Errorf("configuration: %w", err)
 		}
 	}
@@ -168,13 +168,13 @@
 		return lacking("clock_error")
 	}
 	if c.Sessions != nil {
-		if c.Sessions.Terms.DynamicMembership = c.Agreement != nil; c.Agreement != nil {
+		if c.Sessions.Session.DynamicMembership = c.Agreement != nil; c.Agreement != nil {
 			c.Sessions.Keys = nil // one address, one set of keys
 			for _, k := range c.Agreement.Keys {
 				c.Sessions.Keys = append(c.Sessions.Keys, fleet.PeerKey{ID: k.ID, Secret: k.Secret})
 			}
 		}
-		if err := c.Sessions.Check(n.LoadReport.How != "none" && slices.Contains(n.LoadReport.Fields, "x0") && n.Limits.Probes); err != nil {
+		if err := c.Sessions.Validate(n.LoadReport.How != "none" && slices.Contains(n.LoadReport.Fields, "x0") && n.Limits.Probes); err != nil {
 			return 0, n, fmt.Errorf("configuration: %w", err)
 		}
 	}
@@ -182,7 +182,7 @@
 		return 0, n, errors.New("configuration: a tenant's bounds are of the fleet (fleet = true), which needs the block agreement")
 	}
 	if c.Agreement != nil {
-		err := c.Agreement.Check()
+		err := c.Agreement.Validate()
 		if err == nil && (c.Parse == nil || c.Changes != nil) {
 			err = errors.New("agreement: it needs a parser, and stands for Changes")
 		}
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -70,7 +70,7 @@
 		}
 		all = append(all, subset.Member{Key: h.mark, Group: h.entry.Block, Zone: h.entry.Site, Weight: 1, Primary: primary})
 	}
-	x.c.Members(all)
+	x.c.SetMembers(all)
 }
 
 // Have tells the module of a member, or has it forget one: it gets nothing new, and what is out to it ends there.
@@ -92,15 +92,15 @@
 }
 
 // Observe tells what this gateway itself sees of a member.
-func (x *coordinated) Observe(key uint64) (o fleet.Observed, ok bool) {
+func (x *coordinated) Observe(key uint64) (o fleet.MemberObservation, ok bool) {
 	h, ok := x.hostOf(key)
 	if !ok {
 		return o, false
 	}
 	s := x.g.module.StateOf(h.server)
-	o = fleet.Observed{Suspect: s.Suspect, Latency: int64(s.Latency) / 1000, InFlight: int64(s.InFlight)}
+	o = fleet.MemberObservation{Suspect: s.Suspect, Latency: int64(s.Latency) / 1000, InFlight: int64(s.InFlight)}
 	if s.Primary && s.Position > 0 {
-		o.Primary = int64(x.g.position(s.Position))
+		o.PrimaryPosition = int64(x.g.position(s.Position))
 	}
 	return o, s.Known
 }
@@ -162,7 +162,7 @@
 				if n.Primary {
 					kind = signals.Primary
 				}
-				x.c.Saw(kind, h.mark, int64(x.g.position(n.Position)))
+				x.c.Report(kind, h.mark, int64(x.g.position(n.Position)))
 			}
 		}
 	}
@@ -174,11 +174,11 @@
 		if h.server != server || x.c.Turns == nil {
 			continue
 		}
-		if x.c.Ask(h.mark) {
+		if x.c.RequestTurn(h.mark) {
 			x.g.inputs = append(x.g.inputs, input{kind: inProbed, server: server, result: x.probes[h.mark]})
 			return
 		}
-		x.c.Turn()
+		x.c.ProcessDecisions()
 		return
 	}
 	x.g.members.probe(server)
@@ -189,7 +189,7 @@
 	for _, h := range x.g.discovery.list.hosts {
 		if h.server == server && x.c.Turns != nil {
 			x.probes[h.mark] = r
-			x.c.Did(h.mark, uint32(r))
+			x.c.CompleteTurn(h.mark, uint32(r))
 		}
 	}
 }
@@ -204,7 +204,7 @@
 		x.g.members.probe(h.server)
 		return
 	}
-	x.c.Did(key, uint32(decide.NotSent))
+	x.c.CompleteTurn(key, uint32(decide.NotSent))
 }
 
 // holds tells whether a call to a list service that was down waits for another gateway's.
@@ -215,10 +215,10 @@
 	if !slices.Contains(x.waiting, kind) {
 		x.waiting = append(x.waiting, kind)
 	}
-	if x.c.Ask(fleet.ListKey) {
+	if x.c.RequestTurn(fleet.ListKey) {
 		x.listed(x.list)
 	} else {
-		x.c.Turn()
+		x.c.ProcessDecisions()
 	}
 	return true
 }
@@ -227,7 +227,7 @@
 func (x *coordinated) called(r decide.Result) {
 	if x.c.Turns != nil {
 		x.list = r
-		x.c.Did(fleet.ListKey, uint32(r))
+		x.c.CompleteTurn(fleet.ListKey, uint32(r))
 	}
 }
 
@@ -237,7 +237,7 @@
 	switch {
 	case len(x.waiting) == 0:
 	case r == decide.Committed:
-		x.g.deadlines.Add(x.Now()+x.c.Chance(), due{kind: dueList})
+		x.g.deadlines.Add(x.Now()+x.c.StartDelay(), due{kind: dueList})
 	default:
 		x.waiting = nil
 		x.g.inputs = append(x.g.inputs, input{kind: inListFailed})
--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -30,7 +30,7 @@
 	for _, i := range gateways {
 		v, names := u.chosen(i)
 		for _, m := range v.Members {
-			if m.Here {
+			if m.Assigned {
 				all[names[m.Key]]++
 			}
 		}
@@ -85,7 +85,7 @@
 	u.await("subsets are wider where their members hang", func() bool {
 		wider := 0
 		for _, i := range all {
-			if v, _ := u.chosen(i); v.Wider[0] > 0 {
+			if v, _ := u.chosen(i); v.WidenedBy[0] > 0 {
 				wider++
 			}
 		}
@@ -100,7 +100,7 @@
 	}
 	u.awaitFor(40*time.Second, "they narrow again", func() bool {
 		for _, i := range all {
-			if v, _ := u.chosen(i); v.Wider[0] > 0 {
+			if v, _ := u.chosen(i); v.WidenedBy[0] > 0 {
 				return false
 			}
 		}
@@ -156,19 +156,19 @@
 	}
 	name := members[2].Name
 	for _, i := range others {
-		u.await("the word of the one that can't reach it has come", func() bool { return seen(i, name).Known.UnhealthyReports == 1 })
-		if m := seen(i, name); m.Ill {
+		u.await("the word of the one that can't reach it has come", func() bool { return seen(i, name).Summary.UnhealthyReports == 1 })
+		if m := seen(i, name); m.Unhealthy {
 			t.Fatal("one gateway's broken link has a member ill for all", m)
 		}
 	}
-	u.await("the one hears of others that it is well", func() bool { m := seen(3, name); return !m.Ill && m.Known.Latency > 0 })
+	u.await("the one hears of others that it is well", func() bool { m := seen(3, name); return !m.Unhealthy && m.Summary.Latency > 0 })
 	was := members[2].Queries()
 	u.await("the others use it", func() bool { return members[2].Queries() > was+50 })
 
 	began := time.Now()
 	members[3].Kill()
 	for _, i := range u.each() {
-		u.await("all know that one is ill", func() bool { return seen(i, members[3].Name).Known.UnhealthyReports >= 1 })
+		u.await("all know that one is ill", func() bool { return seen(i, members[3].Name).Summary.UnhealthyReports >= 1 })
 	}
 	t.Logf("all know of it after %v", time.Since(began).Round(10*time.Millisecond))
 	if said := u.said(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
@@ -176,7 +176,7 @@
 	}
 	must(members[3].Start())
 	u.await("it is well again", func() bool {
-		return !slices.ContainsFunc(u.each(), func(i int) bool { return seen(i, members[3].Name).Ill })
+		return !slices.ContainsFunc(u.each(), func(i int) bool { return seen(i, members[3].Name).Unhealthy })
 	})
 	was = members[3].Queries()
 	u.await("it is used again", func() bool { return members[3].Queries() > was+50 })
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -383,7 +383,7 @@
 		return
 	}
 	server := serverOf(address)
-	ds.list.hosts[e.Host] = host{server, e, fleet.MarkOf(e.Host)}
+	ds.list.hosts[e.Host] = host{server, e, fleet.MemberKey(e.Host)}
 	ds.list.groups[e.Block] = true
 	if x := ds.g.coordinated; x != nil && !x.c.Has(ds.list.hosts[e.Host].mark) {
 		return // others have it
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	settings, err := forModule(c.Settings, c.Sessions != nil && c.Sessions.Positions || c.Coordination != nil && c.Coordination.Signals)
+	settings, err := forModule(c.Settings, c.Sessions != nil && c.Sessions.SharePositions || c.Coordination != nil && c.Coordination.Signals)
 	if err != nil {
 		return nil, err
 	}
@@ -210,14 +210,14 @@
 
 // cameFromOthers takes what other gateways sent.
 func (g *Gateway) cameFromOthers() {
-	g.link.Take(func(d fleet.Datagram) {
+	g.link.Consume(func(d fleet.Datagram) {
 		switch {
-		case peerwire.IsSealed(d.Text):
+		case peerwire.IsSealed(d.Data):
 			if g.agreed != nil {
-				g.agreed.f.Heard(d)
+				g.agreed.f.Receive(d)
 			}
-		case g.sessions != nil && g.sessions.Talks():
-			g.sessions.Heard(d.Text)
+		case g.sessions != nil && g.sessions.HasPeers():
+			g.sessions.Receive(d.Data)
 		}
 	})
 }
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -87,7 +87,7 @@
 }
 
 // embedded runs a gateway in this process.
-func embedded(t *testing.T, log *slog.Logger, plan *hosted.SessionPlan, members ...*standin.Member) (address string) {
+func embedded(t *testing.T, log *slog.Logger, plan *hosted.SessionConfig, members ...*standin.Member) (address string) {
 	address, _, _ = embeddedWith(t, func(c *gateway.Config) { c.Sessions, c.Log = plan, log }, members...)
 	return address
 }
@@ -127,7 +127,7 @@
 		} else {
 			must(err)
 		}
-		f, err := ledger.Look(after)
+		f, err := ledger.Read(after)
 		must(err)
 		return f.Complete
 	}
@@ -139,9 +139,9 @@
 	log, lines := logLines()
 	_, members := group(0, 1)
 	d := &heldDisk{FileSystem: store.System()}
-	plan := &hosted.SessionPlan{Terms: session.DefaultConfig(), Ledger: hosted.LedgerPlan{Folder: t.TempDir(),
-		BeforeAnswer: hosted.DurableProcess, AtMost: int64(50 * time.Millisecond)}}
-	plan.Ledger.Disk = d
+	plan := &hosted.SessionConfig{Session: session.DefaultConfig(), Ledger: hosted.LedgerConfig{Folder: t.TempDir(),
+		BeforeAnswer: hosted.DurableProcess, MaxWait: int64(50 * time.Millisecond)}}
+	plan.Ledger.FileSystem = d
 	address := embedded(t, log, plan, members...)
 	awaitLine(t, lines, "listening")
 	c := standin.NewClientPool(address).NewClient("fe01", classes)
@@ -206,7 +206,7 @@
 	must(json.Unmarshal([]byte(`{"name":"e","listen":"127.0.0.4:1","discovery":"127.0.0.1:1","seed":"1","limits":{"memory_mb":192,"sockets":256}}`), &c))
 	c.Settings = json.RawMessage(settings)
 	c.Listen = netip.MustParseAddrPort(freePort("tcp4", "127.0.0.4"))
-	c.Sessions = &hosted.SessionPlan{Terms: session.DefaultConfig(), Ledger: hosted.LedgerPlan{Folder: folder}}
+	c.Sessions = &hosted.SessionConfig{Session: session.DefaultConfig(), Ledger: hosted.LedgerConfig{Folder: folder}}
 	g, err := gateway.New(c)
 	must(err)
 	if err := g.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "in use by another process") {
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -149,7 +149,7 @@
 		g.turnAt = g.clock.now()
 		g.module.BeginRound(g.turnAt)
 		if g.sessions != nil { // what comes is told at its time: after a quiet spell the former one is long past
-			g.sessions.Clock()
+			g.sessions.UpdateClock()
 		}
 		for i := 0; i < len(g.inputs); i++ {
 			g.tell(g.inputs[i])
@@ -159,14 +159,14 @@
 		g.generations.carryOut()
 		if g.agreed != nil {
 			g.agreed.carryOut()
-			g.quotas.Turn()
+			g.quotas.ProcessDecisions()
 			g.reserved.carryOut()
 		}
 		if g.coordinated != nil {
-			g.coordinated.c.Turn()
+			g.coordinated.c.ProcessDecisions()
 		}
 		if g.sessions != nil {
-			g.sessions.Turn()
+			g.sessions.ProcessDecisions()
 		}
 		for {
 			d, ok := g.module.Next()
@@ -292,7 +292,7 @@
 		case dueClient:
 			g.clients.clientOverdue(d.ref)
 		case dueAnswer:
-			g.sessions.Overdue(d.ref)
+			g.sessions.AnswerOverdue(d.ref)
 		case dueReadable:
 			if c := g.clients.open.Get(d.ref); c != nil {
 				c.polled = false
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -648,7 +648,7 @@
 		parts = append(parts, pgwire.AppendReadyForQuery(nil))
 		if ms.g.waitsForMark(m.job.txn) {
 			ms.g.answerLater(m.job.txn, parts...)
-			ms.g.sessions.Keep(m.job.txn)
+			ms.g.sessions.SaveChanges(m.job.txn)
 		} else {
 			ms.g.answer(m.job.txn, parts...)
 		}
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -29,7 +29,7 @@
 			break
 		}
 	}
-	g.sessions.TellNews(entries)
+	g.sessions.SendPositions(entries)
 }
 
 // heardNews has the module told, in the next turn, what another gateway learned. Where clocks may differ a word on a
@@ -38,7 +38,7 @@
 func (x sessionTxns) News(entries []peerwire.Entry) { x.g.heardNews(entries) }
 
 func (g *Gateway) heardNews(entries []peerwire.Entry) {
-	if !g.config.Sessions.Positions {
+	if !g.config.Sessions.SharePositions {
 		return
 	}
 	for _, e := range entries {
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -66,7 +66,7 @@
 			all[i].Amount, all[i].Burst = min(all[i].Amount, b.Amount), min(all[i].Burst, b.Burst)
 		}
 	}
-	if err := gs.g.quotas.Bounds(all); err != nil {
+	if err := gs.g.quotas.SetLimits(all); err != nil {
 		gs.g.log.Error("bounds of the fleet are not taken", "why", err)
 	}
 	for _, ref := range gs.g.txns.Refs() { // what is under way counts, whatever it was begun under
@@ -105,8 +105,8 @@
 	if len(t.bounds) == 0 {
 		return routes.Allowed, 0, false
 	}
-	q.Clock()
-	q.Stir()
+	q.UpdateClock()
+	q.RequestRound()
 	t.bytes = int64(t.size)
 	for _, b := range t.bounds {
 		t.bytes = min(t.bytes, q.Module.ClampToLimit(b.bytes, t.bytes))
@@ -152,8 +152,8 @@
 		return true, false
 	}
 	q, key := gs.g.quotas, gs.inForce.fleet[tenant].connects
-	q.Clock()
-	q.Stir()
+	q.UpdateClock()
+	q.RequestRound()
 	if ok, _, first = q.Module.CanBegin(key, 1); ok {
 		q.Module.Begin(key, 1)
 		c.connects = key
@@ -174,10 +174,10 @@
 }
 
 // Shares tells of the bounds of the fleet as this gateway has them; nil where it agrees on nothing with others.
-func (g *Gateway) Shares(ctx context.Context) (all []fleet.Part, err error) {
+func (g *Gateway) Shares(ctx context.Context) (all []fleet.LimitStatus, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.quotas != nil {
-			all = g.quotas.Parts()
+			all = g.quotas.Limits()
 		}
 		return nil
 	})
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -50,7 +50,7 @@
 
 // held takes the books of what this gateway holds; a new one is read beside the loop.
 func (r *reserved) held() {
-	m := r.g.agreed.f.Held()
+	m := r.g.agreed.f.Manifest()
 	if m.Revision == r.stamp {
 		return
 	}
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -44,7 +44,7 @@
 		brought = g.position(decide.Millis(t.comment.After - float64(g.clock.zero)))
 	}
 	t.held, t.until = true, g.clock.now()+budget
-	g.sessions.Read(t.id, t.comment.Group, t.session, brought, t.comment.Token, int64(t.until))
+	g.sessions.AddRead(t.id, t.comment.Group, t.session, brought, t.comment.Token, int64(t.until))
 }
 
 // committed notes a session's write before it is answered, and gives what its client is to carry.
@@ -53,7 +53,7 @@
 	if at, ok := g.members.position(unixMs); ok {
 		p = g.position(at)
 	}
-	if token := g.sessions.Committed(t.comment.Group, t.session, p); token != nil {
+	if token := g.sessions.RecordCommit(t.comment.Group, t.session, p); token != nil {
 		return pgwire.AppendParameterStatus(nil, "session_token", string(token))
 	}
 	return nil
@@ -62,7 +62,7 @@
 // waitsForMark tells whether a write's answer is to wait for the ledger.
 func (g *Gateway) waitsForMark(ref slots.Ref) bool {
 	t := g.txns.Get(ref)
-	return g.sessions != nil && g.sessions.Waits() && t != nil && t.writes && t.session != 0 && !t.answered
+	return g.sessions != nil && g.sessions.WaitsForLedger() && t != nil && t.writes && t.session != 0 && !t.answered
 }
 
 // mayRepeatKey tells how long a keyed write may be sent; ok is false where that is over.
@@ -90,7 +90,7 @@
 	if in.result == decide.Committed && at > 0 {
 		p = g.position(at)
 	}
-	g.sessions.Fenced(in.group, in.fence, p, primary)
+	g.sessions.FenceCompleted(in.group, in.fence, p, primary)
 }
 
 // Serve gives a read with its floor to the routing.
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -102,7 +102,7 @@
 		t.key = keyOf(comment.IdempotencyKey)
 	}
 	if g.sessions != nil && why == routes.Allowed && t.writes && t.session != 0 && !g.sessions.Module.AcceptsSessionWrites() {
-		why, after = routes.AgreementUnavailable, g.sessions.Plan.Terms.RetryAfter // others do not know that it is to be asked
+		why, after = routes.AgreementUnavailable, g.sessions.Config.Session.RetryAfter // others do not know that it is to be asked
 	}
 	repeats := true
 	if g.sessions != nil && kind.Effect == "by_key" {
@@ -112,7 +112,7 @@
 	g.byID[comment.ID] = c.txn
 	g.counts.taken++
 	if g.coordinated != nil {
-		g.coordinated.c.Txn()
+		g.coordinated.c.AddTxn()
 	}
 	held := g.txns.Get(c.txn)
 	held.ending = endingOf(why)
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -54,7 +54,7 @@
 	}
 	r.account.Merge(all, r.unix())
 	if asks {
-		a.f.TellCounts(from, r.account.All(), false)
+		a.f.SendCounts(from, r.account.All(), false)
 	}
 }
 
@@ -62,11 +62,11 @@
 
 // opens begins the account, with what a former run kept.
 func (r *reserved) opens() error {
-	kept, err := r.g.agreed.f.KeptCounts()
+	kept, err := r.g.agreed.f.LoadCounts()
 	if err != nil {
 		return fmt.Errorf("the account of contracts can't be read, move it away: %w", err)
 	}
-	r.account = contracts.NewAccount(uint64(r.g.agreed.f.Self()), r.g.agreed.f.Run(), kept)
+	r.account = contracts.NewAccount(uint64(r.g.agreed.f.Self()), r.g.agreed.f.Epoch(), kept)
 	return nil
 }
 
@@ -150,13 +150,13 @@
 		r.asked++
 	}
 	for _, id := range others {
-		f.TellCounts(id, all, asks)
+		f.SendCounts(id, all, asks)
 	}
 	if votes && now >= r.keepAt && !r.keeping {
 		r.keeping, r.keepAt = true, now+decide.Nanos(keepSpan)
 		kept := r.account.All()
 		go func() {
-			err := f.KeepCounts(kept)
+			err := f.SaveCounts(kept)
 			r.g.post(func() {
 				if r.keeping = false; err != nil {
 					r.g.log.Error("the account of contracts is not kept", "why", err)
--- a/internal/contractfile/contractfile.go
+++ b/internal/contractfile/contractfile.go
@@ -37,97 +37,97 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &hclfile.File{Labels: map[string]string{"contract": "name", "group": "number"}}
-	f := new(File)
-	top := r.Content(body, hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}, "", "contract", "capacity")
-	for _, b := range top.Blocks {
+	file := &hclfile.File{Labels: map[string]string{"contract": "name", "group": "number"}}
+	parsed := new(File)
+	content := file.Content(body, hcl.Range{Filename: path, Start: hcl.InitialPos, End: hcl.InitialPos}, "", "contract", "capacity")
+	for _, b := range content.Blocks {
 		if b.Type == "contract" {
-			f.contract(r, b)
+			parsed.decodeContract(file, b)
 		} else {
-			f.capacity(r, b)
+			parsed.decodeCapacity(file, b)
 		}
 	}
-	return f, r.Err()
+	return parsed, file.Err()
 }
 
-func (f *File) contract(r *hclfile.File, b *hcl.Block) {
-	p := r.Content(b.Body, b.DefRange, "tenant types groups reads writes in_flight fan_out fan_zones ramp cool aim promised beyond ceiling loss rank price credit", "window")
-	t := contracts.Terms{Name: b.Labels[0], RampDuration: int64(5 * time.Minute), CooldownDuration: int64(time.Minute), PromisedFraction: 0.99, ExcessPolicy: contracts.BestEffort, ToleratedLoss: contracts.MemberLoss}
-	p.Require("tenant", "in_flight")
-	p.Decode("tenant", &t.Tenant)
-	t.Types = p.Strings("types")
-	p.Decode("groups", &t.Groups)
-	p.Float("reads", &t.Reads, 0, 1e9)
-	p.Float("writes", &t.Writes, 0, 1e9)
-	p.Int("in_flight", &t.InFlight, 1, 1_000_000)
-	p.Int("fan_out", &t.MinReplicas, 0, 1000)
-	p.Int("fan_zones", &t.MinZones, 0, 1000)
-	p.Duration("ramp", &t.RampDuration, 0)
-	p.Duration("cool", &t.CooldownDuration, 0)
-	p.Duration("aim", &t.TargetLatency, time.Millisecond)
-	p.Float("promised", &t.PromisedFraction, 0, 1)
-	p.OneOf("beyond", &t.ExcessPolicy, contracts.RejectExcess, contracts.BestEffort, contracts.PaidExcess)
-	p.Float("ceiling", &t.MaxExcessFactor, 1, 1e6)
-	p.OneOf("loss", &t.ToleratedLoss, contracts.NoLoss, contracts.MemberLoss, contracts.ZoneLoss)
-	p.Int("rank", &t.Priority, -1000, 1000)
-	amount(p, "price", &t.Price)
-	amount(p, "credit", &t.Credit)
-	for _, w := range p.Blocks {
-		in := r.Content(w.Body, w.DefRange, "zone start length every until except")
-		in.Require("zone", "start", "length")
-		x := contracts.Window{}
-		in.Decode("zone", &x.Zone)
-		in.Decode("start", &x.Start)
-		in.Duration("length", &x.Length, time.Minute)
-		in.OneOf("every", &x.Every, "day", "week")
-		in.Decode("until", &x.Until)
-		x.Except = in.Strings("except")
-		if in.Attrs["zone"] != nil && in.Attrs["start"] != nil && in.Attrs["length"] != nil && x.Length > 0 {
-			if err := x.Check(); err != nil {
-				r.AddError(w.DefRange, "the window can't be", err.Error()+".")
+func (f *File) decodeContract(file *hclfile.File, block *hcl.Block) {
+	content := file.Content(block.Body, block.DefRange, "tenant types groups reads writes in_flight fan_out fan_zones ramp cool aim promised beyond ceiling loss rank price credit", "window")
+	terms := contracts.Terms{Name: block.Labels[0], RampDuration: int64(5 * time.Minute), CooldownDuration: int64(time.Minute), PromisedFraction: 0.99, ExcessPolicy: contracts.BestEffort, ToleratedLoss: contracts.MemberLoss}
+	content.Require("tenant", "in_flight")
+	content.Decode("tenant", &terms.Tenant)
+	terms.Types = content.Strings("types")
+	content.Decode("groups", &terms.Groups)
+	content.Float("reads", &terms.Reads, 0, 1e9)
+	content.Float("writes", &terms.Writes, 0, 1e9)
+	content.Int("in_flight", &terms.InFlight, 1, 1_000_000)
+	content.Int("fan_out", &terms.MinReplicas, 0, 1000)
+	content.Int("fan_zones", &terms.MinZones, 0, 1000)
+	content.Duration("ramp", &terms.RampDuration, 0)
+	content.Duration("cool", &terms.CooldownDuration, 0)
+	content.Duration("aim", &terms.TargetLatency, time.Millisecond)
+	content.Float("promised", &terms.PromisedFraction, 0, 1)
+	content.OneOf("beyond", &terms.ExcessPolicy, contracts.RejectExcess, contracts.BestEffort, contracts.PaidExcess)
+	content.Float("ceiling", &terms.MaxExcessFactor, 1, 1e6)
+	content.OneOf("loss", &terms.ToleratedLoss, contracts.NoLoss, contracts.MemberLoss, contracts.ZoneLoss)
+	content.Int("rank", &terms.Priority, -1000, 1000)
+	decodeAmount(content, "price", &terms.Price)
+	decodeAmount(content, "credit", &terms.Credit)
+	for _, windowBlock := range content.Blocks {
+		windowContent := file.Content(windowBlock.Body, windowBlock.DefRange, "zone start length every until except")
+		windowContent.Require("zone", "start", "length")
+		window := contracts.Window{}
+		windowContent.Decode("zone", &window.Zone)
+		windowContent.Decode("start", &window.Start)
+		windowContent.Duration("length", &window.Length, time.Minute)
+		windowContent.OneOf("every", &window.Every, "day", "week")
+		windowContent.Decode("until", &window.Until)
+		window.Except = windowContent.Strings("except")
+		if windowContent.Attrs["zone"] != nil && windowContent.Attrs["start"] != nil && windowContent.Attrs["length"] != nil && window.Length > 0 {
+			if err := window.Check(); err != nil {
+				file.AddError(windowBlock.DefRange, "the window can't be", err.Error()+".")
 			}
 		}
-		t.Windows = append(t.Windows, x)
+		terms.Windows = append(terms.Windows, window)
 	}
-	if r.Err() == nil {
-		if err := t.Check(); err != nil {
-			r.AddError(b.DefRange, "the contract can't be", err.Error()+".")
+	if file.Err() == nil {
+		if err := terms.Check(); err != nil {
+			file.AddError(block.DefRange, "the contract can't be", err.Error()+".")
 		}
 	}
-	f.Contracts = append(f.Contracts, t)
+	f.Contracts = append(f.Contracts, terms)
 }
 
-func amount(p *hclfile.Content, name string, to *decimal.Decimal) {
+func decodeAmount(content *hclfile.Content, name string, target *decimal.Decimal) {
 	text := ""
-	if !p.Decode(name, &text) {
+	if !content.Decode(name, &text) {
 		return
 	}
-	d, err := decimal.NewFromString(text)
+	parsed, err := decimal.NewFromString(text)
 	if err != nil {
-		p.File.AddError(p.RangeOf(name), name+" is no amount", `Write it as "120.50".`)
+		content.File.AddError(content.RangeOf(name), name+" is no amount", `Write it as "120.50".`)
 	}
-	*to = d
+	*target = parsed
 }
 
-func (f *File) capacity(r *hclfile.File, b *hcl.Block) {
-	p := r.Content(b.Body, b.DefRange, "floor", "group")
+func (f *File) decodeCapacity(file *hclfile.File, block *hcl.Block) {
+	content := file.Content(block.Body, block.DefRange, "floor", "group")
 	floor := 0.0
-	if p.Decode("floor", &floor) {
+	if content.Decode("floor", &floor) {
 		if floor < 0 || floor >= 1 {
-			r.AddError(p.RangeOf("floor"), "floor is out of range", "It is a share from 0 to below 1.")
+			file.AddError(content.RangeOf("floor"), "floor is out of range", "It is a share from 0 to below 1.")
 		}
 		f.Floor = &floor
 	}
-	for _, g := range p.Blocks {
-		in := r.Content(g.Body, g.DefRange, "reads writes")
-		in.Require("reads", "writes")
-		no, err := strconv.Atoi(strings.TrimSpace(g.Labels[0]))
-		if err != nil || no < 0 {
-			r.AddError(g.LabelRanges[0], "a group is a number", `As in group "0".`)
+	for _, groupBlock := range content.Blocks {
+		groupContent := file.Content(groupBlock.Body, groupBlock.DefRange, "reads writes")
+		groupContent.Require("reads", "writes")
+		number, err := strconv.Atoi(strings.TrimSpace(groupBlock.Labels[0]))
+		if err != nil || number < 0 {
+			file.AddError(groupBlock.LabelRanges[0], "a group is a number", `As in group "0".`)
 		}
-		s := contracts.MemberSize{Group: no}
-		in.Float("reads", &s.Reads, 0, 1e9)
-		in.Float("writes", &s.Writes, 0, 1e9)
-		f.Sizes = append(f.Sizes, s)
+		size := contracts.MemberSize{Group: number}
+		groupContent.Float("reads", &size.Reads, 0, 1e9)
+		groupContent.Float("writes", &size.Writes, 0, 1e9)
+		f.Sizes = append(f.Sizes, size)
 	}
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -44,7 +44,7 @@
 	Text       string                  `json:",omitempty"` // of the generation in force
 	Status     *rollout.Status         `json:",omitempty"`
 	Fleet      *fleet.Status           `json:",omitempty"`
-	Shares     []fleet.Part            `json:",omitempty"`
+	Shares     []fleet.LimitStatus     `json:",omitempty"`
 	Chosen     *fleet.CoordinationView `json:",omitempty"` // what gateways choose together
 	Contracts  *gateway.ContractsView  `json:",omitempty"`
 	Statements []contracts.Statement   `json:",omitempty"`
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -58,13 +58,13 @@
 			return of(x), true
 		})
 	}
-	gauge("fleet_lease_left_seconds", "For how long this gateway may act on what it holds; below 0 it is careful.", func(x *gateway.Figures) float64 { return float64(x.Fleet.Left) / 1e9 })
-	gauge("fleet_stated_seconds", "For how long versions may contradict each other at most.", func(x *gateway.Figures) float64 { return float64(x.Fleet.Stated) / 1e9 })
-	gauge("fleet_gateways", "Gateways in the list.", func(x *gateway.Figures) float64 { return float64(len(x.Fleet.Held.Gateways)) })
+	gauge("fleet_lease_left_seconds", "For how long this gateway may act on what it holds; below 0 it is careful.", func(x *gateway.Figures) float64 { return float64(x.Fleet.LeaseRemaining) / 1e9 })
+	gauge("fleet_stated_seconds", "For how long versions may contradict each other at most.", func(x *gateway.Figures) float64 { return float64(x.Fleet.MaxDivergence) / 1e9 })
+	gauge("fleet_gateways", "Gateways in the list.", func(x *gateway.Figures) float64 { return float64(len(x.Fleet.Manifest.Gateways)) })
 	gauge("fleet_term", "Term of the log, at a gateway that votes.", func(x *gateway.Figures) float64 { return float64(x.Fleet.Term) })
 	version := func(next bool) func(*gateway.Figures) float64 {
 		return func(x *gateway.Figures) float64 {
-			for _, s := range x.Fleet.Held.Subjects {
+			for _, s := range x.Fleet.Manifest.Subjects {
 				if s.Name != gateway.SubjectRoutes {
 					continue
 				}
@@ -157,11 +157,11 @@
 			unit = quota.UnitsPerTxn
 		}
 		lent := int64(0)
-		for _, l := range p.Loans {
+		for _, l := range p.Grants {
 			lent += l.Amount
 		}
-		for k, value := range [...]int64{p.Amount, p.Part, p.Want, lent} {
-			if k < 3 || len(p.Loans) > 0 {
+		for k, value := range [...]int64{p.Amount, p.Allocation, p.Demand, lent} {
+			if k < 3 || len(p.Grants) > 0 {
 				to <- prometheus.MustNewConstMetric(f.bounds[k], prometheus.GaugeValue, float64(value)/unit, p.Name)
 			}
 		}
--- a/internal/operator/agreement.go
+++ b/internal/operator/agreement.go
@@ -16,9 +16,9 @@
 )
 
 // agreement takes how this gateway agrees with the others on what holds for all.
-func (r *reader) agreement(b *hcl.Block) *fleet.Plan {
+func (r *reader) agreement(b *hcl.Block) *fleet.Config {
 	in := r.block(b, []string{"listen", "address", "ask", "folder", "zone", "lease", "clock_error", "turn", "share", "without_agreement"}, "key")
-	p := &fleet.Plan{Terms: agreement.DefaultConfig()}
+	p := &fleet.Config{Agreement: agreement.DefaultConfig()}
 	in.address("listen", &p.Listen)
 	if !p.Listen.IsValid() && in.Attrs["listen"] == nil {
 		r.AddError(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway: listen = \"10.0.0.4:7946\".")
@@ -31,23 +31,23 @@
 			r.AddError(in.Attrs["ask"].Expr.Range(), fmt.Sprintf("%q is no IPv4 address with a port", text), "Write it as 10.0.0.4:7946.")
 			continue
 		}
-		p.Ask = append(p.Ask, a)
+		p.Seeds = append(p.Seeds, a)
 	}
 	in.Decode("folder", &p.Folder)
 	if p.Folder != "" && !filepath.IsAbs(p.Folder) {
 		p.Folder = filepath.Join(r.folder, p.Folder)
 	}
-	if p.Folder == "" && len(p.Ask) == 0 {
+	if p.Folder == "" && len(p.Seeds) == 0 {
 		r.AddError(b.DefRange, "there is neither a folder, to vote, nor anybody to ask", "Give folder = \"/var/lib/magpieglade/agreement\", or ask = [\"10.0.0.4:7946\"].")
 	}
 	in.Decode("zone", &p.Zone)
-	in.Duration("lease", &p.Terms.Lease, 100*time.Millisecond)
-	in.Duration("clock_error", &p.Terms.ClockError, time.Millisecond)
-	in.Duration("turn", &p.Terms.EffectDelay, time.Millisecond)
-	in.Float("share", &p.Share, 0, 1)
+	in.Duration("lease", &p.Agreement.Lease, 100*time.Millisecond)
+	in.Duration("clock_error", &p.Agreement.ClockError, time.Millisecond)
+	in.Duration("turn", &p.Agreement.EffectDelay, time.Millisecond)
+	in.Float("share", &p.CanaryFraction, 0, 1)
 	without := routes.Reject
 	in.OneOf("without_agreement", &without, routes.Reject, routes.Serve)
-	p.Serve = without == routes.Serve
+	p.ServeWithoutAgreement = without == routes.Serve
 	var keys []fleet.PeerKey
 	for _, k := range in.Blocks {
 		r.key(k, &keys)
--- a/internal/operator/coordination.go
+++ b/internal/operator/coordination.go
@@ -11,10 +11,10 @@
 )
 
 // coordination takes what this gateway chooses together with the others.
-func (r *reader) coordination(b *hcl.Block) *fleet.CoordinationPlan {
+func (r *reader) coordination(b *hcl.Block) *fleet.CoordinationConfig {
 	in := r.block(b, []string{"subset", "connections", "away", "signals", "turns", "wait"})
 	r.coordinated = b.DefRange
-	p := &fleet.CoordinationPlan{Signals: true, Wait: turns.DefaultWait}
+	p := &fleet.CoordinationConfig{Signals: true, Wait: turns.DefaultWait}
 	t := subset.DefaultConfig()
 	in.Int("subset", &t.MinMembers, 0, 1000)
 	in.Int("connections", &t.Connections, 1, 10000)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -26,15 +26,15 @@
 // File is what the operator's file says.
 type File struct {
 	ClockError   time.Duration
-	Sessions     *fleet.SessionPlan // nil where it has no such block
-	Document     *routes.Document   // what can be changed while a gateway runs; nil where it says nothing of that
-	Watch        time.Duration      // for how long a change of that is undone if health worsens
-	Digest       uint64             // the same for the same text
+	Sessions     *fleet.SessionConfig // nil where it has no such block
+	Document     *routes.Document     // what can be changed while a gateway runs; nil where it says nothing of that
+	Watch        time.Duration        // for how long a change of that is undone if health worsens
+	Digest       uint64               // the same for the same text
 	Text         []byte
-	Agreement    *fleet.Plan             // nil where it has no such block; Name and Build are the program's
-	Coordination *fleet.CoordinationPlan // nil where it has no such block
-	Control      string                  // the socket at which the gateway can be talked to; empty is none
-	Changes      string                  // the folder in which changes outlive the process; empty is none
+	Agreement    *fleet.Config             // nil where it has no such block; Name and Build are the program's
+	Coordination *fleet.CoordinationConfig // nil where it has no such block
+	Control      string                    // the socket at which the gateway can be talked to; empty is none
+	Changes      string                    // the folder in which changes outlive the process; empty is none
 }
 
 // Apply puts it into a gateway's configuration.
@@ -43,7 +43,7 @@
 	c.Sessions = f.Sessions
 	if f.Agreement != nil {
 		p := *f.Agreement
-		p.Name, p.Build, p.Form = c.Name, Build(), routes.FormatVersion
+		p.Name, p.Build, p.FormatVersion = c.Name, Build(), routes.FormatVersion
 		c.Agreement, c.Parse = &p, parserOf("version of the fleet")
 	}
 	c.Coordination = f.Coordination
@@ -119,9 +119,9 @@
 	return &content{r.Content(body, hcl.Range{}, "clock_error control changes watch log in_flight exclude drain", "sessions", "spread", "agreement", "coordination", "tenant", "route")}
 }
 
-func (r *reader) sessions(b *hcl.Block) *fleet.SessionPlan {
-	p := &fleet.SessionPlan{Terms: session.DefaultConfig(), Tokens: fleet.TokensHints}
-	t := &p.Terms
+func (r *reader) sessions(b *hcl.Block) *fleet.SessionConfig {
+	p := &fleet.SessionConfig{Session: session.DefaultConfig(), Tokens: fleet.TokensHints}
+	t := &p.Session
 	in := r.block(b, []string{"source", "tokens", "span", "key_span", "most_marks", "fence_wait", "retry_after"}, "peers", "ledger")
 	source, tokens := string(t.Source), string(p.Tokens)
 	in.OneOf("source", &source, string(session.SourceEntries), string(session.SourcePrimary), string(session.SourceLocal))
@@ -152,7 +152,7 @@
 	return p
 }
 
-func (r *reader) peers(b *hcl.Block, p *fleet.SessionPlan) {
+func (r *reader) peers(b *hcl.Block, p *fleet.SessionConfig) {
 	in := r.block(b, []string{"listen", "gateways", "messages_per_txn", "peer_wait", "keepalive", "positions"}, "key")
 	in.address("listen", &p.Listen)
 	var all []string
@@ -177,11 +177,11 @@
 	if len(p.Gateways) > 1 && !p.Listen.IsValid() {
 		r.AddError(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway.")
 	}
-	in.Float("messages_per_txn", &p.Terms.MessagesPerTxn, 0, 1000)
-	in.Duration("peer_wait", &p.Terms.PeerTimeout, time.Millisecond)
-	in.Duration("keepalive", &p.Terms.KeepaliveInterval, 10*time.Millisecond)
-	in.Decode("positions", &p.Positions)
-	if p.Positions && len(p.Gateways) < 2 {
+	in.Float("messages_per_txn", &p.Session.MessagesPerTxn, 0, 1000)
+	in.Duration("peer_wait", &p.Session.PeerTimeout, time.Millisecond)
+	in.Duration("keepalive", &p.Session.KeepaliveInterval, 10*time.Millisecond)
+	in.Decode("positions", &p.SharePositions)
+	if p.SharePositions && len(p.Gateways) < 2 {
 		r.lonely = in.RangeOf("positions")
 	}
 	for _, k := range in.Blocks {
@@ -237,7 +237,7 @@
 	}
 }
 
-func (r *reader) ledger(b *hcl.Block, p *fleet.SessionPlan) {
+func (r *reader) ledger(b *hcl.Block, p *fleet.SessionConfig) {
 	in := r.block(b, []string{"folder", "before_answer", "at_most"})
 	before := string(fleet.DurableNone)
 	in.Decode("folder", &p.Ledger.Folder)
@@ -245,6 +245,6 @@
 		r.AddError(in.RangeOf("folder"), "folder is lacking", "Name a folder that outlives the process.")
 	}
 	in.OneOf("before_answer", &before, string(fleet.DurableNone), string(fleet.DurableProcess))
-	p.Ledger.BeforeAnswer, p.Ledger.AtMost = fleet.Durability(before), ledger.UsualWait
-	in.Duration("at_most", &p.Ledger.AtMost, time.Millisecond)
+	p.Ledger.BeforeAnswer, p.Ledger.MaxWait = fleet.Durability(before), ledger.DefaultMaxWait
+	in.Duration("at_most", &p.Ledger.MaxWait, time.Millisecond)
 }
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -15,32 +15,32 @@
 
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-func quiet(string, error) {}
+func discardLog(string, error) {}
 
 // What is written is read as it was, and as long ago as it is.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		day, machine := int64(1e18), int64(1e12)
-		l := &Ledger{now: func() (int64, int64) { return day, machine }}
-		var all []session.Change
+		wallTime, bootTime := int64(1e18), int64(1e12)
+		l := &Ledger{readClocks: func() (int64, int64) { return wallTime, bootTime }}
+		var changes []session.Change
 		for range rapid.IntRange(0, 1200).Draw(t, "changes") {
-			all = append(all, session.Change{Kind: session.ChangeKind(rapid.IntRange(0, int(session.EntriesLost)).Draw(t, "kind")),
+			changes = append(changes, session.Change{Kind: session.ChangeKind(rapid.IntRange(0, int(session.EntriesLost)).Draw(t, "kind")),
 				Peer: rapid.IntRange(0, 4095).Draw(t, "peer"), Sequence: rapid.Uint64().Draw(t, "no"), Epoch: rapid.Uint64().Draw(t, "epoch"),
 				Entry: session.Entry{Kind: session.KeyedWriteEntry, Group: rapid.IntRange(0, 1<<16-1).Draw(t, "group"), Key: rapid.Uint64().Draw(t, "key"),
 					Position: session.Position(rapid.Int64().Draw(t, "position")), Age: rapid.Int64Range(0, 1e11).Draw(t, "age")}})
 		}
 		var got []session.Change
-		for _, r := range l.word(all) {
-			changes, err := read(r, day+5e9, machine+5e9)
+		for _, r := range l.encode(changes) {
+			changes, err := decode(r, wallTime+5e9, bootTime+5e9)
 			if err != nil {
 				t.Fatal(err)
 			}
 			got = append(got, changes...)
 		}
-		for i := range all {
-			all[i].Entry.Age += 5e9
+		for i := range changes {
+			changes[i].Entry.Age += 5e9
 		}
-		if len(all) > 0 && !reflect.DeepEqual(all, got) {
+		if len(changes) > 0 && !reflect.DeepEqual(changes, got) {
 			t.Fatal("not what was written")
 		}
 	})
@@ -49,13 +49,13 @@
 // The longer of two ages counts: where the machine started anew, or where its day was set back, a keyed write is not
 // taken for younger than it is; where both happened, its age is lost.
 func Example_ages() {
-	l := &Ledger{now: func() (int64, int64) { return 1000e9, 500e9 }}
-	text := l.word([]session.Change{{Kind: session.EntryReceived}})[0]
+	l := &Ledger{readClocks: func() (int64, int64) { return 1000e9, 500e9 }}
+	text := l.encode([]session.Change{{Kind: session.EntryReceived}})[0]
 	for _, now := range [][2]int64{{1010e9, 510e9}, {900e9, 510e9}, {1010e9, 3e9}, {900e9, 3e9}} {
-		c, _ := read(text, now[0], now[1])
+		c, _ := decode(text, now[0], now[1])
 		fmt.Println(c[0].Entry.Age / 1e9)
 	}
-	_, err := read(text[1:], 0, 0)
+	_, err := decode(text[1:], 0, 0)
 	fmt.Println(err)
 	// Output:
 	// 10
@@ -66,16 +66,16 @@
 }
 
 // A module that is restored from a folder after the process was killed serves what was answered, without a fence.
-func TestRestoresAModule(t *testing.T) {
+func TestRestoreAfterKill(t *testing.T) {
 	folder := t.TempDir()
-	l, f, err := Open(folder, nil, func() {}, quiet)
+	l, f, err := Open(folder, nil, func() {}, discardLog)
 	if err != nil || f.Complete {
 		t.Fatal(f, err)
 	}
 	s, _ := session.New(session.DefaultConfig(), 1, 7)
 	s.TrackChanges()
 	s.SetTime(1e9)
-	if err := l.Began(s.Snapshot(), true); err != nil {
+	if err := l.Start(s.Snapshot(), true); err != nil {
 		t.Fatal(err)
 	}
 	s.AddRead(1, 0, 5, 0, false, 2e9)
@@ -90,21 +90,21 @@
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	after := filepath.Join(t.TempDir(), "after")
-	if err := os.CopyFS(after, os.DirFS(folder)); err != nil {
+	crashCopy := filepath.Join(t.TempDir(), "after")
+	if err := os.CopyFS(crashCopy, os.DirFS(folder)); err != nil {
 		t.Fatal(err)
 	}
 	_ = l.Close()
-	for _, where := range []string{after, folder} {
-		f, err = Look(where)
-		if err != nil || !f.Complete || f.Clean != (where == folder) {
+	for _, directory := range []string{crashCopy, folder} {
+		f, err = Read(directory)
+		if err != nil || !f.Complete || f.Clean != (directory == folder) {
 			t.Fatalf("%+v %v", f, err)
 		}
-		again, _ := session.New(session.DefaultConfig(), 2, 8)
-		again.SetTime(50e9)
-		again.Restore(f.Changes)
-		again.AddRead(2, 0, 5, 0, false, 60e9)
-		if d, ok := again.Next(); !ok || d.Kind != session.Serve || d.Floor != 300 {
+		restored, _ := session.New(session.DefaultConfig(), 2, 8)
+		restored.SetTime(50e9)
+		restored.Restore(f.Changes)
+		restored.AddRead(2, 0, 5, 0, false, 60e9)
+		if d, ok := restored.Next(); !ok || d.Kind != session.Serve || d.Floor != 300 {
 			t.Fatalf("%+v", d)
 		}
 	}
@@ -113,7 +113,7 @@
 // A million marks: how long it takes to read them, and what they take on the disk.
 func BenchmarkRecover(b *testing.B) {
 	folder := b.TempDir()
-	l, _, err := Open(folder, nil, func() {}, quiet)
+	l, _, err := Open(folder, nil, func() {}, discardLog)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -121,12 +121,12 @@
 	for i := range all {
 		all[i] = session.Change{Kind: session.EntryReceived, Entry: session.Entry{Key: uint64(i), Position: session.Position(i + 1)}}
 	}
-	if err := l.Began(all, true); err != nil {
+	if err := l.Start(all, true); err != nil {
 		b.Fatal(err)
 	}
 	_ = l.Close()
 	for b.Loop() {
-		f, err := Look(folder)
+		f, err := Read(folder)
 		if err != nil || len(f.Changes) != len(all) {
 			b.Fatal(err)
 		}
@@ -137,11 +137,11 @@
 func BenchmarkAppend(b *testing.B) {
 	for _, each := range []int{1, 50} {
 		b.Run(fmt.Sprint(each), func(b *testing.B) {
-			l, _, err := Open(b.TempDir(), nil, func() {}, quiet)
+			l, _, err := Open(b.TempDir(), nil, func() {}, discardLog)
 			if err != nil {
 				b.Fatal(err)
 			}
-			_ = l.Began(nil, true)
+			_ = l.Start(nil, true)
 			all := make([]session.Change, each)
 			b.ReportAllocs()
 			for b.Loop() {
