--- a/fleet/coordination.go
+++ b/fleet/coordination.go
@@ -17,21 +17,21 @@
 	"magpieglade/turns"
 )
 
-// kindOfSignals begins a sealed message that is the signals'.
+// signalsMessageKind is the first byte of a sealed message that carries signals items.
 const signalsMessageKind = 65
 
-// CoordinationPlan is what the operator says of choices that many gateways make together.
+// CoordinationConfig is the operator's configuration of the decisions that gateways coordinate without an agreement.
 type CoordinationConfig struct {
-	Subset  *subset.Config // nil: each gateway has every member
+	Subset  *subset.Config // nil: every gateway connects to every member
 	Signals bool
-	Turns   bool  // needs Signals, by which words go
+	Turns   bool  // requires Signals, which carries the completion reports
 	Wait    int64 // see turns.Config
 }
 
-// Check names what is wrong with it.
+// Validate returns an error that describes the first invalid setting.
 func (p *CoordinationConfig) Validate() error {
 	if p.Turns && !p.Signals {
-		return errors.New("coordination: turns need signals")
+		return errors.New("coordination: turns require signals")
 	}
 	if p.Subset != nil {
 		if err := p.Subset.Validate(); err != nil {
@@ -42,67 +42,70 @@
 	return t.Check()
 }
 
-// CoordinationHost is what it needs of the event loop.
+// CoordinationHost is the part of the event loop that Coordination calls.
 type CoordinationHost interface {
-	Beside(work func() (then func()))                  // run work beside the loop, then what it gives on it
-	WakeAfter(span int64)                              //
-	Now() int64                                        //
-	Have(key uint64, on bool)                          // the decisions are to know of a member, or to forget it
-	Learned(x signals.Item, ill bool)                  // another gateway's word; ill: enough find its member ill
-	Go(key uint64)                                     // do what was asked for by Ask, then call Did
-	Logger() *slog.Logger                              //
-	Observe(key uint64) (s MemberObservation, ok bool) // of a member that the decisions know of
-	// Sees gives a group back, whether its primary is known, how many replicas the decisions know of and how many lack proof.
-	Sees(group int) (no int, primary bool, replicas, lacking int)
+	RunAsync(work func() (then func()))                      // runs work outside the loop, then the function it returns on the loop
+	WakeAfter(delay int64)                                   //
+	Now() int64                                              //
+	SetMember(key uint64, enabled bool)                      // adds a member to those the decision module uses, or removes it
+	ReceiveReport(item signals.Item, unhealthy bool)         // another gateway's report; unhealthy: enough gateways report the member unhealthy
+	PerformTask(key uint64)                                  // performs the task requested with RequestTurn, then calls CompleteTurn
+	Logger() *slog.Logger                                    //
+	ObserveMember(key uint64) (s MemberObservation, ok bool) // ok is false unless the decision module uses the member
+	// GroupState returns the group number, whether its primary is known, how many replicas the decision module uses, and how
+	// many of them lack a proven position.
+	GroupState(group int) (number int, primaryKnown bool, replicas, unproven int)
 }
 
-// Observed is what this gateway itself knows of a member, as far as others may want it.
+// MemberObservation is what this gateway itself has observed of a member and may report to other gateways.
 type MemberObservation struct {
 	Suspect         bool
 	Latency         int64 // microseconds, 0 for none
 	InFlight        int64
-	PrimaryPosition int64 // its position, Unix nanoseconds, where it is its group's primary, else 0
+	PrimaryPosition int64 // position in Unix nanoseconds if the member is its group's primary, else 0
 }
 
-// Spans. Ours: signals and subsets need no more than what a person takes for at once, a rate is told when it has settled.
+// Intervals in nanoseconds. Members are observed as often as a person perceives as immediate, which is enough for signals
+// and subsets; the traffic rate is reported once it has settled.
 const (
-	observeInterval       = int64(100e6) // between looks at the members
-	trafficReportInterval = int64(5e9)   // between words on this gateway's traffic
-	maxStartDelay         = int64(500e6) // over which calls come that all may make
-	maxInlinePairs        = 20_000       // pairs of gateways and members up to which a division is worked out on the loop
+	observeInterval       = int64(100e6) // between observations of the members
+	trafficReportInterval = int64(5e9)   // between reports of this gateway's traffic
+	maxStartDelay         = int64(500e6) // spreads calls that all gateways may make at the same moment
+	maxInlinePairs        = 20_000       // gateway-member pairs up to which a division is computed on the loop
 )
 
-// ListKey stands for the list service among turns.
+// ListKey is the turn key of the list service.
 const ListKey = uint64(0)
 
-// Coordination hosts what gateways choose together without agreeing on it. It belongs to the loop.
+// Coordination hosts the modules by which gateways coordinate without an agreement: signals, turns and subsets. It must be
+// used from the event loop only.
 type Coordination struct {
 	fleet   *Fleet
 	config  *CoordinationConfig
 	host    CoordinationHost
-	Signals *signals.Signals // nil where gateways tell each other nothing
-	Turns   *turns.Turns     // nil where each goes for itself
-	Subset  *subset.Subset   // nil where each has every member
+	Signals *signals.Signals // nil if gateways exchange no reports
+	Turns   *turns.Turns     // nil if each gateway acts on its own
+	Subset  *subset.Subset   // nil if each gateway connects to every member
 
 	rng               *rand.Rand
 	self              uint32
 	idByNumber        map[uint32]agreement.ID
 	nameByNumber      map[uint32]string
-	numbers           []uint32 // of all, in order
+	numbers           []uint32 // of all gateways, sorted
 	gateways          []subset.Gateway
 	members           []subset.Member
-	holders           map[uint64][]uint32 // who has a member, by their numbers
-	revision          uint64              // of the list that is known
-	widened           map[int]bool        // groups whose subset is wider than it is to be
+	holders           map[uint64][]uint32 // member key to the numbers of the gateways it is assigned to
+	revision          uint64              // of the last applied manifest
+	widened           map[int]bool        // groups whose subset is wider than configured
 	listsChanged      bool                // a list has changed since the last division
 	dividing          bool
 	nextObserveAt     int64
-	txnsSinceReport   int64 // since tellAt
+	txnsSinceReport   int64 // since trafficReportedAt
 	trafficReportedAt int64
 	buffer            []byte
 }
 
-// NewCoordination prepares it.
+// NewCoordination creates the configured modules and attaches them to f.
 func NewCoordination(f *Fleet, p *CoordinationConfig, h CoordinationHost, seed uint64) (*Coordination, error) {
 	c := &Coordination{fleet: f, config: p, host: h, idByNumber: map[uint32]agreement.ID{}, nameByNumber: map[uint32]string{}, holders: map[uint64][]uint32{}, widened: map[int]bool{},
 		rng: rand.New(rand.NewPCG(seed, uint64(f.identity.ID)))}
@@ -126,7 +129,7 @@
 	return c, nil
 }
 
-// Members takes the list of members as this gateway has it.
+// SetMembers sets the list of members known to this gateway.
 func (c *Coordination) SetMembers(members []subset.Member) {
 	c.members, c.listsChanged = slices.Clone(members), true
 	if c.Signals != nil {
@@ -139,7 +142,7 @@
 	c.divide()
 }
 
-// list takes the list of gateways, if it has changed.
+// updateGateways applies the agreed list of gateways if it has changed.
 func (c *Coordination) updateGateways() {
 	manifest := c.fleet.Manifest()
 	if manifest.Revision == c.revision {
@@ -163,7 +166,7 @@
 		}
 	}
 	if !listed {
-		others = nil // its words would be nobody's
+		others = nil // its reports would have no origin in the list
 	}
 	slices.Sort(c.numbers)
 	c.self, c.listsChanged = self, true
@@ -175,7 +178,7 @@
 	}
 }
 
-// divide works out who has which member, once a list has changed: a large one beside the loop.
+// divide assigns members to gateways once a list has changed. Large divisions are computed outside the loop.
 func (c *Coordination) divide() {
 	if c.Subset == nil || !c.listsChanged || c.dividing {
 		return
@@ -187,7 +190,7 @@
 		return
 	}
 	c.dividing = true
-	c.host.Beside(func() func() {
+	c.host.RunAsync(func() func() {
 		divisions := subset.Divide(config, gateways, members).For(self)
 		return func() {
 			c.dividing = false
@@ -215,13 +218,13 @@
 	c.applySubset()
 }
 
-// Chance is a time by chance by which calls that all may make now are spread.
+// StartDelay returns a random delay that spreads calls which all gateways may make at the same moment.
 func (c *Coordination) StartDelay() int64 { return int64(c.rng.Float64() * float64(maxStartDelay)) }
 
-// Has tells whether the decisions are to know of a member.
+// Has reports whether the decision module uses a member.
 func (c *Coordination) Has(key uint64) bool { return c.Subset == nil || c.Subset.Has(key) }
 
-// Txn counts one that came.
+// AddTxn counts an arrived txn.
 func (c *Coordination) AddTxn() {
 	c.txnsSinceReport++
 	if c.Signals != nil {
@@ -229,7 +232,7 @@
 	}
 }
 
-// Saw has the others told of what this gateway learned.
+// Report sends an observation of this gateway to the others.
 func (c *Coordination) Report(kind signals.Kind, key uint64, value int64) {
 	if c.Signals != nil {
 		c.Signals.Clock(c.host.Now())
@@ -237,8 +240,8 @@
 	}
 }
 
-// Ask has this gateway, or another one, do what a key stands for. fresh tells that it was done a moment ago; Known gives
-// what it came to.
+// RequestTurn has this gateway or another one perform the task of a key. fresh reports that it was performed a moment ago;
+// signals.MemberSummary then holds the result.
 func (c *Coordination) RequestTurn(key uint64) (fresh bool) {
 	var candidates []turns.Candidate
 	numbers := c.holders[key]
@@ -258,7 +261,8 @@
 	return c.Turns.Request(key, candidates)
 }
 
-// Did tells what came of what a key stands for, in the host's numbers below 2^32, and has the others told.
+// CompleteTurn records the result of a key's task, a number below 2^32 whose meaning the host defines, and reports it to
+// the other gateways.
 func (c *Coordination) CompleteTurn(key uint64, result uint32) {
 	now := c.host.Now()
 	c.Turns.Clock(now)
@@ -270,7 +274,7 @@
 	}
 }
 
-// Turn carries out what the modules decide until there is nothing left.
+// ProcessDecisions carries out the decisions of the modules until none is left.
 func (c *Coordination) ProcessDecisions() {
 	now := c.host.Now()
 	c.updateGateways()
@@ -283,7 +287,7 @@
 	c.processSignals(now)
 }
 
-// look has the modules know what this gateway itself sees of its members.
+// observeMembers passes this gateway's observations of its members to the modules.
 func (c *Coordination) observeMembers(now int64) {
 	c.nextObserveAt = now + observeInterval
 	c.host.WakeAfter(observeInterval)
@@ -296,7 +300,7 @@
 	groups := map[int]bool{}
 	for _, m := range c.members {
 		groups[m.Group] = true
-		observed, ok := c.host.Observe(m.Key)
+		observed, ok := c.host.ObserveMember(m.Key)
 		if ok && c.Signals != nil {
 			c.Signals.Clock(now)
 			if observed.Suspect {
@@ -319,10 +323,10 @@
 	if c.Subset != nil {
 		c.Subset.Clock(now)
 		for _, no := range slices.Sorted(maps.Keys(groups)) {
-			need := c.Subset.Observe(c.host.Sees(no))
+			need := c.Subset.Observe(c.host.GroupState(no))
 			if widened := c.Subset.Widened(no) > 0; widened != c.widened[no] {
 				c.widened[no] = widened
-				c.host.Logger().Info("coordination: subset of members", "group", no, "wider", widened, "no_primary_known", need == subset.NeedPrimary, "none_fresh", need == subset.NeedFresh)
+				c.host.Logger().Info("coordination: subset width changed", "group", no, "wider", widened, "no_primary_known", need == subset.NeedPrimary, "none_fresh", need == subset.NeedFresh)
 			}
 		}
 	}
@@ -336,9 +340,9 @@
 	for d, ok := c.Subset.Next(); ok; d, ok = c.Subset.Next() {
 		switch d.Kind {
 		case subset.Add:
-			c.host.Have(d.Key, true)
+			c.host.SetMember(d.Key, true)
 		case subset.Drop:
-			c.host.Have(d.Key, false)
+			c.host.SetMember(d.Key, false)
 		case subset.Wake:
 			c.host.WakeAfter(d.After)
 		}
@@ -353,14 +357,14 @@
 	for d, ok := c.Turns.Next(); ok; d, ok = c.Turns.Next() {
 		switch d.Kind {
 		case turns.Perform:
-			c.host.Go(d.Key)
+			c.host.PerformTask(d.Key)
 		case turns.Wake:
 			c.host.WakeAfter(d.After)
 		}
 	}
 }
 
-// tell carries messages out, and what others told.
+// processSignals sends outgoing messages and delivers reports of other gateways.
 func (c *Coordination) processSignals(now int64) {
 	if c.Signals == nil {
 		return
@@ -391,10 +395,10 @@
 			return
 		}
 	}
-	c.host.Learned(item, unhealthy)
+	c.host.ReceiveReport(item, unhealthy)
 }
 
-// heard takes a message.
+// receive handles a signals message of another gateway.
 func (c *Coordination) receive(body []byte) error {
 	items, err := decodeSignals(body)
 	if err == nil && c.Signals != nil {
@@ -405,19 +409,19 @@
 	return err
 }
 
-// signalItem is one on its way, big-endian.
+// signalItem is the wire format of a signals.Item, big-endian.
 type signalItem struct {
 	Kind     uint8
 	Member   uint64
 	Origin   uint32
 	Sequence uint64
-	Age      uint32 // microseconds x 4
+	Age      uint32 // in units of ageUnit
 	Value    int64
 }
 
-const ageUnit = 4e3 // nanoseconds
+const ageUnit = 4e3 // nanoseconds per unit of signalItem.Age
 
-var errMalformedSignals = errors.New("malformed message of the signals")
+var errMalformedSignals = errors.New("malformed signals message")
 
 func appendSignals(dst []byte, items []signals.Item) []byte {
 	dst = append(dst, signalsMessageKind)
@@ -443,31 +447,31 @@
 	return items, nil
 }
 
-// MemberView is a member as the fleet's gateways have it.
+// MemberView describes a member and the gateways that use it.
 type MemberView struct {
 	Key          uint64
 	Group        int
 	Zone         string
 	Primary      bool
-	Assigned     bool                  `json:"Here"` // this gateway has it
-	Holders      []string              // who has it by the division
+	Assigned     bool                  `json:"Here"` // this gateway uses it
+	Holders      []string              // names of the gateways it is assigned to
 	Summary      signals.MemberSummary `json:"Known"`
-	Unhealthy    bool                  `json:"Ill"`      // taken for ill by what others say
-	GatewayCount int                   `json:"Gateways"` // in the list
+	Unhealthy    bool                  `json:"Ill"`      // according to the reports of other gateways
+	GatewayCount int                   `json:"Gateways"` // gateways in the list
 }
 
-// CoordinationView is all of it.
+// CoordinationView is a snapshot of the coordination state.
 type CoordinationView struct {
 	Subsets      bool
 	Self         string
-	Size         map[int]int // by group, members of a gateway
-	WidenedBy    map[int]int `json:"Wider"` // and by how many more this one has
+	Size         map[int]int // by group, configured size of a gateway's subset
+	WidenedBy    map[int]int `json:"Wider"` // by group, by how many members this gateway's subset exceeds Size
 	Members      []MemberView
 	Turns        []turns.TurnStatus
-	SentMessages uint64 `json:"Sent"` // messages of the signals
+	SentMessages uint64 `json:"Sent"` // signals messages sent
 }
 
-// View tells how it stands.
+// View returns the current state.
 func (c *Coordination) View() CoordinationView {
 	v := CoordinationView{Subsets: c.Subset != nil, Self: c.fleet.config.Name, Size: map[int]int{}, WidenedBy: map[int]int{}}
 	groups := map[int]int{}
@@ -501,7 +505,8 @@
 	return v
 }
 
-// MarkOf is by which name gateways know a member: its name in the list, which is the same at all, as its address may not be.
+// MemberKey identifies a member in messages between gateways by its name in the list, which is the same at every gateway;
+// its address may differ.
 func MemberKey(name string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name))
--- a/fleet/counts.go
+++ b/fleet/counts.go
@@ -15,15 +15,15 @@
 	"magpieglade/contracts"
 )
 
-// kindOfCounts begins a sealed message that tells what contracts were used.
+// countsMessageKind is the first byte of a sealed message that carries contract usage counts.
 const countsMessageKind = 66
 
-// countsIn is how many counts a message takes.
+// maxCountsPerMessage bounds the counts in one message.
 const maxCountsPerMessage = 12
 
-var errMalformedCounts = errors.New("malformed message of counts")
+var errMalformedCounts = errors.New("malformed counts message")
 
-// Voters are the other gateways that vote, who keep accounts, and whether this one does.
+// Voters returns the other voting gateways, which keep the usage accounts, and whether this gateway votes.
 func (f *Fleet) Voters() (others []agreement.ID, self bool) {
 	for _, g := range f.Manifest().Gateways {
 		if g.Vote && g.ID == f.identity.ID {
@@ -35,10 +35,10 @@
 	return others, self
 }
 
-// Run is this gateway's start, of which there is no other.
+// Epoch identifies this start of the gateway; each start has another epoch.
 func (f *Fleet) Epoch() uint64 { return f.identity.Epoch }
 
-// TellCounts tells another gateway of counts, and may ask it for all that it has.
+// SendCounts sends counts to another gateway; requestAll also requests all counts that it has.
 func (f *Fleet) SendCounts(to agreement.ID, counts []contracts.Count, requestAll bool) {
 	address, ok := f.addresses[to]
 	for ok && (len(counts) > 0 || requestAll) {
@@ -47,7 +47,7 @@
 			body[1], requestAll = 1, false
 		}
 		n := min(maxCountsPerMessage, len(counts))
-		body, _ = binary.Append(body, binary.BigEndian, counts[:n]) // of numbers alone
+		body, _ = binary.Append(body, binary.BigEndian, counts[:n]) // cannot fail: Count has only fixed-size numbers
 		f.sendSealed(body, address)
 		counts = counts[n:]
 	}
@@ -65,10 +65,10 @@
 	return counts, body[1] == 1, nil
 }
 
-// countsFile is where a gateway that votes keeps its account.
+// countsPath is the file in which a voting gateway stores its usage account.
 func (f *Fleet) countsPath() string { return filepath.Join(f.config.Folder, "usage.json") }
 
-// KeptCounts are those that a former run kept; none where it kept none.
+// LoadCounts reads the counts that an earlier run saved; without a file there are none.
 func (f *Fleet) LoadCounts() (counts []contracts.Count, err error) {
 	if f.config.Folder == "" {
 		return nil, nil
@@ -83,7 +83,7 @@
 	return counts, err
 }
 
-// KeepCounts keeps an account. It waits for the disk, so it is not for the loop.
+// SaveCounts writes the counts to disk. It blocks, so it must not be called on the event loop.
 func (f *Fleet) SaveCounts(counts []contracts.Count) error {
 	if f.config.Folder == "" {
 		return nil
--- a/fleet/datagrams.go
+++ b/fleet/datagrams.go
@@ -13,33 +13,33 @@
 	"magpieglade/internal/neterr"
 )
 
-// mostWaiting is how many datagrams wait for the loop at the most, and mostDatagram how long each may be.
 const (
-	maxQueuedDatagrams = 4096
-	maxDatagramSize    = 1401
+	maxQueuedDatagrams = 4096 // waiting for the event loop
+	maxDatagramSize    = 1401 // bytes
 )
 
-// Datagrams is the address at which other gateways reach this one. One goroutine reads and leaves what came for the
-// loop; a datagram that can't be taken or sent at once is lost, as on any network.
+// Datagrams is the UDP socket on which this gateway exchanges datagrams with others. One goroutine reads and queues them
+// for the event loop; a datagram that cannot be queued or sent immediately is dropped, as on any network.
 type Datagrams struct {
 	conn *net.UDPConn
 	raw  interface {
 		Write(func(uintptr) bool) error
 	}
-	readFailures atomic.Uint64 // reads
+	readFailures atomic.Uint64
 	mu           sync.Mutex
 	received     []Datagram
 	freeBuffers  [][]byte
-	dropped      uint64 // that came while too many waited
+	dropped      uint64 // received while the queue was full
 }
 
-// Datagram is one, and where it came from.
+// Datagram is a received datagram and its source address.
 type Datagram struct {
 	Data []byte
 	From netip.AddrPort
 }
 
-// Listen takes an address, before anybody is served: a former run that still holds it would else answer for this one.
+// Listen binds an address. It must be called before clients are served: an earlier run that still holds the address would
+// otherwise answer in place of this one.
 func Listen(address netip.AddrPort) (*Datagrams, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
@@ -53,7 +53,8 @@
 	return &Datagrams{conn: conn, raw: raw}, nil
 }
 
-// Receive reads until the address is given back, whatever single reads come to. arrived is called when the first of what waits has come.
+// Receive reads datagrams until Close, and continues after failed reads. onReceive is called when a datagram enters the
+// empty queue.
 func (d *Datagrams) Receive(onReceive func()) {
 	buf := make([]byte, maxDatagramSize)
 	var backoff neterr.Backoff
@@ -71,11 +72,11 @@
 		d.mu.Lock()
 		first := len(d.received) == 0
 		if len(d.received) < maxQueuedDatagrams {
-			var text []byte
+			var buffer []byte
 			if k := len(d.freeBuffers); k > 0 {
-				text, d.freeBuffers = d.freeBuffers[k-1], d.freeBuffers[:k-1]
+				buffer, d.freeBuffers = d.freeBuffers[k-1], d.freeBuffers[:k-1]
 			}
-			d.received = append(d.received, Datagram{append(text[:0], buf[:n]...), from})
+			d.received = append(d.received, Datagram{append(buffer[:0], buf[:n]...), from})
 		} else {
 			d.dropped++
 		}
@@ -86,7 +87,7 @@
 	}
 }
 
-// Take hands out what came; none of it may be kept.
+// Consume calls f for each queued datagram. f must not retain its data, which is reused.
 func (d *Datagrams) Consume(f func(Datagram)) {
 	d.mu.Lock()
 	received := d.received
@@ -104,7 +105,7 @@
 	}
 }
 
-// Send writes one without waiting; false is that it is lost already.
+// Send sends a datagram without blocking. It reports false if the datagram was dropped.
 func (d *Datagrams) Send(data []byte, to *unix.SockaddrInet4) bool {
 	var err error
 	sent := d.raw.Write(func(fd uintptr) bool {
@@ -114,5 +115,5 @@
 	return err == nil && sent == nil
 }
 
-// Close gives the address back.
+// Close closes the socket.
 func (d *Datagrams) Close() { _ = d.conn.Close() }
--- a/fleet/disk.go
+++ b/fleet/disk.go
@@ -16,13 +16,13 @@
 	"magpieglade/internal/store"
 )
 
-// identity is who a gateway is as long as its disk lasts, and how often it has started.
+// identity is the persistent identity of a gateway, kept as long as its disk, and the epoch of its current start.
 type identity struct {
 	ID    agreement.ID `json:"id"`
 	Epoch uint64       `json:"epoch"`
 }
 
-// newID is one that no other gateway has, by chance of 2^62.
+// newID returns a random ID of 62 bits, so that a collision with another gateway is improbable.
 func newID() (agreement.ID, error) {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -31,7 +31,8 @@
 	return agreement.ID(binary.BigEndian.Uint64(b[:])>>2 | 1), nil
 }
 
-// identify reads who this gateway is, or has it be another: one without its disk never comes back under its old ID.
+// loadIdentity reads the identity of this gateway, or creates one: a gateway that lost its disk never returns under its
+// old ID.
 func loadIdentity(folder string, now uint64) (identity, error) {
 	var id identity
 	if folder == "" {
@@ -52,22 +53,23 @@
 		return id, err
 	default:
 		if err := json.Unmarshal(text, &id); err != nil || id.ID == 0 {
-			return id, fmt.Errorf("%s can't be read: move the folder away, and this gateway joins as another one", path)
+			return id, fmt.Errorf("identity file %s is unreadable: move the folder away, and this gateway joins as a new one", path)
 		}
 	}
-	id.Epoch = max(id.Epoch+1, now) // later than any before, wherever the clock stands
+	id.Epoch = max(id.Epoch+1, now) // greater than any before, whatever the clock says
 	if text, err = json.Marshal(id); err != nil {
 		return id, err
 	}
 	return id, renameio.WriteFile(path, text, 0o600)
 }
 
-// disk keeps the log of a voter. A record is on the disk when done is called: what a voter has said must outlast power.
+// voterLog stores the log of a voter. Each record is synced to disk before its callback runs: what a voter has sent must
+// survive a loss of power.
 type voterLog struct {
 	store *store.Store
 }
 
-// openDisk gives what a former run left.
+// openVoterLog opens the log and returns the records of earlier runs.
 func openVoterLog(folder string, fileSystem store.FileSystem, log func(string, error), snapshotNeeded func()) (*voterLog, [][]byte, error) {
 	if folder == "" {
 		return &voterLog{}, nil, nil
@@ -78,7 +80,7 @@
 	}
 	if r.Corrupt > 0 {
 		_ = s.Close()
-		return nil, nil, fmt.Errorf("the log in %s is damaged in %d places: move the folder away, and this gateway joins as another one", folder, r.Corrupt)
+		return nil, nil, fmt.Errorf("the log in %s is corrupt in %d places: move the folder away, and this gateway joins as a new one", folder, r.Corrupt)
 	}
 	if err := s.Start(r.Records, true); err != nil {
 		return nil, nil, err
@@ -86,9 +88,9 @@
 	return &voterLog{s}, r.Records, nil
 }
 
-func (d *voterLog) close() error {
-	if d.store == nil {
+func (l *voterLog) close() error {
+	if l.store == nil {
 		return nil
 	}
-	return d.store.Close()
+	return l.store.Close()
 }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet hosts what gateways decide together: it carries the messages of package agreement between gateways,
-// keeps the log of those that vote, and tells the event loop what is agreed on. All of it belongs to that loop, but for
-// the reading of datagrams and the writing of the disk.
+// Package fleet hosts the modules by which gateways decide together. It carries the messages of package agreement between
+// gateways, stores the log of voters, and tells the event loop what has been agreed on. Everything runs on the event loop
+// except reading datagrams and writing to disk.
 //
-// fleet.go is the host, datagrams.go the address for other gateways, wire.go the form of messages, disk.go what
-// outlives the process.
+// fleet.go hosts the agreement, datagrams.go is the UDP socket, wire.go the message encoding and disk.go the persistent
+// state.
 package fleet
 
 import (
@@ -23,56 +23,56 @@
 	"magpieglade/internal/store"
 )
 
-// Plan is what the operator says of the agreement.
+// Config is the operator's configuration of the agreement.
 type Config struct {
-	Agreement             agreement.Config // Self, Epoch, Seed and Seeds are set by New
-	Name                  string           // of this gateway, in the list
+	Agreement             agreement.Config // Self, Epoch, Seed and Seeds are set by Open
+	Name                  string           // of this gateway in the list
 	Zone                  string
-	Listen                netip.AddrPort // where this gateway takes what others send
+	Listen                netip.AddrPort // address on which this gateway receives datagrams
 	Build                 string
-	FormatVersion         int              // of settings that this build reads
-	Address               netip.AddrPort   // at which others reach it: Listen, where nothing stands between
-	Seeds                 []netip.AddrPort // gateways that vote, or did when this was written
-	Folder                string           // where a gateway that votes keeps the log; without one it never votes
-	FileSystem            store.FileSystem // nil is the operating system's
+	FormatVersion         int              // settings format that this build reads
+	Address               netip.AddrPort   // address at which others reach this gateway: Listen, unless there is address translation in between
+	Seeds                 []netip.AddrPort // voters, or gateways that voted when the configuration was written
+	Folder                string           // directory of the voter log; without one the gateway never votes
+	FileSystem            store.FileSystem // nil for that of the operating system
 	Keys                  peerwire.Keys
-	CanaryFraction        float64 // of the gateways that get a version before all do, if it does not contradict its predecessor; 0 is all at once
-	ServeWithoutAgreement bool    // txns that no tenant's setting speaks of, while this gateway can't renew: served, not declined
+	CanaryFraction        float64 // of gateways that get a new version first, unless it conflicts with its predecessor; 0 is all at once
+	ServeWithoutAgreement bool    // serves, not rejects, txns not covered by a tenant's setting while this gateway cannot renew its lease
 }
 
-// Check names what is wrong with it.
+// Validate returns an error that describes the first invalid setting.
 func (p *Config) Validate() error {
-	t := p.Agreement
-	t.Self = 1
+	config := p.Agreement
+	config.Self = 1
 	switch {
 	case p.Name == "":
 		return errors.New("agreement: the gateway has no name")
 	case !p.Listen.IsValid() || !p.Listen.Addr().Is4():
-		return errors.New("agreement: listen is no IPv4 address with a port")
+		return errors.New("agreement: listen is not an IPv4 address with a port")
 	case !p.Address.IsValid() || !p.Address.Addr().Is4() || p.Address.Port() == 0:
-		return errors.New("agreement: address is no IPv4 address with a port")
+		return errors.New("agreement: address is not an IPv4 address with a port")
 	case p.Folder == "" && len(p.Seeds) == 0:
-		return errors.New("agreement: it has neither a folder, to vote, nor voters to ask")
+		return errors.New("agreement: neither a folder, which voting requires, nor voters to ask are configured")
 	}
 	if err := p.Keys.Check(); err != nil {
 		return fmt.Errorf("agreement: %w", err)
 	}
-	return t.Validate()
+	return config.Validate()
 }
 
-// Host is what it needs of the event loop.
+// Host is the part of the event loop that Fleet calls.
 type Host interface {
-	Post(f func())                          // run something on the loop, from any goroutine
-	Now() int64                             // nanoseconds of a clock that never goes back, 0 long before the start
-	WakeAfter(span int64)                   // have Turn called again
-	Prepare(m *agreement.Manifest)          // have all that arrives from some moment on be decided by it, and call Adopt then
-	Outcome(no uint64, o agreement.Outcome) // of Ask
-	// Counts takes those that another gateway tells; it may ask for all that are known.
-	Counts(from agreement.ID, all []contracts.Count, asks bool)
-	Logger() *slog.Logger //
+	Post(f func())                                  // runs f on the loop; may be called from any goroutine
+	Now() int64                                     // nanoseconds of a monotonic clock whose zero is long before the start
+	WakeAfter(delay int64)                          // calls ProcessDecisions again
+	Prepare(m *agreement.Manifest)                  // applies m to everything that arrives from some moment on, then calls Adopt
+	Outcome(proposalNo uint64, o agreement.Outcome) // of Propose
+	// ReceiveCounts handles counts of another gateway; requestsAll: the sender requests all counts known here.
+	ReceiveCounts(from agreement.ID, counts []contracts.Count, requestsAll bool)
+	Logger() *slog.Logger
 }
 
-// Fleet is one gateway's part.
+// Fleet is one gateway's instance of the agreement and of the modules that depend on it.
 type Fleet struct {
 	config       *Config
 	host         Host
@@ -81,67 +81,67 @@
 	datagrams    *Datagrams
 	sealer       *peerwire.Sealer
 	voterLog     *voterLog
-	addresses    map[agreement.ID]netip.AddrPort // by the list, by the plan, or by what came from there
+	addresses    map[agreement.ID]netip.AddrPort // from the list, the configuration or a received datagram
 	sealed       []byte
 	body         []byte
-	joinProposal uint64 // the wish to be in the list that is under way
+	joinProposal uint64 // number of the pending proposal to join the list, else 0
 	joined       bool
-	everListed   bool    // it was in the list since its start
-	inList       bool    // and is
-	quotas       *Quotas // nil where no bound is the fleet's
+	everListed   bool    // was in the list since this start
+	inList       bool    // is in the list now
+	quotas       *Quotas // nil if there are no fleet-wide limits
 
-	coordination *Coordination // nil where each gateway chooses for itself
+	coordination *Coordination // nil if each gateway decides on its own
 
 	dropped    uint64
 	refusals   map[error]int
 	closed     bool
-	wakeAt     int64 // when the module wants a round
-	needsRound bool  // it was told something since its last one
+	wakeAt     int64 // when the module next needs a round
+	needsRound bool  // the module received input since its last round
 }
 
-// Open takes up what a former run left. link is the address that the gateway has for others.
-func Open(p *Config, h Host, link *Datagrams, seed uint64) (*Fleet, error) {
-	me, err := loadIdentity(p.Folder, uint64(time.Now().UnixNano()))
+// Open restores the state of an earlier run. datagrams is the socket for other gateways.
+func Open(p *Config, h Host, datagrams *Datagrams, seed uint64) (*Fleet, error) {
+	self, err := loadIdentity(p.Folder, uint64(time.Now().UnixNano()))
 	if err != nil {
 		return nil, fmt.Errorf("agreement: %w", err)
 	}
-	f := &Fleet{config: p, host: h, identity: me, datagrams: link, addresses: map[agreement.ID]netip.AddrPort{}, refusals: map[error]int{}}
-	if f.sealer, err = peerwire.NewSealer(uint64(me.ID), uint32(me.Epoch>>16), p.Keys); err != nil {
+	f := &Fleet{config: p, host: h, identity: self, datagrams: datagrams, addresses: map[agreement.ID]netip.AddrPort{}, refusals: map[error]int{}}
+	if f.sealer, err = peerwire.NewSealer(uint64(self.ID), uint32(self.Epoch>>16), p.Keys); err != nil {
 		return nil, err
 	}
 	var records [][]byte
 	if f.voterLog, records, err = openVoterLog(p.Folder, p.FileSystem, func(text string, err error) { h.Logger().Error("agreement: "+text, "why", err) }, f.writeSnapshot); err != nil {
 		return nil, fmt.Errorf("agreement: %w", err)
 	}
-	t := p.Agreement
-	t.Self, t.Epoch, t.Seed = me.ID, me.Epoch, seed
+	config := p.Agreement
+	config.Self, config.Epoch, config.Seed = self.ID, self.Epoch, seed
 	for _, a := range p.Seeds {
 		if a != p.Address {
 			id := seedID(a)
 			f.addresses[id] = a
-			t.Seeds = append(t.Seeds, id)
+			config.Seeds = append(config.Seeds, id)
 		}
 	}
-	if f.module, err = agreement.New(t, records); err != nil {
+	if f.module, err = agreement.New(config, records); err != nil {
 		return nil, errors.Join(err, f.voterLog.close())
 	}
 	return f, nil
 }
 
-// seedID stands for whoever is at an address, until the list tells its ID.
+// seedID identifies the gateway at a seed address until the list provides its real ID.
 func seedID(a netip.AddrPort) agreement.ID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a.String()))
 	return agreement.ID(h.Sum64() | 1<<63)
 }
 
-// Close ends it; nothing is posted afterwards that it would take.
+// Close closes the log. Callbacks that run later are ignored.
 func (f *Fleet) Close() error {
 	f.closed = true
 	return f.voterLog.close()
 }
 
-// Heard takes a datagram.
+// Receive handles a datagram of another gateway.
 func (f *Fleet) Receive(d Datagram) {
 	from, body, err := f.sealer.Open(d.Data)
 	var m agreement.Message
@@ -163,7 +163,7 @@
 		var counts []contracts.Count
 		var requestsAll bool
 		if counts, requestsAll, err = decodeCounts(body); err == nil {
-			f.host.Counts(agreement.ID(from), counts, requestsAll)
+			f.host.ReceiveCounts(agreement.ID(from), counts, requestsAll)
 			return
 		}
 	} else if err == nil {
@@ -171,7 +171,7 @@
 	}
 	if err != nil {
 		if f.refusals[err]++; f.refusals[err] == 1 {
-			f.host.Logger().Warn("message of the agreement refused", "why", err, "from", d.From)
+			f.host.Logger().Warn("agreement message rejected", "why", err, "from", d.From)
 		}
 		return
 	}
@@ -186,14 +186,14 @@
 	f.module.Receive(m)
 }
 
-// stir has the module take something, and Turn ask it.
+// requestRound updates the clock of the module before input and has the next ProcessDecisions run it.
 func (f *Fleet) requestRound() {
 	f.needsRound = true
 	f.module.Clock(f.host.Now())
 }
 
-// Turn carries out what the module decides until there is nothing left. It comes with each of the loop's turns, most of
-// which are txns': then nothing was told to the module, and nothing of it is due.
+// ProcessDecisions carries out the decisions of the module until none is left. It is called in every iteration of the
+// loop, most of which only handle txns: it returns early if the module has neither new input nor a due timer.
 func (f *Fleet) ProcessDecisions() {
 	now := f.host.Now()
 	if !f.needsRound && now < f.wakeAt {
@@ -227,13 +227,14 @@
 	}
 }
 
-// join has this gateway in the list, once in each of its lives; one that is taken out stays out until it starts again.
+// proposeJoin proposes to add this gateway to the list, once per start: a gateway that was removed stays out until it
+// restarts.
 func (f *Fleet) proposeJoin() {
 	if f.joined || f.joinProposal != 0 {
 		return
 	}
 	if v, _, _, _ := f.module.Role(); !v && len(f.config.Seeds) == 0 {
-		return // nobody has founded the fleet yet
+		return // the fleet has not been bootstrapped yet
 	}
 	f.joinProposal, _ = f.module.Propose(agreement.Proposal{Join: f.ownEntry()}, nil, f.config.Agreement.StartupWait())
 }
@@ -267,10 +268,11 @@
 	}
 }
 
-// save has records on the disk, again and again while it takes none: a voter that can't keep what it says says nothing.
+// save writes records to disk and retries every second while that fails: a voter that cannot store its messages must not
+// send them.
 func (f *Fleet) save(records [][]byte, replaceAll bool) {
 	if f.voterLog.store == nil {
-		f.host.Logger().Error("agreement: this gateway has no folder and can't vote")
+		f.host.Logger().Error("agreement: cannot vote without a folder")
 		return
 	}
 	f.voterLog.store.Append(records, func(err error) {
@@ -291,7 +293,8 @@
 	})
 }
 
-// wanted: the store asks for all records in the place of those before, as it has grown or takes none.
+// writeSnapshot replaces the stored records with the current ones. The store requests it when it has grown or when writes
+// fail.
 func (f *Fleet) writeSnapshot() {
 	f.host.Post(func() {
 		if !f.closed && f.module != nil {
@@ -300,10 +303,10 @@
 	})
 }
 
-// Adopt tells that txns are decided by what was prepared, if that was of this stamp.
+// Adopt confirms that txns are decided by the prepared manifest, if it has this revision.
 func (f *Fleet) Adopt(revision uint64) {
 	f.requestRound()
-	if m := f.module.Pending(); f.quotas != nil && m != nil && m.Revision == revision { // before it is said that this gateway knows
+	if m := f.module.Pending(); f.quotas != nil && m != nil && m.Revision == revision { // before the agreement reports that this gateway has it
 		f.quotas.updateAssignment(m, f.module.Text)
 	}
 	f.module.Adopt(revision)
@@ -318,20 +321,20 @@
 			f.addresses[g.ID] = a
 		}
 	}
-	for id := range f.addresses { // of those that left, and of seeds whose place the list has taken
+	for id := range f.addresses { // removed gateways; IDs with the top bit set are seeds
 		if id>>63 == 0 && !listed[id] {
 			delete(f.addresses, id)
 		}
 	}
 }
 
-// Ask has the fleet agree on something; Host.Outcome tells what became of it.
+// Propose submits a proposal to the agreement; Host.Outcome receives the outcome.
 func (f *Fleet) Propose(proposal agreement.Proposal, text []byte, timeout time.Duration) (uint64, error) {
 	f.requestRound()
 	return f.module.Propose(proposal, text, int64(timeout))
 }
 
-// Found begins a fleet with this gateway as its one voter.
+// Bootstrap creates a fleet with this gateway as its only voter.
 func (f *Fleet) Bootstrap() error {
 	if f.voterLog.store == nil {
 		return errors.New("this gateway has no folder to keep the log in")
@@ -344,67 +347,67 @@
 	return nil
 }
 
-// Self is this gateway's ID, and Well tells that a version which it tries is well with it.
+// Self returns this gateway's ID.
 func (f *Fleet) Self() agreement.ID { return f.identity.ID }
 
-// Well tells that.
+// ReportHealthy reports that a version under test works at this gateway.
 func (f *Fleet) ReportHealthy(version uint64) {
 	f.requestRound()
 	f.module.ReportHealthy(version)
 }
 
-// Leased is until when this gateway may act on what it holds.
+// LeaseUntil returns until when this gateway may act on its manifest.
 func (f *Fleet) LeaseUntil() int64 { return f.module.LeaseUntil() }
 
-// Held is what it holds, and Text the text of one of its versions.
+// Manifest returns the manifest in force at this gateway.
 func (f *Fleet) Manifest() *agreement.Manifest { return f.module.Manifest() }
 
-// Awaits tells whether a manifest of this stamp is what it waits to act on: a later one may have taken its place.
+// IsPending reports whether the pending manifest has this revision: a later one may have replaced it.
 func (f *Fleet) IsPending(revision uint64) bool {
 	m := f.module.Pending()
 	return m != nil && m.Revision == revision
 }
 
-// Coming is what it waits to act on.
+// Pending returns the manifest that waits to be adopted, or nil.
 func (f *Fleet) Pending() *agreement.Manifest { return f.module.Pending() }
 
-// Out tells that this gateway was taken out of the list.
+// Removed reports whether this gateway was removed from the list.
 func (f *Fleet) Removed() bool {
 	return f.module.Manifest().Revision > 0 && f.joined && f.everListed && f.joinProposal == 0 && !f.inList
 }
 
-// Text gives a version's.
+// Text returns the text of a version.
 func (f *Fleet) Text(d agreement.Digest) []byte { return f.module.Text(d) }
 
-// Plan is what the operator said.
+// Config returns the configuration.
 func (f *Fleet) Config() *Config { return f.config }
 
-// Status is how this gateway stands to the fleet.
+// Status describes the state of the agreement at this gateway.
 type Status struct {
 	Self           agreement.ID
 	IsVoter        bool `json:"Votes"`
 	Leader         agreement.ID
 	Term           uint64
-	LeaseRemaining int64                    `json:"Left"` // of its lease; below 0 it is careful
+	LeaseRemaining int64                    `json:"Left"` // nanoseconds of the lease; below 0 the gateway acts as without agreement
 	MaxDivergence  int64                    `json:"Stated"`
 	Manifest       agreement.Manifest       `json:"Held"`
-	History        []agreement.Subject      // at one that votes
-	Leases         []agreement.GatewayLease `json:"Seen"` // what voters know of all gateways, where they were asked
+	History        []agreement.Subject      // at voters only
+	Leases         []agreement.GatewayLease `json:"Seen"` // what the voters know of all gateways, after a survey
 }
 
-// Survey asks all voters what they know of the others; Surveyed gives what has come and whether it is all.
+// Survey asks all voters what they know of the other gateways.
 func (f *Fleet) Survey() {
 	f.requestRound()
 	f.module.Survey()
 }
 
-// Surveyed gives it.
+// SurveyResult returns the responses to the survey so far and whether it is complete.
 func (f *Fleet) SurveyResult() ([]agreement.GatewayLease, bool) {
 	f.requestRound()
 	return f.module.SurveyResult()
 }
 
-// Status tells it.
+// Status returns the current state.
 func (f *Fleet) Status() Status {
 	s := Status{Self: f.identity.ID, LeaseRemaining: f.LeaseUntil() - f.host.Now(), MaxDivergence: f.config.Agreement.MaxDivergence(), Manifest: *f.Manifest()}
 	s.IsVoter, s.Leader, s.Term, _ = f.module.Role()
--- a/fleet/marks.go
+++ b/fleet/marks.go
@@ -5,31 +5,32 @@
 	"magpieglade/ledger"
 )
 
-// marks keeps the session module's changes in a ledger, and holds answers until theirs are written, where the operator
-// says so and not for longer than that. It belongs to the loop.
+// ledgerWriter records the session module's changes in a ledger. If so configured it delays an answer until its changes are
+// written, but for no longer than maxWait. It must be used from the event loop only.
 type ledgerWriter struct {
 	sessions     *Sessions
 	ledger       *ledger.Ledger
-	waitForWrite bool  // answers wait for their changes
-	maxWait      int64 // nanoseconds, and for so long
-	earlyAnswers int   // answers that went out before their changes were written, those not written yet
-	incomplete   bool  // as logged
+	waitForWrite bool  // answers wait until their changes are written
+	maxWait      int64 // nanoseconds that an answer waits at most
+	earlyAnswers int   // answers sent before their changes were written, which are still unwritten
+	incomplete   bool  // as last logged
 	failing      bool
 }
 
-// openMarks reads the ledger and gives the module what it held; what may lack something is fenced as at a first start.
+// openLedger reads the ledger and restores the module's state. If the ledger is incomplete only keyed writes are restored, so
+// that groups are fenced as at a first start.
 func openLedger(s *Sessions, config LedgerConfig) (*ledgerWriter, error) {
 	h := s.host
-	m := &ledgerWriter{sessions: s, waitForWrite: config.BeforeAnswer == DurableProcess, maxWait: config.MaxWait}
+	w := &ledgerWriter{sessions: s, waitForWrite: config.BeforeAnswer == DurableProcess, maxWait: config.MaxWait}
 	var recovered *ledger.Recovered
 	var err error
-	postAfterStart := func(f func()) { // there is no loop to post to before the start
+	postAfterStart := func(f func()) { // before the start there is no loop to post to
 		<-h.Started()
 		h.Post(f)
 	}
-	snapshotNeeded := func() { go postAfterStart(m.snapshot) }
-	log := func(text string, err error) { go postAfterStart(func() { m.onDiskStatus(text, err) }) }
-	if m.ledger, recovered, err = ledger.Open(config.Folder, config.FileSystem, snapshotNeeded, log); err != nil {
+	snapshotNeeded := func() { go postAfterStart(w.snapshot) }
+	log := func(message string, err error) { go postAfterStart(func() { w.onDiskStatus(message, err) }) }
+	if w.ledger, recovered, err = ledger.Open(config.Folder, config.FileSystem, snapshotNeeded, log); err != nil {
 		return nil, err
 	}
 	s.UpdateClock()
@@ -41,70 +42,71 @@
 	s.Module.TrackChanges()
 	h.Logger().Info("ledger read", "folder", config.Folder, "changes", len(recovered.Changes), "complete", recovered.Complete,
 		"clean", recovered.Clean, "torn_bytes", recovered.TornBytes, "spoilt", recovered.Corrupt)
-	if err := m.ledger.Start(s.Module.Snapshot(), m.waitForWrite); err != nil {
-		_ = m.ledger.Close()
+	if err := w.ledger.Start(s.Module.Snapshot(), w.waitForWrite); err != nil {
+		_ = w.ledger.Close()
 		return nil, err
 	}
-	return m, nil
+	return w, nil
 }
 
-// keep hands over what has changed. An answer that waits for it is given once it is written.
-func (m *ledgerWriter) append(answer slots.Ref) {
-	changes := m.sessions.Module.TakeChanges()
+// append queues the changes since the last call. An answer that waits for them is released once they are written.
+func (w *ledgerWriter) append(answer slots.Ref) {
+	changes := w.sessions.Module.TakeChanges()
 	if answer == (slots.Ref{}) {
 		if len(changes) > 0 {
-			m.ledger.Append(changes, nil)
+			w.ledger.Append(changes, nil)
 		}
 		return
 	}
-	m.sessions.host.AnswerBy(answer, m.sessions.host.Now()+m.maxWait)
-	m.ledger.Append(changes, func(err error) { m.sessions.host.Post(func() { m.onWritten(answer, err) }) })
+	w.sessions.host.SetAnswerDeadline(answer, w.sessions.host.Now()+w.maxWait)
+	w.ledger.Append(changes, func(err error) { w.sessions.host.Post(func() { w.onWritten(answer, err) }) })
 }
 
-// written comes when a change is with the kernel, or is not to be.
-func (m *ledgerWriter) onWritten(ref slots.Ref, err error) {
-	if m.sessions.host.Waiting(ref) {
-		m.sessions.host.AnswerWaiting(ref, false)
+// onWritten is called once the changes of an answer are passed to the kernel, or could not be.
+func (w *ledgerWriter) onWritten(ref slots.Ref, err error) {
+	if w.sessions.host.IsWaiting(ref) {
+		w.sessions.host.ReleaseAnswer(ref, false)
 		return
 	}
-	// Its answer went out before, or its client is gone, which is as well.
-	if !m.sessions.host.Caught(ref) {
+	// The answer was sent early, or its client is gone; in the latter case nothing is left to do.
+	if !w.sessions.host.EarlyAnswerWritten(ref) {
 		return
 	}
-	if m.earlyAnswers--; m.earlyAnswers == 0 && err == nil {
-		m.ledger.ClearIncomplete()
-		m.setIncomplete(false)
+	if w.earlyAnswers--; w.earlyAnswers == 0 && err == nil {
+		w.ledger.ClearIncomplete()
+		w.setIncomplete(false)
 	}
 }
 
-// overdue gives an answer that has waited for the disk as long as it may. What is then not written is said at once, in
-// a way that needs no disk, so that a restart does not take the ledger for complete.
-func (m *ledgerWriter) overdue(ref slots.Ref) {
-	if !m.sessions.host.Waiting(ref) {
+// overdue releases an answer that has waited for the disk for maxWait. The ledger is first marked incomplete, in a way that
+// does not wait for the disk, so that a restart does not take it for complete.
+func (w *ledgerWriter) overdue(ref slots.Ref) {
+	if !w.sessions.host.IsWaiting(ref) {
 		return
 	}
-	m.ledger.MarkIncomplete()
-	m.earlyAnswers++
-	m.setIncomplete(true)
-	m.sessions.host.AnswerWaiting(ref, true)
+	w.ledger.MarkIncomplete()
+	w.earlyAnswers++
+	w.setIncomplete(true)
+	w.sessions.host.ReleaseAnswer(ref, true)
 }
 
-func (m *ledgerWriter) setIncomplete(incomplete bool) {
-	if m.incomplete != incomplete {
-		m.incomplete = incomplete
-		m.sessions.host.Logger().Info("ledger behind", "now", incomplete, "span_ms", m.maxWait/1e6)
+func (w *ledgerWriter) setIncomplete(incomplete bool) {
+	if w.incomplete != incomplete {
+		w.incomplete = incomplete
+		w.sessions.host.Logger().Info("ledger incomplete", "now", incomplete, "span_ms", w.maxWait/1e6)
 	}
 }
 
-func (m *ledgerWriter) snapshot() { m.ledger.Snapshot(m.sessions.Module.Snapshot()) }
+func (w *ledgerWriter) snapshot() { w.ledger.Snapshot(w.sessions.Module.Snapshot()) }
 
-func (m *ledgerWriter) onDiskStatus(message string, err error) {
-	if (err != nil) != m.failing {
-		m.failing = err != nil
-		m.sessions.host.Logger().Info("ledger", "what", message, "why", err)
+// onDiskStatus handles a write error of the ledger, or its end if err is nil.
+func (w *ledgerWriter) onDiskStatus(message string, err error) {
+	if (err != nil) != w.failing {
+		w.failing = err != nil
+		w.sessions.host.Logger().Info("ledger", "what", message, "why", err)
 	}
-	if err == nil && m.earlyAnswers == 0 { // a snapshot has all that was refused before
-		m.ledger.ClearIncomplete()
-		m.setIncomplete(false)
+	if err == nil && w.earlyAnswers == 0 { // a snapshot contains all changes whose writes failed before
+		w.ledger.ClearIncomplete()
+		w.setIncomplete(false)
 	}
 }
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -11,24 +11,25 @@
 	"magpieglade/internal/peerwire"
 )
 
-// Peers words what sessions tell other gateways, by their numbers, and sends it. It belongs to the event loop.
+// Peers encodes messages of sessions and exchanges them with other gateways, which it addresses by number. It must be used
+// from the event loop only.
 type Peers struct {
 	Codec               *peerwire.Codec
 	datagrams           *Datagrams
 	addresses           map[int]*unix.SockaddrInet4
-	numbers             []int // of the others, in order
+	numbers             []int // of the other gateways, sorted
 	buffer              []byte
 	log                 *slog.Logger
-	refusals, nextLogAt map[error]int // of what was refused; at which count it is logged
-	dropped             uint64        // that could not be sent at once
+	refusals, nextLogAt map[error]int // by cause: number of rejected messages, and the count at which to log next
+	dropped             uint64        // messages that could not be sent immediately
 }
 
-// NewPeers sends and reads by one wire. List tells whom it may send to.
-func NewPeers(codec *peerwire.Codec, link *Datagrams, log *slog.Logger) *Peers {
-	return &Peers{Codec: codec, datagrams: link, log: log, refusals: map[error]int{}, nextLogAt: map[error]int{}}
+// NewPeers returns a Peers without addresses; SetPeers sets them.
+func NewPeers(codec *peerwire.Codec, datagrams *Datagrams, log *slog.Logger) *Peers {
+	return &Peers{Codec: codec, datagrams: datagrams, log: log, refusals: map[error]int{}, nextLogAt: map[error]int{}}
 }
 
-// List is this gateway's number and the addresses of the others, by theirs.
+// SetPeers sets this gateway's number and the addresses of the others, keyed by their numbers.
 func (p *Peers) SetPeers(self int, others map[int]netip.AddrPort) {
 	p.Codec.SetSender(self)
 	p.addresses = map[int]*unix.SockaddrInet4{}
@@ -38,10 +39,10 @@
 	p.numbers = slices.Sorted(maps.Keys(others))
 }
 
-// Others are the numbers of the other gateways, in order.
+// Numbers returns the sorted numbers of the other gateways.
 func (p *Peers) Numbers() []int { return p.numbers }
 
-// Read reads a message. Refused ones are logged by cause: the first, the tenth, the hundredth and so on.
+// Read decodes a message. Of the rejected messages of one cause the first, the tenth, the hundredth and so on are logged.
 func (p *Peers) Read(data []byte) (m peerwire.Message, ok bool) {
 	m, cause := p.Codec.Read(data)
 	if cause == nil {
@@ -50,12 +51,12 @@
 	p.refusals[cause]++
 	if n := p.refusals[cause]; n == p.nextLogAt[cause] || n == 1 {
 		p.nextLogAt[cause] = n * 10
-		p.log.Warn("message between gateways refused", "why", cause, "so_many", n, "read", p.Codec.Counts.Read)
+		p.log.Warn("message between gateways rejected", "why", cause, "so_many", n, "read", p.Codec.Counts.Read)
 	}
 	return m, false
 }
 
-// Send writes a message to a gateway, without waiting.
+// Send sends a message to a gateway without blocking.
 func (p *Peers) Send(to int, m *peerwire.Message) {
 	address := p.addresses[to]
 	var err error
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -11,53 +11,53 @@
 	"magpieglade/session"
 )
 
-// SessionPlan is what the operator says of the guarantee of sessions. Without one a gateway covers what clients
-// bring and, where the settings say `kept`, what it answered itself.
+// SessionConfig is the operator's configuration of session consistency. Without it a gateway guarantees only the positions
+// that clients send and, if the settings say `kept`, its own answers.
 type SessionConfig struct {
-	Session  session.Config // Self and Fleet are set by Gateways, or where the fleet agrees on its list by that
+	Session  session.Config // Self and FleetSize are set from Gateways, or from the list that the fleet agrees on
 	Tokens   TokenUse
-	Listen   netip.AddrPort   // for other gateways; not valid where there are none
-	Gateways []netip.AddrPort // of the whole fleet, this one among them, in the same order everywhere
-	Keys     []PeerKey        // the first signs, all are valid
-	// Positions has gateways tell each other the positions of members, beside what sessions need. The decision module
-	// shares them as limits.peers of the settings has it do.
+	Listen   netip.AddrPort   // for messages of other gateways; invalid if there are none
+	Gateways []netip.AddrPort // all gateways including this one, in the same order everywhere
+	Keys     []PeerKey        // the first one signs, all verify
+	// SharePositions has gateways exchange the positions of members in addition to what sessions need. The decision module
+	// shares them according to limits.peers of the settings.
 	SharePositions bool
 	Ledger         LedgerConfig
 }
 
-// TokenUse is what the positions that clients bring are good for.
+// TokenUse is how far positions sent by clients are trusted.
 type TokenUse string
 
 const (
-	TokensHints    TokenUse = "hints"    // they may raise a floor, no more
-	TokensComplete TokenUse = "complete" // they cover all that their session wrote
-	TokensSigned   TokenUse = "signed"   // the same, if a gateway signed them; others are none
+	TokensHints    TokenUse = "hints"    // they may only raise the minimum position of a read
+	TokensComplete TokenUse = "complete" // they cover all writes of their session
+	TokensSigned   TokenUse = "signed"   // the same if signed by a gateway; unsigned ones are ignored
 )
 
-// PeerKey authenticates messages between gateways and tokens of clients.
+// PeerKey authenticates messages between gateways, and client tokens.
 type PeerKey struct {
 	ID     uint8
 	Secret []byte
 }
 
-// LedgerPlan says where marks are kept over a restart; without a folder nowhere.
+// LedgerConfig configures the ledger that keeps session watermarks over a restart; without a folder there is none.
 type LedgerConfig struct {
 	Folder       string
 	BeforeAnswer Durability
-	MaxWait      int64             // nanoseconds that an answer waits for the disk; past it the ledger is no longer complete
-	FileSystem   ledger.FileSystem // nil is the system's
+	MaxWait      int64             // nanoseconds that an answer waits for the disk; then the ledger is marked incomplete
+	FileSystem   ledger.FileSystem // nil for that of the operating system
 }
 
-// Durability is how far a mark has come when its write is answered.
+// Durability is where a watermark has been stored when its write is answered.
 type Durability string
 
 const (
 	DurableNone    Durability = "none"    // nowhere: after a crash each group is fenced once
-	DurableProcess Durability = "process" // with the kernel: a restart goes on from there; after a loss of power each group is fenced once
+	DurableProcess Durability = "process" // in the kernel: survives a restart of the process; after a loss of power each group is fenced once
 )
 
-// Check names the first value that is lacking or wrong, and completes the terms. reports tells whether members answer probes
-// with their position.
+// Validate returns an error that describes the first missing or invalid value, and completes the session configuration.
+// probesReportPosition states whether members answer probes with their position.
 func (p *SessionConfig) Validate(probesReportPosition bool) error {
 	errorf := func(format string, a ...any) error { return fmt.Errorf("sessions: "+format, a...) }
 	if p.Tokens == "" {
@@ -69,21 +69,21 @@
 		return errorf("tokens has the unknown value %q", p.Tokens)
 	}
 	if p.Session.DynamicMembership && len(p.Gateways) > 0 {
-		return errorf("the fleet agrees on its list of gateways")
+		return errorf("gateways must be empty where the fleet agrees on its list of gateways")
 	}
 	p.Session.FleetSize, p.Session.Self = max(1, len(p.Gateways)), 0
 	if len(p.Gateways) > 1 {
 		if p.Session.Self = slices.Index(p.Gateways, p.Listen); p.Session.Self < 0 {
-			return errorf("gateways does not name %v, where this one listens for them", p.Listen)
+			return errorf("gateways does not contain %v, on which this gateway listens for the others", p.Listen)
 		}
 		for i, g := range p.Gateways {
 			if !g.IsValid() || !g.Addr().Is4() || g.Port() == 0 || slices.Contains(p.Gateways[:i], g) {
-				return errorf("gateways has %v twice, or it is no IPv4 address with a port", g)
+				return errorf("gateways contains %v twice, or it is not an IPv4 address with a port", g)
 			}
 		}
 	}
 	if p.SharePositions && p.Standalone() {
-		return errorf("positions need other gateways to be told to")
+		return errorf("positions requires other gateways")
 	}
 	if !p.Standalone() || p.Tokens == TokensSigned {
 		if err := p.keys().Check(); err != nil {
@@ -101,18 +101,18 @@
 	return p.Session.Validate()
 }
 
-// Alone tells that there are no other gateways.
+// Standalone reports whether there are no other gateways.
 func (p *SessionConfig) Standalone() bool { return len(p.Gateways) < 2 && !p.Session.DynamicMembership }
 
-// others are the addresses of the other gateways, by their places in the list.
+// peerAddresses returns the addresses of the other gateways, keyed by their index in the list.
 func (p *SessionConfig) peerAddresses() map[int]netip.AddrPort {
-	all := map[int]netip.AddrPort{}
+	addresses := map[int]netip.AddrPort{}
 	for i, a := range p.Gateways {
 		if i != p.Session.Self {
-			all[i] = a
+			addresses[i] = a
 		}
 	}
-	return all
+	return addresses
 }
 
 func (p *SessionConfig) keys() (keys peerwire.Keys) {
@@ -122,11 +122,11 @@
 	return keys
 }
 
-// fleet is a mark of the list of gateways.
+// fleetHash returns a hash of the list of gateways.
 func (p *SessionConfig) fleetHash() uint32 {
-	var all []string
+	var addresses []string
 	for _, g := range p.Gateways {
-		all = append(all, g.String())
+		addresses = append(addresses, g.String())
 	}
-	return peerwire.FleetHash(all)
+	return peerwire.FleetHash(addresses)
 }
--- a/fleet/quotas.go
+++ b/fleet/quotas.go
@@ -12,13 +12,16 @@
 	"magpieglade/quota"
 )
 
-// subjectOffices is the subject of who keeps the books of bounds, as the fleet agrees on it.
+// assignmentSubject is the agreement subject of the assignment of allocators.
 const assignmentSubject = "offices"
 
-// kindOfQuota begins a sealed message that is the quota's; the agreement's kinds are lower.
+// quotaMessageKind is the first byte of a sealed quota message; the kinds of agreement messages are lower.
 const quotaMessageKind = 64
 
-// Quotas hosts the module in quota. It belongs to the loop.
+// surveyCheckInterval is the time between checks for a complete survey, in nanoseconds.
+const surveyCheckInterval = int64(5e6)
+
+// Quotas hosts the quota module. It must be used from the event loop only.
 type Quotas struct {
 	fleet        *Fleet
 	config       quota.Config
@@ -26,14 +29,14 @@
 	buffer       []byte
 	wakeAt       int64
 	needsRound   bool
-	hasLimits    bool         // there is a bound of the fleet
-	unresponsive agreement.ID // whose books are to move, while voters are asked whether it is away
+	hasLimits    bool         // there are fleet-wide limits
+	unresponsive agreement.ID // allocator to replace, while the voters are asked whether it is unavailable; 0 if none
 	surveying    bool
-	proposalNo   uint64 // for another version that is under way
+	proposalNo   uint64 // of the pending proposal for another assignment, 0 if none
 	lastVersion  uint64
 }
 
-// NewQuotas prepares it. linger is the longest time of any txn type.
+// NewQuotas creates the module and attaches it to f. maxTxnDuration is the maximum over all txn types.
 func NewQuotas(f *Fleet, maxTxnDuration int64) (*Quotas, error) {
 	config := f.config.Agreement
 	q := &Quotas{fleet: f, config: quota.Config{Self: f.identity.ID, Incarnation: f.identity.Epoch, LeaseDuration: config.Lease, ClockError: config.ClockError, MaxEffectDelay: config.EffectDelay, MaxTxnDuration: maxTxnDuration}}
@@ -43,10 +46,10 @@
 	return q, err
 }
 
-// Clock has the module know the time.
+// UpdateClock passes the current time and the end of the lease to the module.
 func (q *Quotas) UpdateClock() { q.Module.Clock(q.fleet.host.Now(), q.fleet.LeaseUntil()) }
 
-// Bounds takes the fleet's.
+// SetLimits sets the fleet-wide limits.
 func (q *Quotas) SetLimits(limits []quota.Limit) error {
 	q.UpdateClock()
 	q.needsRound = true
@@ -54,7 +57,7 @@
 	return q.Module.SetLimits(limits)
 }
 
-// heard takes a message.
+// receive handles a quota message of another gateway.
 func (q *Quotas) receive(from agreement.ID, body []byte) error {
 	m, err := decodeQuota(body)
 	if err != nil {
@@ -67,10 +70,10 @@
 	return nil
 }
 
-// Stir has the module asked in this turn, as something was asked of it.
+// RequestRound has the next ProcessDecisions run the module, which received input.
 func (q *Quotas) RequestRound() { q.needsRound = true }
 
-// Turn carries out what the module decides until there is nothing left.
+// ProcessDecisions carries out the decisions of the module until none is left.
 func (q *Quotas) ProcessDecisions() {
 	now := q.fleet.host.Now()
 	if !q.needsRound && now < q.wakeAt && !q.surveying {
@@ -97,7 +100,7 @@
 	q.reassign(now)
 }
 
-// offices takes who keeps the books, of what this gateway is about to hold.
+// updateAssignment passes the assignment of allocators in the manifest that this gateway is about to adopt to the module.
 func (q *Quotas) updateAssignment(m *agreement.Manifest, text func(agreement.Digest) []byte) {
 	var assignment quota.Assignment
 	for _, s := range m.Subjects {
@@ -110,7 +113,7 @@
 			}
 			ids, err := quota.DecodeAssignment(text(v.Digest))
 			if err != nil {
-				q.fleet.host.Logger().Error("who keeps the books of bounds can't be read", "why", err)
+				q.fleet.host.Logger().Error("cannot decode the assignment of allocators", "why", err)
 			}
 			return ids
 		}
@@ -125,14 +128,15 @@
 	q.Module.SetAssignment(assignment)
 }
 
-// move asks for other keepers once voters have said that one is away: that a single gateway can't reach it is no reason.
+// reassign proposes to replace an allocator once the voters confirm that it is unavailable: that only this gateway cannot
+// reach it is no reason.
 func (q *Quotas) reassign(now int64) {
 	if !q.surveying {
 		return
 	}
 	leases, complete := q.fleet.SurveyResult()
 	if !complete {
-		q.fleet.host.WakeAfter(int64(5e6))
+		q.fleet.host.WakeAfter(surveyCheckInterval)
 		return
 	}
 	q.surveying = false
@@ -147,7 +151,7 @@
 		if s.Name == assignmentSubject && s.Next == nil && s.InForce != nil {
 			current, _ = quota.DecodeAssignment(q.fleet.Text(s.InForce.Digest))
 		} else if s.Name == assignmentSubject {
-			return // another version is on its way
+			return // another version is pending
 		}
 	}
 	var candidates []quota.Candidate
@@ -168,14 +172,14 @@
 	q.proposalNo, _ = q.fleet.Propose(agreement.Proposal{Version: &v}, quota.EncodeAssignment(next), time.Duration(q.config.ReassignTimeout()))
 }
 
-// outcome takes what became of a wish of its own.
+// handleOutcome handles the outcome of its own proposal; it reports false for any other proposal.
 func (q *Quotas) handleOutcome(no uint64, o agreement.Outcome) bool {
 	if no != q.proposalNo || no == 0 {
 		return false
 	}
 	q.proposalNo = 0
 	if !o.Done {
-		q.fleet.host.Logger().Info("the keepers of bounds are not changed by this gateway", "why", o.Reason)
+		q.fleet.host.Logger().Info("proposed change of allocators not accepted", "why", o.Reason)
 	}
 	return true
 }
@@ -189,14 +193,14 @@
 	q.fleet.sendSealed(appendQuota(q.buffer[:0], m), to)
 }
 
-// quotaHead is a message of the quota but for its items, big-endian. Who sent it is said around it.
+// quotaHeader is the wire format of a quota message without its items, big-endian. The sealed envelope names the sender.
 type quotaHeader struct {
 	Kind, Type, Shard              uint8
 	AssignmentVersion, Incarnation uint64
 	RequestTime                    int64
 }
 
-var errMalformedQuota = errors.New("malformed message of the quota")
+var errMalformedQuota = errors.New("malformed quota message")
 
 func appendQuota(dst []byte, m *quota.Message) []byte {
 	dst, _ = binary.Append(dst, binary.BigEndian, &quotaHeader{quotaMessageKind, uint8(m.Kind), uint8(m.Shard), m.AssignmentVersion, m.Incarnation, m.RequestTime})
@@ -218,41 +222,41 @@
 	return m, nil
 }
 
-// Part is a bound of the fleet as one gateway has it.
+// LimitStatus is the state of a fleet-wide limit at one gateway.
 type LimitStatus struct {
 	Name           string
 	Amount         int64
-	Rate           bool          // then amounts are in thousandths of a txn, a second
+	Rate           bool          // amounts are thousandths of a txn per second
 	Allocator      string        `json:"Keeper"`
-	Allocation     int64         `json:"Part"` // that this gateway holds
-	Used           int64         // of that, or a rate's tokens
+	Allocation     int64         `json:"Part"` // held by this gateway
+	Used           int64         // of the allocation, or tokens of a rate
 	Demand         int64         `json:"Want"`
-	LeaseRemaining int64         `json:"Left"`  // nanoseconds of its lease
-	Grants         []quota.Grant `json:"Loans"` // where this gateway keeps the book
-	HolderNames    []string      `json:"Names"` // of their holders
+	LeaseRemaining int64         `json:"Left"`  // nanoseconds until the allocation expires
+	Grants         []quota.Grant `json:"Loans"` // if this gateway is the allocator
+	HolderNames    []string      `json:"Names"` // of the holders of Grants
 }
 
-// Parts tells of all bounds.
+// Limits returns the state of all fleet-wide limits.
 func (q *Quotas) Limits() (statuses []LimitStatus) {
 	q.UpdateClock()
-	for _, b := range q.Module.Limits() {
-		p := LimitStatus{Name: b.Name, Amount: b.Amount, Rate: b.Kind == quota.Rate, Allocator: "-"}
-		if id := q.Module.Allocator(b.Key); id != 0 {
-			p.Allocator = q.fleet.nameOf(id)
+	for _, limit := range q.Module.Limits() {
+		status := LimitStatus{Name: limit.Name, Amount: limit.Amount, Rate: limit.Kind == quota.Rate, Allocator: "-"}
+		if id := q.Module.Allocator(limit.Key); id != 0 {
+			status.Allocator = q.fleet.nameOf(id)
 		}
 		var until int64
-		p.Allocation, p.Used, p.Demand, until = q.Module.Allocation(b.Key)
-		p.LeaseRemaining = until - q.fleet.host.Now()
-		p.Grants, _ = q.Module.Grants(b.Key)
-		for _, l := range p.Grants {
-			p.HolderNames = append(p.HolderNames, q.fleet.nameOf(l.Holder))
+		status.Allocation, status.Used, status.Demand, until = q.Module.Allocation(limit.Key)
+		status.LeaseRemaining = until - q.fleet.host.Now()
+		status.Grants, _ = q.Module.Grants(limit.Key)
+		for _, l := range status.Grants {
+			status.HolderNames = append(status.HolderNames, q.fleet.nameOf(l.Holder))
 		}
-		statuses = append(statuses, p)
+		statuses = append(statuses, status)
 	}
 	return statuses
 }
 
-// nameOf is a gateway's name in the list, or its ID.
+// nameOf returns a gateway's name in the list, or its ID in hexadecimal if it is not listed.
 func (f *Fleet) nameOf(id agreement.ID) string {
 	for _, g := range f.Manifest().Gateways {
 		if g.ID == id {
--- a/fleet/sessions.go
+++ b/fleet/sessions.go
@@ -11,41 +11,41 @@
 	"magpieglade/session"
 )
 
-// SessionHost is what sessions need of the event loop. Times are nanoseconds of its clock.
+// SessionHost is the part of the event loop that Sessions calls. Times are nanoseconds of its clock.
 type SessionHost interface {
 	Post(f func())
 	Now() int64
-	WakeAfter(span int64)
+	WakeAfter(delay int64)
 	Logger() *slog.Logger
 	Started() <-chan struct{} // closed once Post works
 
-	Serve(read uint64, floor session.Position)                  // route a read, which is to see at least this; 0 is nothing to wait for
-	Refuse(read uint64, after int64)                            // nothing of it was sent
-	Fence(group int, no uint64, turn int, wait int64) (ok bool) // ask who may be the primary; ok is false where nobody is
-	News(entries []peerwire.Entry)                              // of members, by another gateway
+	Serve(readID uint64, minPosition session.Position)                       // routes a read to a member that has reached minPosition; 0 for any
+	Refuse(readID uint64, retryAfter int64)                                  // rejects a read of which nothing was sent
+	Fence(group int, requestID uint64, attempt int, timeout int64) (ok bool) // queries a member that may be the primary; ok is false if there is none
+	ReceivePositions(entries []peerwire.Entry)                               // of members, reported by another gateway
 
-	Waiting(answer slots.Ref) bool              // an answer that is kept until its mark is
-	AnswerWaiting(answer slots.Ref, early bool) // give it; an early one's place is kept until Caught
-	Caught(answer slots.Ref) bool               // the mark of an early one is written
-	AnswerBy(answer slots.Ref, at int64)        // have Overdue called
+	IsWaiting(answer slots.Ref) bool                    // whether the answer still waits for its change to be written
+	ReleaseAnswer(answer slots.Ref, early bool)         // sends it; the slot of an early answer is kept until EarlyAnswerWritten
+	EarlyAnswerWritten(answer slots.Ref) bool           // the change of an early answer has been written; false if the slot is not that of one
+	SetAnswerDeadline(answer slots.Ref, deadline int64) // calls AnswerOverdue at the deadline
 }
 
-// Sessions hosts the module in session: it tells it of reads, commits, fences and other gateways, and carries out what it
-// decides. It belongs to the loop.
+// Sessions hosts the session module: it passes reads, commits, fences and messages of other gateways to it, and carries out
+// its decisions. It must be used from the event loop only.
 type Sessions struct {
 	Config        *SessionConfig
 	Module        *session.Sessions
 	host          SessionHost
-	peers         *Peers // nil where there are none
+	peers         *Peers // nil if there are no other gateways
 	tokens        *peerwire.Codec
-	ledger        *ledgerWriter // nil where nothing is kept
-	fleet         *Fleet        // whose list and lease it goes by, nil where there is one list for good
-	fenceAttempts int           // members asked in turn while there is no primary
+	ledger        *ledgerWriter // nil without a ledger
+	fleet         *Fleet        // provides the list of gateways and the lease; nil if the list is static
+	fenceAttempts int           // failed fences; selects the member to query while no primary is known
 	startedAt     time.Time
 }
 
-// NewSessions prepares them; Open starts them. began is another at each start: nobody takes this run's notes for those of
-// the last.
+// NewSessions creates the module; Open opens the ledger and the peers. startedAt must differ at each start: it is the epoch
+// that keeps peers from taking the entries of this run for those of the last.
 func NewSessions(h SessionHost, config *SessionConfig, seed uint64, startedAt time.Time) (*Sessions, error) {
 	s := &Sessions{host: h, Config: config, startedAt: startedAt}
 	var err error
@@ -53,8 +53,8 @@
 	return s, err
 }
 
-// Open takes up the ledger, and the address for other gateways. agreed is nil where no list is agreed on.
-func (s *Sessions) Open(link *Datagrams, fleet *Fleet) (err error) {
+// Open restores the ledger and sets up the exchange with other gateways. fleet is nil if the list of gateways is static.
+func (s *Sessions) Open(datagrams *Datagrams, fleet *Fleet) (err error) {
 	incarnation := uint32(s.startedAt.UnixNano() >> 16)
 	s.fleet = fleet
 	if s.Config.Ledger.Folder != "" {
@@ -70,20 +70,20 @@
 		return err
 	}
 	if !s.Config.Standalone() {
-		s.peers = NewPeers(s.tokens, link, s.host.Logger())
+		s.peers = NewPeers(s.tokens, datagrams, s.host.Logger())
 		s.peers.SetPeers(s.Config.Session.Self, s.Config.peerAddresses())
 	}
 	return nil
 }
 
-// Listed takes the fleet's list, before this gateway says that it holds it.
+// SetMembership applies the agreed list of gateways. It must be called before this gateway reports that it has the list.
 func (s *Sessions) SetMembership(m *agreement.Manifest) {
 	membership := session.Membership{Self: -1, EndedVersion: m.LastEnded}
 	others := map[int]netip.AddrPort{}
 	for _, gateways := range [][]agreement.Gateway{m.Gateways, m.Departed} {
 		for _, g := range gateways {
 			if g.ID == s.fleet.Self() {
-				membership.Self, membership.KnownToAll = g.Number, g.KnownToAll // a departed gateway is not
+				membership.Self, membership.KnownToAll = g.Number, g.KnownToAll // false for a departed gateway
 				continue
 			}
 			membership.Peers = append(membership.Peers, g.Number)
@@ -97,27 +97,27 @@
 	s.Module.SetMembership(membership)
 }
 
-// Started tells that the loop runs.
+// Started is called once the event loop runs.
 func (s *Sessions) Started() {
-	s.host.Logger().Info("sessions are covered", "source", s.Config.Session.Source, "gateways", s.Config.Session.FleetSize, "tokens", s.Config.Tokens)
+	s.host.Logger().Info("session consistency enabled", "source", s.Config.Session.Source, "gateways", s.Config.Session.FleetSize, "tokens", s.Config.Tokens)
 }
 
-// Close ends them.
+// Close closes the ledger.
 func (s *Sessions) Close() {
 	if s.ledger != nil {
 		if err := s.ledger.ledger.Close(); err != nil {
-			s.host.Logger().Info("ledger not closed in order", "why", err)
+			s.host.Logger().Info("ledger not closed cleanly", "why", err)
 		}
 	}
 }
 
-// Clock has the module know the time: what comes is told at its time.
+// UpdateClock passes the current time to the module; it is called before each input.
 func (s *Sessions) UpdateClock() { s.Module.SetTime(s.host.Now()) }
 
-// Talks tells whether there are other gateways to hear.
+// HasPeers reports whether messages are exchanged with other gateways.
 func (s *Sessions) HasPeers() bool { return s.peers != nil }
 
-// Heard tells the module what another gateway said.
+// Receive handles a message of another gateway.
 func (s *Sessions) Receive(data []byte) {
 	m, ok := s.peers.Read(data)
 	if !ok {
@@ -128,7 +128,7 @@
 	case peerwire.TypeRequest:
 		s.Module.HandleRequest(m.From, m.RequestNumber, m.Epoch, m.Last)
 	case peerwire.TypePositions:
-		s.host.News(m.Entries)
+		s.host.ReceivePositions(m.Entries)
 	default:
 		page := session.Page{Epoch: m.Epoch, Last: m.Last, First: m.First}
 		for _, e := range m.Entries {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Read takes a session read, which waits for its floor until a time. brought is the position that its client says, 0 for
-// none, and token a signed one.
+// AddRead adds a session read, which waits until deadline for a member that has reached its minimum position.
+// clientPosition is the position sent by the client, 0 for none, and token a signed one.
 func (s *Sessions) AddRead(id uint64, group int, sessionKey uint64, clientPosition session.Position, token []byte, deadline int64) {
 	complete := false
 	switch s.Config.Tokens {
@@ -155,7 +155,7 @@
 	s.Module.AddRead(id, group, sessionKey, clientPosition, complete, deadline)
 }
 
-// Committed notes a session's write before it is answered, and gives the token that its client is to carry, if any.
+// RecordCommit records a session's write before it is answered, and returns the token for its client, if any.
 func (s *Sessions) RecordCommit(group int, sessionKey uint64, position session.Position) (token []byte) {
 	if sessionKey == 0 {
 		return nil
@@ -167,30 +167,30 @@
 	return s.tokens.AppendToken(nil, uint16(group), sessionKey, int64(position))
 }
 
-// Waits tells whether answers to sessions' writes are to wait for the ledger; Keep has one wait.
+// WaitsForLedger reports whether answers to session writes wait for the ledger; SaveChanges makes one wait.
 func (s *Sessions) WaitsForLedger() bool { return s.ledger != nil && s.ledger.waitForWrite }
 
-// Keep gives what has changed to the ledger; the answer is given once it is written, or it is overdue.
+// SaveChanges appends the changes to the ledger; the answer is released once they are written or it is overdue.
 func (s *Sessions) SaveChanges(answer slots.Ref) { s.ledger.append(answer) }
 
-// Overdue is called at the time that AnswerBy told.
+// AnswerOverdue is called at the deadline set with SessionHost.SetAnswerDeadline.
 func (s *Sessions) AnswerOverdue(answer slots.Ref) { s.ledger.overdue(answer) }
 
-// Fenced takes the answer to a fence: a position, 0 for none, and whether its member called itself primary in that very
-// answer.
-func (s *Sessions) FenceCompleted(group int, no uint64, position session.Position, primary bool) {
+// FenceCompleted handles the response to a fence: a position, 0 for none, and whether the member reported to be the primary
+// in that same response.
+func (s *Sessions) FenceCompleted(group int, requestID uint64, position session.Position, primary bool) {
 	if primary && position > 0 {
-		s.Module.FenceCompleted(group, no, position)
+		s.Module.FenceCompleted(group, requestID, position)
 		return
 	}
 	s.fenceAttempts++
 	if position > 0 {
 		s.Module.RecordMemberPosition(group, position)
 	}
-	s.Module.FenceFailed(group, no)
+	s.Module.FenceFailed(group, requestID)
 }
 
-// Turn carries out what the module decides until there is nothing left.
+// ProcessDecisions carries out the decisions of the module until none is left.
 func (s *Sessions) ProcessDecisions() {
 	s.UpdateClock()
 	if s.fleet != nil {
@@ -235,7 +235,7 @@
 	s.peers.Send(d.Peer, &m)
 }
 
-// TellNews tells all other gateways of members.
+// SendPositions sends the positions of members to all other gateways.
 func (s *Sessions) SendPositions(entries []peerwire.Entry) {
 	for len(entries) > 0 {
 		n := min(len(entries), peerwire.MaxEntries)
--- a/fleet/wire.go
+++ b/fleet/wire.go
@@ -7,7 +7,7 @@
 	"magpieglade/agreement"
 )
 
-// wired is a message of the agreement between gateways but for its data, big-endian. Who sent it is said around it.
+// wireMessage is the wire format of an agreement message without its data, big-endian. The sealed envelope names the sender.
 type wireMessage struct {
 	Kind                    uint8
 	To, Term, Epoch         uint64
@@ -20,7 +20,7 @@
 
 var wireMessageSize = binary.Size(wireMessage{})
 
-var errMalformedMessage = errors.New("malformed message of the agreement")
+var errMalformedMessage = errors.New("malformed agreement message")
 
 func appendMessage(dst []byte, m *agreement.Message) ([]byte, error) {
 	dst, err := binary.Append(dst, binary.BigEndian, &wireMessage{uint8(m.Kind), uint64(m.To), m.Term, m.Epoch, m.SentAt, m.Echo, m.Remaining,
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -7,8 +7,8 @@
 	"magpieglade/agreement"
 )
 
-// Every field of a message goes over the wire but its sender, which is said around it: one that is forgotten there would
-// be there on the virtual clock alone.
+// Every field of a message except its sender is encoded; the sealed envelope names the sender. A field that the encoding
+// omits would work only in simulations, which pass messages without encoding them.
 func TestMessageRoundTrip(t *testing.T) {
 	var m agreement.Message
 	v := reflect.ValueOf(&m).Elem()
@@ -25,16 +25,16 @@
 		}
 	}
 	m.From = 0
-	text, err := appendMessage(nil, &m)
+	data, err := appendMessage(nil, &m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := decodeMessage(text); err != nil || !reflect.DeepEqual(got, m) {
-		t.Fatalf("%+v came as %+v, %v", m, got, err)
+	if got, err := decodeMessage(data); err != nil || !reflect.DeepEqual(got, m) {
+		t.Fatalf("%+v decoded as %+v, %v", m, got, err)
 	}
 	for n := range wireMessageSize {
-		if _, err := decodeMessage(text[:n]); err == nil {
-			t.Fatal("half a message")
+		if _, err := decodeMessage(data[:n]); err == nil {
+			t.Fatal("truncated message accepted")
 		}
 	}
 }
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -30,8 +30,8 @@
 	return x, err
 }
 
-// Beside runs work beside the loop.
-func (x *coordinated) Beside(work func() (then func())) {
+// RunAsync runs work beside the loop.
+func (x *coordinated) RunAsync(work func() (then func())) {
 	go func() {
 		then := work()
 		x.g.post(then)
@@ -73,8 +73,8 @@
 	x.c.SetMembers(all)
 }
 
-// Have tells the module of a member, or has it forget one: it gets nothing new, and what is out to it ends there.
-func (x *coordinated) Have(key uint64, on bool) {
+// SetMember tells the module of a member, or has it forget one: it gets nothing new, and what is out to it ends there.
+func (x *coordinated) SetMember(key uint64, on bool) {
 	h, ok := x.hostOf(key)
 	switch {
 	case !ok:
@@ -91,8 +91,8 @@
 	x.g.module.RefreshMembers()
 }
 
-// Observe tells what this gateway itself sees of a member.
-func (x *coordinated) Observe(key uint64) (o fleet.MemberObservation, ok bool) {
+// ObserveMember tells what this gateway itself sees of a member.
+func (x *coordinated) ObserveMember(key uint64) (o fleet.MemberObservation, ok bool) {
 	h, ok := x.hostOf(key)
 	if !ok {
 		return o, false
@@ -105,8 +105,8 @@
 	return o, s.Known
 }
 
-// Sees tells what the decisions know of a group.
-func (x *coordinated) Sees(group int) (no int, primary bool, replicas, lacking int) {
+// GroupState tells what the decisions know of a group.
+func (x *coordinated) GroupState(group int) (no int, primary bool, replicas, lacking int) {
 	_, primary = x.g.module.Primary(group)
 	for _, h := range x.g.discovery.list.hosts {
 		if s := x.g.module.StateOf(h.server); h.entry.Block == group && s.Known && !s.Primary {
@@ -118,8 +118,8 @@
 	return group, primary, replicas, lacking
 }
 
-// Learned takes another gateway's word as a hint for the module.
-func (x *coordinated) Learned(i signals.Item, ill bool) {
+// ReceiveReport takes another gateway's word as a hint for the module.
+func (x *coordinated) ReceiveReport(i signals.Item, ill bool) {
 	if i.Member == fleet.ListKey {
 		if i.Kind == signals.Probe {
 			x.listed(decide.Result(uint32(i.Value)))
@@ -194,8 +194,8 @@
 	}
 }
 
-// Go does what this gateway's turn is for.
-func (x *coordinated) Go(key uint64) {
+// PerformTask does what this gateway's turn is for.
+func (x *coordinated) PerformTask(key uint64) {
 	if key == fleet.ListKey {
 		x.asks()
 		return
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -34,8 +34,8 @@
 
 // heardNews has the module told, in the next turn, what another gateway learned. Where clocks may differ a word on a
 // role cannot be told from a later one and is left out; a position holds whenever it was.
-// News is for fleet.SessionHost.
-func (x sessionTxns) News(entries []peerwire.Entry) { x.g.heardNews(entries) }
+// ReceivePositions is for fleet.SessionHost.
+func (x sessionTxns) ReceivePositions(entries []peerwire.Entry) { x.g.heardNews(entries) }
 
 func (g *Gateway) heardNews(entries []peerwire.Entry) {
 	if !g.config.Sessions.SharePositions {
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -136,20 +136,20 @@
 	return true
 }
 
-// Waiting tells whether an answer waits for its mark.
-func (x sessionTxns) Waiting(ref slots.Ref) bool {
+// IsWaiting tells whether an answer waits for its mark.
+func (x sessionTxns) IsWaiting(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
 	return t != nil && t.waiting != nil
 }
 
-// AnswerWaiting gives it.
-func (x sessionTxns) AnswerWaiting(ref slots.Ref, early bool) {
+// ReleaseAnswer gives it.
+func (x sessionTxns) ReleaseAnswer(ref slots.Ref, early bool) {
 	x.g.txns.Get(ref).early = early
 	x.g.answerWaiting(ref)
 }
 
-// Caught frees the place of one that went out early.
-func (x sessionTxns) Caught(ref slots.Ref) bool {
+// EarlyAnswerWritten frees the place of one that went out early.
+func (x sessionTxns) EarlyAnswerWritten(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
 	if t == nil || !t.early {
 		return false
@@ -159,8 +159,8 @@
 	return true
 }
 
-// AnswerBy has one that waits be given at a time, whatever has become of its mark.
-func (x sessionTxns) AnswerBy(ref slots.Ref, at int64) {
+// SetAnswerDeadline has one that waits be given at a time, whatever has become of its mark.
+func (x sessionTxns) SetAnswerDeadline(ref slots.Ref, at int64) {
 	x.g.deadlines.Add(at, due{kind: dueAnswer, ref: ref})
 }
 
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -46,8 +46,8 @@
 	aim    decide.Nanos
 }
 
-// Counts takes what another gateway tells.
-func (a *agreed) Counts(from agreement.ID, all []contracts.Count, asks bool) {
+// ReceiveCounts takes what another gateway tells.
+func (a *agreed) ReceiveCounts(from agreement.ID, all []contracts.Count, asks bool) {
 	r := a.g.reserved
 	if r == nil || r.account == nil {
 		return
--- a/internal/contractfile/contractfile.go
+++ b/internal/contractfile/contractfile.go
@@ -1,5 +1,4 @@
-// Package contractfile reads files of contracts and of what members can do, in HCL. Each mistake is told with file, line and
-// column.
+// Package contractfile reads HCL files of contracts and member capacities. Each error names its file, line and column.
 package contractfile
 
 import (
@@ -15,14 +14,14 @@
 	"magpieglade/internal/hclfile"
 )
 
-// File is what one says.
+// File is the content of a contract file.
 type File struct {
 	Contracts []contracts.Terms
 	Sizes     []contracts.MemberSize
-	Floor     *float64 // nil where it says nothing of it
+	Floor     *float64 // nil if not set
 }
 
-// Read reads a file.
+// Read reads and parses a file.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -31,7 +30,7 @@
 	return Parse(text, path)
 }
 
-// Parse reads a text.
+// Parse parses the text of a file; path is used in errors.
 func Parse(text []byte, path string) (*File, error) {
 	body, err := hclfile.Parse(text, path)
 	if err != nil {
@@ -84,14 +83,14 @@
 		window.Except = windowContent.Strings("except")
 		if windowContent.Attrs["zone"] != nil && windowContent.Attrs["start"] != nil && windowContent.Attrs["length"] != nil && window.Length > 0 {
 			if err := window.Check(); err != nil {
-				file.AddError(windowBlock.DefRange, "the window can't be", err.Error()+".")
+				file.AddError(windowBlock.DefRange, "invalid window", err.Error()+".")
 			}
 		}
 		terms.Windows = append(terms.Windows, window)
 	}
 	if file.Err() == nil {
 		if err := terms.Check(); err != nil {
-			file.AddError(block.DefRange, "the contract can't be", err.Error()+".")
+			file.AddError(block.DefRange, "invalid contract", err.Error()+".")
 		}
 	}
 	f.Contracts = append(f.Contracts, terms)
@@ -104,7 +103,7 @@
 	}
 	parsed, err := decimal.NewFromString(text)
 	if err != nil {
-		content.File.AddError(content.RangeOf(name), name+" is no amount", `Write it as "120.50".`)
+		content.File.AddError(content.RangeOf(name), name+" is not an amount", `Write it as "120.50".`)
 	}
 	*target = parsed
 }
@@ -114,7 +113,7 @@
 	floor := 0.0
 	if content.Decode("floor", &floor) {
 		if floor < 0 || floor >= 1 {
-			file.AddError(content.RangeOf("floor"), "floor is out of range", "It is a share from 0 to below 1.")
+			file.AddError(content.RangeOf("floor"), "floor is out of range", "It is a fraction from 0 to below 1.")
 		}
 		f.Floor = &floor
 	}
@@ -123,7 +122,7 @@
 		groupContent.Require("reads", "writes")
 		number, err := strconv.Atoi(strings.TrimSpace(groupBlock.Labels[0]))
 		if err != nil || number < 0 {
-			file.AddError(groupBlock.LabelRanges[0], "a group is a number", `As in group "0".`)
+			file.AddError(groupBlock.LabelRanges[0], "the label of a group must be a number", `As in group "0".`)
 		}
 		size := contracts.MemberSize{Group: number}
 		groupContent.Float("reads", &size.Reads, 0, 1e9)
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger keeps what the session module knows over a restart: its changes, in a store. It words them, tells how
-// long ago they were, and says whether what it gives back lacks nothing.
+// Package ledger persists the state of the session module over a restart by storing its changes. It encodes the changes,
+// restores their ages, and reports whether the recovered state is complete.
 package ledger
 
 import (
@@ -14,14 +14,14 @@
 	"magpieglade/session"
 )
 
-// Ledger is an open folder. Append and Snapshot never wait; both belong to one goroutine, as Began does.
+// Ledger is an open ledger directory. Append and Snapshot never block; they and Start must be called from one goroutine.
 type Ledger struct {
 	store      *store.Store
 	readClocks clockFunc
 }
 
-// clocks are the time of day, and the time since the machine started, which nobody sets; nanoseconds.
-type clockFunc func() (day, machine int64)
+// clockFunc returns the wall-clock time and the time since boot, which cannot be set, in nanoseconds.
+type clockFunc func() (wallTime, bootTime int64)
 
 func readClocks() (wallTime, bootTime int64) {
 	var t unix.Timespec
@@ -29,26 +29,27 @@
 	return time.Now().UnixNano(), t.Nano()
 }
 
-// Found is what a folder held.
+// Recovered is the content of a ledger directory.
 type Recovered struct {
 	Changes        []session.Change
-	Complete       bool // nothing that the last run answered is lacking
-	Clean          bool // the last run ended in order
-	TornBytes      int64
-	Corrupt        int
+	Complete       bool  // nothing that the last run answered is missing
+	Clean          bool  // the last run was shut down cleanly
+	TornBytes      int64 // incompletely written at the end
+	Corrupt        int   // damaged places
 	Segments       []store.Segment
-	UnknownRecords int // records that are none of this version's
+	UnknownRecords int // records of another format version
 }
 
-// UsualWait is how long an answer waits for its mark where the operator does not say, in nanoseconds. Ours: far above
-// what the kernel takes, far below any SLA time.
+// DefaultMaxWait is how long an answer waits at most for its change to be written, in nanoseconds. It is far longer than a
+// write to the kernel takes and far shorter than any SLA target.
 const DefaultMaxWait = int64(20e6)
 
-// Disk is the file system that a ledger is on.
+// FileSystem is the file system that holds a ledger.
 type FileSystem = store.FileSystem
 
-// Open takes a folder on a disk, nil for the operating system's, and reads what it holds. wanted is called, from some goroutine, when a snapshot is wanted; log
-// with what goes wrong, and with no error when it goes right again.
+// Open opens a directory and recovers its content. A nil fileSystem is that of the operating system. snapshotNeeded and log
+// may be called from any goroutine: snapshotNeeded when a snapshot is needed; log with each error, and with a nil error once
+// writes succeed again.
 func Open(directory string, fileSystem FileSystem, snapshotNeeded func(), log func(string, error)) (*Ledger, *Recovered, error) {
 	s, r, err := store.Open(directory, store.Options{FileSystem: fileSystem, SnapshotNeeded: snapshotNeeded, Log: log})
 	if err != nil {
@@ -58,7 +59,7 @@
 	return l, recoverChanges(r, l.readClocks), nil
 }
 
-// Look reads a folder and changes nothing, also while a gateway has it.
+// Read reads a directory without changing it; a gateway may have it open.
 func Read(directory string) (*Recovered, error) {
 	r, err := store.Read(directory, nil, "")
 	if err != nil {
@@ -68,47 +69,47 @@
 }
 
 func recoverChanges(r *store.Recovered, readClocks clockFunc) *Recovered {
-	f := &Recovered{Complete: r.Complete, Clean: r.Clean, TornBytes: r.Torn, Corrupt: r.Corrupt, Segments: r.Segments}
+	recovered := &Recovered{Complete: r.Complete, Clean: r.Clean, TornBytes: r.Torn, Corrupt: r.Corrupt, Segments: r.Segments}
 	wallTime, bootTime := readClocks()
 	for _, record := range r.Records {
 		changes, err := decode(record, wallTime, bootTime)
 		if err != nil {
-			f.UnknownRecords++
-			f.Complete = false
+			recovered.UnknownRecords++
+			recovered.Complete = false
 		}
-		f.Changes = append(f.Changes, changes...)
+		recovered.Changes = append(recovered.Changes, changes...)
 	}
-	return f
+	return recovered
 }
 
-// Began writes the state that a run begins with, and waits for it. keeps says that nothing is answered before its
-// change is written, or else Behind is said first.
+// Start writes the initial state of a run and blocks until it is written. writeAhead promises that no answer is sent before
+// its change is written, unless MarkIncomplete is called first.
 func (l *Ledger) Start(state []session.Change, writeAhead bool) error {
 	return l.store.Start(l.encode(state), writeAhead)
 }
 
-// Append queues changes; done, which may be nil, is called from another goroutine once they are with the kernel, or
-// with why not.
+// Append queues changes. done, which may be nil, is called from another goroutine once they are passed to the kernel, or with
+// the error that prevented it.
 func (l *Ledger) Append(changes []session.Change, done func(error)) {
 	l.store.Append(l.encode(changes), done)
 }
 
-// Snapshot queues a state that takes the place of all before.
+// Snapshot queues a state that replaces everything written before.
 func (l *Ledger) Snapshot(state []session.Change) { l.store.Snapshot(l.encode(state)) }
 
-// Behind says at once that something was answered that is not written; Caught takes it back.
+// MarkIncomplete records immediately that an answer was sent whose change is not written; ClearIncomplete reverts it.
 func (l *Ledger) MarkIncomplete() { l.store.MarkIncomplete() }
 
-// Caught takes Behind back.
+// ClearIncomplete records that all answered changes are written again.
 func (l *Ledger) ClearIncomplete() { l.store.ClearIncomplete() }
 
-// Close ends in order.
+// Close shuts the ledger down cleanly.
 func (l *Ledger) Close() error { return l.store.Close() }
 
-// Counts gives what was done so far.
+// Stats returns counters of the underlying store.
 func (l *Ledger) Stats() store.Stats { return l.store.Stats() }
 
-// one is a change as it is written, little-endian. Ages are written as the times that they count from.
+// changeRecord is the stored format of a change, little-endian. An age is stored as the times at which it was 0.
 type changeRecord struct {
 	Kind, Entry        uint8
 	Peer, Group        uint16
@@ -120,7 +121,7 @@
 
 var changeRecordSize = binary.Size(changeRecord{})
 
-// perRecord is how many changes a record of a snapshot holds: a checksum for each would cost as much as they do.
+// changesPerRecord bounds the changes in a record: a checksum for each change would cost as much as the change.
 const changesPerRecord = 500
 
 func (l *Ledger) encode(changes []session.Change) (records [][]byte) {
@@ -140,7 +141,7 @@
 	return records
 }
 
-var errUnknownFormat = errors.New("a record of another version")
+var errUnknownFormat = errors.New("unknown record format")
 
 func decode(record []byte, wallTime, bootTime int64) (changes []session.Change, err error) {
 	if len(record)%changeRecordSize != 0 {
@@ -151,7 +152,7 @@
 		if _, err := binary.Decode(record, binary.LittleEndian, &encoded); err != nil || encoded.Kind > uint8(session.GatewayEnded) {
 			return changes, errUnknownFormat
 		}
-		// The machine's clock began anew with another boot, and the day's may have been set: whichever says longer.
+		// The boot time restarts from 0 with another boot, and the wall clock may have been set: use the longer age.
 		age := max(0, wallTime-encoded.WallTime)
 		if encoded.BootTime <= bootTime {
 			age = max(age, bootTime-encoded.BootTime)
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -17,7 +17,7 @@
 
 func discardLog(string, error) {}
 
-// What is written is read as it was, and as long ago as it is.
+// Changes are decoded as they were encoded, with the time since then added to their ages.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		wallTime, bootTime := int64(1e18), int64(1e12)
@@ -41,31 +41,31 @@
 			changes[i].Entry.Age += 5e9
 		}
 		if len(changes) > 0 && !reflect.DeepEqual(changes, got) {
-			t.Fatal("not what was written")
+			t.Fatal("decoded changes differ from the encoded ones")
 		}
 	})
 }
 
-// The longer of two ages counts: where the machine started anew, or where its day was set back, a keyed write is not
-// taken for younger than it is; where both happened, its age is lost.
+// The longer of two ages counts: after a reboot or after the wall clock was set back, a keyed write is not taken for younger
+// than it is; after both, its age is lost.
 func Example_ages() {
 	l := &Ledger{readClocks: func() (int64, int64) { return 1000e9, 500e9 }}
-	text := l.encode([]session.Change{{Kind: session.EntryReceived}})[0]
+	record := l.encode([]session.Change{{Kind: session.EntryReceived}})[0]
 	for _, now := range [][2]int64{{1010e9, 510e9}, {900e9, 510e9}, {1010e9, 3e9}, {900e9, 3e9}} {
-		c, _ := decode(text, now[0], now[1])
-		fmt.Println(c[0].Entry.Age / 1e9)
+		decoded, _ := decode(record, now[0], now[1])
+		fmt.Println(decoded[0].Entry.Age / 1e9)
 	}
-	_, err := decode(text[1:], 0, 0)
+	_, err := decode(record[1:], 0, 0)
 	fmt.Println(err)
 	// Output:
 	// 10
 	// 10
 	// 10
 	// 0
-	// a record of another version
+	// unknown record format
 }
 
-// A module that is restored from a folder after the process was killed serves what was answered, without a fence.
+// A session module restored from a directory after the process was killed serves answered writes without a fence.
 func TestRestoreAfterKill(t *testing.T) {
 	folder := t.TempDir()
 	l, f, err := Open(folder, nil, func() {}, discardLog)
@@ -110,7 +110,7 @@
 	}
 }
 
-// A million marks: how long it takes to read them, and what they take on the disk.
+// BenchmarkRecover measures the time to read a million watermarks, and their size on disk.
 func BenchmarkRecover(b *testing.B) {
 	folder := b.TempDir()
 	l, _, err := Open(folder, nil, func() {}, discardLog)
