--- a/internal/contractfile/contractfile.go
+++ b/internal/contractfile/contractfile.go
@@ -83,7 +83,7 @@
 		window.Except = windowContent.Strings("except")
 		if windowContent.Attrs["zone"] != nil && windowContent.Attrs["start"] != nil && windowContent.Attrs["length"] != nil && window.Length > 0 {
 			if err := window.Check(); err != nil {
-				file.AddError(windowBlock.DefRange, "invalid window", err.Error()+".")
+				file.AddError(windowBlock.DefRange, "the window can't be", err.Error()+".")
 			}
 		}
 		terms.Windows = append(terms.Windows, window)
--- a/internal/contractfile/contractfile_test.go
+++ b/internal/contractfile/contractfile_test.go
@@ -26,8 +26,8 @@
 	// peak.hcl:3:11: reads is out of range: It is from 0 to 1e+09.
 	// peak.hcl:6:10: loss has the unknown value "two": It is one of none, member, zone.
 	// peak.hcl:5:11: price is not an amount: Write it as "120.50".
-	// peak.hcl:7:3: invalid window: "Paris" is no time zone; write it as Europe/Paris.
-	// peak.hcl:4:3: invalid window: there is no 2026-03-29 02:30 in Europe/Paris: clocks are put forward over it.
+	// peak.hcl:7:3: the window can't be: "Paris" is no time zone; write it as Europe/Paris.
+	// peak.hcl:4:3: the window can't be: there is no 2026-03-29 02:30 in Europe/Paris: clocks are put forward over it.
 	// peak.hcl:1:1: invalid contract: contract "final": it is for reads or writes a second, or both.
 	// peak.hcl:2:11: floor is out of range: It is a fraction from 0 to below 1.
 	// peak.hcl:3:3: writes is lacking: Say it.
