--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -171,7 +171,7 @@
 	}
 	if err != nil {
 		if f.refusals[err]++; f.refusals[err] == 1 {
-			f.host.Logger().Warn("agreement message rejected", "why", err, "from", d.From)
+			f.host.Logger().Warn("agreement message refused", "why", err, "from", d.From)
 		}
 		return
 	}
--- a/fleet/peers.go
+++ b/fleet/peers.go
@@ -51,7 +51,7 @@
 	p.refusals[cause]++
 	if n := p.refusals[cause]; n == p.nextLogAt[cause] || n == 1 {
 		p.nextLogAt[cause] = n * 10
-		p.log.Warn("message between gateways rejected", "why", cause, "so_many", n, "read", p.Codec.Counts.Read)
+		p.log.Warn("message between gateways refused", "why", cause, "so_many", n, "read", p.Codec.Counts.Read)
 	}
 	return m, false
 }
