--- a/fleet/datagrams.go
+++ b/fleet/datagrams.go
@@ -13,35 +13,35 @@
 	"magpieglade/internal/neterr"
 )
 
-// mostWaiting is how many datagrams wait for the loop at the most, and mostDatagram how long each may be.
 const (
-	mostWaiting  = 4096
-	mostDatagram = 1401
+	maxQueuedDatagrams = 4096 // waiting for the event loop
+	maxDatagramSize    = 1401 // bytes
 )
 
-// Datagrams is the address at which other gateways reach this one. One goroutine reads and leaves what came for the
-// loop; a datagram that can't be taken or sent at once is lost, as on any network.
+// Datagrams is the UDP socket on which this gateway exchanges datagrams with others. One goroutine reads and queues them
+// for the event loop; a datagram that cannot be queued or sent immediately is dropped, as on any network.
 type Datagrams struct {
 	conn *net.UDPConn
 	raw  interface {
 		Write(func(uintptr) bool) error
 	}
-	failures atomic.Uint64 // reads
-	mu       sync.Mutex
-	came     []Datagram
-	spare    [][]byte
-	over     uint64 // that came while too many waited
+	readFailures atomic.Uint64
+	mu           sync.Mutex
+	received     []Datagram
+	freeBuffers  [][]byte
+	dropped      uint64 // received while the queue was full
 }
 
-// Datagram is one, and where it came from.
+// Datagram is a received datagram and its source address.
 type Datagram struct {
-	Text []byte
+	Data []byte
 	From netip.AddrPort
 }
 
-// Listen takes an address, before anybody is served: a former run that still holds it would else answer for this one.
-func Listen(at netip.AddrPort) (*Datagrams, error) {
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
+// Listen binds an address. It must be called before clients are served: an earlier run that still holds the address would
+// otherwise answer in place of this one.
+func Listen(address netip.AddrPort) (*Datagrams, error) {
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(address))
 	if err != nil {
 		return nil, err
 	}
@@ -53,66 +53,67 @@
 	return &Datagrams{conn: conn, raw: raw}, nil
 }
 
-// Receive reads until the address is given back, whatever single reads come to. arrived is called when the first of what waits has come.
-func (d *Datagrams) Receive(arrived func()) {
-	buf := make([]byte, mostDatagram)
-	var pause neterr.Backoff
+// Receive reads datagrams until Close, and continues after failed reads. onReceive is called when a datagram enters the
+// empty queue.
+func (d *Datagrams) Receive(onReceive func()) {
+	buf := make([]byte, maxDatagramSize)
+	var backoff neterr.Backoff
 	for {
 		n, from, err := d.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			d.failures.Add(1)
-			time.Sleep(pause.Next())
+			d.readFailures.Add(1)
+			time.Sleep(backoff.Next())
 			continue
 		}
-		pause.Reset()
+		backoff.Reset()
 		d.mu.Lock()
-		first := len(d.came) == 0
-		if len(d.came) < mostWaiting {
-			var text []byte
-			if k := len(d.spare); k > 0 {
-				text, d.spare = d.spare[k-1], d.spare[:k-1]
+		first := len(d.received) == 0
+		if len(d.received) < maxQueuedDatagrams {
+			var buffer []byte
+			if k := len(d.freeBuffers); k > 0 {
+				buffer, d.freeBuffers = d.freeBuffers[k-1], d.freeBuffers[:k-1]
 			}
-			d.came = append(d.came, Datagram{append(text[:0], buf[:n]...), from})
+			d.received = append(d.received, Datagram{append(buffer[:0], buf[:n]...), from})
 		} else {
-			d.over++
+			d.dropped++
 		}
 		d.mu.Unlock()
 		if first {
-			arrived()
+			onReceive()
 		}
 	}
 }
 
-// Take hands out what came; none of it may be kept.
-func (d *Datagrams) Take(f func(Datagram)) {
+// Consume calls f for each queued datagram. f must not retain its data, which is reused.
+func (d *Datagrams) Consume(f func(Datagram)) {
 	d.mu.Lock()
-	came := d.came
-	d.came = nil
+	received := d.received
+	d.received = nil
 	d.mu.Unlock()
-	for _, x := range came {
+	for _, x := range received {
 		f(x)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, x := range came {
-		if len(d.spare) < mostWaiting/4 {
-			d.spare = append(d.spare, x.Text)
+	for _, x := range received {
+		if len(d.freeBuffers) < maxQueuedDatagrams/4 {
+			d.freeBuffers = append(d.freeBuffers, x.Data)
 		}
 	}
 }
 
-// Send writes one without waiting; false is that it is lost already.
-func (d *Datagrams) Send(text []byte, to *unix.SockaddrInet4) bool {
+// Send sends a datagram without blocking. It reports false if the datagram was dropped.
+func (d *Datagrams) Send(data []byte, to *unix.SockaddrInet4) bool {
 	var err error
 	sent := d.raw.Write(func(fd uintptr) bool {
-		err = unix.Sendto(int(fd), text, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, to)
+		err = unix.Sendto(int(fd), data, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL, to)
 		return true
 	})
 	return err == nil && sent == nil
 }
 
-// Close gives the address back.
+// Close closes the socket.
 func (d *Datagrams) Close() { _ = d.conn.Close() }
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet hosts what gateways decide together: it carries the messages of package agreement between gateways,
-// keeps the log of those that vote, and tells the event loop what is agreed on. All of it belongs to that loop, but for
-// the reading of datagrams and the writing of the disk.
+// Package fleet hosts the modules by which gateways decide together. It carries the messages of package agreement between
+// gateways, stores the log of voters, and tells the event loop what has been agreed on. Everything runs on the event loop
+// except reading datagrams and writing to disk.
 //
-// fleet.go is the host, datagrams.go the address for other gateways, wire.go the form of messages, disk.go what
-// outlives the process.
+// fleet.go hosts the agreement, datagrams.go is the UDP socket, wire.go the message encoding and disk.go the persistent
+// state.
 package fleet
 
 import (
@@ -23,185 +23,185 @@
 	"magpieglade/internal/store"
 )
 
-// Plan is what the operator says of the agreement.
-type Plan struct {
-	Terms   agreement.Config // Self, Epoch, Seed and Seeds are set by New
-	Name    string           // of this gateway, in the list
-	Zone    string
-	Listen  netip.AddrPort // where this gateway takes what others send
-	Build   string
-	Form    int              // of settings that this build reads
-	Address netip.AddrPort   // at which others reach it: Listen, where nothing stands between
-	Ask     []netip.AddrPort // gateways that vote, or did when this was written
-	Folder  string           // where a gateway that votes keeps the log; without one it never votes
-	Disk    store.FileSystem // nil is the operating system's
-	Keys    peerwire.Keys
-	Share   float64 // of the gateways that get a version before all do, if it does not contradict its predecessor; 0 is all at once
-	Serve   bool    // txns that no tenant's setting speaks of, while this gateway can't renew: served, not declined
+// Config is the operator's configuration of the agreement.
+type Config struct {
+	Agreement             agreement.Config // Self, Epoch, Seed and Seeds are set by Open
+	Name                  string           // of this gateway in the list
+	Zone                  string
+	Listen                netip.AddrPort // address on which this gateway receives datagrams
+	Build                 string
+	FormatVersion         int              // settings format that this build reads
+	Address               netip.AddrPort   // address at which others reach this gateway: Listen, unless there is address translation in between
+	Seeds                 []netip.AddrPort // voters, or gateways that voted when the configuration was written
+	Folder                string           // directory of the voter log; without one the gateway never votes
+	FileSystem            store.FileSystem // nil for that of the operating system
+	Keys                  peerwire.Keys
+	CanaryFraction        float64 // of gateways that get a new version first, unless it conflicts with its predecessor; 0 is all at once
+	ServeWithoutAgreement bool    // serves, not rejects, txns not covered by a tenant's setting while this gateway cannot renew its lease
 }
 
-// Check names what is wrong with it.
-func (p *Plan) Check() error {
-	t := p.Terms
-	t.Self = 1
+// Validate returns an error that describes the first invalid setting.
+func (p *Config) Validate() error {
+	config := p.Agreement
+	config.Self = 1
 	switch {
 	case p.Name == "":
 		return errors.New("agreement: the gateway has no name")
 	case !p.Listen.IsValid() || !p.Listen.Addr().Is4():
-		return errors.New("agreement: listen is no IPv4 address with a port")
+		return errors.New("agreement: listen is not an IPv4 address with a port")
 	case !p.Address.IsValid() || !p.Address.Addr().Is4() || p.Address.Port() == 0:
-		return errors.New("agreement: address is no IPv4 address with a port")
-	case p.Folder == "" && len(p.Ask) == 0:
-		return errors.New("agreement: it has neither a folder, to vote, nor voters to ask")
+		return errors.New("agreement: address is not an IPv4 address with a port")
+	case p.Folder == "" && len(p.Seeds) == 0:
+		return errors.New("agreement: neither a folder, which voting requires, nor voters to ask are configured")
 	}
 	if err := p.Keys.Check(); err != nil {
 		return fmt.Errorf("agreement: %w", err)
 	}
-	return t.Validate()
+	return config.Validate()
 }
 
-// Host is what it needs of the event loop.
+// Host is the part of the event loop that Fleet calls.
 type Host interface {
-	Post(f func())                          // run something on the loop, from any goroutine
-	Now() int64                             // nanoseconds of a clock that never goes back, 0 long before the start
-	WakeAfter(span int64)                   // have Turn called again
-	Prepare(m *agreement.Manifest)          // have all that arrives from some moment on be decided by it, and call Adopt then
-	Outcome(no uint64, o agreement.Outcome) // of Ask
-	// Counts takes those that another gateway tells; it may ask for all that are known.
-	Counts(from agreement.ID, all []contracts.Count, asks bool)
-	Logger() *slog.Logger //
+	Post(f func())                                  // runs f on the loop; may be called from any goroutine
+	Now() int64                                     // nanoseconds of a monotonic clock whose zero is long before the start
+	WakeAfter(delay int64)                          // calls ProcessDecisions again
+	Prepare(m *agreement.Manifest)                  // applies m to everything that arrives from some moment on, then calls Adopt
+	Outcome(proposalNo uint64, o agreement.Outcome) // of Propose
+	// ReceiveCounts handles counts of another gateway; requestsAll: the sender requests all counts known here.
+	ReceiveCounts(from agreement.ID, counts []contracts.Count, requestsAll bool)
+	Logger() *slog.Logger
 }
 
-// Fleet is one gateway's part.
+// Fleet is one gateway's instance of the agreement and of the modules that depend on it.
 type Fleet struct {
-	plan   *Plan
-	host   Host
-	module *agreement.Agreement
-	me     identity
-	link   *Datagrams
-	sealer *peerwire.Sealer
-	disk   *disk
-	known  map[agreement.ID]netip.AddrPort // by the list, by the plan, or by what came from there
-	out    []byte
-	body   []byte
-	joinNo uint64 // the wish to be in the list that is under way
-	joined bool
-	listed bool    // it was in the list since its start
-	inList bool    // and is
-	quotas *Quotas // nil where no bound is the fleet's
-
-	coordination *Coordination // nil where each gateway chooses for itself
-
-	lost    uint64
-	refuse  map[error]int
-	ended   bool
-	wakeAt  int64 // when the module wants a round
-	stirred bool  // it was told something since its last one
+	config       *Config
+	host         Host
+	module       *agreement.Agreement
+	identity     identity
+	datagrams    *Datagrams
+	sealer       *peerwire.Sealer
+	voterLog     *voterLog
+	addresses    map[agreement.ID]netip.AddrPort // from the list, the configuration or a received datagram
+	sealed       []byte
+	body         []byte
+	joinProposal uint64 // number of the pending proposal to join the list, else 0
+	joined       bool
+	everListed   bool    // was in the list since this start
+	inList       bool    // is in the list now
+	quotas       *Quotas // nil if there are no fleet-wide limits
+
+	coordination *Coordination // nil if each gateway decides on its own
+
+	dropped    uint64
+	refusals   map[error]int
+	closed     bool
+	wakeAt     int64 // when the module next needs a round
+	needsRound bool  // the module received input since its last round
 }
 
-// Open takes up what a former run left. link is the address that the gateway has for others.
-func Open(p *Plan, h Host, link *Datagrams, seed uint64) (*Fleet, error) {
-	me, err := identify(p.Folder, uint64(time.Now().UnixNano()))
+// Open restores the state of an earlier run. datagrams is the socket for other gateways.
+func Open(p *Config, h Host, datagrams *Datagrams, seed uint64) (*Fleet, error) {
+	self, err := loadIdentity(p.Folder, uint64(time.Now().UnixNano()))
 	if err != nil {
 		return nil, fmt.Errorf("agreement: %w", err)
 	}
-	f := &Fleet{plan: p, host: h, me: me, link: link, known: map[agreement.ID]netip.AddrPort{}, refuse: map[error]int{}}
-	if f.sealer, err = peerwire.NewSealer(uint64(me.ID), uint32(me.Epoch>>16), p.Keys); err != nil {
+	f := &Fleet{config: p, host: h, identity: self, datagrams: datagrams, addresses: map[agreement.ID]netip.AddrPort{}, refusals: map[error]int{}}
+	if f.sealer, err = peerwire.NewSealer(uint64(self.ID), uint32(self.Epoch>>16), p.Keys); err != nil {
 		return nil, err
 	}
 	var records [][]byte
-	if f.disk, records, err = openDisk(p.Folder, p.Disk, func(text string, err error) { h.Logger().Error("agreement: "+text, "why", err) }, f.wanted); err != nil {
+	if f.voterLog, records, err = openVoterLog(p.Folder, p.FileSystem, func(text string, err error) { h.Logger().Error("agreement: "+text, "why", err) }, f.writeSnapshot); err != nil {
 		return nil, fmt.Errorf("agreement: %w", err)
 	}
-	t := p.Terms
-	t.Self, t.Epoch, t.Seed = me.ID, me.Epoch, seed
-	for _, a := range p.Ask {
+	config := p.Agreement
+	config.Self, config.Epoch, config.Seed = self.ID, self.Epoch, seed
+	for _, a := range p.Seeds {
 		if a != p.Address {
 			id := seedID(a)
-			f.known[id] = a
-			t.Seeds = append(t.Seeds, id)
+			f.addresses[id] = a
+			config.Seeds = append(config.Seeds, id)
 		}
 	}
-	if f.module, err = agreement.New(t, records); err != nil {
-		return nil, errors.Join(err, f.disk.close())
+	if f.module, err = agreement.New(config, records); err != nil {
+		return nil, errors.Join(err, f.voterLog.close())
 	}
 	return f, nil
 }
 
-// seedID stands for whoever is at an address, until the list tells its ID.
+// seedID identifies the gateway at a seed address until the list provides its real ID.
 func seedID(a netip.AddrPort) agreement.ID {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(a.String()))
 	return agreement.ID(h.Sum64() | 1<<63)
 }
 
-// Close ends it; nothing is posted afterwards that it would take.
+// Close closes the log. Callbacks that run later are ignored.
 func (f *Fleet) Close() error {
-	f.ended = true
-	return f.disk.close()
+	f.closed = true
+	return f.voterLog.close()
 }
 
-// Heard takes a datagram.
-func (f *Fleet) Heard(d Datagram) {
-	from, body, err := f.sealer.Open(d.Text)
+// Receive handles a datagram of another gateway.
+func (f *Fleet) Receive(d Datagram) {
+	from, body, err := f.sealer.Open(d.Data)
 	var m agreement.Message
-	if err == nil && len(body) > 0 && body[0] == kindOfQuota {
+	if err == nil && len(body) > 0 && body[0] == quotaMessageKind {
 		if f.quotas == nil {
 			return
 		}
-		if err = f.quotas.heard(agreement.ID(from), body); err == nil {
+		if err = f.quotas.receive(agreement.ID(from), body); err == nil {
 			return
 		}
-	} else if err == nil && len(body) > 0 && body[0] == kindOfSignals {
+	} else if err == nil && len(body) > 0 && body[0] == signalsMessageKind {
 		if f.coordination == nil {
 			return
 		}
-		if err = f.coordination.heard(body); err == nil {
+		if err = f.coordination.receive(body); err == nil {
 			return
 		}
-	} else if err == nil && len(body) > 0 && body[0] == kindOfCounts {
-		var all []contracts.Count
-		var asks bool
-		if all, asks, err = readCounts(body); err == nil {
-			f.host.Counts(agreement.ID(from), all, asks)
+	} else if err == nil && len(body) > 0 && body[0] == countsMessageKind {
+		var counts []contracts.Count
+		var requestsAll bool
+		if counts, requestsAll, err = decodeCounts(body); err == nil {
+			f.host.ReceiveCounts(agreement.ID(from), counts, requestsAll)
 			return
 		}
 	} else if err == nil {
-		m, err = readMessage(body)
+		m, err = decodeMessage(body)
 	}
 	if err != nil {
-		if f.refuse[err]++; f.refuse[err] == 1 {
-			f.host.Logger().Warn("message of the agreement refused", "why", err, "from", d.From)
+		if f.refusals[err]++; f.refusals[err] == 1 {
+			f.host.Logger().Warn("agreement message refused", "why", err, "from", d.From)
 		}
 		return
 	}
 	if m.To == 0 {
-		m.To = f.me.ID
+		m.To = f.identity.ID
 	}
 	m.From = agreement.ID(from)
-	if _, listed := f.known[m.From]; !listed {
-		f.known[m.From] = d.From
+	if _, listed := f.addresses[m.From]; !listed {
+		f.addresses[m.From] = d.From
 	}
-	f.stir()
+	f.requestRound()
 	f.module.Receive(m)
 }
 
-// stir has the module take something, and Turn ask it.
-func (f *Fleet) stir() {
-	f.stirred = true
+// requestRound updates the clock of the module before input and has the next ProcessDecisions run it.
+func (f *Fleet) requestRound() {
+	f.needsRound = true
 	f.module.Clock(f.host.Now())
 }
 
-// Turn carries out what the module decides until there is nothing left. It comes with each of the loop's turns, most of
-// which are txns': then nothing was told to the module, and nothing of it is due.
-func (f *Fleet) Turn() {
+// ProcessDecisions carries out the decisions of the module until none is left. It is called in every iteration of the
+// loop, most of which only handle txns: it returns early if the module has neither new input nor a due timer.
+func (f *Fleet) ProcessDecisions() {
 	now := f.host.Now()
-	if !f.stirred && now < f.wakeAt {
+	if !f.needsRound && now < f.wakeAt {
 		return
 	}
-	f.stirred = false
+	f.needsRound = false
 	f.module.Clock(now)
-	f.join()
+	f.proposeJoin()
 	for d, ok := f.module.Next(); ok; d, ok = f.module.Next() {
 		switch d.Kind {
 		case agreement.Send:
@@ -211,11 +211,11 @@
 		case agreement.Prepare:
 			f.host.Prepare(f.module.Pending())
 		case agreement.Answer:
-			if d.ProposalNo == f.joinNo {
-				f.joinNo, f.joined = 0, d.Result.Done
+			if d.ProposalNo == f.joinProposal {
+				f.joinProposal, f.joined = 0, d.Result.Done
 				continue
 			}
-			if f.quotas == nil || !f.quotas.outcome(d.ProposalNo, d.Result) {
+			if f.quotas == nil || !f.quotas.handleOutcome(d.ProposalNo, d.Result) {
 				f.host.Outcome(d.ProposalNo, d.Result)
 			}
 		case agreement.Wake:
@@ -227,25 +227,26 @@
 	}
 }
 
-// join has this gateway in the list, once in each of its lives; one that is taken out stays out until it starts again.
-func (f *Fleet) join() {
-	if f.joined || f.joinNo != 0 {
+// proposeJoin proposes to add this gateway to the list, once per start: a gateway that was removed stays out until it
+// restarts.
+func (f *Fleet) proposeJoin() {
+	if f.joined || f.joinProposal != 0 {
 		return
 	}
-	if v, _, _, _ := f.module.Role(); !v && len(f.plan.Ask) == 0 {
-		return // nobody has founded the fleet yet
+	if v, _, _, _ := f.module.Role(); !v && len(f.config.Seeds) == 0 {
+		return // the fleet has not been bootstrapped yet
 	}
-	f.joinNo, _ = f.module.Propose(agreement.Proposal{Join: f.entry()}, nil, f.plan.Terms.StartupWait())
+	f.joinProposal, _ = f.module.Propose(agreement.Proposal{Join: f.ownEntry()}, nil, f.config.Agreement.StartupWait())
 }
 
-func (f *Fleet) entry() *agreement.Gateway {
-	return &agreement.Gateway{ID: f.me.ID, Name: f.plan.Name, Address: f.plan.Address.String(), Zone: f.plan.Zone, Build: f.plan.Build, FormatVersion: f.plan.Form}
+func (f *Fleet) ownEntry() *agreement.Gateway {
+	return &agreement.Gateway{ID: f.identity.ID, Name: f.config.Name, Address: f.config.Address.String(), Zone: f.config.Zone, Build: f.config.Build, FormatVersion: f.config.FormatVersion}
 }
 
 func (f *Fleet) send(m *agreement.Message) {
-	to, ok := f.known[m.To]
+	to, ok := f.addresses[m.To]
 	if !ok {
-		f.lost++
+		f.dropped++
 		return
 	}
 	x := *m
@@ -254,7 +255,7 @@
 	}
 	var err error
 	if f.body, err = appendMessage(f.body[:0], &x); err != nil {
-		f.lost++
+		f.dropped++
 		return
 	}
 	f.sendSealed(f.body, to)
@@ -262,152 +263,154 @@
 
 func (f *Fleet) sendSealed(body []byte, to netip.AddrPort) {
 	var err error
-	if f.out, err = f.sealer.Seal(f.out[:0], body); err != nil || !f.link.Send(f.out, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}) {
-		f.lost++
+	if f.sealed, err = f.sealer.Seal(f.sealed[:0], body); err != nil || !f.datagrams.Send(f.sealed, &unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}) {
+		f.dropped++
 	}
 }
 
-// save has records on the disk, again and again while it takes none: a voter that can't keep what it says says nothing.
-func (f *Fleet) save(records [][]byte, whole bool) {
-	if f.disk.store == nil {
-		f.host.Logger().Error("agreement: this gateway has no folder and can't vote")
+// save writes records to disk and retries every second while that fails: a voter that cannot store its messages must not
+// send them.
+func (f *Fleet) save(records [][]byte, replaceAll bool) {
+	if f.voterLog.store == nil {
+		f.host.Logger().Error("agreement: cannot vote without a folder")
 		return
 	}
-	f.disk.store.Append(records, func(err error) {
+	f.voterLog.store.Append(records, func(err error) {
 		f.host.Post(func() {
 			switch {
-			case f.ended:
+			case f.closed:
 			case err != nil:
 				f.host.Logger().Error("agreement: the log is not kept, this gateway does not vote meanwhile", "why", err)
-				time.AfterFunc(time.Second, func() { f.host.Post(func() { f.save(records, whole) }) })
+				time.AfterFunc(time.Second, func() { f.host.Post(func() { f.save(records, replaceAll) }) })
 			default:
-				if whole {
-					f.disk.store.Snapshot(records)
+				if replaceAll {
+					f.voterLog.store.Snapshot(records)
 				}
-				f.stir()
+				f.requestRound()
 				f.module.Saved()
 			}
 		})
 	})
 }
 
-// wanted: the store asks for all records in the place of those before, as it has grown or takes none.
-func (f *Fleet) wanted() {
+// writeSnapshot replaces the stored records with the current ones. The store requests it when it has grown or when writes
+// fail.
+func (f *Fleet) writeSnapshot() {
 	f.host.Post(func() {
-		if !f.ended && f.module != nil {
-			f.disk.store.Snapshot(f.module.Records())
+		if !f.closed && f.module != nil {
+			f.voterLog.store.Snapshot(f.module.Records())
 		}
 	})
 }
 
-// Adopt tells that txns are decided by what was prepared, if that was of this stamp.
-func (f *Fleet) Adopt(stamp uint64) {
-	f.stir()
-	if m := f.module.Pending(); f.quotas != nil && m != nil && m.Revision == stamp { // before it is said that this gateway knows
-		f.quotas.offices(m, f.module.Text)
+// Adopt confirms that txns are decided by the prepared manifest, if it has this revision.
+func (f *Fleet) Adopt(revision uint64) {
+	f.requestRound()
+	if m := f.module.Pending(); f.quotas != nil && m != nil && m.Revision == revision { // before the agreement reports that this gateway has it
+		f.quotas.updateAssignment(m, f.module.Text)
 	}
-	f.module.Adopt(stamp)
+	f.module.Adopt(revision)
 	f.inList = false
 	listed := map[agreement.ID]bool{}
 	for _, g := range f.module.Manifest().Gateways {
 		listed[g.ID] = true
-		if g.ID == f.me.ID {
-			f.inList, f.listed = true, true
+		if g.ID == f.identity.ID {
+			f.inList, f.everListed = true, true
 		}
 		if a, err := netip.ParseAddrPort(g.Address); err == nil {
-			f.known[g.ID] = a
+			f.addresses[g.ID] = a
 		}
 	}
-	for id := range f.known { // of those that left, and of seeds whose place the list has taken
+	for id := range f.addresses { // removed gateways; IDs with the top bit set are seeds
 		if id>>63 == 0 && !listed[id] {
-			delete(f.known, id)
+			delete(f.addresses, id)
 		}
 	}
 }
 
-// Ask has the fleet agree on something; Host.Outcome tells what became of it.
-func (f *Fleet) Ask(w agreement.Proposal, text []byte, patience time.Duration) (uint64, error) {
-	f.stir()
-	return f.module.Propose(w, text, int64(patience))
+// Propose submits a proposal to the agreement; Host.Outcome receives the outcome.
+func (f *Fleet) Propose(proposal agreement.Proposal, text []byte, timeout time.Duration) (uint64, error) {
+	f.requestRound()
+	return f.module.Propose(proposal, text, int64(timeout))
 }
 
-// Found begins a fleet with this gateway as its one voter.
-func (f *Fleet) Found() error {
-	if f.disk.store == nil {
+// Bootstrap creates a fleet with this gateway as its only voter.
+func (f *Fleet) Bootstrap() error {
+	if f.voterLog.store == nil {
 		return errors.New("this gateway has no folder to keep the log in")
 	}
-	f.stir()
-	if err := f.module.Bootstrap(*f.entry()); err != nil {
+	f.requestRound()
+	if err := f.module.Bootstrap(*f.ownEntry()); err != nil {
 		return err
 	}
 	f.joined = true
 	return nil
 }
 
-// Self is this gateway's ID, and Well tells that a version which it tries is well with it.
-func (f *Fleet) Self() agreement.ID { return f.me.ID }
+// Self returns this gateway's ID.
+func (f *Fleet) Self() agreement.ID { return f.identity.ID }
 
-// Well tells that.
-func (f *Fleet) Well(version uint64) {
-	f.stir()
+// ReportHealthy reports that a version under test works at this gateway.
+func (f *Fleet) ReportHealthy(version uint64) {
+	f.requestRound()
 	f.module.ReportHealthy(version)
 }
 
-// Leased is until when this gateway may act on what it holds.
-func (f *Fleet) Leased() int64 { return f.module.LeaseUntil() }
+// LeaseUntil returns until when this gateway may act on its manifest.
+func (f *Fleet) LeaseUntil() int64 { return f.module.LeaseUntil() }
 
-// Held is what it holds, and Text the text of one of its versions.
-func (f *Fleet) Held() *agreement.Manifest { return f.module.Manifest() }
+// Manifest returns the manifest in force at this gateway.
+func (f *Fleet) Manifest() *agreement.Manifest { return f.module.Manifest() }
 
-// Awaits tells whether a manifest of this stamp is what it waits to act on: a later one may have taken its place.
-func (f *Fleet) Awaits(stamp uint64) bool {
+// IsPending reports whether the pending manifest has this revision: a later one may have replaced it.
+func (f *Fleet) IsPending(revision uint64) bool {
 	m := f.module.Pending()
-	return m != nil && m.Revision == stamp
+	return m != nil && m.Revision == revision
 }
 
-// Coming is what it waits to act on.
-func (f *Fleet) Coming() *agreement.Manifest { return f.module.Pending() }
+// Pending returns the manifest that waits to be adopted, or nil.
+func (f *Fleet) Pending() *agreement.Manifest { return f.module.Pending() }
 
-// Out tells that this gateway was taken out of the list.
-func (f *Fleet) Out() bool {
-	return f.module.Manifest().Revision > 0 && f.joined && f.listed && f.joinNo == 0 && !f.inList
+// Removed reports whether this gateway was removed from the list.
+func (f *Fleet) Removed() bool {
+	return f.module.Manifest().Revision > 0 && f.joined && f.everListed && f.joinProposal == 0 && !f.inList
 }
 
-// Text gives a version's.
+// Text returns the text of a version.
 func (f *Fleet) Text(d agreement.Digest) []byte { return f.module.Text(d) }
 
-// Plan is what the operator said.
-func (f *Fleet) Plan() *Plan { return f.plan }
+// Config returns the configuration.
+func (f *Fleet) Config() *Config { return f.config }
 
-// Status is how this gateway stands to the fleet.
+// Status describes the state of the agreement at this gateway.
 type Status struct {
-	Self    agreement.ID
-	Votes   bool
-	Leader  agreement.ID
-	Term    uint64
-	Left    int64 // of its lease; below 0 it is careful
-	Stated  int64
-	Held    agreement.Manifest
-	History []agreement.Subject      // at one that votes
-	Seen    []agreement.GatewayLease // what voters know of all gateways, where they were asked
+	Self           agreement.ID
+	IsVoter        bool `json:"Votes"`
+	Leader         agreement.ID
+	Term           uint64
+	LeaseRemaining int64                    `json:"Left"` // nanoseconds of the lease; below 0 the gateway acts as without agreement
+	MaxDivergence  int64                    `json:"Stated"`
+	Manifest       agreement.Manifest       `json:"Held"`
+	History        []agreement.Subject      // at voters only
+	Leases         []agreement.GatewayLease `json:"Seen"` // what the voters know of all gateways, after a survey
 }
 
-// Survey asks all voters what they know of the others; Surveyed gives what has come and whether it is all.
+// Survey asks all voters what they know of the other gateways.
 func (f *Fleet) Survey() {
-	f.stir()
+	f.requestRound()
 	f.module.Survey()
 }
 
-// Surveyed gives it.
-func (f *Fleet) Surveyed() ([]agreement.GatewayLease, bool) {
-	f.stir()
+// SurveyResult returns the responses to the survey so far and whether it is complete.
+func (f *Fleet) SurveyResult() ([]agreement.GatewayLease, bool) {
+	f.requestRound()
 	return f.module.SurveyResult()
 }
 
-// Status tells it.
+// Status returns the current state.
 func (f *Fleet) Status() Status {
-	s := Status{Self: f.me.ID, Left: f.Leased() - f.host.Now(), Stated: f.plan.Terms.MaxDivergence(), Held: *f.Held()}
-	s.Votes, s.Leader, s.Term, _ = f.module.Role()
+	s := Status{Self: f.identity.ID, LeaseRemaining: f.LeaseUntil() - f.host.Now(), MaxDivergence: f.config.Agreement.MaxDivergence(), Manifest: *f.Manifest()}
+	s.IsVoter, s.Leader, s.Term, _ = f.module.Role()
 	if b := f.module.State(); b != nil {
 		s.History = slices.Clone(b.Subjects)
 	}
--- a/fleet/plan.go
+++ b/fleet/plan.go
@@ -11,122 +11,122 @@
 	"magpieglade/session"
 )
 
-// SessionPlan is what the operator says of the guarantee of sessions. Without one a gateway covers what clients
-// bring and, where the settings say `kept`, what it answered itself.
-type SessionPlan struct {
-	Terms    session.Config // Self and Fleet are set by Gateways, or where the fleet agrees on its list by that
+// SessionConfig is the operator's configuration of session consistency. Without it a gateway guarantees only the positions
+// that clients send and, if the settings say `kept`, its own answers.
+type SessionConfig struct {
+	Session  session.Config // Self and FleetSize are set from Gateways, or from the list that the fleet agrees on
 	Tokens   TokenUse
-	Listen   netip.AddrPort   // for other gateways; not valid where there are none
-	Gateways []netip.AddrPort // of the whole fleet, this one among them, in the same order everywhere
-	Keys     []PeerKey        // the first signs, all are valid
-	// Positions has gateways tell each other the positions of members, beside what sessions need. The decision module
-	// shares them as limits.peers of the settings has it do.
-	Positions bool
-	Ledger    LedgerPlan
+	Listen   netip.AddrPort   // for messages of other gateways; invalid if there are none
+	Gateways []netip.AddrPort // all gateways including this one, in the same order everywhere
+	Keys     []PeerKey        // the first one signs, all verify
+	// SharePositions has gateways exchange the positions of members in addition to what sessions need. The decision module
+	// shares them according to limits.peers of the settings.
+	SharePositions bool
+	Ledger         LedgerConfig
 }
 
-// TokenUse is what the positions that clients bring are good for.
+// TokenUse is how far positions sent by clients are trusted.
 type TokenUse string
 
 const (
-	TokensHints    TokenUse = "hints"    // they may raise a floor, no more
-	TokensComplete TokenUse = "complete" // they cover all that their session wrote
-	TokensSigned   TokenUse = "signed"   // the same, if a gateway signed them; others are none
+	TokensHints    TokenUse = "hints"    // they may only raise the minimum position of a read
+	TokensComplete TokenUse = "complete" // they cover all writes of their session
+	TokensSigned   TokenUse = "signed"   // the same if signed by a gateway; unsigned ones are ignored
 )
 
-// PeerKey authenticates messages between gateways and tokens of clients.
+// PeerKey authenticates messages between gateways, and client tokens.
 type PeerKey struct {
 	ID     uint8
 	Secret []byte
 }
 
-// LedgerPlan says where marks are kept over a restart; without a folder nowhere.
-type LedgerPlan struct {
+// LedgerConfig configures the ledger that keeps session watermarks over a restart; without a folder there is none.
+type LedgerConfig struct {
 	Folder       string
 	BeforeAnswer Durability
-	AtMost       int64       // nanoseconds that an answer waits for the disk; past it the ledger is no longer complete
-	Disk         ledger.Disk // nil is the system's
+	MaxWait      int64             // nanoseconds that an answer waits for the disk; then the ledger is marked incomplete
+	FileSystem   ledger.FileSystem // nil for that of the operating system
 }
 
-// Durability is how far a mark has come when its write is answered.
+// Durability is where a watermark has been stored when its write is answered.
 type Durability string
 
 const (
 	DurableNone    Durability = "none"    // nowhere: after a crash each group is fenced once
-	DurableProcess Durability = "process" // with the kernel: a restart goes on from there; after a loss of power each group is fenced once
+	DurableProcess Durability = "process" // in the kernel: survives a restart of the process; after a loss of power each group is fenced once
 )
 
-// Check names the first value that is lacking or wrong, and completes the terms. reports tells whether members answer probes
-// with their position.
-func (p *SessionPlan) Check(reports bool) error {
-	wrong := func(format string, a ...any) error { return fmt.Errorf("sessions: "+format, a...) }
+// Validate returns an error that describes the first missing or invalid value, and completes the session configuration.
+// probesReportPosition states whether members answer probes with their position.
+func (p *SessionConfig) Validate(probesReportPosition bool) error {
+	errorf := func(format string, a ...any) error { return fmt.Errorf("sessions: "+format, a...) }
 	if p.Tokens == "" {
 		p.Tokens = TokensHints
 	}
 	switch p.Tokens {
 	case TokensHints, TokensComplete, TokensSigned:
 	default:
-		return wrong("tokens has the unknown value %q", p.Tokens)
+		return errorf("tokens has the unknown value %q", p.Tokens)
 	}
-	if p.Terms.DynamicMembership && len(p.Gateways) > 0 {
-		return wrong("the fleet agrees on its list of gateways")
+	if p.Session.DynamicMembership && len(p.Gateways) > 0 {
+		return errorf("gateways must be empty where the fleet agrees on its list of gateways")
 	}
-	p.Terms.FleetSize, p.Terms.Self = max(1, len(p.Gateways)), 0
+	p.Session.FleetSize, p.Session.Self = max(1, len(p.Gateways)), 0
 	if len(p.Gateways) > 1 {
-		if p.Terms.Self = slices.Index(p.Gateways, p.Listen); p.Terms.Self < 0 {
-			return wrong("gateways does not name %v, where this one listens for them", p.Listen)
+		if p.Session.Self = slices.Index(p.Gateways, p.Listen); p.Session.Self < 0 {
+			return errorf("gateways does not contain %v, on which this gateway listens for the others", p.Listen)
 		}
 		for i, g := range p.Gateways {
 			if !g.IsValid() || !g.Addr().Is4() || g.Port() == 0 || slices.Contains(p.Gateways[:i], g) {
-				return wrong("gateways has %v twice, or it is no IPv4 address with a port", g)
+				return errorf("gateways contains %v twice, or it is not an IPv4 address with a port", g)
 			}
 		}
 	}
-	if p.Positions && p.Alone() {
-		return wrong("positions need other gateways to be told to")
+	if p.SharePositions && p.Standalone() {
+		return errorf("positions requires other gateways")
 	}
-	if !p.Alone() || p.Tokens == TokensSigned {
+	if !p.Standalone() || p.Tokens == TokensSigned {
 		if err := p.keys().Check(); err != nil {
-			return wrong("%w", err)
+			return errorf("%w", err)
 		}
 	}
 	switch p.Ledger.BeforeAnswer {
 	case "", DurableNone, DurableProcess:
 	default:
-		return wrong("before_answer has the unknown value %q", p.Ledger.BeforeAnswer)
+		return errorf("before_answer has the unknown value %q", p.Ledger.BeforeAnswer)
 	}
-	if !reports {
+	if !probesReportPosition {
 		return errors.New("sessions: members must answer probes with their position (settings: limits.probes, loadReport)")
 	}
-	return p.Terms.Validate()
+	return p.Session.Validate()
 }
 
-// Alone tells that there are no other gateways.
-func (p *SessionPlan) Alone() bool { return len(p.Gateways) < 2 && !p.Terms.DynamicMembership }
+// Standalone reports whether there are no other gateways.
+func (p *SessionConfig) Standalone() bool { return len(p.Gateways) < 2 && !p.Session.DynamicMembership }
 
-// others are the addresses of the other gateways, by their places in the list.
-func (p *SessionPlan) others() map[int]netip.AddrPort {
-	all := map[int]netip.AddrPort{}
+// peerAddresses returns the addresses of the other gateways, keyed by their index in the list.
+func (p *SessionConfig) peerAddresses() map[int]netip.AddrPort {
+	addresses := map[int]netip.AddrPort{}
 	for i, a := range p.Gateways {
-		if i != p.Terms.Self {
-			all[i] = a
+		if i != p.Session.Self {
+			addresses[i] = a
 		}
 	}
-	return all
+	return addresses
 }
 
-func (p *SessionPlan) keys() (keys peerwire.Keys) {
+func (p *SessionConfig) keys() (keys peerwire.Keys) {
 	for _, k := range p.Keys {
 		keys = append(keys, peerwire.Key{ID: k.ID, Secret: k.Secret})
 	}
 	return keys
 }
 
-// fleet is a mark of the list of gateways.
-func (p *SessionPlan) fleet() uint32 {
-	var all []string
+// fleetHash returns a hash of the list of gateways.
+func (p *SessionConfig) fleetHash() uint32 {
+	var addresses []string
 	for _, g := range p.Gateways {
-		all = append(all, g.String())
+		addresses = append(addresses, g.String())
 	}
-	return peerwire.FleetHash(all)
+	return peerwire.FleetHash(addresses)
 }
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,5 +1,5 @@
-// Package ledger keeps what the session module knows over a restart: its changes, in a store. It words them, tells how
-// long ago they were, and says whether what it gives back lacks nothing.
+// Package ledger persists the state of the session module over a restart by storing its changes. It encodes the changes,
+// restores their ages, and reports whether the recovered state is complete.
 package ledger
 
 import (
@@ -14,151 +14,152 @@
 	"magpieglade/session"
 )
 
-// Ledger is an open folder. Append and Snapshot never wait; both belong to one goroutine, as Began does.
+// Ledger is an open ledger directory. Append and Snapshot never block; they and Start must be called from one goroutine.
 type Ledger struct {
-	store *store.Store
-	now   clocks
+	store      *store.Store
+	readClocks clockFunc
 }
 
-// clocks are the time of day, and the time since the machine started, which nobody sets; nanoseconds.
-type clocks func() (day, machine int64)
+// clockFunc returns the wall-clock time and the time since boot, which cannot be set, in nanoseconds.
+type clockFunc func() (wallTime, bootTime int64)
 
-func system() (day, machine int64) {
+func readClocks() (wallTime, bootTime int64) {
 	var t unix.Timespec
 	_ = unix.ClockGettime(unix.CLOCK_BOOTTIME, &t)
 	return time.Now().UnixNano(), t.Nano()
 }
 
-// Found is what a folder held.
-type Found struct {
-	Changes  []session.Change
-	Complete bool // nothing that the last run answered is lacking
-	Clean    bool // the last run ended in order
-	Torn     int64
-	Spoilt   int
-	Segments []store.Segment
-	Unread   int // records that are none of this version's
+// Recovered is the content of a ledger directory.
+type Recovered struct {
+	Changes        []session.Change
+	Complete       bool  // nothing that the last run answered is missing
+	Clean          bool  // the last run was shut down cleanly
+	TornBytes      int64 // incompletely written at the end
+	Corrupt        int   // damaged places
+	Segments       []store.Segment
+	UnknownRecords int // records of another format version
 }
 
-// UsualWait is how long an answer waits for its mark where the operator does not say, in nanoseconds. Ours: far above
-// what the kernel takes, far below any SLA time.
-const UsualWait = int64(20e6)
+// DefaultMaxWait is how long an answer waits at most for its change to be written, in nanoseconds. It is far longer than a
+// write to the kernel takes and far shorter than any SLA target.
+const DefaultMaxWait = int64(20e6)
 
-// Disk is the file system that a ledger is on.
-type Disk = store.FileSystem
+// FileSystem is the file system that holds a ledger.
+type FileSystem = store.FileSystem
 
-// Open takes a folder on a disk, nil for the operating system's, and reads what it holds. wanted is called, from some goroutine, when a snapshot is wanted; log
-// with what goes wrong, and with no error when it goes right again.
-func Open(folder string, on Disk, wanted func(), log func(string, error)) (*Ledger, *Found, error) {
-	s, r, err := store.Open(folder, store.Options{FileSystem: on, SnapshotNeeded: wanted, Log: log})
+// Open opens a directory and recovers its content. A nil fileSystem is that of the operating system. snapshotNeeded and log
+// may be called from any goroutine: snapshotNeeded when a snapshot is needed; log with each error, and with a nil error once
+// writes succeed again.
+func Open(directory string, fileSystem FileSystem, snapshotNeeded func(), log func(string, error)) (*Ledger, *Recovered, error) {
+	s, r, err := store.Open(directory, store.Options{FileSystem: fileSystem, SnapshotNeeded: snapshotNeeded, Log: log})
 	if err != nil {
 		return nil, nil, fmt.Errorf("ledger: %w", err)
 	}
-	l := &Ledger{s, system}
-	return l, found(r, l.now), nil
+	l := &Ledger{s, readClocks}
+	return l, recoverChanges(r, l.readClocks), nil
 }
 
-// Look reads a folder and changes nothing, also while a gateway has it.
-func Look(folder string) (*Found, error) {
-	r, err := store.Read(folder, nil, "")
+// Read reads a directory without changing it; a gateway may have it open.
+func Read(directory string) (*Recovered, error) {
+	r, err := store.Read(directory, nil, "")
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	return found(r, system), nil
+	return recoverChanges(r, readClocks), nil
 }
 
-func found(r *store.Recovered, now clocks) *Found {
-	f := &Found{Complete: r.Complete, Clean: r.Clean, Torn: r.Torn, Spoilt: r.Corrupt, Segments: r.Segments}
-	day, machine := now()
-	for _, text := range r.Records {
-		changes, err := read(text, day, machine)
+func recoverChanges(r *store.Recovered, readClocks clockFunc) *Recovered {
+	recovered := &Recovered{Complete: r.Complete, Clean: r.Clean, TornBytes: r.Torn, Corrupt: r.Corrupt, Segments: r.Segments}
+	wallTime, bootTime := readClocks()
+	for _, record := range r.Records {
+		changes, err := decode(record, wallTime, bootTime)
 		if err != nil {
-			f.Unread++
-			f.Complete = false
+			recovered.UnknownRecords++
+			recovered.Complete = false
 		}
-		f.Changes = append(f.Changes, changes...)
+		recovered.Changes = append(recovered.Changes, changes...)
 	}
-	return f
+	return recovered
 }
 
-// Began writes the state that a run begins with, and waits for it. keeps says that nothing is answered before its
-// change is written, or else Behind is said first.
-func (l *Ledger) Began(state []session.Change, keeps bool) error {
-	return l.store.Start(l.word(state), keeps)
+// Start writes the initial state of a run and blocks until it is written. writeAhead promises that no answer is sent before
+// its change is written, unless MarkIncomplete is called first.
+func (l *Ledger) Start(state []session.Change, writeAhead bool) error {
+	return l.store.Start(l.encode(state), writeAhead)
 }
 
-// Append queues changes; done, which may be nil, is called from another goroutine once they are with the kernel, or
-// with why not.
+// Append queues changes. done, which may be nil, is called from another goroutine once they are passed to the kernel, or with
+// the error that prevented it.
 func (l *Ledger) Append(changes []session.Change, done func(error)) {
-	l.store.Append(l.word(changes), done)
+	l.store.Append(l.encode(changes), done)
 }
 
-// Snapshot queues a state that takes the place of all before.
-func (l *Ledger) Snapshot(state []session.Change) { l.store.Snapshot(l.word(state)) }
+// Snapshot queues a state that replaces everything written before.
+func (l *Ledger) Snapshot(state []session.Change) { l.store.Snapshot(l.encode(state)) }
 
-// Behind says at once that something was answered that is not written; Caught takes it back.
-func (l *Ledger) Behind() { l.store.MarkIncomplete() }
+// MarkIncomplete records immediately that an answer was sent whose change is not written; ClearIncomplete reverts it.
+func (l *Ledger) MarkIncomplete() { l.store.MarkIncomplete() }
 
-// Caught takes Behind back.
-func (l *Ledger) Caught() { l.store.ClearIncomplete() }
+// ClearIncomplete records that all answered changes are written again.
+func (l *Ledger) ClearIncomplete() { l.store.ClearIncomplete() }
 
-// Close ends in order.
+// Close shuts the ledger down cleanly.
 func (l *Ledger) Close() error { return l.store.Close() }
 
-// Counts gives what was done so far.
-func (l *Ledger) Counts() store.Stats { return l.store.Stats() }
-
-// one is a change as it is written, little-endian. Ages are written as the times that they count from.
-type one struct {
-	Kind, Entry  uint8
-	Peer, Group  uint16
-	No, Epoch    uint64
-	Key          uint64
-	Position     int64
-	Day, Machine int64
+// Stats returns counters of the underlying store.
+func (l *Ledger) Stats() store.Stats { return l.store.Stats() }
+
+// changeRecord is the stored format of a change, little-endian. An age is stored as the times at which it was 0.
+type changeRecord struct {
+	Kind, Entry        uint8
+	Peer, Group        uint16
+	Sequence, Epoch    uint64
+	Key                uint64
+	Position           int64
+	WallTime, BootTime int64
 }
 
-var oneSize = binary.Size(one{})
+var changeRecordSize = binary.Size(changeRecord{})
 
-// perRecord is how many changes a record of a snapshot holds: a checksum for each would cost as much as they do.
-const perRecord = 500
+// changesPerRecord bounds the changes in a record: a checksum for each change would cost as much as the change.
+const changesPerRecord = 500
 
-func (l *Ledger) word(changes []session.Change) (records [][]byte) {
-	day, machine := l.now()
+func (l *Ledger) encode(changes []session.Change) (records [][]byte) {
+	wallTime, bootTime := l.readClocks()
 	for len(changes) > 0 {
-		n := min(len(changes), perRecord)
-		text := make([]byte, 0, n*oneSize)
+		n := min(len(changes), changesPerRecord)
+		record := make([]byte, 0, n*changeRecordSize)
 		for i := range changes[:n] {
 			c := &changes[i]
-			text, _ = binary.Append(text, binary.LittleEndian, &one{Kind: uint8(c.Kind), Entry: uint8(c.Entry.Kind),
-				Peer: uint16(c.Peer), Group: uint16(c.Entry.Group), No: c.Sequence, Epoch: c.Epoch, Key: c.Entry.Key,
-				Position: int64(c.Entry.Position), Day: day - c.Entry.Age, Machine: machine - c.Entry.Age})
+			record, _ = binary.Append(record, binary.LittleEndian, &changeRecord{Kind: uint8(c.Kind), Entry: uint8(c.Entry.Kind),
+				Peer: uint16(c.Peer), Group: uint16(c.Entry.Group), Sequence: c.Sequence, Epoch: c.Epoch, Key: c.Entry.Key,
+				Position: int64(c.Entry.Position), WallTime: wallTime - c.Entry.Age, BootTime: bootTime - c.Entry.Age})
 		}
-		records = append(records, text)
+		records = append(records, record)
 		changes = changes[n:]
 	}
 	return records
 }
 
-var errUnread = errors.New("a record of another version")
+var errUnknownFormat = errors.New("unknown record format")
 
-func read(text []byte, day, machine int64) (changes []session.Change, err error) {
-	if len(text)%oneSize != 0 {
-		return nil, errUnread
+func decode(record []byte, wallTime, bootTime int64) (changes []session.Change, err error) {
+	if len(record)%changeRecordSize != 0 {
+		return nil, errUnknownFormat
 	}
-	for ; len(text) > 0; text = text[oneSize:] {
-		var o one
-		if _, err := binary.Decode(text, binary.LittleEndian, &o); err != nil || o.Kind > uint8(session.GatewayEnded) {
-			return changes, errUnread
+	for ; len(record) > 0; record = record[changeRecordSize:] {
+		var encoded changeRecord
+		if _, err := binary.Decode(record, binary.LittleEndian, &encoded); err != nil || encoded.Kind > uint8(session.GatewayEnded) {
+			return changes, errUnknownFormat
 		}
-		// The machine's clock began anew with another boot, and the day's may have been set: whichever says longer.
-		age := max(0, day-o.Day)
-		if o.Machine <= machine {
-			age = max(age, machine-o.Machine)
+		// The boot time restarts from 0 with another boot, and the wall clock may have been set: use the longer age.
+		age := max(0, wallTime-encoded.WallTime)
+		if encoded.BootTime <= bootTime {
+			age = max(age, bootTime-encoded.BootTime)
 		}
-		changes = append(changes, session.Change{Kind: session.ChangeKind(o.Kind), Peer: int(o.Peer), Sequence: o.No, Epoch: o.Epoch,
-			Entry: session.Entry{Kind: session.EntryKind(o.Entry), Group: int(o.Group), Key: o.Key,
-				Position: session.Position(o.Position), Age: age}})
+		changes = append(changes, session.Change{Kind: session.ChangeKind(encoded.Kind), Peer: int(encoded.Peer), Sequence: encoded.Sequence, Epoch: encoded.Epoch,
+			Entry: session.Entry{Kind: session.EntryKind(encoded.Entry), Group: int(encoded.Group), Key: encoded.Key,
+				Position: session.Position(encoded.Position), Age: age}})
 	}
 	return changes, nil
 }
