--- a/cli/contracts.go
+++ b/cli/contracts.go
@@ -519,19 +519,19 @@
 	if c.Gateways < 1 || c.InFlight < 1 || c.Members < 2 || len(c.Zones) == 0 || c.Flood < 0 || c.Length < time.Second {
 		return fmt.Errorf("an event has a gateway, two members, a zone, and lasts a second at the least")
 	}
-	e := &rehearse.Event{Terms: f.Contracts[i], Sizes: f.Sizes, Members: c.Members, Zones: c.Zones, Gateways: c.Gateways, InFlight: c.InFlight, Flood: c.Flood,
-		Through: min(c.Through, c.Gateways), Length: int64(c.Length), Seed: c.Seed}
-	held, err := e.Play(1, true)
+	e := &rehearse.ContractRehearsal{Terms: f.Contracts[i], MemberSizes: f.Sizes, Members: c.Members, Zones: c.Zones, Gateways: c.Gateways, InFlight: c.InFlight, FloodFactor: c.Flood,
+		TenantGateways: min(c.Through, c.Gateways), Duration: int64(c.Length), Seed: c.Seed}
+	held, err := e.Run(1, true)
 	if err != nil {
 		return err
 	}
-	without, err := e.Play(1, false)
+	without, err := e.Run(1, false)
 	if err != nil {
 		return err
 	}
 	largest := -1.0
 	if c.Largest {
-		if largest, err = e.Largest(); err != nil {
+		if largest, err = e.MaxSize(); err != nil {
 			return err
 		}
 	}
@@ -542,13 +542,13 @@
 	} else {
 		t := &e.Terms
 		fmt.Fprintf(out, "%s: %g reads and %g writes a second at each group, others ask for %g times what members do, with a loss of %s\n", t.Name, t.Reads, t.Writes, c.Flood, t.ToleratedLoss)
-		fmt.Fprintf(out, "with room held: %.3f of %d txns in time, others %.3f; %d broken rules\n", held.Kept, held.Asked, held.Others, held.Broken)
-		fmt.Fprintf(out, "without:        %.3f of %d txns in time, others %.3f\n", without.Kept, without.Asked, without.Others)
+		fmt.Fprintf(out, "with room held: %.3f of %d txns in time, others %.3f; %d broken rules\n", held.InTimeFraction, held.Requested, held.OthersInTimeFraction, held.Violations)
+		fmt.Fprintf(out, "without:        %.3f of %d txns in time, others %.3f\n", without.InTimeFraction, without.Requested, without.OthersInTimeFraction)
 		if largest >= 0 {
 			fmt.Fprintf(out, "the largest that would be kept: %g times its size\n", largest)
 		}
 	}
-	if !held.Promise {
+	if !held.PromiseMet {
 		return fmt.Errorf("%g of its txns in time are promised, and would not be kept; where members are crowded a smaller in_flight of the gateways helps", e.Terms.PromisedFraction)
 	}
 	return nil
--- a/cli/live.go
+++ b/cli/live.go
@@ -29,7 +29,7 @@
 func (l live) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := m.(type) {
 	case rehearse.Progress:
-		if asked := m.Asked - l.last.Asked; asked > 0 {
+		if asked := m.Requested - l.last.Requested; asked > 0 {
 			l.past = append(l.past, float64(m.Served-l.last.Served)/float64(asked))
 		}
 		l.at, l.last = m, m
@@ -52,7 +52,7 @@
 		done = float64(l.at.At) / float64(l.at.Length)
 	}
 	left := time.Duration(l.s.Length - l.at.At).Round(time.Second)
-	fmt.Fprintf(&b, "%s  [%-40s] %v left\n%d asked, %d served\n", l.s.Name, strings.Repeat("#", int(40*min(1, done))), left, l.at.Asked, l.at.Served)
+	fmt.Fprintf(&b, "%s  [%-40s] %v left\n%d asked, %d served\n", l.s.Name, strings.Repeat("#", int(40*min(1, done))), left, l.at.Requested, l.at.Served)
 	for i := max(0, len(l.past)-10); i < len(l.past); i++ {
 		fmt.Fprintf(&b, "%-40s %.3f\n", strings.Repeat("=", int(40*max(0, min(1, l.past[i])))), l.past[i])
 	}
--- a/cli/measure.go
+++ b/cli/measure.go
@@ -51,7 +51,7 @@
 			if n < 1 || members < 1 {
 				return errors.New("a fleet has a gateway and a member at the least")
 			}
-			r := rehearse.MeasureSubsets(rehearse.SubsetSize{Gateways: n, Members: members, Zones: m.Zones, Terms: t, Seed: m.Seed})
+			r := rehearse.MeasureSubsets(rehearse.SubsetSize{Gateways: n, Members: members, Zones: m.Zones, Config: t, Seed: m.Seed})
 			all = append(all, r)
 			if m.JSON {
 				if err := json.NewEncoder(out).Encode(r); err != nil {
@@ -60,10 +60,10 @@
 				continue
 			}
 			next := "-"
-			if r.NextSpan > 0 {
-				next = fmt.Sprintf("%d from %d on", r.NextSize, r.NextSpan)
+			if r.NextSizeAt > 0 {
+				next = fmt.Sprintf("%d from %d on", r.NextSize, r.NextSizeAt)
 			}
-			fmt.Fprintf(table, "%d\t%d\t%d\t%d to %d\t%.2f to %.2f\t%.4f\t%.2f\t%.1f\t%.1f\t%.1f\t%s\t\n", n, members, r.Size, r.Least, r.Most, r.LeastLoad, r.Load, r.Jain, r.Near, r.Join, r.Leave, r.Gone, next)
+			fmt.Fprintf(table, "%d\t%d\t%d\t%d to %d\t%.2f to %.2f\t%.4f\t%.2f\t%.1f\t%.1f\t%.1f\t%s\t\n", n, members, r.Size, r.MinGateways, r.MaxGateways, r.MinLoad, r.MaxLoad, r.Jain, r.SameZoneFraction, r.MovedOnJoin, r.MovedOnLeave, r.MovedOnLoss, next)
 		}
 	}
 	if err := table.Flush(); err != nil || m.Chart == "" {
@@ -104,10 +104,10 @@
 						if policy != "covered" && loss != m.Loss[0] {
 							continue
 						}
-						d := rehearse.DefaultSessionDay()
+						d := rehearse.DefaultSessionConfig()
 						d.Gateways, d.Roam, d.Loss, d.Lag, d.Policy = n, roam, loss, lag, rehearse.Policy(policy)
-						d.Rate, d.Length, d.Kill, d.Seed, d.Budget = m.Rate, m.Length, m.Kill, m.Seed, m.Budget
-						r, err := rehearse.PlaySessions(d)
+						d.Rate, d.Duration, d.KillInterval, d.Seed, d.MessagesPerTxn = m.Rate, m.Length, m.Kill, m.Seed, m.Budget
+						r, err := rehearse.SimulateSessions(d)
 						if err != nil {
 							return err
 						}
@@ -118,7 +118,7 @@
 							continue
 						}
 						fmt.Fprintf(table, "%d\t%.2f\t%.2f\t%v\t%s\t%d\t%d\t%d\t%.3f\t%.3f\t%v\t%v\t%.2f\t%.0f\t%v\t\n", n, roam, loss, lag, policy,
-							r.Reads, r.Stale, r.Refused, r.Fenced, r.Primary, r.P50.Round(10*time.Microsecond), r.P99.Round(10*time.Microsecond), r.Messages, r.Bytes, r.Module.Round(100*time.Nanosecond))
+							r.Reads, r.Stale, r.Refused, r.FencedFraction, r.PrimaryFraction, r.P50.Round(10*time.Microsecond), r.P99.Round(10*time.Microsecond), r.MessagesPerTxn, r.BytesPerTxn, r.ModuleTimePerTxn.Round(100*time.Nanosecond))
 					}
 				}
 			}
--- a/cli/rehearse.go
+++ b/cli/rehearse.go
@@ -115,7 +115,7 @@
 func progress(quiet bool) func(rehearse.Progress) {
 	return func(p rehearse.Progress) {
 		if !quiet {
-			fmt.Fprintf(os.Stderr, "%v of %v, %d asked, %d served\n", time.Duration(p.At).Round(time.Second), time.Duration(p.Length), p.Asked, p.Served)
+			fmt.Fprintf(os.Stderr, "%v of %v, %d asked, %d served\n", time.Duration(p.At).Round(time.Second), time.Duration(p.Length), p.Requested, p.Served)
 		}
 	}
 }
--- a/rehearse/covered.go
+++ b/rehearse/covered.go
@@ -6,60 +6,60 @@
 	"magpieglade/session"
 )
 
-// Sources of what a session's read must see.
+// Sources of the position that a session's read must see.
 const (
-	Brought      = "brought" // by the position that its client carries
-	usualCovered = 20        // gateways up to which it is what they told one another, where a scenario does not say
+	Brought            = "brought" // the position that its client carries
+	maxCoveredGateways = 20        // largest fleet that uses the covered source by default
 )
 
 // sessionHost hosts the session module of a gateway.
 type sessionHost struct {
-	n      *node
-	module *session.Sessions
-	turns  int
-	busy   bool
+	gateway     *simGateway
+	module      *session.Sessions
+	fenceSource int
+	busy        bool
 }
 
-// newSessionHost makes one, or nil where clients bring their positions.
-func newSessionHost(n *node) (*sessionHost, error) {
+// newSessionHost returns nil where clients carry their positions.
+func newSessionHost(n *simGateway) (*sessionHost, error) {
 	w := n.w
-	if w.s.Sessions == Brought || w.s.Policy != ByModule {
+	if w.scenario.Sessions == Brought || w.scenario.Policy != ByModule {
 		return nil, nil
 	}
 	t := session.DefaultConfig()
-	t.Self, t.FleetSize, t.Source = n.no, len(w.nodes), session.FloorSource(w.s.Sessions)
-	w.epochs++
-	m, err := session.New(t, w.s.Seed+uint64(n.no), w.epochs)
+	t.Self, t.FleetSize, t.Source = n.index, len(w.gateways), session.FloorSource(w.scenario.Sessions)
+	w.lastEpoch++
+	m, err := session.New(t, w.scenario.Seed+uint64(n.index), w.lastEpoch)
 	if err != nil {
 		return nil, err
 	}
-	h := &sessionHost{n: n, module: m}
+	h := &sessionHost{gateway: n, module: m}
 	m.SetTime(w.Now)
 	return h, nil
 }
 
-// tell gives the module an input and carries out what it decides.
-func (h *sessionHost) tell(input func()) {
-	h.module.SetTime(h.n.w.Now)
+// step passes an input to the module and executes its decisions.
+func (h *sessionHost) step(input func()) {
+	h.module.SetTime(h.gateway.w.Now)
 	input()
 	if h.busy {
 		return
 	}
 	h.busy = true
-	run := h.n.run
-	for h.n.run == run {
+	run := h.gateway.incarnation
+	for h.gateway.incarnation == run {
 		d, ok := h.module.Next()
 		if !ok {
 			break
 		}
-		h.carryOut(&d)
+		h.execute(&d)
 	}
 	h.busy = false
 }
 
-func (h *sessionHost) carryOut(d *session.Decision) {
-	n, w, run := h.n, h.n.w, h.n.run
-	alive := func(n *node, run int) bool { return n.up && n.run == run }
+func (h *sessionHost) execute(d *session.Decision) {
+	n, w, run := h.gateway, h.gateway.w, h.gateway.incarnation
+	alive := func(n *simGateway, run int) bool { return n.up && n.incarnation == run }
 	switch d.Kind {
 	case session.Serve:
 		if t := n.open[d.ReadID]; t != nil {
@@ -67,26 +67,26 @@
 			n.route(t)
 		}
 	case session.Refuse:
-		n.answer(n.open[d.ReadID], audit.Declined, 0, 0, d.Delay)
+		n.respond(n.open[d.ReadID], audit.Declined, 0, 0, d.Delay)
 	case session.Fence:
-		server, ok := n.module.PositionSource(d.Group, h.turns)
+		server, ok := n.module.PositionSource(d.Group, h.fenceSource)
 		if !ok {
 			h.module.FenceFailed(d.Group, d.RequestID)
 			return
 		}
-		over := false
+		ended := false
 		group, no := d.Group, d.RequestID
 		end := func(report []float64) {
-			if over || !alive(n, run) {
+			if ended || !alive(n, run) {
 				return
 			}
-			over = true
-			h.tell(func() {
+			ended = true
+			h.step(func() {
 				if len(report) > 1 && report[1] == 1 {
 					h.module.FenceCompleted(group, no, session.Position(report[0]*1e9))
 					return
 				}
-				h.turns++
+				h.fenceSource++
 				if len(report) > 1 {
 					h.module.RecordMemberPosition(group, session.Position(report[0]*1e9))
 				}
@@ -94,31 +94,31 @@
 			})
 		}
 		w.After(session.DefaultConfig().FenceTimeout, func() { end(nil) })
-		n.ask(w.baseOf(server), func(_ decide.Result, report []float64) { end(report) })
+		n.sendProbe(w.databaseFor(server), func(_ decide.Result, report []float64) { end(report) })
 	case session.RequestEntries, session.SendEntries:
-		to, page, no, ask := w.nodes[d.Peer], d.Page, d.RequestID, d.Kind == session.RequestEntries
-		if w.parts(n.no, to.no) {
+		to, page, no, isRequest := w.gateways[d.Peer], d.Page, d.RequestID, d.Kind == session.RequestEntries
+		if w.lostBetween(n.index, to.index) {
 			return
 		}
 		w.send(n.zone, to.zone, func() {
 			if !to.up || to.sessions == nil {
 				return
 			}
-			to.sessions.tell(func() {
-				if ask {
-					to.sessions.module.HandleRequest(n.no, no, page.Epoch, page.Last)
+			to.sessions.step(func() {
+				if isRequest {
+					to.sessions.module.HandleRequest(n.index, no, page.Epoch, page.Last)
 				} else {
-					to.sessions.module.HandlePage(n.no, no, page)
+					to.sessions.module.HandlePage(n.index, no, page)
 				}
 			})
 		})
 	case session.Wake:
 		w.After(max(1, d.Delay), func() {
 			if alive(n, run) {
-				h.tell(func() {})
+				h.step(func() {})
 			}
 		})
 	case session.Log:
-		w.said("gateway %d: %s", n.no, d.Text)
+		w.logf("gateway %d: %s", n.index, d.Text)
 	}
 }
--- a/rehearse/databases.go
+++ b/rehearse/databases.go
@@ -7,228 +7,228 @@
 	"magpieglade/rehearse/audit"
 )
 
-// cluster is a group's log and its members.
-type cluster struct {
-	no      int
-	plan    GroupPlan
-	members []*database
-	log     []commit            // by position
-	last    int64               // position of the latest
-	of      map[uint64][]int    // by session: its commits, as numbers in the log
-	keys    map[uint64]*keyHeld // that repeats are told by
+// replicaGroup is a group's commit log and its members.
+type replicaGroup struct {
+	index            int
+	plan             GroupPlan
+	members          []*database
+	log              []commit              // by position
+	lastPosition     int64                 // position of the latest commit
+	commitsBySession map[uint64][]int      // by session: indexes of its commits in the log
+	keys             map[uint64]*keyRecord // idempotency keys, to detect repeated writes
 }
 
 type commit struct {
-	at      int64 // its position
-	session uint64
-	version uint64
-	lost    bool
+	position int64 // its position
+	session  uint64
+	version  uint64
+	lost     bool
 }
 
-type keyHeld struct {
-	at      int64
-	version uint64
+type keyRecord struct {
+	firstSeen int64
+	version   uint64
 }
 
 // database is one member.
 type database struct {
-	w        *world
-	of       *cluster
-	no       int // in the world
-	name     string
-	zone     int
-	primary  bool
-	up       bool
-	run      int   // counts its processes
-	born     int64 // of this one; 0 is long ago
-	paused   bool
-	replaced bool     // as the primary, while it was paused
-	held     []*query // that came while it was paused
-	slow     float64
-	errors   float64
-	lost     float64
-	late     int64 // more than its group's lag
-	drained  bool
-	gone     bool // as the list has it
-	running  int
-	queue    []*query
-	conns    int
-	next     int // of the log: the first that it has not applied
-	freeAt   int64
-	applied  int64
-	window   []offered // of a cold one
-	offer    float64
+	w                 *simulation
+	group             *replicaGroup
+	index             int // in simulation.databases
+	name              string
+	zone              int
+	primary           bool
+	up                bool
+	incarnation       int   // counts its processes
+	startedAt         int64 // start of this process; 0 is long ago
+	paused            bool
+	replaced          bool     // another became primary while it was paused
+	pausedQueries     []*query // received while it was paused
+	slowdown          float64
+	errorRatio        float64
+	responseLossRatio float64
+	extraLag          int64 // in addition to its group's lag
+	drained           bool
+	delisted          bool // removed from the member list
+	running           int
+	queue             []*query
+	connections       int
+	nextCommit        int // index in the log of the first commit that it has not applied
+	applyFreeAt       int64
+	applied           int64
+	coldLoad          []loadSample // recent load of a cold member
+	coldLoadSum       float64
 }
 
-type offered struct {
+type loadSample struct {
 	at   int64
 	cost int64
 }
 
 // query is a submission at a member.
 type query struct {
-	gateway *node
-	run     int
-	t       *asked
-	id      uint64
-	key     uint64
-	session uint64
-	version uint64
-	kind    int // txn type
-	floor   int64
-	came    int64
-	cost    int64
-	first   int64 // cost before any slow-down
-	reply   func(reply)
+	gateway     *simGateway
+	incarnation int
+	t           *txn
+	id          uint64
+	key         uint64
+	session     uint64
+	version     uint64
+	txnType     int // txn type
+	floor       int64
+	receivedAt  int64
+	cost        int64
+	baseCost    int64 // cost before any slowdown
+	respond     func(reply)
 }
 
-// reply is what a member answers.
+// reply is a member's response.
 type reply struct {
-	result   int // see the decide package; the values of its Result
+	result   int // a decide.Result
 	primary  bool
 	position int64
 	version  uint64
 }
 
-// reaches gives up to which position a member has applied all, now: commits come after the way of shipping, and are
+// appliedPosition is the position up to which a member has applied all commits: they arrive after the lag and are
 // applied one after another.
-func (d *database) reaches() int64 {
+func (d *database) appliedPosition() int64 {
 	now := d.w.Now
 	if d.primary {
-		d.applied = max(now, d.of.last)
-		d.next, d.freeAt = len(d.of.log), now
+		d.applied = max(now, d.group.lastPosition)
+		d.nextCommit, d.applyFreeAt = len(d.group.log), now
 		return d.applied
 	}
-	ship := d.of.plan.Lag + d.late
-	for d.next < len(d.of.log) {
-		c := &d.of.log[d.next]
-		if c.at+ship > now {
+	ship := d.group.plan.Lag + d.extraLag
+	for d.nextCommit < len(d.group.log) {
+		c := &d.group.log[d.nextCommit]
+		if c.position+ship > now {
 			break
 		}
-		end := max(d.freeAt, c.at+ship) + d.of.plan.Apply
+		end := max(d.applyFreeAt, c.position+ship) + d.group.plan.Apply
 		if end > now {
 			return d.applied
 		}
-		d.freeAt = end
-		d.applied = max(d.applied, c.at)
-		d.next++
+		d.applyFreeAt = end
+		d.applied = max(d.applied, c.position)
+		d.nextCommit++
 	}
 	d.applied = max(d.applied, now-ship)
-	if d.next < len(d.of.log) { // not beyond one that has not come
-		d.applied = min(d.applied, d.of.log[d.next].at-1)
+	if d.nextCommit < len(d.group.log) { // not beyond a commit that has not arrived
+		d.applied = min(d.applied, d.group.log[d.nextCommit].position-1)
 	}
 	return d.applied
 }
 
-// shows is the latest version of a session within a position.
-func (c *cluster) shows(session uint64, position int64) uint64 {
-	all := c.of[session]
+// visibleVersion is the latest version of a session at a position.
+func (c *replicaGroup) visibleVersion(session uint64, position int64) uint64 {
+	all := c.commitsBySession[session]
 	for i := len(all) - 1; i >= 0; i-- {
-		if x := &c.log[all[i]]; x.at <= position && !x.lost {
+		if x := &c.log[all[i]]; x.position <= position && !x.lost {
 			return x.version
 		}
 	}
 	return 0
 }
 
-// age is how warm it is: the share of its speed that it has.
-func (d *database) warmth() float64 {
-	p := &d.of.plan
-	age := d.w.Now - d.born
-	if d.born == 0 || age >= p.Cold {
+// speedFraction is the fraction of its full speed that a member has: below 1 during warm-up.
+func (d *database) speedFraction() float64 {
+	p := &d.group.plan
+	age := d.w.Now - d.startedAt
+	if d.startedAt == 0 || age >= p.Cold {
 		return 1
 	}
 	return p.ColdFrom + (1-p.ColdFrom)*float64(age)/float64(p.Cold)
 }
 
-// take is a query that has come to it.
-func (d *database) take(q *query) {
-	q.came = d.w.Now
+// receive accepts a query.
+func (d *database) receive(q *query) {
+	q.receivedAt = d.w.Now
 	if d.paused {
-		d.held = append(d.held, q)
+		d.pausedQueries = append(d.pausedQueries, q)
 		return
 	}
 	d.admit(q)
 }
 
-func (d *database) work(q *query, kind audit.SubmissionKind, version uint64) {
+func (d *database) recordSubmission(q *query, kind audit.SubmissionKind, version uint64) {
 	if q.id == 0 {
 		return
 	}
-	d.w.log.Submissions = append(d.w.log.Submissions, audit.Submission{ID: q.id, Key: q.key, Session: q.session, Version: version, Member: d.no,
-		Gateway: q.gateway.no, Kind: kind, At: d.w.Now, ReceivedAt: q.came, Cost: q.first})
+	d.w.log.Submissions = append(d.w.log.Submissions, audit.Submission{ID: q.id, Key: q.key, Session: q.session, Version: version, Member: d.index,
+		Gateway: q.gateway.index, Kind: kind, At: d.w.Now, ReceivedAt: q.receivedAt, Cost: q.baseCost})
 }
 
 func (d *database) admit(q *query) {
-	t := &d.w.s.Types[q.kind]
+	t := &d.w.scenario.Types[q.txnType]
 	write := t.Consistency == "mutate"
 	if write && !d.primary {
-		d.work(q, audit.Rejected, 0)
-		d.answers(q, reply{result: missed, position: d.reaches()})
+		d.recordSubmission(q, audit.Rejected, 0)
+		d.sendResponse(q, reply{result: notEligible, position: d.appliedPosition()})
 		return
 	}
-	if q.floor > 0 && d.reaches() < q.floor {
-		if waited := d.w.Now - q.came; waited < d.of.plan.Hold {
-			run := d.run
-			d.w.After(min(d.of.plan.Hold-waited, int64(2e6)), func() {
-				if d.run == run && !d.paused {
+	if q.floor > 0 && d.appliedPosition() < q.floor {
+		if waited := d.w.Now - q.receivedAt; waited < d.group.plan.Hold {
+			run := d.incarnation
+			d.w.After(min(d.group.plan.Hold-waited, int64(2e6)), func() {
+				if d.incarnation == run && !d.paused {
 					d.admit(q)
-				} else if d.run == run {
-					d.held = append(d.held, q)
+				} else if d.incarnation == run {
+					d.pausedQueries = append(d.pausedQueries, q)
 				}
 			})
 			return
 		}
-		d.work(q, audit.Rejected, 0)
-		d.answers(q, reply{result: missed, position: d.reaches(), primary: d.primary})
+		d.recordSubmission(q, audit.Rejected, 0)
+		d.sendResponse(q, reply{result: notEligible, position: d.appliedPosition(), primary: d.primary})
 		return
 	}
-	if !d.bears(q) {
+	if !d.withinColdCapacity(q) {
 		return
 	}
-	if d.running >= d.of.plan.Cores {
+	if d.running >= d.group.plan.Cores {
 		d.queue = append(d.queue, q)
 		return
 	}
 	d.serve(q)
 }
 
-// bears has a cold member fall over that gets more than it can bear.
-func (d *database) bears(q *query) bool {
-	if d.warmth() == 1 {
-		d.window, d.offer = nil, 0
+// withinColdCapacity crashes a cold member whose load of the last second exceeds its capacity, and then returns false.
+func (d *database) withinColdCapacity(q *query) bool {
+	if d.speedFraction() == 1 {
+		d.coldLoad, d.coldLoadSum = nil, 0
 		return true
 	}
-	d.window = append(d.window, offered{d.w.Now, q.first})
-	d.offer += float64(q.first)
-	for d.window[0].at <= d.w.Now-1e9 {
-		d.offer -= float64(d.window[0].cost)
-		d.window = d.window[1:]
+	d.coldLoad = append(d.coldLoad, loadSample{d.w.Now, q.baseCost})
+	d.coldLoadSum += float64(q.baseCost)
+	for d.coldLoad[0].at <= d.w.Now-1e9 {
+		d.coldLoadSum -= float64(d.coldLoad[0].cost)
+		d.coldLoad = d.coldLoad[1:]
 	}
-	if d.offer <= d.of.plan.Fall*d.warmth()*float64(d.of.plan.Cores)*1e9 {
+	if d.coldLoadSum <= d.group.plan.Fall*d.speedFraction()*float64(d.group.plan.Cores)*1e9 {
 		return true
 	}
-	d.w.said("%s falls over, cold", d.name)
-	d.work(q, audit.Read, 0)
-	d.crash(d.of.plan.Restart)
+	d.w.logf("%s falls over, cold", d.name)
+	d.recordSubmission(q, audit.Read, 0)
+	d.crash(d.group.plan.Restart)
 	return false
 }
 
 func (d *database) serve(q *query) {
 	d.running++
-	run := d.run
-	took := float64(q.cost) * d.slow / d.warmth()
-	if n := d.running + len(d.queue); n > d.of.plan.Thrash {
-		took *= float64(n) / float64(d.of.plan.Thrash)
+	run := d.incarnation
+	took := float64(q.cost) * d.slowdown / d.speedFraction()
+	if n := d.running + len(d.queue); n > d.group.plan.Thrash {
+		took *= float64(n) / float64(d.group.plan.Thrash)
 	}
-	seen := d.reaches() // what a read shows is as of its begin
+	seen := d.appliedPosition() // a read sees the data as of its start
 	d.w.After(int64(took), func() {
-		if d.run != run {
+		if d.incarnation != run {
 			return
 		}
 		d.running--
-		d.done(q, seen)
-		if len(d.queue) > 0 && d.running < d.of.plan.Cores && d.run == run {
+		d.complete(q, seen)
+		if len(d.queue) > 0 && d.running < d.group.plan.Cores && d.incarnation == run {
 			next := d.queue[0]
 			d.queue = d.queue[1:]
 			d.serve(next)
@@ -236,103 +236,103 @@
 	})
 }
 
-func (d *database) done(q *query, seen int64) {
+func (d *database) complete(q *query, seen int64) {
 	r := reply{result: committed, primary: d.primary}
-	if d.errors > 0 && d.w.rng.Float64() < d.errors {
+	if d.errorRatio > 0 && d.w.rng.Float64() < d.errorRatio {
 		r.result = failed
-		d.answers(q, r)
+		d.sendResponse(q, r)
 		return
 	}
-	if d.w.s.Types[q.kind].Consistency == "mutate" {
-		if !d.primary { // it was moved meanwhile
-			d.work(q, audit.Rejected, 0)
-			d.answers(q, reply{result: missed, position: d.reaches()})
+	if d.w.scenario.Types[q.txnType].Consistency == "mutate" {
+		if !d.primary { // the primary role moved meanwhile
+			d.recordSubmission(q, audit.Rejected, 0)
+			d.sendResponse(q, reply{result: notEligible, position: d.appliedPosition()})
 			return
 		}
-		r.position, r.version = d.of.write(d, q)
+		r.position, r.version = d.group.write(d, q)
 	} else {
-		r.version = d.of.shows(q.session, seen)
+		r.version = d.group.visibleVersion(q.session, seen)
 		r.position = seen
-		d.work(q, audit.Read, r.version)
+		d.recordSubmission(q, audit.Read, r.version)
 	}
-	if d.lost > 0 && d.w.rng.Float64() < d.lost {
+	if d.responseLossRatio > 0 && d.w.rng.Float64() < d.responseLossRatio {
 		r.result = broken
 	}
-	d.answers(q, r)
+	d.sendResponse(q, r)
 }
 
-// write commits, or drops a repeat of a key that it remembers.
-func (c *cluster) write(d *database, q *query) (position int64, version uint64) {
-	if k := c.keys[q.key]; q.key != 0 && k != nil && d.w.Now-k.at < d.w.s.Types[q.kind].DedupWindow {
-		d.work(q, audit.Repeat, k.version)
-		return c.last, k.version
+// write commits, or ignores a repeated write whose key is known.
+func (c *replicaGroup) write(d *database, q *query) (position int64, version uint64) {
+	if k := c.keys[q.key]; q.key != 0 && k != nil && d.w.Now-k.firstSeen < d.w.scenario.Types[q.txnType].DedupWindow {
+		d.recordSubmission(q, audit.Repeat, k.version)
+		return c.lastPosition, k.version
 	}
-	c.last = max(c.last+1, d.w.Now)
-	c.of[q.session] = append(c.of[q.session], len(c.log))
-	c.log = append(c.log, commit{at: c.last, session: q.session, version: q.version})
+	c.lastPosition = max(c.lastPosition+1, d.w.Now)
+	c.commitsBySession[q.session] = append(c.commitsBySession[q.session], len(c.log))
+	c.log = append(c.log, commit{position: c.lastPosition, session: q.session, version: q.version})
 	if q.key != 0 {
-		c.keys[q.key] = &keyHeld{d.w.Now, q.version}
+		c.keys[q.key] = &keyRecord{d.w.Now, q.version}
 	}
-	d.work(q, audit.Write, q.version)
-	return c.last, q.version
+	d.recordSubmission(q, audit.Write, q.version)
+	return c.lastPosition, q.version
 }
 
-// answers sends a reply back, unless its gateway's process has ended.
-func (d *database) answers(q *query, r reply) {
-	run := d.run
+// sendResponse sends a reply back to the gateway.
+func (d *database) sendResponse(q *query, r reply) {
+	run := d.incarnation
 	d.w.send(d.zone, q.gateway.zone, func() {
-		if r.result != broken && d.run != run { // the connection went with the process
+		if r.result != broken && d.incarnation != run { // the connection broke when the process ended
 			r.result = broken
 		}
-		q.reply(r)
+		q.respond(r)
 	})
 }
 
-// crash ends its process; another starts after a span, cold.
-func (d *database) crash(span int64) {
+// crash ends the member's process; a new one starts cold after the given duration.
+func (d *database) crash(downtime int64) {
 	if !d.up {
 		return
 	}
 	d.up, d.paused, d.replaced = false, false, false
-	d.run++
-	d.running, d.conns = 0, 0
-	pending := append(d.queue, d.held...)
-	d.queue, d.held, d.window, d.offer = nil, nil, nil, 0
-	d.w.notice(audit.Event{Kind: audit.MemberDied, Member: d.no})
+	d.incarnation++
+	d.running, d.connections = 0, 0
+	pending := append(d.queue, d.pausedQueries...)
+	d.queue, d.pausedQueries, d.coldLoad, d.coldLoadSum = nil, nil, nil, 0
+	d.w.recordEvent(audit.Event{Kind: audit.MemberDied, Member: d.index})
 	for _, q := range pending {
-		d.answers(q, reply{result: broken})
+		d.sendResponse(q, reply{result: broken})
 	}
-	for _, g := range d.w.nodes {
-		g.memberEnded(d)
+	for _, g := range d.w.gateways {
+		g.memberDied(d)
 	}
-	c := d.of
+	c := d.group
 	if d.primary {
-		d.reaches()
+		d.appliedPosition()
 		d.primary = false
 		d.w.After(c.plan.Detect, c.elect)
 	}
-	run := d.run
-	d.w.After(2e9, func() { // as long as the list service takes to see it
-		if !d.up && d.run == run {
-			d.gone = true
-			d.w.relist()
+	run := d.incarnation
+	d.w.After(2e9, func() { // detection delay of the list service
+		if !d.up && d.incarnation == run {
+			d.delisted = true
+			d.w.publishList()
 		}
 	})
-	d.w.After(span, func() {
-		d.up, d.gone, d.born = true, false, d.w.Now
-		d.w.notice(audit.Event{Kind: audit.MemberStarted, Member: d.no})
-		d.w.relist()
+	d.w.After(downtime, func() {
+		d.up, d.delisted, d.startedAt = true, false, d.w.Now
+		d.w.recordEvent(audit.Event{Kind: audit.MemberStarted, Member: d.index})
+		d.w.publishList()
 	})
 }
 
-// elect makes the replica that has applied most the primary, if there is none.
-func (c *cluster) elect() {
+// elect promotes the replica that has applied most, if there is no primary.
+func (c *replicaGroup) elect() {
 	var best *database
 	for _, d := range c.members {
 		if d.primary {
 			return
 		}
-		if d.up && !d.paused && (best == nil || d.reaches() > best.reaches()) {
+		if d.up && !d.paused && (best == nil || d.appliedPosition() > best.appliedPosition()) {
 			best = d
 		}
 	}
@@ -343,24 +343,24 @@
 	c.promote(best)
 }
 
-func (c *cluster) promote(d *database) {
-	at := d.reaches()
+func (c *replicaGroup) promote(d *database) {
+	at := d.appliedPosition()
 	if !c.plan.Sync {
 		for i := range c.log {
-			if x := &c.log[i]; x.at > at && !x.lost {
+			if x := &c.log[i]; x.position > at && !x.lost {
 				x.lost = true
 			}
 		}
 	}
-	d.primary, d.late = true, 0
-	d.w.said("%s is the primary", d.name)
+	d.primary, d.extraLag = true, 0
+	d.w.logf("%s is the primary", d.name)
 }
 
-// move hands over to another member.
-func (c *cluster) move(to *database) {
+// handOver moves the primary role to another member.
+func (c *replicaGroup) handOver(to *database) {
 	for _, d := range c.members {
 		if d.primary {
-			d.reaches()
+			d.appliedPosition()
 			d.primary = false
 		}
 	}
@@ -378,23 +378,23 @@
 	})
 }
 
-// draw is a service time.
-func (w *world) draw(t *TypePlan) int64 {
+// drawServiceTime draws the service time of a query.
+func (w *simulation) drawServiceTime(t *TypePlan) int64 {
 	mean := float64(t.Cost)
 	switch t.Spread {
 	case Exponential:
 		mean *= w.rng.ExpFloat64()
-	case Lognormal: // with a deviation of one, whose mean is held
+	case Lognormal: // sigma 1; the -0.5 keeps the mean
 		mean *= math.Exp(w.rng.NormFloat64() - 0.5)
 	}
 	return max(1, int64(mean))
 }
 
-func newCluster(w *world, no int, p GroupPlan) *cluster {
-	c := &cluster{no: no, plan: p, of: map[uint64][]int{}, keys: map[uint64]*keyHeld{}}
+func newReplicaGroup(w *simulation, no int, p GroupPlan) *replicaGroup {
+	c := &replicaGroup{index: no, plan: p, commitsBySession: map[uint64][]int{}, keys: map[uint64]*keyRecord{}}
 	for i := range p.Members {
-		d := &database{w: w, of: c, no: len(w.bases), name: fmt.Sprintf("%d.%d", no, i), zone: i % len(w.s.Zones), primary: i == 0, up: true, slow: 1}
-		c.members, w.bases = append(c.members, d), append(w.bases, d)
+		d := &database{w: w, group: c, index: len(w.databases), name: fmt.Sprintf("%d.%d", no, i), zone: i % len(w.scenario.Zones), primary: i == 0, up: true, slowdown: 1}
+		c.members, w.databases = append(c.members, d), append(w.databases, d)
 		w.log.Cores, w.log.Names = append(w.log.Cores, p.Cores), append(w.log.Names, d.name)
 	}
 	return c
--- a/rehearse/load.go
+++ b/rehearse/load.go
@@ -71,7 +71,7 @@
 	thinks *rand.Rand // of mu's, as whoever was answered draws from it
 	began  time.Time
 	mu     sync.Mutex
-	people []person
+	people []clientSession
 	log    audit.Log
 	late   *hdrhistogram.Histogram
 	errors map[string]int
@@ -132,7 +132,7 @@
 }
 
 func newDriver(s *Scenario, began time.Time) *driver {
-	return &driver{s: s, began: began, people: make([]person, s.Traffic.Sessions), late: hdrhistogram.New(1, 60_000_000, 3), errors: map[string]int{},
+	return &driver{s: s, began: began, people: make([]clientSession, s.Traffic.Sessions), late: hdrhistogram.New(1, 60_000_000, 3), errors: map[string]int{},
 		rng: rand.New(rand.NewPCG(s.Seed, 13)), thinks: rand.New(rand.NewPCG(s.Seed, 15))}
 }
 
@@ -151,7 +151,7 @@
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
-			d.rude(over)
+			d.runBadClients(over)
 		}()
 	}
 	for next, shown := int64(0), int64(0); ; {
@@ -162,7 +162,7 @@
 		time.Sleep(time.Until(d.began.Add(time.Duration(next))))
 		if watch != nil && next-shown > 1e9 {
 			shown = next
-			watch(Progress{At: next, Length: s.Length, Asked: asked, Served: int(d.served.Load())})
+			watch(Progress{At: next, Length: s.Length, Requested: asked, Served: int(d.served.Load())})
 		}
 		x := d.rng.Float64() * sum
 		kind := 0
@@ -170,7 +170,7 @@
 			x -= s.Types[kind].Share
 			kind++
 		}
-		w := &wish{kind: kind, session: d.rng.IntN(len(d.people)), due: next}
+		w := &clientRequest{txnType: kind, session: d.rng.IntN(len(d.people)), dueAt: next}
 		no := w.session % len(d.doors)
 		if d.rng.Float64() < s.Traffic.Roam {
 			no = d.rng.IntN(len(d.doors))
@@ -182,23 +182,23 @@
 			}
 			p := &d.people[w.session]
 			p.writing = true
-			p.written++
-			w.version = p.written
+			p.lastSent++
+			w.version = p.lastSent
 			if s.Types[kind].Effect == "by_key" {
 				w.key = d.keys.Add(1)
 			}
 			d.mu.Unlock()
 		}
-		if s.Types[kind].Consistency != "mutate" && s.Traffic.Piped > 0 && d.rng.Float64() < s.Traffic.Piped/batch {
-			all := []*wish{w}
-			for len(all) < batch {
-				all = append(all, &wish{kind: kind, session: w.session, due: next})
+		if s.Types[kind].Consistency != "mutate" && s.Traffic.Piped > 0 && d.rng.Float64() < s.Traffic.Piped/pipelineDepth {
+			all := []*clientRequest{w}
+			for len(all) < pipelineDepth {
+				all = append(all, &clientRequest{txnType: kind, session: w.session, dueAt: next})
 			}
-			asked += batch
+			asked += pipelineDepth
 			d.wg.Add(1)
 			go func() {
 				defer d.wg.Done()
-				d.piped(all, no)
+				d.sendPipelined(all, no)
 			}()
 			continue
 		}
@@ -219,27 +219,27 @@
 }
 
 // wish has a client try, and come again as it is told.
-func (d *driver) wish(x *wish, no int) {
+func (d *driver) wish(x *clientRequest, no int) {
 	s := d.s
-	t := &s.Types[x.kind]
+	t := &s.Types[x.txnType]
 	for {
 		for i := 0; i < len(d.doors) && d.doors[no].away(); i++ {
 			no = (no + 1) % len(d.doors)
 		}
 		c := d.doors[no].client()
 		id := d.ids.Add(1)
-		if x.tries++; x.first == 0 {
-			x.first = id
+		if x.attempts++; x.firstID == 0 {
+			x.firstID = id
 		}
 		d.mu.Lock()
 		p := &d.people[x.session]
 		at := d.now()
-		if x.tries == 1 {
-			_ = d.late.RecordValue(max(1, (at-x.due)/1000))
+		if x.attempts == 1 {
+			_ = d.late.RecordValue(max(1, (at-x.dueAt)/1000))
 		}
-		left := x.due + t.MaxWait - at
-		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
-			MinVersion: p.told, DueAt: x.due, SentAt: at, Deadline: at + left, Gateway: no})
+		left := x.dueAt + t.MaxWait - at
+		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: x.firstID, Session: uint64(x.session) + 1, Type: x.txnType, Key: x.key, Version: x.version,
+			MinVersion: p.confirmed, DueAt: x.dueAt, SentAt: at, Deadline: at + left, Gateway: no})
 		d.mu.Unlock()
 		c.SessionCode, c.Group, c.Timeout = fmt.Sprintf("%08x%08x", d.prefix, x.session+1), d.group(x.session), time.Duration(max(1e6, left))
 		c.Types = standin.TxnTypes{Write: t.Name, Read: t.Name}
@@ -270,14 +270,14 @@
 		d.mu.Lock()
 		d.log.Responses = append(d.log.Responses, audit.Response{ID: id, At: now, Outcome: k, Version: version})
 		if k == audit.Served && t.Consistency == "mutate" {
-			p.told = max(p.told, x.version)
+			p.confirmed = max(p.confirmed, x.version)
 			if kind := s.followUp(); kind >= 0 {
 				think := time.Duration(d.thinks.ExpFloat64() * float64(s.Traffic.Think))
 				d.wg.Add(1)
 				go func() {
 					defer d.wg.Done()
 					if time.Sleep(think); d.now() < s.Length {
-						d.wish(&wish{kind: kind, session: x.session, due: d.now()}, no)
+						d.wish(&clientRequest{txnType: kind, session: x.session, dueAt: d.now()}, no)
 					}
 				}()
 			}
@@ -290,7 +290,7 @@
 		again, _ := strconv.Atoi(a.RetryAfter)
 		pause := max(int64(again)*1e6, int64(20e6))
 		repeatable := t.Effect == "repeatable" || k == audit.Declined
-		over := k == audit.Served || !s.Traffic.Retry || !repeatable || x.tries >= 5 || now+pause >= x.due+t.MaxWait-int64(50e6)
+		over := k == audit.Served || !s.Traffic.Retry || !repeatable || x.attempts >= 5 || now+pause >= x.dueAt+t.MaxWait-int64(50e6)
 		if over && t.Consistency == "mutate" {
 			p.writing = false
 		}
--- a/rehearse/nodes.go
+++ b/rehearse/nodes.go
@@ -9,96 +9,98 @@
 	"magpieglade/session"
 )
 
-// node is a gateway: the module, and a host for it that has connections in the place of sockets.
-type node struct {
-	w        *world
-	no       int
-	zone     int
-	run      int
-	up       bool
-	downAt   int64
-	module   *decide.Gateway
-	sessions *sessionHost   // nil where clients bring their positions
-	shares   *routes.Shares // of tenants, nil where nothing is bounded
-	some     *some          // nil where the gateway has every member
-	open     map[uint64]*asked
-	links    []link // by member
-	follows  bool
-	wakeAt   int64
-	drained  []bool // by member, as it was last told
-	busy     bool   // decisions are being carried out
+// simGateway is a gateway: the decision module and a host that models connections instead of opening sockets.
+type simGateway struct {
+	w           *simulation
+	index       int
+	zone        int
+	incarnation int
+	up          bool
+	downAt      int64
+	module      *decide.Gateway
+	sessions    *sessionHost   // nil where clients carry their positions
+	shares      *routes.Shares // of tenants, nil without an in-flight limit
+	subset      *subsetHost    // nil where the gateway has every member
+	open        map[uint64]*txn
+	links       []link // by member
+	subscribed  bool
+	wakeAt      int64
+	drained     []bool // by member, as the last list had it
+	busy        bool   // decisions are being executed
 }
 
-// link is its connections to a member.
+// link holds a gateway's connections to a member.
 type link struct {
-	idle int
-	run  int // of the member's process that they lead to
+	idle        int
+	incarnation int // of the member's process that the connections belong to
 }
 
-// asked is a txn at a gateway.
-type asked struct {
+// txn is a txn at a gateway.
+type txn struct {
 	id, session, key, version uint64
-	kind                      int
+	txnType                   int
 	floor                     int64
-	budget, came              int64
-	headAt                    int64 // when the first of those came that it was sent with
-	subs                      []*submission
-	out                       int
+	budget, arrivedAt         int64
+	batchArrivedAt            int64 // arrival of the first txn of its pipelined batch
+	submissions               []*submission
+	inFlight                  int
 	done                      bool
-	next                      *asked // that was sent ahead behind it, on the same connection
-	answer                    func(k audit.Outcome, version uint64, position, again int64)
+	next                      *txn // the next pipelined txn on the same connection
+	respond                   func(k audit.Outcome, version uint64, position, again int64)
 }
 
 type submission struct {
-	to   *database
-	at   int64
-	over bool
-	open bool // its query is at the member, on a connection
-	run  int
+	target      *database
+	sentAt      int64
+	ended       bool
+	connected   bool // its query has a connection to the member
+	incarnation int
 }
 
-func serverOf(d *database) decide.Server { return decide.Server{byte(d.no), byte(d.no >> 8), 1} }
+func serverOf(d *database) decide.Server { return decide.Server{byte(d.index), byte(d.index >> 8), 1} }
 
-func (w *world) baseOf(s decide.Server) *database { return w.bases[int(s[0])|int(s[1])<<8] }
+func (w *simulation) databaseFor(s decide.Server) *database {
+	return w.databases[int(s[0])|int(s[1])<<8]
+}
 
-// start begins a process, with the list as it was last held.
-func (n *node) start() error {
-	text, err := n.w.s.settings(n.zone)
+// start starts a gateway process with the cached member list.
+func (n *simGateway) start() error {
+	text, err := n.w.scenario.settings(n.zone)
 	if err != nil {
 		return err
 	}
-	n.run++
-	if n.module, err = decide.New(n.w.s.Seed+uint64(n.no)*1000+uint64(n.run), text); err != nil {
+	n.incarnation++
+	if n.module, err = decide.New(n.w.scenario.Seed+uint64(n.index)*1000+uint64(n.incarnation), text); err != nil {
 		return err
 	}
-	n.up, n.follows, n.wakeAt = true, false, 0
-	if n.run > 1 {
-		n.w.notice(audit.Event{Kind: audit.GatewayUp, Gateway: n.no})
+	n.up, n.subscribed, n.wakeAt = true, false, 0
+	if n.incarnation > 1 {
+		n.w.recordEvent(audit.Event{Kind: audit.GatewayUp, Gateway: n.index})
 	}
-	n.open, n.links = map[uint64]*asked{}, make([]link, len(n.w.bases))
-	if n.drained == nil { // what a former process was told is taken back by the list that this one begins with
-		n.drained = make([]bool, len(n.w.bases))
+	n.open, n.links = map[uint64]*txn{}, make([]link, len(n.w.databases))
+	if n.drained == nil { // kept over restarts: the initial list corrects what an earlier process learned
+		n.drained = make([]bool, len(n.w.databases))
 	}
 	if n.sessions, err = newSessionHost(n); err != nil {
 		return err
 	}
-	n.share()
-	if n.some, err = newSome(n); err != nil {
+	n.initShares()
+	if n.subset, err = newSubsetHost(n); err != nil {
 		return err
 	}
-	n.tell(func() { n.list(decide.CachedList) })
-	if n.some != nil {
-		n.some.list()
+	n.step(func() { n.updateList(decide.CachedList) })
+	if n.subset != nil {
+		n.subset.updateDivision()
 	}
 	if n.sessions != nil {
-		n.sessions.tell(func() {})
+		n.sessions.step(func() {})
 	}
 	return nil
 }
 
-// share begins the shares of tenants, where the scenario has them.
-func (n *node) share() {
-	s := n.w.s
+// initShares sets up the tenants' shares if the scenario limits txns in flight.
+func (n *simGateway) initShares() {
+	s := n.w.scenario
 	if s.InFlight == 0 {
 		return
 	}
@@ -112,19 +114,19 @@
 	n.shares.HoldSlots(held)
 }
 
-// tenantOf is whose a txn type's are, below 0 for nobody's.
-func (w *world) tenantOf(kind int) int32 {
-	return int32(slices.IndexFunc(w.s.Tenants, func(t routes.Tenant) bool { return t.Name == w.s.Types[kind].Tenant }))
+// tenantOf is the tenant of a txn type, negative if it has none.
+func (w *simulation) tenantOf(kind int) int32 {
+	return int32(slices.IndexFunc(w.scenario.Tenants, func(t routes.Tenant) bool { return t.Name == w.scenario.Types[kind].Tenant }))
 }
 
-// kill ends it without a word.
-func (n *node) kill() {
+// kill ends the process without a shutdown.
+func (n *simGateway) kill() {
 	if !n.up {
 		return
 	}
 	n.up, n.downAt = false, n.w.Now
-	n.run++
-	n.w.notice(audit.Event{Kind: audit.GatewayKilled, Gateway: n.no})
+	n.incarnation++
+	n.w.recordEvent(audit.Event{Kind: audit.GatewayKilled, Gateway: n.index})
 	var ids []uint64
 	for id := range n.open {
 		ids = append(ids, id)
@@ -134,170 +136,170 @@
 		if t := n.open[id]; !t.done {
 			t.done = true
 			for one := t; one != nil; one = one.next {
-				n.w.After(n.w.way(n.zone, n.zone), func() { one.answer(audit.Disconnected, 0, 0, 0) })
+				n.w.After(n.w.networkDelay(n.zone, n.zone), func() { one.respond(audit.Disconnected, 0, 0, 0) })
 			}
 		}
 	}
 	for i := range n.links {
-		if d := n.w.bases[i]; n.links[i].run == d.run {
-			d.conns -= n.links[i].idle
+		if d := n.w.databases[i]; n.links[i].incarnation == d.incarnation {
+			d.connections -= n.links[i].idle
 		}
 	}
 }
 
-// away tells that the front has seen that it is down.
-func (n *node) away() bool { return !n.up && n.w.Now-n.downAt > 100e6 }
+// knownDown reports whether the load balancer has detected that the gateway is down.
+func (n *simGateway) knownDown() bool { return !n.up && n.w.Now-n.downAt > 100e6 }
 
-// tell gives the module inputs, and carries out what it decides.
-func (n *node) tell(input func()) {
+// step passes inputs to the module and executes its decisions.
+func (n *simGateway) step(input func()) {
 	n.module.BeginRound(decide.Nanos(n.w.Now))
 	input()
 	if n.busy {
 		return
 	}
 	n.busy = true
-	run := n.run
-	for n.run == run {
+	run := n.incarnation
+	for n.incarnation == run {
 		d, ok := n.module.Next()
 		if !ok {
 			break
 		}
-		n.carryOut(&d)
+		n.execute(&d)
 	}
 	n.busy = false
 }
 
-// list tells the whole list.
-func (n *node) list(scope decide.Scope) {
-	for _, d := range n.w.bases {
-		if d.drained != n.drained[d.no] {
+// updateList passes the whole member list to the module.
+func (n *simGateway) updateList(scope decide.Scope) {
+	for _, d := range n.w.databases {
+		if d.drained != n.drained[d.index] {
 			kind := audit.Restored
-			if n.drained[d.no] = d.drained; d.drained {
+			if n.drained[d.index] = d.drained; d.drained {
 				kind = audit.DrainStarted
 			}
-			n.w.notice(audit.Event{Kind: kind, Member: d.no, Gateway: n.no})
+			n.w.recordEvent(audit.Event{Kind: kind, Member: d.index, Gateway: n.index})
 		}
-		if n.some != nil && !n.some.has(d) {
+		if n.subset != nil && !n.subset.has(d) {
 			continue
 		}
-		n.listed(d)
+		n.updateMember(d)
 	}
 	n.module.EndMemberList(scope)
-	if n.some != nil && scope != decide.CachedList {
-		run := n.run
+	if n.subset != nil && scope != decide.CachedList {
+		run := n.incarnation
 		n.w.After(0, func() {
-			if n.run == run && n.up {
-				n.some.list()
+			if n.incarnation == run && n.up {
+				n.subset.updateDivision()
 			}
 		})
 	}
 }
 
-// listed tells of one member as it is.
-func (n *node) listed(d *database) {
+// updateMember passes one member's current state to the module.
+func (n *simGateway) updateMember(d *database) {
 	st := decide.Ready
-	if d.gone {
+	if d.delisted {
 		st = decide.Removed
 	} else if d.drained {
 		st = decide.Draining
 	}
-	n.module.UpdateMember(serverOf(d), d.of.no, false, st, d.zone, 1, 0, decide.Nanos(d.born))
+	n.module.UpdateMember(serverOf(d), d.group.index, false, st, d.zone, 1, 0, decide.Nanos(d.startedAt))
 }
 
-// told has the list reach it.
-func (n *node) told() {
-	run := n.run
-	n.w.After(n.w.way(0, n.zone), func() {
-		if n.run == run && n.up && n.follows && !n.w.noList {
-			n.tell(func() { n.list(decide.FullList) })
+// listChanged delivers the member list to the gateway after a network delay.
+func (n *simGateway) listChanged() {
+	run := n.incarnation
+	n.w.After(n.w.networkDelay(0, n.zone), func() {
+		if n.incarnation == run && n.up && n.subscribed && !n.w.listUnavailable {
+			n.step(func() { n.updateList(decide.FullList) })
 		}
 	})
 }
 
-func (n *node) listLost() {
-	if n.up && n.follows {
-		n.follows = false
-		n.tell(n.module.MemberListFailed)
+func (n *simGateway) listFailed() {
+	if n.up && n.subscribed {
+		n.subscribed = false
+		n.step(n.module.MemberListFailed)
 	}
 }
 
-func (n *node) carryOut(d *decide.Decision) {
-	w, run := n.w, n.run
+func (n *simGateway) execute(d *decide.Decision) {
+	w, run := n.w, n.incarnation
 	switch d.Kind {
 	case decide.Submit:
-		n.submit(n.open[d.Txn], w.baseOf(d.Server), int64(d.Expiry))
+		n.submit(n.open[d.Txn], w.databaseFor(d.Server), int64(d.Expiry))
 	case decide.Reject:
-		n.answer(n.open[d.Txn], audit.Declined, 0, 0, int64(d.Delay))
+		n.respond(n.open[d.Txn], audit.Declined, 0, 0, int64(d.Delay))
 	case decide.RollBack:
-		n.answer(n.open[d.Txn], audit.RolledBack, 0, 0, 0)
+		n.respond(n.open[d.Txn], audit.RolledBack, 0, 0, 0)
 	case decide.Cancel:
-		if t := n.open[d.Txn]; t != nil && int(d.Attempt) < len(t.subs) {
-			n.ended(t, int(d.Attempt), reply{result: cancelled})
+		if t := n.open[d.Txn]; t != nil && int(d.Attempt) < len(t.submissions) {
+			n.endSubmission(t, int(d.Attempt), reply{result: cancelled})
 		}
 	case decide.Probe:
-		n.probe(w.baseOf(d.Server))
+		n.probe(w.databaseFor(d.Server))
 	case decide.CloseIdle:
-		b := w.baseOf(d.Server)
-		if l := &n.links[b.no]; l.run == b.run {
-			b.conns -= l.idle
+		b := w.databaseFor(d.Server)
+		if l := &n.links[b.index]; l.incarnation == b.incarnation {
+			b.connections -= l.idle
 			l.idle = 0
 		}
 	case decide.SubscribeList, decide.FetchList:
 		follow := d.Kind == decide.SubscribeList
-		w.After(2*w.way(0, n.zone), func() {
-			if n.run != run || !n.up {
+		w.After(2*w.networkDelay(0, n.zone), func() {
+			if n.incarnation != run || !n.up {
 				return
 			}
-			if w.noList {
-				n.tell(n.module.MemberListFailed)
+			if w.listUnavailable {
+				n.step(n.module.MemberListFailed)
 				return
 			}
-			n.follows = n.follows || follow
-			n.tell(func() { n.list(decide.FullList) })
+			n.subscribed = n.subscribed || follow
+			n.step(func() { n.updateList(decide.FullList) })
 		})
 	case decide.Wake:
 		w.After(int64(d.Delay), func() {
-			if n.run == run && n.up {
-				n.tell(func() {})
+			if n.incarnation == run && n.up {
+				n.step(func() {})
 			}
 		})
 	case decide.Log:
-		w.said("gateway %d: %s", n.no, d.Text)
+		w.logf("gateway %d: %s", n.index, d.Text)
 	}
 }
 
-// arrived takes a client's txn.
-func (n *node) arrived(t *asked) {
+// receive accepts a client's txn.
+func (n *simGateway) receive(t *txn) {
 	if !n.up {
 		for ; t != nil; t = t.next {
-			t.answer(audit.Disconnected, 0, 0, 0)
+			t.respond(audit.Disconnected, 0, 0, 0)
 		}
 		return
 	}
 	if n.shares != nil {
-		tenant := n.w.tenantOf(t.kind)
+		tenant := n.w.tenantOf(t.txnType)
 		if why, after := n.shares.CanBegin(tenant, 1, n.w.Now); why != routes.Allowed {
-			run := n.run
-			n.w.After(n.w.way(n.zone, n.zone), func() {
-				if n.run == run {
-					t.answer(audit.Declined, 0, 0, after)
+			run := n.incarnation
+			n.w.After(n.w.networkDelay(n.zone, n.zone), func() {
+				if n.incarnation == run {
+					t.respond(audit.Declined, 0, 0, after)
 				} else {
-					t.answer(audit.Disconnected, 0, 0, 0)
+					t.respond(audit.Disconnected, 0, 0, 0)
 				}
 			})
 			return
 		}
 		n.shares.Begin(tenant, 1, n.w.Now)
 	}
-	n.open[t.id], t.came = t, n.w.Now
-	if t.headAt == 0 {
-		t.headAt = n.w.Now
+	n.open[t.id], t.arrivedAt = t, n.w.Now
+	if t.batchArrivedAt == 0 {
+		t.batchArrivedAt = n.w.Now
 	}
-	kind := &n.w.s.Types[t.kind]
+	kind := &n.w.scenario.Types[t.txnType]
 	if n.sessions != nil && kind.Effect == "by_key" {
 		until, ok := n.sessions.module.RetryDeadline(n.groupOf(t), t.key, kind.DedupWindow)
 		if !ok {
-			n.answer(t, audit.RolledBack, 0, 0, 0)
+			n.respond(t, audit.RolledBack, 0, 0, 0)
 			return
 		}
 		if until > 0 {
@@ -305,189 +307,189 @@
 		}
 	}
 	if n.sessions != nil && kind.Consistency == "causal" {
-		n.sessions.tell(func() { n.sessions.module.AddRead(t.id, n.groupOf(t), t.session, 0, false, n.w.Now+t.budget) })
+		n.sessions.step(func() { n.sessions.module.AddRead(t.id, n.groupOf(t), t.session, 0, false, n.w.Now+t.budget) })
 		return
 	}
 	n.route(t)
 }
 
-// route has the module place a txn.
-func (n *node) route(t *asked) {
+// route passes a txn to the module for placement.
+func (n *simGateway) route(t *txn) {
 	age := decide.Nanos(0)
 	if t.floor > 0 {
 		if age = decide.Nanos(n.w.Now - t.floor); age == 0 {
 			age = -1
 		}
 	}
-	n.tell(func() {
-		if err := n.module.AddTxn(t.id, t.kind, 0, t.session, decide.Nanos(max(1, t.came+t.budget-n.w.Now)), 0, n.groupOf(t), age); err != nil {
-			panic(err) // a type that the settings lack: they are ours
+	n.step(func() {
+		if err := n.module.AddTxn(t.id, t.txnType, 0, t.session, decide.Nanos(max(1, t.arrivedAt+t.budget-n.w.Now)), 0, n.groupOf(t), age); err != nil {
+			panic(err) // unknown type: impossible, the settings are generated from the scenario
 		}
 	})
 }
 
-// groupOf is where a session's data is.
-func (n *node) groupOf(t *asked) int { return int(t.session) % len(n.w.groups) }
+// groupOf is the group that holds a session's data.
+func (n *simGateway) groupOf(t *txn) int { return int(t.session) % len(n.w.groups) }
 
-func (n *node) answer(t *asked, k audit.Outcome, version uint64, position, again int64) {
+func (n *simGateway) respond(t *txn, k audit.Outcome, version uint64, position, again int64) {
 	if t == nil || t.done {
 		return
 	}
 	t.done = true
-	run := n.run
-	n.w.After(n.w.way(n.zone, n.zone), func() {
-		if n.run == run {
-			t.answer(k, version, position, again)
+	run := n.incarnation
+	n.w.After(n.w.networkDelay(n.zone, n.zone), func() {
+		if n.incarnation == run {
+			t.respond(k, version, position, again)
 		} else {
-			t.answer(audit.Disconnected, 0, 0, 0)
+			t.respond(audit.Disconnected, 0, 0, 0)
 		}
 	})
-	n.settled(t)
-	if next := t.next; next != nil { // its time has run meanwhile
+	n.release(t)
+	if next := t.next; next != nil { // its time budget ran while it waited
 		t.next = nil
-		next.budget = max(1, next.budget-(n.w.Now-t.headAt))
-		next.headAt = t.headAt
-		n.arrived(next)
+		next.budget = max(1, next.budget-(n.w.Now-t.batchArrivedAt))
+		next.batchArrivedAt = t.batchArrivedAt
+		n.receive(next)
 	}
 }
 
-func (n *node) settled(t *asked) {
-	if t.done && t.out == 0 && n.open[t.id] == t {
+func (n *simGateway) release(t *txn) {
+	if t.done && t.inFlight == 0 && n.open[t.id] == t {
 		delete(n.open, t.id)
 		if n.shares != nil {
-			n.shares.End(n.w.tenantOf(t.kind), 1)
+			n.shares.End(n.w.tenantOf(t.txnType), 1)
 		}
 	}
 }
 
 // submit sends a txn to a member, on an idle connection or a new one.
-func (n *node) submit(t *asked, d *database, until int64) {
-	w, run, no := n.w, n.run, len(t.subs)
-	s := &submission{to: d, at: w.Now}
-	t.subs = append(t.subs, s)
-	t.out++
+func (n *simGateway) submit(t *txn, d *database, until int64) {
+	w, run, no := n.w, n.incarnation, len(t.submissions)
+	s := &submission{target: d, sentAt: w.Now}
+	t.submissions = append(t.submissions, s)
+	t.inFlight++
 	if n.sessions != nil && t.key != 0 && !t.done {
-		n.sessions.tell(func() { n.sessions.module.RecordKeyedWrite(n.groupOf(t), t.key) })
+		n.sessions.step(func() { n.sessions.module.RecordKeyedWrite(n.groupOf(t), t.key) })
 	}
 	if t.done {
-		w.After(0, func() { n.ended(t, no, reply{result: moot}) })
+		w.After(0, func() { n.endSubmission(t, no, reply{result: notSent}) })
 		return
 	}
-	l := &n.links[d.no]
-	if l.run != d.run {
-		*l = link{run: d.run}
+	l := &n.links[d.index]
+	if l.incarnation != d.incarnation {
+		*l = link{incarnation: d.incarnation}
 	}
 	if l.idle > 0 && d.up {
 		l.idle--
-		s.open, s.run = true, d.run
-		n.query(t, no, s)
+		s.connected, s.incarnation = true, d.incarnation
+		n.sendQuery(t, no, s)
 	} else {
 		n.connect(t, no, s, until)
 	}
 	w.After(until-w.Now, func() {
-		if n.run == run {
-			n.ended(t, no, reply{result: timedOut})
+		if n.incarnation == run {
+			n.endSubmission(t, no, reply{result: timedOut})
 		}
 	})
 }
 
-// connect makes a connection first.
-func (n *node) connect(t *asked, no int, s *submission, until int64) {
-	w, run, d := n.w, n.run, s.to
-	reached := false
-	back := func(do func()) {
+// connect opens a connection and then sends the query.
+func (n *simGateway) connect(t *txn, no int, s *submission, until int64) {
+	w, run, d := n.w, n.incarnation, s.target
+	connected := false
+	sendBack := func(do func()) {
 		w.send(d.zone, n.zone, func() {
-			if n.run == run && !s.over {
-				reached = true
+			if n.incarnation == run && !s.ended {
+				connected = true
 				do()
 			}
 		})
 	}
 	w.After(connectTimeout, func() {
-		if n.run == run && !reached && !s.over {
-			n.ended(t, no, reply{result: unreachable})
+		if n.incarnation == run && !connected && !s.ended {
+			n.endSubmission(t, no, reply{result: unreachable})
 		}
 	})
 	w.send(n.zone, d.zone, func() {
 		switch {
 		case !d.up:
-			back(func() { n.ended(t, no, reply{result: unreachable}) })
-		case d.conns >= d.of.plan.Connections:
-			back(func() { n.ended(t, no, reply{result: full}) })
+			sendBack(func() { n.endSubmission(t, no, reply{result: unreachable}) })
+		case d.connections >= d.group.plan.Connections:
+			sendBack(func() { n.endSubmission(t, no, reply{result: atCapacity}) })
 		default:
-			d.conns++
-			s.open, s.run = true, d.run
-			w.After(d.of.plan.Handshake, func() {
-				if s.over { // given up meanwhile: ended() took the connection back
+			d.connections++
+			s.connected, s.incarnation = true, d.incarnation
+			w.After(d.group.plan.Handshake, func() {
+				if s.ended { // abandoned meanwhile: endSubmission released the connection
 					return
 				}
-				back(func() {
-					if d.run != s.run {
-						n.ended(t, no, reply{result: int(decide.ResetBeforeSend)})
+				sendBack(func() {
+					if d.incarnation != s.incarnation {
+						n.endSubmission(t, no, reply{result: int(decide.ResetBeforeSend)})
 						return
 					}
-					n.query(t, no, s)
+					n.sendQuery(t, no, s)
 				})
 			})
 		}
 	})
 }
 
-// query sends a txn's statement over a connection.
-func (n *node) query(t *asked, no int, s *submission) {
-	w, run, d := n.w, n.run, s.to
-	kind := &w.s.Types[t.kind]
-	q := &query{gateway: n, run: run, t: t, id: t.id, key: t.key, session: t.session, version: t.version, kind: t.kind, floor: t.floor}
+// sendQuery sends a txn's statement over a connection.
+func (n *simGateway) sendQuery(t *txn, no int, s *submission) {
+	w, run, d := n.w, n.incarnation, s.target
+	kind := &w.scenario.Types[t.txnType]
+	q := &query{gateway: n, incarnation: run, t: t, id: t.id, key: t.key, session: t.session, version: t.version, txnType: t.txnType, floor: t.floor}
 	if kind.Consistency == "lag_bound" {
 		q.floor = w.Now - kind.MaxAge
 	}
-	if w.s.Policy == NoTokens {
+	if w.scenario.Policy == NoTokens {
 		q.floor = 0
 	}
-	q.cost = w.draw(kind)
-	q.first = q.cost
-	q.reply = func(r reply) {
-		if n.run == run {
-			n.ended(t, no, r)
+	q.cost = w.drawServiceTime(kind)
+	q.baseCost = q.cost
+	q.respond = func(r reply) {
+		if n.incarnation == run {
+			n.endSubmission(t, no, r)
 		}
 	}
 	w.send(n.zone, d.zone, func() {
-		if d.up && d.run == s.run {
-			d.take(q)
+		if d.up && d.incarnation == s.incarnation {
+			d.receive(q)
 		} else {
-			d.answers(q, reply{result: broken})
+			d.sendResponse(q, reply{result: broken})
 		}
 	})
 }
 
-// ended tells the module how a submission ended, once.
-func (n *node) ended(t *asked, no int, r reply) {
-	s := t.subs[no]
-	if s.over {
+// endSubmission reports the result of a submission to the module, once.
+func (n *simGateway) endSubmission(t *txn, no int, r reply) {
+	s := t.submissions[no]
+	if s.ended {
 		return
 	}
-	s.over = true
-	t.out--
-	d := s.to
-	if s.open && d.run == s.run {
-		if r.result == committed || r.result == failed || r.result == missed {
-			n.links[d.no].idle++
+	s.ended = true
+	t.inFlight--
+	d := s.target
+	if s.connected && d.incarnation == s.incarnation {
+		if r.result == committed || r.result == failed || r.result == notEligible {
+			n.links[d.index].idle++
 		} else {
-			d.conns--
+			d.connections--
 		}
 	}
 	role := decide.RoleUnknown
-	if r.result == committed || r.result == missed || r.result == failed {
+	if r.result == committed || r.result == notEligible || r.result == failed {
 		role = decide.RoleReplica
 		if r.primary {
 			role = decide.RolePrimary
 		}
 	}
-	if r.result == committed && !t.done && n.sessions != nil && n.w.s.Types[t.kind].Consistency == "mutate" {
-		n.sessions.tell(func() { n.sessions.module.RecordCommit(n.groupOf(t), t.session, session.Position(r.position)) })
+	if r.result == committed && !t.done && n.sessions != nil && n.w.scenario.Types[t.txnType].Consistency == "mutate" {
+		n.sessions.step(func() { n.sessions.module.RecordCommit(n.groupOf(t), t.session, session.Position(r.position)) })
 	}
 	if r.result == committed {
-		n.answer(t, audit.Served, r.version, r.position, 0)
+		n.respond(t, audit.Served, r.version, r.position, 0)
 	}
 	var report []float64
 	if r.position > 0 {
@@ -497,29 +499,29 @@
 		}
 		report = []float64{float64(r.position) / 1e9, x1, 0}
 	}
-	n.tell(func() {
-		n.module.SubmissionEnded(t.id, no, serverOf(d), decide.Result(r.result), decide.Nanos(n.w.Now-s.at), role, decide.Nanos(r.position), t.done, report)
+	n.step(func() {
+		n.module.SubmissionEnded(t.id, no, serverOf(d), decide.Result(r.result), decide.Nanos(n.w.Now-s.sentAt), role, decide.Nanos(r.position), t.done, report)
 	})
-	n.settled(t)
+	n.release(t)
 }
 
-// probe asks a member for its report.
-func (n *node) probe(d *database) {
-	w, run, at := n.w, n.run, n.w.Now
+// probe requests a member's report for the module.
+func (n *simGateway) probe(d *database) {
+	w, run, at := n.w, n.incarnation, n.w.Now
 	over := false
 	end := func(r decide.Result, report []float64) {
-		if over || n.run != run {
+		if over || n.incarnation != run {
 			return
 		}
 		over = true
-		n.tell(func() { n.module.ProbeEnded(serverOf(d), r, decide.Nanos(w.Now-at), report) })
+		n.step(func() { n.module.ProbeEnded(serverOf(d), r, decide.Nanos(w.Now-at), report) })
 	}
 	w.After(connectTimeout, func() { end(decide.TimedOut, nil) })
-	n.ask(d, end)
+	n.sendProbe(d, end)
 }
 
-// ask sends a probe; one that hangs never answers.
-func (n *node) ask(d *database, end func(decide.Result, []float64)) {
+// sendProbe sends a probe; a paused member never responds.
+func (n *simGateway) sendProbe(d *database, end func(decide.Result, []float64)) {
 	w := n.w
 	w.send(n.zone, d.zone, func() {
 		if !d.up {
@@ -533,21 +535,21 @@
 		if d.primary {
 			x1 = 1
 		}
-		report := []float64{float64(d.reaches()) / 1e9, x1, float64(d.running) / float64(d.of.plan.Cores)}
+		report := []float64{float64(d.appliedPosition()) / 1e9, x1, float64(d.running) / float64(d.group.plan.Cores)}
 		w.send(d.zone, n.zone, func() { end(decide.Committed, report) })
 	})
 }
 
-// memberEnded forgets connections to a process that ended; submissions on them break.
-func (n *node) memberEnded(d *database) {
+// memberDied drops the connections to an ended process; submissions on them end as broken.
+func (n *simGateway) memberDied(d *database) {
 	if !n.up {
 		return
 	}
-	n.links[d.no] = link{run: d.run}
+	n.links[d.index] = link{incarnation: d.incarnation}
 	var ids []uint64
 	for id, t := range n.open {
-		for _, s := range t.subs {
-			if !s.over && s.to == d && s.open {
+		for _, s := range t.submissions {
+			if !s.ended && s.target == d && s.connected {
 				ids = append(ids, id)
 				break
 			}
@@ -555,12 +557,12 @@
 	}
 	sortIDs(ids)
 	for _, id := range ids {
-		t, run := n.open[id], n.run
-		for no, s := range t.subs {
-			if !s.over && s.to == d && s.open {
+		t, run := n.open[id], n.incarnation
+		for no, s := range t.submissions {
+			if !s.ended && s.target == d && s.connected {
 				n.w.send(d.zone, n.zone, func() {
-					if n.run == run {
-						n.ended(t, no, reply{result: broken})
+					if n.incarnation == run {
+						n.endSubmission(t, no, reply{result: broken})
 					}
 				})
 			}
--- a/rehearse/piped.go
+++ b/rehearse/piped.go
@@ -11,40 +11,40 @@
 	"magpieglade/rehearse/audit"
 )
 
-// batch is how many reads a client sends ahead on one connection, without waiting for answers.
-const batch = 3
+// pipelineDepth is the number of reads that a client pipelines on one connection.
+const pipelineDepth = 3
 
-// piped sends reads ahead on a connection of their own and takes the answers as they come, in the order of the questions.
-func (d *driver) piped(all []*wish, no int) {
+// sendPipelined pipelines reads on a new connection and receives the responses in request order.
+func (d *driver) sendPipelined(requests []*clientRequest, no int) {
 	s := d.s
-	t := &s.Types[all[0].kind]
+	t := &s.Types[requests[0].txnType]
 	for i := 0; i < len(d.doors) && d.doors[no].away(); i++ {
 		no = (no + 1) % len(d.doors)
 	}
 	var ids []uint64
-	until := all[0].due + t.MaxWait
+	deadline := requests[0].dueAt + t.MaxWait
 	d.mu.Lock()
 	at := d.now()
-	for _, x := range all {
+	for _, x := range requests {
 		id := d.ids.Add(1)
-		x.first = id
+		x.firstID = id
 		ids = append(ids, id)
-		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: id, Session: uint64(x.session) + 1, Type: x.kind, MinVersion: d.people[x.session].told,
-			DueAt: x.due, SentAt: at, Deadline: until, Gateway: no})
+		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: id, Session: uint64(x.session) + 1, Type: x.txnType, MinVersion: d.people[x.session].confirmed,
+			DueAt: x.dueAt, SentAt: at, Deadline: deadline, Gateway: no})
 	}
 	d.mu.Unlock()
-	told := 0
+	answered := 0
 	answer := func(k audit.Outcome, version uint64) {
 		if k == audit.Served {
 			d.served.Add(1)
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.log.Responses = append(d.log.Responses, audit.Response{ID: ids[told], At: d.now(), Outcome: k, Version: version})
-		told++
+		d.log.Responses = append(d.log.Responses, audit.Response{ID: ids[answered], At: d.now(), Outcome: k, Version: version})
+		answered++
 	}
 	defer func() {
-		for told < len(ids) { // nothing of a txn that is cut off is repeated: the others go on
+		for answered < len(ids) { // txns whose connection breaks aren't retried
 			answer(audit.Disconnected, 0)
 		}
 	}()
@@ -56,16 +56,16 @@
 	_ = c.SetDeadline(time.Now().Add(time.Duration(t.MaxWait) + 2*time.Second))
 	f := pgproto3.NewFrontend(c, c)
 	f.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersionNumber, Parameters: map[string]string{"user": "portal", "database": "crm"}})
-	for i, x := range all {
-		left := max(1, (until-d.now())/1e6)
+	for i, x := range requests {
+		left := max(1, (deadline-d.now())/1e6)
 		f.Send(&pgproto3.Query{String: fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=%d */ SELECT data FROM facts WHERE code = '%s'", ids[i], t.Name, left,
 			d.group(x.session), fmt.Sprintf("%08x%08x", d.prefix, x.session+1))})
 	}
 	if f.Flush() != nil {
 		return
 	}
-	k, version, greeted := audit.Served, uint64(0), false
-	for told < len(ids) {
+	k, version, ready := audit.Served, uint64(0), false
+	for answered < len(ids) {
 		m, err := f.Receive()
 		if err != nil {
 			return
@@ -80,10 +80,10 @@
 				k = audit.Declined
 			}
 		case *pgproto3.ReadyForQuery:
-			if greeted {
+			if ready {
 				answer(k, version)
 			}
-			k, version, greeted = audit.Served, 0, true
+			k, version, ready = audit.Served, 0, true
 		}
 	}
 }
--- a/rehearse/read.go
+++ b/rehearse/read.go
@@ -54,7 +54,7 @@
 		f.AddError(top.Attrs["zones"].Expr.Range(), "there are no zones", "Name one.")
 	}
 	top.OneOf("policy", &s.Policy, Policies...)
-	if s.Sessions = Brought; s.Gateways <= usualCovered {
+	if s.Sessions = Brought; s.Gateways <= maxCoveredGateways {
 		s.Sessions = "covered"
 	}
 	top.OneOf("sessions", &s.Sessions, SessionSources...)
--- a/rehearse/real.go
+++ b/rehearse/real.go
@@ -34,7 +34,7 @@
 	nodes   []*process
 	mu      sync.Mutex
 	log     audit.Log
-	marks   []Mark
+	marks   []Incident
 	lines   []string
 	health  map[string]string
 	slow    []atomic.Int64   // thousandths, by member
@@ -413,7 +413,7 @@
 		}
 	}
 	both := func(on, off func()) {
-		st.marks = append(st.marks, Mark{f.At, f.For, f.String()})
+		st.marks = append(st.marks, Incident{f.At, f.For, f.String()})
 		st.at(f.At, func() { st.said("%s", f); on() })
 		if f.For > 0 {
 			st.at(f.At+f.For, off)
--- a/rehearse/reserved.go
+++ b/rehearse/reserved.go
@@ -10,72 +10,72 @@
 	"magpieglade/routes"
 )
 
-// Event is a contract's window, rehearsed before it is sold: its load, a flood by others, and the promised loss.
-type Event struct {
-	Terms    contracts.Terms
-	Sizes    []contracts.MemberSize
-	Members  int // of each group
-	Zones    []string
-	Gateways int
-	InFlight int     // txns of all tenants at each gateway, as the settings have it
-	Flood    float64 // others' reads, in times of what all members do
-	Through  int     // gateways that the tenant's clients come through, the first ones; 0 is all
-	Length   int64
-	Seed     uint64
+// ContractRehearsal simulates a contract's window before the contract is sold: its load, a flood by others, and the tolerated loss.
+type ContractRehearsal struct {
+	Terms          contracts.Terms
+	MemberSizes    []contracts.MemberSize
+	Members        int // of each group
+	Zones          []string
+	Gateways       int
+	InFlight       int     // in-flight limit of each gateway over all tenants, as in the settings
+	FloodFactor    float64 // others' reads, as a multiple of all members' capacity
+	TenantGateways int     // number of gateways, from the first, that the tenant's clients use; 0 is all
+	Duration       int64
+	Seed           uint64
 }
 
-// EventResult is what came of it.
-type EventResult struct {
-	Kept    float64 // share of the contract's txns that were served in time
-	Others  float64 // and of the others'
-	Asked   int
-	Broken  int // rules
-	Alone   bool
-	Promise bool // the promised share was kept, with no rule broken
+// ContractResult is the result of a rehearsal.
+type ContractResult struct {
+	InTimeFraction       float64 `json:"Kept"`   // fraction of the contract's txns served in time
+	OthersInTimeFraction float64 `json:"Others"` // fraction of the others' txns served in time
+	Requested            int     `json:"Asked"`
+	Violations           int     `json:"Broken"` // rules
+	Alone                bool
+	PromiseMet           bool `json:"Promise"` // the promised fraction was served in time, with no violation
 }
 
-// Names of an event's txn types.
+// Names of the txn types of a rehearsal.
 const (
-	eventRead  = "contract-read"
-	eventWrite = "contract-write"
-	otherRead  = "other-read"
+	contractRead  = "contract-read"
+	contractWrite = "contract-write"
+	otherRead     = "other-read"
 )
 
-// othersWeight is theirs against the tenant's one, for the day without a contract. Ours: a tenant among twenty.
+// othersWeight is the weight of all other tenants for the run without held slots: the tenant, of weight 1, is one among twenty.
 const othersWeight = 19
 
-// eventCores and the mean costs that they come to. Ours: members' sizes say what they do a second, not by how much at a time.
+// Sizes of members are txns per second and don't state their parallelism: it is memberCores, from which mean costs follow.
 const (
-	eventCores = 4
-	eventAim   = int64(300e6)
+	memberCores          = 4
+	defaultTargetLatency = int64(300e6)
 )
 
-// Scenario is the day of an event at so many times its size, with room held or not.
-func (e *Event) Scenario(times float64, held bool) (*Scenario, error) {
-	if len(e.Sizes) == 0 {
-		return nil, errors.New("nothing is said of what members do: give a block capacity")
+// Scenario builds the scenario for a multiple of the contract's size, with or without held slots.
+func (e *ContractRehearsal) Scenario(multiple float64, holdSlots bool) (*Scenario, error) {
+	if len(e.MemberSizes) == 0 {
+		return nil, errors.New("no member sizes are given: add a block capacity")
 	}
-	t, size := &e.Terms, e.Sizes[0]
-	for _, x := range e.Sizes {
+	t, size := &e.Terms, e.MemberSizes[0]
+	for _, x := range e.MemberSizes {
 		if len(t.Groups) > 0 && x.Group == t.Groups[0] {
 			size = x
 		}
 	}
 	if size.Reads <= 0 {
-		return nil, fmt.Errorf("a member of group %d does no reads", size.Group)
+		return nil, fmt.Errorf("group %d: the read capacity of a member must be positive", size.Group)
 	}
 	groups := max(1, len(t.Groups))
 	g := DefaultGroup()
-	g.Members, g.Cores, g.Connections = e.Members, eventCores, 10_000
-	cost := func(rate float64) int64 { return int64(float64(eventCores) / rate * 1e9) }
-	aim := eventAim
+	g.Members, g.Cores, g.Connections = e.Members, memberCores, 10_000
+	cost := func(rate float64) int64 { return int64(float64(memberCores) / rate * 1e9) }
+	aim := defaultTargetLatency
 	if t.TargetLatency > 0 {
 		aim = t.TargetLatency
 	}
-	reads, writes := t.Reads*times*float64(groups), t.Writes*times*float64(groups)
-	others := e.Flood * size.Reads * float64(e.Members-1) * float64(groups)
+	reads, writes := t.Reads*multiple*float64(groups), t.Writes*multiple*float64(groups)
+	others := e.FloodFactor * size.Reads * float64(e.Members-1) * float64(groups)
 	all := reads + writes + others
-	s := &Scenario{Name: "event", Length: e.Length, Seed: e.Seed, Gateways: e.Gateways, Zones: e.Zones, Network: NetworkPlan{Near: 200e3, Far: 1e6}, Policy: ByModule,
+	s := &Scenario{Name: "event", Length: e.Duration, Seed: e.Seed, Gateways: e.Gateways, Zones: e.Zones, Network: NetworkPlan{Near: 200e3, Far: 1e6}, Policy: ByModule,
 		Sessions: Brought, Traffic: TrafficPlan{Rate: all, Sessions: 4000}, Expect: Expectation{-1, -1, -1, false}, InFlight: e.InFlight,
 		Tenants: []routes.Tenant{{Name: t.Tenant, Weight: 1}, {Name: "others", Weight: othersWeight}}}
 	for range groups {
@@ -87,29 +87,29 @@
 				Cost: cost(of), Spread: Exponential, Share: rate / all, Tenant: tenant})
 		}
 	}
-	add(eventRead, "repeatable", "eventual", t.Tenant, reads, size.Reads)
-	add(eventWrite, "by_key", "mutate", t.Tenant, writes, size.Writes)
+	add(contractRead, "repeatable", "eventual", t.Tenant, reads, size.Reads)
+	add(contractWrite, "by_key", "mutate", t.Tenant, writes, size.Writes)
 	add(otherRead, "repeatable", "eventual", "others", others, size.Reads)
-	if held {
+	if holdSlots {
 		s.Held = map[string]int{t.Tenant: t.InFlight}
 	}
-	if e.Through > 0 {
-		s.Through = map[string]int{t.Tenant: e.Through}
+	if e.TenantGateways > 0 {
+		s.Through = map[string]int{t.Tenant: e.TenantGateways}
 	}
-	switch at := e.Length / 3; t.ToleratedLoss {
+	switch at := e.Duration / 3; t.ToleratedLoss {
 	case contracts.MemberLoss:
 		for i := range s.Groups {
-			s.Faults = append(s.Faults, Fault{Kind: "crash", At: at, For: e.Length / 3, Member: fmt.Sprintf("%d.1", i), Factor: 1})
+			s.Faults = append(s.Faults, Fault{Kind: "crash", At: at, For: e.Duration / 3, Member: fmt.Sprintf("%d.1", i), Factor: 1})
 		}
 	case contracts.ZoneLoss:
-		s.Faults = append(s.Faults, Fault{Kind: "cut", At: at, For: e.Length / 3, Zone: e.Zones[len(e.Zones)-1], Factor: 1})
+		s.Faults = append(s.Faults, Fault{Kind: "cut", At: at, For: e.Duration / 3, Zone: e.Zones[len(e.Zones)-1], Factor: 1})
 	}
 	return s, s.Check()
 }
 
-// Play plays it at so many times its size.
-func (e *Event) Play(times float64, held bool) (r EventResult, err error) {
-	s, err := e.Scenario(times, held)
+// Run simulates the contract at a multiple of its size, with or without held slots.
+func (e *ContractRehearsal) Run(multiple float64, holdSlots bool) (r ContractResult, err error) {
+	s, err := e.Scenario(multiple, holdSlots)
 	if err != nil {
 		return r, err
 	}
@@ -121,30 +121,30 @@
 	for i := range day.Service.Types {
 		x := &day.Service.Types[i]
 		if x.Name == otherRead {
-			r.Others = x.Service
+			r.OthersInTimeFraction = x.Service
 			continue
 		}
-		r.Asked += x.Requested
+		r.Requested += x.Requested
 		sum += x.Service * float64(x.Requested)
 	}
-	if r.Kept = 1; r.Asked > 0 {
-		r.Kept = sum / float64(r.Asked)
+	if r.InTimeFraction = 1; r.Requested > 0 {
+		r.InTimeFraction = sum / float64(r.Requested)
 	}
-	r.Broken = len(day.Violations)
-	r.Promise = r.Kept >= e.Terms.PromisedFraction && r.Broken == 0
+	r.Violations = len(day.Violations)
+	r.PromiseMet = r.InTimeFraction >= e.Terms.PromisedFraction && r.Violations == 0
 	return r, nil
 }
 
-// Largest is how many times its size would be kept, to an eighth, up to four times; 0 if not even an eighth is.
-func (e *Event) Largest() (float64, error) {
+// MaxSize is the largest multiple of the contract's size whose promise is met, in eighths up to 4; 0 if not even an eighth is.
+func (e *ContractRehearsal) MaxSize() (float64, error) {
 	low, high := 0, 33 // eighths
 	for high-low > 1 {
 		mid := (low + high) / 2
-		r, err := e.Play(float64(mid)/8, true)
+		r, err := e.Run(float64(mid)/8, true)
 		if err != nil {
 			return 0, err
 		}
-		if r.Promise {
+		if r.PromiseMet {
 			low = mid
 		} else {
 			high = mid
--- a/rehearse/results/subsets.go
+++ b/rehearse/results/subsets.go
@@ -24,10 +24,10 @@
 	for _, x := range []struct {
 		name string
 		of   func(rehearse.SubsetResult) float64
-	}{{"the most loaded member, parts of the mean", func(r rehearse.SubsetResult) float64 { return r.Load }},
-		{"connections of a member, at the most", func(r rehearse.SubsetResult) float64 { return float64(r.Most) }},
-		{"subsets that move at a join", func(r rehearse.SubsetResult) float64 { return r.Join }},
-		{"subsets that move at a leave", func(r rehearse.SubsetResult) float64 { return r.Leave }}} {
+	}{{"the most loaded member, parts of the mean", func(r rehearse.SubsetResult) float64 { return r.MaxLoad }},
+		{"connections of a member, at the most", func(r rehearse.SubsetResult) float64 { return float64(r.MaxGateways) }},
+		{"subsets that move at a join", func(r rehearse.SubsetResult) float64 { return r.MovedOnJoin }},
+		{"subsets that move at a leave", func(r rehearse.SubsetResult) float64 { return r.MovedOnLeave }}} {
 		c := chart.Chart{Title: x.name, Width: 900, Height: 320, XAxis: chart.XAxis{Name: "gateways"}, YAxis: chart.YAxis{Name: x.name}}
 		for _, m := range members {
 			line := chart.ContinuousSeries{Name: fmt.Sprint(m, " members")}
--- a/rehearse/rude.go
+++ b/rehearse/rude.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// rudeness is how long a bad client stays.
-const rudeness = 3 * time.Second
+// badClientTimeout is how long a bad client stays connected.
+const badClientTimeout = 3 * time.Second
 
-// rude has bad clients come to the gateways at a rate, until the day is over: some say nothing, some talk nonsense, some send
-// half a message, some ask and go without waiting. What they get is nobody's concern; what others get is.
-func (d *driver) rude(over <-chan struct{}) {
+// runBadClients connects bad clients to the gateways at a rate until the run is over: some send nothing, garbage or
+// half a message, some disconnect without waiting for the response. Only the service of the other clients is checked.
+func (d *driver) runBadClients(over <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(d.s.Seed, 14))
 	for {
 		select {
@@ -29,16 +29,16 @@
 				return
 			}
 			defer func() { _ = c.Close() }()
-			_ = c.SetDeadline(time.Now().Add(rudeness))
-			hello := startup()
-			query := message("/* id=1,c=" + d.s.Types[0].Name + ",d=900,cluster=0 */ SELECT data FROM facts WHERE code = 'rude'")
+			_ = c.SetDeadline(time.Now().Add(badClientTimeout))
+			hello := startupMessage()
+			query := queryMessage("/* id=1,c=" + d.s.Types[0].Name + ",d=900,cluster=0 */ SELECT data FROM facts WHERE code = 'rude'")
 			switch kind {
-			case 0: // says nothing
+			case 0: // sends nothing
 			case 1:
 				_, _ = c.Write(make([]byte, n))
 			case 2:
 				_, _ = c.Write(hello[:len(hello)/2])
-			case 3: // asks, and goes at once
+			case 3: // sends a query and disconnects at once
 				_, _ = c.Write(append(hello, query...))
 				return
 			case 4:
@@ -50,14 +50,14 @@
 	}
 }
 
-// startup is a startup message of protocol version 3.
-func startup() []byte {
+// startupMessage is a startup message of protocol version 3.
+func startupMessage() []byte {
 	body := "user\x00rude\x00database\x00crm\x00\x00"
 	all := binary.BigEndian.AppendUint32(nil, uint32(len(body)+8))
 	return append(binary.BigEndian.AppendUint32(all, 196608), body...)
 }
 
-// message is a simple query.
-func message(sql string) []byte {
+// queryMessage is a simple query.
+func queryMessage(sql string) []byte {
 	return append(append(binary.BigEndian.AppendUint32([]byte{'Q'}, uint32(len(sql)+5)), sql...), 0)
 }
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -16,7 +16,7 @@
 	Clock      string // "simulated" or "real"
 	Service    audit.Service
 	Violations []audit.Violation
-	Marks      []Mark
+	Marks      []Incident
 	Places     []Place // by member
 	Reads      map[string]float64
 	Events     int    // of the simulation
@@ -37,13 +37,13 @@
 // Simulate plays a scenario on a virtual clock.
 func Simulate(s *Scenario, watch func(Progress)) (*Report, error) {
 	began := time.Now()
-	w, err := newWorld(s, watch)
+	w, err := newSimulation(s, watch)
 	if err != nil {
 		return nil, err
 	}
-	w.play()
-	r := report(s, &w.log, begin, 10e6)
-	r.Clock, r.Events, r.Mark, r.Marks, r.Lines, r.Took = "simulated", w.events, w.mark(), w.marks, w.lines, time.Since(began)
+	w.run()
+	r := report(s, &w.log, startTime, 10e6)
+	r.Clock, r.Events, r.Mark, r.Marks, r.Lines, r.Took = "simulated", w.events, w.traceHash(), w.incidents, w.logLines, time.Since(began)
 	return r, nil
 }
 
--- a/rehearse/simulate_test.go
+++ b/rehearse/simulate_test.go
@@ -29,8 +29,8 @@
 	return r
 }
 
-// Every ready scenario meets its expectations, the five rules where it expects them.
-func TestReady(t *testing.T) {
+// Every built-in scenario meets its expectations, including the five rules where it expects them.
+func TestBuiltInScenarios(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -64,8 +64,8 @@
 	}
 }
 
-// queueing is a single database without a network, on which one txn type is read.
-func queueing(cores int, load float64) *Scenario {
+// queueScenario is a single database without network delay, read with one txn type.
+func queueScenario(cores int, load float64) *Scenario {
 	g := DefaultGroup()
 	g.Members, g.Cores, g.Thrash, g.Connections, g.Handshake = 1, cores, 1_000_000, 1_000_000, 0
 	cost := int64(10e6)
@@ -81,13 +81,13 @@
 		cores int
 		load  float64
 	}{{1, 0.5}, {1, 0.7}, {4, 0.7}, {4, 0.85}} {
-		s := queueing(x.cores, x.load)
-		w, err := newWorld(s, nil)
+		s := queueScenario(x.cores, x.load)
+		w, err := newSimulation(s, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		// The module's limits would wait at the gateway what is to wait here: queries come to the database itself.
-		d := w.bases[0]
+		// Queries go to the database directly: the module's limits would queue them at the gateway.
+		d := w.databases[0]
 		w.clients.closed = true
 		waited, n := 0.0, 0
 		var arrive func()
@@ -95,15 +95,15 @@
 			w.After(int64(w.rng.ExpFloat64()/s.Traffic.Rate*1e9), func() {
 				arrive()
 				at := w.Now
-				q := &query{gateway: w.nodes[0], cost: w.draw(&s.Types[0])}
-				q.first = q.cost
+				q := &query{gateway: w.gateways[0], cost: w.drawServiceTime(&s.Types[0])}
+				q.baseCost = q.cost
 				took := q.cost
-				q.reply = func(reply) { waited, n = waited+float64(w.Now-at-took), n+1 }
-				d.take(q)
+				q.respond = func(reply) { waited, n = waited+float64(w.Now-at-took), n+1 }
+				d.receive(q)
 			})
 		}
 		arrive()
-		w.play()
+		w.run()
 		c, a := float64(x.cores), x.load*float64(x.cores)
 		sum, term := 0.0, 1.0
 		for k := range x.cores {
@@ -123,8 +123,8 @@
 	}
 }
 
-// A group that lost its primary takes writes again after its time of detection; a replica's apply falls behind by what
-// comes faster than it applies.
+// A group that lost its primary accepts writes again after its detection time; a replica's apply falls behind when commits
+// arrive faster than it applies them.
 func TestGroupModel(t *testing.T) {
 	s := find(t, "calm")
 	s.Groups = []GroupPlan{DefaultGroup()}
@@ -139,27 +139,27 @@
 		t.Error("no primary 2 s after the crash")
 	}
 
-	w, err := newWorld(s, nil)
+	w, err := newSimulation(s, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, replica := w.groups[0], w.bases[1]
+	c, replica := w.groups[0], w.databases[1]
 	c.plan.Apply, c.plan.Lag = 10e6, 5e6
 	for i := range 100 { // a commit each 5 ms, each applied in 10 ms: the last is applied 1,000 ms after the first came
-		w.Now = begin + int64(i)*5e6
-		c.log = append(c.log, commit{at: w.Now, session: 1, version: uint64(i + 1)})
+		w.Now = startTime + int64(i)*5e6
+		c.log = append(c.log, commit{position: w.Now, session: 1, version: uint64(i + 1)})
 	}
-	w.Now = begin + 5e6 + 999e6
-	if v := replica.reaches(); v >= c.log[99].at {
+	w.Now = startTime + 5e6 + 999e6
+	if v := replica.appliedPosition(); v >= c.log[99].position {
 		t.Error("the last commit is applied too soon", v)
 	}
 	w.Now += 1e6
-	if v := replica.reaches(); v < c.log[99].at {
+	if v := replica.appliedPosition(); v < c.log[99].position {
 		t.Error("the last commit is applied too late", v)
 	}
 }
 
-// Baselines do what they are for: without tokens reads are stale, with all on the primary a fleet carries less.
+// The baselines show their weaknesses: without tokens reads are stale, with all reads on the primary a fleet serves less.
 func TestBaselines(t *testing.T) {
 	s := find(t, "slow-apply")
 	s.Policy = NoTokens
@@ -172,7 +172,7 @@
 	if stale == 0 {
 		t.Error("no stale read without tokens")
 	}
-	s = find(t, "slow-apply") // each gateway by its own writes alone
+	s = find(t, "slow-apply") // each gateway knows only its own writes
 	s.Sessions = "own"
 	stale = 0
 	for _, v := range simulated(t, s).Violations {
@@ -193,7 +193,7 @@
 }
 
 // A scenario of a thousand bad clients a second drives no fewer txns, and none of them is lost.
-func TestRude(t *testing.T) {
+func TestBadClients(t *testing.T) {
 	m := standin.NewGroup(0).NewMember("m", true)
 	defer m.Kill()
 	s := find(t, "bad-clients")
@@ -204,8 +204,8 @@
 	}
 }
 
-// What is wrong with a file is told with its place; whatever it holds, reading it ends.
-func TestWrongFiles(t *testing.T) {
+// An error in a file is reported with its location.
+func TestParseErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"length = 5":                          "x.hcl:1:10: length is no span of at least 1s",
 		"lenth = \"5s\"":                      "x.hcl:1:1: Unsupported argument",
@@ -229,6 +229,7 @@
 	}
 }
 
+// Parsing ends whatever the file holds, and what it accepts passes Check.
 func FuzzParse(f *testing.F) {
 	for _, name := range Names() {
 		text, _ := Text(name)
@@ -241,7 +242,7 @@
 	})
 }
 
-// BenchmarkFleet tells events a second by the size of the fleet.
+// BenchmarkFleet measures events per second by fleet size.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 2000} {
 		b.Run("gateways="+fmt.Sprint(n), func(b *testing.B) {
--- a/rehearse/some.go
+++ b/rehearse/some.go
@@ -8,198 +8,200 @@
 	"magpieglade/subset"
 )
 
-// some is what a node chooses together with others, where the scenario has it: which members its module knows of, and what
-// it hears of them.
-type some struct {
-	n       *node
+// subsetHost hosts the subset and signals modules of a gateway: they select the members that its decision module knows, and
+// exchange observations of them with other gateways.
+type subsetHost struct {
+	gateway *simGateway
 	module  *subset.Subset   // nil for all members
-	signals *signals.Signals // nil where gateways tell each other nothing
-	primary map[int]int      // of each group, as another gateway last told
+	signals *signals.Signals // nil where gateways exchange no signals
+	primary map[int]int      // by group, 1 + index of the primary that another gateway last reported
 }
 
-// lookSpan is between looks at what is suspect, and what lacks.
-const lookSpan = int64(100e6)
+// observeInterval is the time between checks for suspect members and missing positions.
+const observeInterval = int64(100e6)
 
-// subsets are the terms of a scenario's subsets.
-func (s *Scenario) subsets() subset.Config {
+// subsetConfig is the configuration of a scenario's subsets.
+func (s *Scenario) subsetConfig() subset.Config {
 	t := subset.DefaultConfig()
 	t.MinMembers, t.Connections, t.MinOtherZone = s.Subset, s.SubsetConnections, min(t.MinOtherZone, s.Subset-1)
 	return t
 }
 
-func newSome(n *node) (*some, error) {
-	s := n.w.s
+func newSubsetHost(n *simGateway) (*subsetHost, error) {
+	s := n.w.scenario
 	if s.Subset == 0 && !s.Signals {
 		return nil, nil
 	}
-	x := &some{n: n, primary: map[int]int{}}
+	x := &subsetHost{gateway: n, primary: map[int]int{}}
 	var err error
 	if s.Subset > 0 {
-		if x.module, err = subset.New(s.subsets(), n.w.gatewayOf(n.no), s.Seed); err != nil {
+		if x.module, err = subset.New(s.subsetConfig(), n.w.gatewayOf(n.index), s.Seed); err != nil {
 			return nil, err
 		}
 	}
 	if s.Signals {
-		if x.signals, err = signals.New(uint32(n.no), uint64(n.w.Now), s.Seed); err != nil {
+		if x.signals, err = signals.New(uint32(n.index), uint64(n.w.Now), s.Seed); err != nil {
 			return nil, err
 		}
 		var others []uint32
 		for i := range s.Gateways {
-			if i != n.no {
+			if i != n.index {
 				others = append(others, uint32(i))
 			}
 		}
-		x.signals.SetFleet(uint32(n.no), others)
+		x.signals.SetFleet(uint32(n.index), others)
 		var keys []uint64
-		for _, d := range n.w.bases {
+		for _, d := range n.w.databases {
 			keys = append(keys, n.w.keyOf(d))
 		}
 		x.signals.SetMembers(keys)
 	}
-	run := n.run
+	run := n.incarnation
 	var look func()
 	look = func() {
-		if n.run == run && n.up {
-			x.look()
-			n.w.After(lookSpan, look)
+		if n.incarnation == run && n.up {
+			x.observe()
+			n.w.After(observeInterval, look)
 		}
 	}
-	n.w.After(lookSpan+int64(n.w.rng.Float64()*float64(lookSpan)), look)
+	n.w.After(observeInterval+int64(n.w.rng.Float64()*float64(observeInterval)), look)
 	return x, err
 }
 
-// has tells whether the module is to know of a member.
-func (x *some) has(d *database) bool { return x.module == nil || x.module.Has(x.n.w.keyOf(d)) }
+// has reports whether the decision module is to know a member.
+func (x *subsetHost) has(d *database) bool {
+	return x.module == nil || x.module.Has(x.gateway.w.keyOf(d))
+}
 
-// tells carries messages, and what others told.
-func (x *some) tells() {
+// exchangeSignals sends pending messages and applies what other gateways reported.
+func (x *subsetHost) exchangeSignals() {
 	if x.signals == nil {
 		return
 	}
-	w, n, run := x.n.w, x.n, x.n.run
+	w, n, run := x.gateway.w, x.gateway, x.gateway.incarnation
 	x.signals.Clock(w.Now)
 	for d, ok := x.signals.Next(); ok; d, ok = x.signals.Next() {
 		switch d.Kind {
 		case signals.Send:
-			to, m := w.nodes[d.Message.To], d.Message
-			if w.parts(n.no, to.no) {
+			to, m := w.gateways[d.Message.To], d.Message
+			if w.lostBetween(n.index, to.index) {
 				continue
 			}
-			there := to.run
-			w.After(w.way(n.zone, to.zone), func() {
-				if to.up && to.run == there && to.some != nil {
-					to.some.signals.Clock(w.Now)
-					to.some.signals.Receive(&m)
-					to.some.tells()
+			there := to.incarnation
+			w.After(w.networkDelay(n.zone, to.zone), func() {
+				if to.up && to.incarnation == there && to.subset != nil {
+					to.subset.signals.Clock(w.Now)
+					to.subset.signals.Receive(&m)
+					to.subset.exchangeSignals()
 				}
 			})
 		case signals.Deliver:
-			x.learn(d.Item)
+			x.applySignal(d.Item)
 		case signals.Wake:
 			w.After(d.After, func() {
-				if n.run == run && n.up {
-					x.tells()
+				if n.incarnation == run && n.up {
+					x.exchangeSignals()
 				}
 			})
 		}
 	}
 }
 
-func (x *some) learn(i signals.Item) {
-	for _, d := range x.n.w.bases {
-		if x.n.w.keyOf(d) != i.Member {
+func (x *subsetHost) applySignal(i signals.Item) {
+	for _, d := range x.gateway.w.databases {
+		if x.gateway.w.keyOf(d) != i.Member {
 			continue
 		}
 		switch i.Kind {
 		case signals.Primary:
-			if x.primary[d.of.no] != d.no+1 && x.module != nil {
-				x.primary[d.of.no] = d.no + 1
-				x.list()
+			if x.primary[d.group.index] != d.index+1 && x.module != nil {
+				x.primary[d.group.index] = d.index + 1
+				x.updateDivision()
 			}
-			x.n.tell(func() {
-				x.n.module.ReceiveUpdate(decide.MemberUpdate{Server: serverOf(d), Position: decide.Nanos(i.Value), Primary: true})
+			x.gateway.step(func() {
+				x.gateway.module.ReceiveUpdate(decide.MemberUpdate{Server: serverOf(d), Position: decide.Nanos(i.Value), Primary: true})
 			})
 		case signals.Health:
-			x.n.tell(func() {
+			x.gateway.step(func() {
 				if i.Value == signals.Healthy {
-					x.n.module.ReportHealthy(serverOf(d))
+					x.gateway.module.ReportHealthy(serverOf(d))
 				} else if x.signals.IsUnhealthy(i.Member) {
-					x.n.module.ReportUnhealthy(serverOf(d))
+					x.gateway.module.ReportUnhealthy(serverOf(d))
 				}
 			})
 		}
 	}
 }
 
-func (w *world) gatewayOf(no int) subset.Gateway {
-	return subset.Gateway{ID: uint64(no)*0x9e3779b97f4a7c15 + 1, Zone: w.s.Zones[no%len(w.s.Zones)]}
+func (w *simulation) gatewayOf(no int) subset.Gateway {
+	return subset.Gateway{ID: uint64(no)*0x9e3779b97f4a7c15 + 1, Zone: w.scenario.Zones[no%len(w.scenario.Zones)]}
 }
 
-func (w *world) keyOf(d *database) uint64 { return uint64(d.no)*0xbf58476d1ce4e5b9 + 7 }
+func (w *simulation) keyOf(d *database) uint64 { return uint64(d.index)*0xbf58476d1ce4e5b9 + 7 }
 
-// divisionFor works a division out once for all that see the same.
-func (w *world) divisionFor(members []subset.Member) *subset.Division {
+// divisionFor caches divisions, so that gateways that see the same members share one.
+func (w *simulation) divisionFor(members []subset.Member) *subset.Division {
 	name := fmt.Sprint(members)
 	if w.divisions[name] == nil {
 		if len(w.divisions) > 256 {
 			clear(w.divisions)
 		}
 		var gateways []subset.Gateway
-		for _, n := range w.nodes {
-			gateways = append(gateways, w.gatewayOf(n.no))
+		for _, n := range w.gateways {
+			gateways = append(gateways, w.gatewayOf(n.index))
 		}
-		w.divisions[name] = subset.Divide(w.s.subsets(), gateways, members)
+		w.divisions[name] = subset.Divide(w.scenario.subsetConfig(), gateways, members)
 	}
 	return w.divisions[name]
 }
 
-// list takes the list as it is.
-func (x *some) list() {
+// updateDivision recomputes the subset from the current member list.
+func (x *subsetHost) updateDivision() {
 	if x.module == nil {
 		return
 	}
 	var members []subset.Member
-	for _, d := range x.n.w.bases {
-		if d.gone || d.drained {
+	for _, d := range x.gateway.w.databases {
+		if d.delisted || d.drained {
 			continue
 		}
-		p, ok := x.n.module.Primary(d.of.no)
-		members = append(members, subset.Member{Key: x.n.w.keyOf(d), Group: d.of.no, Zone: x.n.w.s.Zones[d.zone], Weight: 1, Primary: ok && p == serverOf(d) || x.primary[d.of.no] == d.no+1})
+		p, ok := x.gateway.module.Primary(d.group.index)
+		members = append(members, subset.Member{Key: x.gateway.w.keyOf(d), Group: d.group.index, Zone: x.gateway.w.scenario.Zones[d.zone], Weight: 1, Primary: ok && p == serverOf(d) || x.primary[d.group.index] == d.index+1})
 	}
-	x.module.Clock(x.n.w.Now)
-	x.module.SetDivision(x.n.w.divisionFor(members).For(x.n.w.gatewayOf(x.n.no).ID))
-	x.pull()
+	x.module.Clock(x.gateway.w.Now)
+	x.module.SetDivision(x.gateway.w.divisionFor(members).For(x.gateway.w.gatewayOf(x.gateway.index).ID))
+	x.executePending()
 }
 
-func (x *some) pull() {
+func (x *subsetHost) executePending() {
 	if x.module == nil {
 		return
 	}
-	w, n := x.n.w, x.n
+	w, n := x.gateway.w, x.gateway
 	x.module.Clock(w.Now)
 	for d, ok := x.module.Next(); ok; d, ok = x.module.Next() {
 		if d.Kind == subset.Wake {
-			run := n.run
+			run := n.incarnation
 			w.After(d.After, func() {
-				if n.run == run && n.up {
-					x.pull()
+				if n.incarnation == run && n.up {
+					x.executePending()
 				}
 			})
 			continue
 		}
-		for _, b := range w.bases {
+		for _, b := range w.databases {
 			if w.keyOf(b) != d.Key {
 				continue
 			}
-			n.tell(func() {
+			n.step(func() {
 				if d.Kind == subset.Add {
-					n.listed(b)
+					n.updateMember(b)
 				} else {
 					for _, st := range []decide.Status{decide.Draining, decide.Removed} {
-						n.module.UpdateMember(serverOf(b), b.of.no, false, st, b.zone, 1, 0, decide.Nanos(b.born))
+						n.module.UpdateMember(serverOf(b), b.group.index, false, st, b.zone, 1, 0, decide.Nanos(b.startedAt))
 					}
-					if l := &n.links[b.no]; l.run == b.run {
-						b.conns -= l.idle
+					if l := &n.links[b.index]; l.incarnation == b.incarnation {
+						b.connections -= l.idle
 						l.idle = 0
 					}
 				}
@@ -209,23 +211,23 @@
 	}
 }
 
-// look has the modules know what this gateway sees.
-func (x *some) look() {
-	w := x.n.w
+// observe passes this gateway's observations of members to the modules.
+func (x *subsetHost) observe() {
+	w := x.gateway.w
 	moved := false
 	known := make([]bool, len(w.groups))
 	for i, g := range w.groups {
 		var p decide.Server
-		if p, known[i] = x.n.module.Primary(g.no); known[i] {
-			moved = moved || !x.has(w.baseOf(p))
+		if p, known[i] = x.gateway.module.Primary(g.index); known[i] {
+			moved = moved || !x.has(w.databaseFor(p))
 		}
 	}
-	replicas, lacking := make([]int, len(w.groups)), make([]int, len(w.groups))
-	for _, d := range w.bases {
-		s := x.n.module.StateOf(serverOf(d))
+	replicas, needPosition := make([]int, len(w.groups)), make([]int, len(w.groups))
+	for _, d := range w.databases {
+		s := x.gateway.module.StateOf(serverOf(d))
 		if s.Known && !s.Primary {
-			if replicas[d.of.no]++; s.NeedsPosition {
-				lacking[d.of.no]++
+			if replicas[d.group.index]++; s.NeedsPosition {
+				needPosition[d.group.index]++
 			}
 		}
 		if x.module != nil {
@@ -244,17 +246,17 @@
 			x.signals.Observe(signals.Health, w.keyOf(d), signals.Healthy)
 		}
 	}
-	x.tells()
+	x.exchangeSignals()
 	if x.module == nil {
 		return
 	}
 	x.module.Clock(w.Now)
 	for no := range w.groups {
-		x.module.Observe(no, known[no], replicas[no], lacking[no])
+		x.module.Observe(no, known[no], replicas[no], needPosition[no])
 	}
 	if moved {
-		x.list()
+		x.updateDivision()
 		return
 	}
-	x.pull()
+	x.executePending()
 }
--- a/rehearse/some_test.go
+++ b/rehearse/some_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-var chosenSeeds = flag.Int("chosen", 25, "days of gateways that choose together")
+var chosenSeeds = flag.Int("chosen", 25, "number of runs of gateways with subsets")
 
-// Days by chance of gateways that have some members each and tell each other what they learn, while members crash, hang, are
-// slow, lag, drain, move and come back cold, and gateways die and are cut off from each other: no rule breaks.
-func TestChosenTogether(t *testing.T) {
+// Random runs of gateways with subsets of members that exchange signals, while members crash, hang, are
+// slow, lag, drain, move and restart cold, and gateways are killed and partitioned: no rule is violated.
+func TestSubsetsUnderRandomFaults(t *testing.T) {
 	served, asked := 0.0, 0
 	for seed := range uint64(*chosenSeeds) {
 		rng := rand.New(rand.NewPCG(seed, 77))
--- a/rehearse/world.go
+++ b/rehearse/world.go
@@ -15,76 +15,76 @@
 	"magpieglade/subset"
 )
 
-// Results of submissions, as the module words them.
+// Submission results as int values of decide.Result.
 const (
 	committed   = int(decide.Committed)
 	failed      = int(decide.Failed)
-	full        = int(decide.AtCapacity)
+	atCapacity  = int(decide.AtCapacity)
 	timedOut    = int(decide.TimedOut)
 	unreachable = int(decide.Unreachable)
 	broken      = int(decide.Broken)
 	cancelled   = int(decide.Cancelled)
-	moot        = int(decide.NotSent)
-	missed      = int(decide.NotEligible)
+	notSent     = int(decide.NotSent)
+	notEligible = int(decide.NotEligible)
 )
 
-// world is a simulated day under way: one virtual clock, one agenda, one source of chance.
-type world struct {
-	s   *Scenario
-	rng *rand.Rand
+// simulation is one running simulated scenario: one virtual clock, one event scheduler, one random source.
+type simulation struct {
+	scenario *Scenario
+	rng      *rand.Rand
 	agenda.Scheduler
-	events    int
-	epochs    uint64 // of sessions' notes, another for each process
-	log       audit.Log
-	bases     []*database
-	groups    []*cluster
-	nodes     []*node
-	clients   *people
-	cut       map[int]bool    // zones
-	parted    map[*Fault]bool // faults between gateways that last
-	noList    bool
-	marks     []Mark
-	lines     []string // what was said, in order
-	watch     func(Progress)
-	divisions map[string]*subset.Division // of members among gateways, by what was seen
+	events          int
+	lastEpoch       uint64 // of the session modules; each gateway process gets a new one
+	log             audit.Log
+	databases       []*database
+	groups          []*replicaGroup
+	gateways        []*simGateway
+	clients         *clientPool
+	isolatedZones   map[int]bool    // zones
+	gatewayFaults   map[*Fault]bool // active faults between gateways
+	listUnavailable bool
+	incidents       []Incident
+	logLines        []string // log lines, in order
+	onProgress      func(Progress)
+	divisions       map[string]*subset.Division // of members among gateways, keyed by the observed member list
 }
 
-// Mark is a time in a day at which something went wrong, for reports.
-type Mark struct {
+// Incident is a scheduled fault, for reports.
+type Incident struct {
 	At, For int64
 	Text    string
 }
 
-// Progress is how far a day is.
+// Progress reports how far a run has come.
 type Progress struct {
 	At, Length int64
-	Asked      int
+	Requested  int
 	Served     int
 }
 
-// way is how long a message takes between two zones.
-func (w *world) way(from, to int) int64 {
-	mean := w.s.Network.Near
+// networkDelay draws the time that a message takes between two zones.
+func (w *simulation) networkDelay(from, to int) int64 {
+	mean := w.scenario.Network.Near
 	if from != to {
-		mean = w.s.Network.Far
+		mean = w.scenario.Network.Far
 	}
 	return int64(float64(mean) * (0.5 + w.rng.ExpFloat64()/2))
 }
 
-// send has something arrive elsewhere; what crosses the border of a zone that is cut off, or is lost, does not.
-func (w *world) send(from, to int, do func()) {
-	took := w.way(from, to)
-	if from != to && (w.cut[from] || w.cut[to]) || w.s.Network.Loss > 0 && w.rng.Float64() < w.s.Network.Loss {
+// send schedules a delivery, unless the message is lost or crosses the border of an isolated zone.
+func (w *simulation) send(from, to int, do func()) {
+	took := w.networkDelay(from, to)
+	if from != to && (w.isolatedZones[from] || w.isolatedZones[to]) || w.scenario.Network.Loss > 0 && w.rng.Float64() < w.scenario.Network.Loss {
 		return
 	}
 	w.After(took, do)
 }
 
-// parts tells whether a message between two gateways is lost to a fault between them.
-func (w *world) parts(from, to int) bool {
+// lostBetween reports whether a message between two gateways is lost to a fault between them.
+func (w *simulation) lostBetween(from, to int) bool {
 	lost, pass := false, 1.0
-	for f := range w.parted {
-		lost = lost || f.parts(from, to, w.s.Gateways)
+	for f := range w.gatewayFaults {
+		lost = lost || f.parts(from, to, w.scenario.Gateways)
 		if f.Kind == "rough" {
 			pass *= 1 - f.Factor
 		}
@@ -92,79 +92,79 @@
 	return lost || pass < 1 && w.rng.Float64() >= pass
 }
 
-func (w *world) notice(n audit.Event) {
+func (w *simulation) recordEvent(n audit.Event) {
 	n.At = w.Now
 	w.log.Events = append(w.log.Events, n)
 }
 
-func (w *world) said(format string, a ...any) {
-	w.lines = append(w.lines, fmt.Sprintf("%8.1f ms  ", float64(w.Now)/1e6)+fmt.Sprintf(format, a...))
+func (w *simulation) logf(format string, a ...any) {
+	w.logLines = append(w.logLines, fmt.Sprintf("%8.1f ms  ", float64(w.Now)/1e6)+fmt.Sprintf(format, a...))
 }
 
-// begin is where a day's clock starts: positions are times, and 0 is none.
-const begin = int64(60e9)
+// startTime is the initial clock value. It isn't 0 because positions are times and position 0 means none.
+const startTime = int64(60e9)
 
-// newWorld builds a scenario.
-func newWorld(s *Scenario, watch func(Progress)) (*world, error) {
+// newSimulation builds the simulation of a scenario.
+func newSimulation(s *Scenario, watch func(Progress)) (*simulation, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	w := &world{s: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), Scheduler: agenda.Scheduler{Now: begin}, cut: map[int]bool{}, parted: map[*Fault]bool{}, watch: watch, divisions: map[string]*subset.Division{}}
+	w := &simulation{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), Scheduler: agenda.Scheduler{Now: startTime}, isolatedZones: map[int]bool{}, gatewayFaults: map[*Fault]bool{}, onProgress: watch, divisions: map[string]*subset.Division{}}
 	for i, p := range s.Groups {
-		w.groups = append(w.groups, newCluster(w, i, p))
+		w.groups = append(w.groups, newReplicaGroup(w, i, p))
 	}
 	for i := range s.Gateways {
-		w.nodes = append(w.nodes, &node{w: w, no: i, zone: i % len(s.Zones)})
+		w.gateways = append(w.gateways, &simGateway{w: w, index: i, zone: i % len(s.Zones)})
 	}
-	for _, n := range w.nodes {
+	for _, n := range w.gateways {
 		if err := n.start(); err != nil {
 			return nil, err
 		}
 	}
-	w.clients = newPeople(w)
+	w.clients = newClientPool(w)
 	for _, f := range s.Faults {
-		w.plan(f)
+		w.scheduleFault(f)
 	}
 	for _, r := range s.Random {
-		w.planRandom(r)
+		w.scheduleRandomFaults(r)
 	}
 	if watch != nil {
-		w.tick()
+		w.reportProgress()
 	}
 	return w, nil
 }
 
-func (w *world) tick() {
-	w.watch(Progress{At: w.Now - begin, Length: w.s.Length, Asked: len(w.log.Attempts), Served: w.clients.served})
-	w.After(1e9, w.tick)
+func (w *simulation) reportProgress() {
+	w.onProgress(Progress{At: w.Now - startTime, Length: w.scenario.Length, Requested: len(w.log.Attempts), Served: w.clients.served})
+	w.After(1e9, w.reportProgress)
 }
 
-// play runs the agenda to the day's end, and on until what is open then has been answered.
-func (w *world) play() {
-	end := begin + w.s.Length
-	longest := int64(0)
-	for _, t := range w.s.Types {
-		longest = max(longest, t.MaxWait)
+// run executes events to the scenario's end, and beyond it until all open requests have been answered.
+func (w *simulation) run() {
+	end := startTime + w.scenario.Length
+	maxWait := int64(0)
+	for _, t := range w.scenario.Types {
+		maxWait = max(maxWait, t.MaxWait)
 	}
-	w.After(w.s.Length, func() { w.clients.closed = true })
-	for w.Step(end + longest + int64(1e9)) {
+	w.After(w.scenario.Length, func() { w.clients.closed = true })
+	for w.Step(end + maxWait + int64(1e9)) {
 		w.events++
 	}
 }
 
-func (w *world) planRandom(r RandomFaults) {
+func (w *simulation) scheduleRandomFaults(r RandomFaults) {
 	w.After(int64(w.rng.ExpFloat64()*float64(r.Every)), func() {
-		if w.Now-begin+r.For < w.s.Length {
-			d := w.bases[w.rng.IntN(len(w.bases))]
-			f := Fault{Kind: r.Kinds[w.rng.IntN(len(r.Kinds))], At: w.Now - begin, For: r.For, Member: d.name, Factor: r.Factor, Lag: r.Lag,
-				Gateway: w.rng.IntN(len(w.nodes)), Zone: w.s.Zones[w.rng.IntN(len(w.s.Zones))]}
-			w.plan(f)
+		if w.Now-startTime+r.For < w.scenario.Length {
+			d := w.databases[w.rng.IntN(len(w.databases))]
+			f := Fault{Kind: r.Kinds[w.rng.IntN(len(r.Kinds))], At: w.Now - startTime, For: r.For, Member: d.name, Factor: r.Factor, Lag: r.Lag,
+				Gateway: w.rng.IntN(len(w.gateways)), Zone: w.scenario.Zones[w.rng.IntN(len(w.scenario.Zones))]}
+			w.scheduleFault(f)
 		}
-		w.planRandom(r)
+		w.scheduleRandomFaults(r)
 	})
 }
 
-// String words a fault for reports.
+// String describes a fault for reports.
 func (f Fault) String() string {
 	text := f.Kind
 	for _, need := range Faults[f.Kind] {
@@ -184,33 +184,33 @@
 	return text
 }
 
-// plan has a fault come and go.
-func (w *world) plan(f Fault) {
+// scheduleFault schedules the start and the end of a fault.
+func (w *simulation) scheduleFault(f Fault) {
 	var d *database
 	if slices.Contains(Faults[f.Kind], "member") {
-		g, m, _ := w.s.memberNamed(f.Member) // it was checked
+		g, m, _ := w.scenario.memberNamed(f.Member) // Check has validated the name
 		d = w.groups[g].members[m]
 	}
-	w.marks = append(w.marks, Mark{f.At, f.For, f.String()})
-	from, to := f.At+begin-w.Now, f.At+f.For+begin-w.Now
-	both := func(on, off func()) {
-		w.After(from, func() { w.said("%s", f); on() })
+	w.incidents = append(w.incidents, Incident{f.At, f.For, f.String()})
+	from, to := f.At+startTime-w.Now, f.At+f.For+startTime-w.Now
+	schedule := func(on, off func()) {
+		w.After(from, func() { w.logf("%s", f); on() })
 		if f.For > 0 {
 			w.After(to, off)
 		}
 	}
 	switch f.Kind {
 	case "crash":
-		both(func() { d.crash(f.For) }, func() {})
+		schedule(func() { d.crash(f.For) }, func() {})
 	case "pause":
-		both(func() {
+		schedule(func() {
 			d.paused = true
-			if run := d.run; d.primary { // one that hangs is replaced as one that is gone
-				w.After(d.of.plan.Detect, func() {
-					if d.paused && d.run == run && d.primary {
-						d.reaches()
+			if run := d.incarnation; d.primary { // a hung primary is replaced like a crashed one
+				w.After(d.group.plan.Detect, func() {
+					if d.paused && d.incarnation == run && d.primary {
+						d.appliedPosition()
 						d.primary, d.replaced = false, true
-						d.of.elect()
+						d.group.elect()
 					}
 				})
 			}
@@ -218,61 +218,61 @@
 			if !d.paused {
 				return
 			}
-			if d.replaced { // it can't go on where it stood: others have written since
+			if d.replaced { // it can't resume, as the new primary has committed since: restart it
 				d.replaced = false
-				d.crash(d.of.plan.Restart)
+				d.crash(d.group.plan.Restart)
 				return
 			}
 			d.paused = false
-			held := d.held
-			d.held = nil
+			held := d.pausedQueries
+			d.pausedQueries = nil
 			for _, q := range held {
 				d.admit(q)
 			}
 		})
 	case "slow":
-		both(func() { d.slow = f.Factor }, func() { d.slow = 1 })
+		schedule(func() { d.slowdown = f.Factor }, func() { d.slowdown = 1 })
 	case "lag":
-		both(func() { d.reaches(); d.late = f.Lag }, func() { d.late = 0 })
+		schedule(func() { d.appliedPosition(); d.extraLag = f.Lag }, func() { d.extraLag = 0 })
 	case "drain":
-		both(func() { d.drained = true; w.relist() }, func() { d.drained = false; w.relist() })
+		schedule(func() { d.drained = true; w.publishList() }, func() { d.drained = false; w.publishList() })
 	case "errors":
-		both(func() { d.errors = f.Factor }, func() { d.errors = 0 })
+		schedule(func() { d.errorRatio = f.Factor }, func() { d.errorRatio = 0 })
 	case "answers_lost":
-		both(func() { d.lost = f.Factor }, func() { d.lost = 0 })
+		schedule(func() { d.responseLossRatio = f.Factor }, func() { d.responseLossRatio = 0 })
 	case "move":
-		both(func() { d.of.move(d) }, func() {})
+		schedule(func() { d.group.handOver(d) }, func() {})
 	case "cut":
-		z := slices.Index(w.s.Zones, f.Zone)
-		both(func() { w.cut[z] = true }, func() { delete(w.cut, z) })
+		z := slices.Index(w.scenario.Zones, f.Zone)
+		schedule(func() { w.isolatedZones[z] = true }, func() { delete(w.isolatedZones, z) })
 	case "apart", "halves", "rough":
-		both(func() { w.parted[&f] = true }, func() { delete(w.parted, &f) })
+		schedule(func() { w.gatewayFaults[&f] = true }, func() { delete(w.gatewayFaults, &f) })
 	case "list":
-		both(func() {
-			w.noList = true
-			for _, n := range w.nodes {
-				n.listLost()
+		schedule(func() {
+			w.listUnavailable = true
+			for _, n := range w.gateways {
+				n.listFailed()
 			}
-		}, func() { w.noList = false })
+		}, func() { w.listUnavailable = false })
 	case "kill":
-		both(func() { w.nodes[f.Gateway].kill() }, func() { _ = w.nodes[f.Gateway].start() }) // it started before
+		schedule(func() { w.gateways[f.Gateway].kill() }, func() { _ = w.gateways[f.Gateway].start() }) // no error: the same settings loaded before
 	}
 }
 
-// relist has the list service tell those that follow it.
-func (w *world) relist() {
-	if w.noList {
+// publishList sends the member list to the subscribed gateways.
+func (w *simulation) publishList() {
+	if w.listUnavailable {
 		return
 	}
-	for _, n := range w.nodes {
-		if n.follows {
-			n.told()
+	for _, n := range w.gateways {
+		if n.subscribed {
+			n.listChanged()
 		}
 	}
 }
 
-// trace writes all that was seen, in an order that is the same for the same seed.
-func (w *world) trace(out io.Writer) {
+// writeTrace writes the whole log in an order that is the same for the same seed.
+func (w *simulation) writeTrace(out io.Writer) {
 	for _, x := range w.log.Attempts {
 		fmt.Fprintln(out, "ask", x)
 	}
@@ -285,59 +285,59 @@
 	for _, x := range w.log.Events {
 		fmt.Fprintln(out, "notice", x)
 	}
-	for _, x := range w.lines {
+	for _, x := range w.logLines {
 		fmt.Fprintln(out, x)
 	}
 }
 
-// mark is a number that is the same for the same trace.
-func (w *world) mark() uint64 {
+// traceHash is a hash of the trace.
+func (w *simulation) traceHash() uint64 {
 	h := fnv.New64a()
-	w.trace(h)
+	w.writeTrace(h)
 	return h.Sum64()
 }
 
-// people are the clients: they send when it is due, whatever has come back.
-type people struct {
-	w        *world
-	ids      uint64
-	keys     uint64
-	sessions []person
+// clientPool generates open-loop load: requests are sent when due, whether or not earlier ones were answered.
+type clientPool struct {
+	w        *simulation
+	lastID   uint64
+	lastKey  uint64
+	sessions []clientSession
 	closed   bool
 	served   int
-	sum      float64 // of the types' shares
+	shareSum float64 // of the txn types' shares
 }
 
-// person is a session.
-type person struct {
-	written uint64 // the latest version that it has sent
-	told    uint64 // the latest that it was told
-	at      int64  // position of that, as its client carries it
-	writing bool
+// clientSession is a session as its client sees it.
+type clientSession struct {
+	lastSent  uint64 // latest version that it has sent
+	confirmed uint64 // latest version whose commit was confirmed to it
+	position  int64  // position of the confirmed version, as its client carries it
+	writing   bool
 }
 
-// wish is what a client wants, in one try or several.
-type wish struct {
-	first   uint64
-	kind    int
-	session int
-	key     uint64
-	version uint64
-	due     int64
-	tries   int
+// clientRequest is a client's request, sent in one or several attempts.
+type clientRequest struct {
+	firstID  uint64
+	txnType  int
+	session  int
+	key      uint64
+	version  uint64
+	dueAt    int64
+	attempts int
 }
 
-func newPeople(w *world) *people {
-	p := &people{w: w, sessions: make([]person, w.s.Traffic.Sessions)}
-	for _, t := range w.s.Types {
-		p.sum += t.Share
+func newClientPool(w *simulation) *clientPool {
+	p := &clientPool{w: w, sessions: make([]clientSession, w.scenario.Traffic.Sessions)}
+	for _, t := range w.scenario.Types {
+		p.shareSum += t.Share
 	}
-	p.next()
+	p.scheduleNext()
 	return p
 }
 
-// rate is how many first tries a second are due now.
-func (p *people) rate() float64 { return p.w.s.Traffic.rateAt(p.w.Now - begin) }
+// rate is the current rate of first attempts per second.
+func (p *clientPool) rate() float64 { return p.w.scenario.Traffic.rateAt(p.w.Now - startTime) }
 
 func (t *TrafficPlan) rateAt(at int64) float64 {
 	rate := t.Rate
@@ -352,132 +352,132 @@
 	return rate
 }
 
-func (p *people) next() {
+func (p *clientPool) scheduleNext() {
 	p.w.After(int64(p.w.rng.ExpFloat64()/max(0.001, p.rate())*1e9), func() {
 		if p.closed {
 			return
 		}
-		p.want()
-		p.next()
+		p.sendNext()
+		p.scheduleNext()
 	})
 }
 
-func (p *people) want() {
+func (p *clientPool) sendNext() {
 	w := p.w
-	x := w.rng.Float64() * p.sum
+	x := w.rng.Float64() * p.shareSum
 	kind := 0
-	for kind < len(w.s.Types)-1 && x >= w.s.Types[kind].Share {
-		x -= w.s.Types[kind].Share
+	for kind < len(w.scenario.Types)-1 && x >= w.scenario.Types[kind].Share {
+		x -= w.scenario.Types[kind].Share
 		kind++
 	}
-	t := &w.s.Types[kind]
-	who := w.rng.IntN(len(p.sessions))
-	if t.Consistency == "mutate" { // a session writes one thing at a time: its versions are in order
+	t := &w.scenario.Types[kind]
+	session := w.rng.IntN(len(p.sessions))
+	if t.Consistency == "mutate" { // a session has one write in flight at a time, so its versions are in order
 		for range 20 {
-			if !p.sessions[who].writing {
+			if !p.sessions[session].writing {
 				break
 			}
-			who = w.rng.IntN(len(p.sessions))
+			session = w.rng.IntN(len(p.sessions))
 		}
 	}
-	wish := &wish{kind: kind, session: who, due: w.Now}
+	request := &clientRequest{txnType: kind, session: session, dueAt: w.Now}
 	if t.Consistency == "mutate" {
-		s := &p.sessions[who]
+		s := &p.sessions[session]
 		s.writing = true
-		s.written++
-		wish.version = s.written
+		s.lastSent++
+		request.version = s.lastSent
 		if t.Effect == "by_key" {
-			p.keys++
-			wish.key = p.keys
+			p.lastKey++
+			request.key = p.lastKey
 		}
 	}
-	if t.Consistency != "mutate" && w.s.Traffic.Piped > 0 && w.rng.Float64() < w.s.Traffic.Piped/batch {
-		n, first := p.ask(wish)
+	if t.Consistency != "mutate" && w.scenario.Traffic.Piped > 0 && w.rng.Float64() < w.scenario.Traffic.Piped/pipelineDepth {
+		n, first := p.newAttempt(request)
 		last := first
-		for range batch - 1 {
-			one := *wish
-			one.first, one.tries = 0, 0
-			last.next = p.askAt(n, &one)
+		for range pipelineDepth - 1 {
+			one := *request
+			one.firstID, one.attempts = 0, 0
+			last.next = p.newAttemptAt(n, &one)
 			last = last.next
 		}
-		w.After(w.way(n.zone, n.zone), func() { n.arrived(first) })
+		w.After(w.networkDelay(n.zone, n.zone), func() { n.receive(first) })
 		return
 	}
-	p.try(wish)
+	p.send(request)
 }
 
-// try sends a wish to a gateway.
-func (p *people) try(x *wish) {
-	n, a := p.ask(x)
-	p.w.After(p.w.way(n.zone, n.zone), func() { n.arrived(a) })
+// send sends an attempt to a gateway.
+func (p *clientPool) send(x *clientRequest) {
+	n, a := p.newAttempt(x)
+	p.w.After(p.w.networkDelay(n.zone, n.zone), func() { n.receive(a) })
 }
 
-// ask chooses a gateway for a try and notes it.
-func (p *people) ask(x *wish) (*node, *asked) {
+// newAttempt chooses a gateway for an attempt and records the attempt.
+func (p *clientPool) newAttempt(x *clientRequest) (*simGateway, *txn) {
 	w := p.w
-	no := x.session % len(w.nodes)
-	if w.s.Traffic.Roam > 0 && w.rng.Float64() < w.s.Traffic.Roam {
-		no = w.rng.IntN(len(w.nodes))
+	no := x.session % len(w.gateways)
+	if w.scenario.Traffic.Roam > 0 && w.rng.Float64() < w.scenario.Traffic.Roam {
+		no = w.rng.IntN(len(w.gateways))
 	}
-	if most := w.s.Through[w.s.Types[x.kind].Tenant]; most > 0 {
-		no %= most
+	if maxGateways := w.scenario.Through[w.scenario.Types[x.txnType].Tenant]; maxGateways > 0 {
+		no %= maxGateways
 	}
-	for i := 0; i < len(w.nodes) && w.nodes[no].away(); i++ { // the front has seen that it is gone
-		no = (no + 1) % len(w.nodes)
+	for i := 0; i < len(w.gateways) && w.gateways[no].knownDown(); i++ { // the load balancer has detected that it is down
+		no = (no + 1) % len(w.gateways)
 	}
-	return w.nodes[no], p.askAt(w.nodes[no], x)
+	return w.gateways[no], p.newAttemptAt(w.gateways[no], x)
 }
 
-// askAt notes a try at a gateway.
-func (p *people) askAt(n *node, x *wish) *asked {
+// newAttemptAt records an attempt at a gateway.
+func (p *clientPool) newAttemptAt(n *simGateway, x *clientRequest) *txn {
 	w := p.w
-	t := &w.s.Types[x.kind]
+	t := &w.scenario.Types[x.txnType]
 	s := &p.sessions[x.session]
-	p.ids++
-	x.tries++
-	id := p.ids
-	if x.first == 0 {
-		x.first = id
-	}
-	left := x.due + t.MaxWait - w.Now
-	w.log.Attempts = append(w.log.Attempts, audit.Attempt{ID: id, FirstID: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
-		MinVersion: s.told, DueAt: x.due, SentAt: w.Now, Deadline: w.Now + left, Gateway: n.no})
-	a := &asked{id: id, kind: x.kind, session: uint64(x.session) + 1, key: x.key, version: x.version, budget: left}
-	if t.Consistency == "causal" && s.at > 0 && w.s.Sessions == Brought {
-		a.floor = s.at
-	}
-	a.answer = func(k audit.Outcome, version uint64, position int64, again int64) {
-		p.answered(x, id, k, version, position, again)
+	p.lastID++
+	x.attempts++
+	id := p.lastID
+	if x.firstID == 0 {
+		x.firstID = id
+	}
+	left := x.dueAt + t.MaxWait - w.Now
+	w.log.Attempts = append(w.log.Attempts, audit.Attempt{ID: id, FirstID: x.firstID, Session: uint64(x.session) + 1, Type: x.txnType, Key: x.key, Version: x.version,
+		MinVersion: s.confirmed, DueAt: x.dueAt, SentAt: w.Now, Deadline: w.Now + left, Gateway: n.index})
+	a := &txn{id: id, txnType: x.txnType, session: uint64(x.session) + 1, key: x.key, version: x.version, budget: left}
+	if t.Consistency == "causal" && s.position > 0 && w.scenario.Sessions == Brought {
+		a.floor = s.position
+	}
+	a.respond = func(k audit.Outcome, version uint64, position int64, again int64) {
+		p.handleResponse(x, id, k, version, position, again)
 	}
 	return a
 }
 
-// answered is what a client makes of an answer: some come again, while there is time.
-func (p *people) answered(x *wish, id uint64, k audit.Outcome, version uint64, position, again int64) {
+// handleResponse processes a response: repeatable and rejected requests are retried while time remains.
+func (p *clientPool) handleResponse(x *clientRequest, id uint64, outcome audit.Outcome, version uint64, position, retryAfter int64) {
 	w := p.w
-	w.log.Responses = append(w.log.Responses, audit.Response{ID: id, At: w.Now, Outcome: k, Version: version})
-	t := &w.s.Types[x.kind]
+	w.log.Responses = append(w.log.Responses, audit.Response{ID: id, At: w.Now, Outcome: outcome, Version: version})
+	t := &w.scenario.Types[x.txnType]
 	s := &p.sessions[x.session]
-	if k == audit.Served {
+	if outcome == audit.Served {
 		p.served++
 		if t.Consistency == "mutate" {
 			s.writing = false
-			s.told = max(s.told, x.version)
-			s.at = max(s.at, position)
-			if kind := w.s.followUp(); kind >= 0 {
-				w.After(int64(w.rng.ExpFloat64()*float64(w.s.Traffic.Think)), func() {
+			s.confirmed = max(s.confirmed, x.version)
+			s.position = max(s.position, position)
+			if kind := w.scenario.followUp(); kind >= 0 {
+				w.After(int64(w.rng.ExpFloat64()*float64(w.scenario.Traffic.Think)), func() {
 					if !p.closed {
-						p.try(&wish{kind: kind, session: x.session, due: w.Now})
+						p.send(&clientRequest{txnType: kind, session: x.session, dueAt: w.Now})
 					}
 				})
 			}
 		}
 		return
 	}
-	repeatable := t.Effect == "repeatable" || k == audit.Declined
-	pause := max(again, int64(20e6))
-	if w.s.Traffic.Retry && repeatable && x.tries < 5 && w.Now+pause < x.due+t.MaxWait-int64(50e6) {
-		w.After(pause, func() { p.try(x) })
+	repeatable := t.Effect == "repeatable" || outcome == audit.Declined
+	backoff := max(retryAfter, int64(20e6))
+	if w.scenario.Traffic.Retry && repeatable && x.attempts < 5 && w.Now+backoff < x.dueAt+t.MaxWait-int64(50e6) {
+		w.After(backoff, func() { p.send(x) })
 		return
 	}
 	s.writing = false
