--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	runs, err := p.Play(e.Out, days(e.JSON))
+	runs, err := p.Execute(e.Out, days(e.JSON))
 	if err != nil {
 		return err
 	}
@@ -51,14 +51,14 @@
 	}
 	for _, v := range verdicts {
 		x := func(x float64) string { return fmt.Sprintf("%.4f", x) }
-		_ = w.Write([]string{v.Scenario, v.Point, v.Variant, v.Measure, x(v.Mean), x(v.Than), x(v.Difference), x(v.Low), x(v.High), fmt.Sprint(v.Pairs), v.Says})
+		_ = w.Write([]string{v.Scenario, v.ParameterValues, v.Variant, v.Measure, x(v.Mean), x(v.Baseline), x(v.Difference), x(v.Low), x(v.High), fmt.Sprint(v.Pairs), v.Conclusion})
 		if e.JSON {
 			if err := json.NewEncoder(out).Encode(v); err != nil {
 				return err
 			}
 			continue
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.3f\t%.3f\t%+.4f\t%+.4f to %+.4f\t%s\n", v.Scenario, v.Point, v.Variant, v.Measure, v.Mean, v.Than, v.Difference, v.Low, v.High, v.Says)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.3f\t%.3f\t%+.4f\t%+.4f to %+.4f\t%s\n", v.Scenario, v.ParameterValues, v.Variant, v.Measure, v.Mean, v.Baseline, v.Difference, v.Low, v.High, v.Conclusion)
 	}
 	w.Flush()
 	if err := w.Error(); err != nil {
@@ -110,15 +110,15 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "the worst of %d days loses %.3f with %d faults in %v; shrunk, %.3f with %d in %v (%d days played)\n", e.Days, f.Loss, len(f.Day.Faults),
-		time.Duration(f.Day.Length).Round(time.Millisecond), f.ShrunkTo, len(f.Shrunk.Faults), time.Duration(f.Shrunk.Length).Round(time.Millisecond), f.Played)
+	fmt.Fprintf(out, "the worst of %d days loses %.3f with %d faults in %v; shrunk, %.3f with %d in %v (%d days played)\n", e.Days, f.Loss, len(f.Scenario.Faults),
+		time.Duration(f.Scenario.Length).Round(time.Millisecond), f.ShrunkLoss, len(f.Shrunk.Faults), time.Duration(f.Shrunk.Length).Round(time.Millisecond), f.Evaluations)
 	for _, x := range f.Shrunk.Faults {
-		fmt.Fprintf(out, "%8v  %s, for %v\n", time.Duration(x.At).Round(time.Millisecond), x, time.Duration(x.For).Round(time.Millisecond))
+		fmt.Fprintf(out, "%8v  %s, for %v\n", time.Duration(x.At).Round(time.Millisecond), x, time.Duration(x.Duration).Round(time.Millisecond))
 	}
 	if e.Out == "" {
 		return nil
 	}
-	f.Shrunk.Expect = rehearse.Expectation{Service: -1, Worst10: -1, WorstType: -1, Rules: true}
+	f.Shrunk.Expect = rehearse.Expectation{Service: -1, Worst10: -1, WorstType: -1, NoViolations: true}
 	return os.WriteFile(e.Out, f.Shrunk.HCL(), 0o644)
 }
 
@@ -148,11 +148,11 @@
 	if l.For > 0 {
 		s.Length = int64(l.For)
 	}
-	r, err := rehearse.Drive(&rehearse.Load{Scenario: s, Addresses: l.Address, Group: l.Cluster, Prefix: uint32(time.Now().Unix())}, progress(l.JSON))
+	r, err := rehearse.RunLoad(&rehearse.Load{Scenario: s, Addresses: l.Address, Group: l.Cluster, SessionPrefix: uint32(time.Now().Unix())}, progress(l.JSON))
 	if err != nil {
 		return err
 	}
-	late := func(q float64) float64 { return float64(r.Late.ValueAtQuantile(q)) / 1000 }
+	late := func(q float64) float64 { return float64(r.SendDelay.ValueAtQuantile(q)) / 1000 }
 	if l.JSON {
 		return json.NewEncoder(out).Encode(map[string]any{"service": r.Service.Overall, "asked": r.Service.Requested, "tries": r.Service.Attempts, "broken": len(r.Violations),
 			"late_p50_ms": late(50), "late_p99_ms": late(99), "errors": r.Errors})
@@ -168,7 +168,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "service %.3f; %d txns in %v, sent %.1f ms late at the median, %.1f ms at the 99th percentile; %d broken rules of answers and reads\n", r.Service.Overall,
-		r.Service.Requested, r.Took.Round(time.Millisecond), late(50), late(99), len(r.Violations))
+		r.Service.Requested, r.Elapsed.Round(time.Millisecond), late(50), late(99), len(r.Violations))
 	for what, n := range r.Errors {
 		fmt.Fprintf(out, "%6d  %s\n", n, what)
 	}
--- a/cli/live.go
+++ b/cli/live.go
@@ -57,7 +57,7 @@
 		fmt.Fprintf(&b, "%-40s %.3f\n", strings.Repeat("=", int(40*max(0, min(1, l.past[i])))), l.past[i])
 	}
 	for _, f := range l.s.Faults {
-		if f.At <= l.at.At && (f.For == 0 || l.at.At < f.At+f.For) {
+		if f.At <= l.at.At && (f.Duration == 0 || l.at.At < f.At+f.Duration) {
 			fmt.Fprintf(&b, "! %s\n", f)
 		}
 	}
--- a/cli/rehearse.go
+++ b/cli/rehearse.go
@@ -67,8 +67,8 @@
 	if p.JSON {
 		worst, x := r.Service.WorstType()
 		err = json.NewEncoder(out).Encode(map[string]any{"scenario": s.Name, "clock": r.Clock, "seed": s.Seed, "policy": s.Policy, "service": r.Service.Overall,
-			"worst10": r.Service.Worst10, "worst_type": worst, "worst_type_service": x, "broken": len(r.Violations), "failed": r.Failed,
-			"mark": fmt.Sprintf("%016x", r.Mark), "asked": r.Service.Requested, "events": r.Events})
+			"worst10": r.Service.Worst10, "worst_type": worst, "worst_type_service": x, "broken": len(r.Violations), "failed": r.FailedExpectations,
+			"mark": fmt.Sprintf("%016x", r.TraceHash), "asked": r.Service.Requested, "events": r.EventCount})
 	} else {
 		err = tell(out, r)
 	}
@@ -79,21 +79,21 @@
 		table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 		fmt.Fprintln(table, "\n\tsimulated\treal\tdifference\t")
 		for _, d := range rehearse.Differences(simulated, r) {
-			fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%+.3f\t\n", d.What, d.One, d.Other, d.By)
+			fmt.Fprintf(table, "%s\t%.3f\t%.3f\t%+.3f\t\n", d.Measure, d.First, d.Second, d.Delta)
 		}
 		if err := table.Flush(); err != nil {
 			return err
 		}
 	}
 	if p.Lines {
-		for _, l := range r.Lines {
+		for _, l := range r.LogLines {
 			fmt.Fprintln(out, l)
 		}
 	}
 	if p.Out != "" && !p.JSON {
 		fmt.Fprintln(out, "report:", filepath.Join(p.Out, "report.html"))
 	}
-	if len(r.Failed) > 0 {
+	if len(r.FailedExpectations) > 0 {
 		return fmt.Errorf("%s is not as expected", s.Name)
 	}
 	return nil
@@ -106,9 +106,11 @@
 		return nil, err
 	}
 	if !p.Watch {
-		return rehearse.Real(s, program, progress(p.JSON))
+		return rehearse.RunReal(s, program, progress(p.JSON))
 	}
-	return watched(s, func(told func(rehearse.Progress)) (*rehearse.Report, error) { return rehearse.Real(s, program, told) })
+	return watched(s, func(told func(rehearse.Progress)) (*rehearse.Report, error) {
+		return rehearse.RunReal(s, program, told)
+	})
 }
 
 // progress writes a line every few seconds of a real day.
@@ -123,9 +125,9 @@
 // tell words a report.
 func tell(out io.Writer, r *rehearse.Report) error {
 	s := r.Scenario
-	fmt.Fprintf(out, "%s: %s\n", s.Name, s.About)
-	fmt.Fprintf(out, "%s clock, seed %d, %d gateways, %d members, %v, played in %v\n\n", r.Clock, s.Seed, s.Gateways, len(r.Places),
-		time.Duration(s.Length), r.Took.Round(time.Millisecond))
+	fmt.Fprintf(out, "%s: %s\n", s.Name, s.Description)
+	fmt.Fprintf(out, "%s clock, seed %d, %d gateways, %d members, %v, played in %v\n\n", r.Clock, s.Seed, s.Gateways, len(r.Members),
+		time.Duration(s.Length), r.Elapsed.Round(time.Millisecond))
 	for _, m := range r.Marks {
 		fmt.Fprintf(out, "%8v  %s", time.Duration(m.At), m.Text)
 		if m.For > 0 {
@@ -165,10 +167,10 @@
 	}
 	worst, x := r.Service.WorstType()
 	fmt.Fprintf(out, "\nservice %.3f, worst ten seconds %.3f, %s %.3f\n", r.Service.Overall, r.Service.Worst10, worst, x)
-	for _, f := range r.Left {
+	for _, f := range r.UnsupportedFaults {
 		fmt.Fprintln(out, "not played in real time:", f)
 	}
-	for _, f := range r.Failed {
+	for _, f := range r.FailedExpectations {
 		fmt.Fprintln(out, "not as expected:", f)
 	}
 	return nil
@@ -179,12 +181,12 @@
 // Run lists them.
 func (*listScenarios) Run(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, name := range rehearse.Names() {
+	for _, name := range rehearse.BuiltinNames() {
 		s, err := rehearse.Find(name)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(table, "%s\t%s\n", name, s.About)
+		fmt.Fprintf(table, "%s\t%s\n", name, s.Description)
 	}
 	return table.Flush()
 }
@@ -195,7 +197,7 @@
 
 // Run prints it.
 func (s *showScenario) Run(out io.Writer) error {
-	text, err := rehearse.Text(s.Scenario)
+	text, err := rehearse.BuiltinText(s.Scenario)
 	if err == nil {
 		_, err = out.Write(text)
 	}
--- a/rehearse/covered.go
+++ b/rehearse/covered.go
@@ -23,7 +23,7 @@
 // newSessionHost makes one, or nil where clients bring their positions.
 func newSessionHost(n *node) (*sessionHost, error) {
 	w := n.w
-	if w.s.Sessions == Brought || w.s.Policy != ByModule {
+	if w.s.Sessions == Brought || w.s.Policy != PolicyDecide {
 		return nil, nil
 	}
 	t := session.DefaultConfig()
--- a/rehearse/databases.go
+++ b/rehearse/databases.go
@@ -10,7 +10,7 @@
 // cluster is a group's log and its members.
 type cluster struct {
 	no      int
-	plan    GroupPlan
+	plan    GroupConfig
 	members []*database
 	log     []commit            // by position
 	last    int64               // position of the latest
@@ -99,13 +99,13 @@
 		d.next, d.freeAt = len(d.of.log), now
 		return d.applied
 	}
-	ship := d.of.plan.Lag + d.late
+	ship := d.of.plan.ReplicationLag + d.late
 	for d.next < len(d.of.log) {
 		c := &d.of.log[d.next]
 		if c.at+ship > now {
 			break
 		}
-		end := max(d.freeAt, c.at+ship) + d.of.plan.Apply
+		end := max(d.freeAt, c.at+ship) + d.of.plan.ApplyTime
 		if end > now {
 			return d.applied
 		}
@@ -135,10 +135,10 @@
 func (d *database) warmth() float64 {
 	p := &d.of.plan
 	age := d.w.Now - d.born
-	if d.born == 0 || age >= p.Cold {
+	if d.born == 0 || age >= p.WarmUp {
 		return 1
 	}
-	return p.ColdFrom + (1-p.ColdFrom)*float64(age)/float64(p.Cold)
+	return p.ColdFraction + (1-p.ColdFraction)*float64(age)/float64(p.WarmUp)
 }
 
 // take is a query that has come to it.
@@ -168,9 +168,9 @@
 		return
 	}
 	if q.floor > 0 && d.reaches() < q.floor {
-		if waited := d.w.Now - q.came; waited < d.of.plan.Hold {
+		if waited := d.w.Now - q.came; waited < d.of.plan.ReplicaWait {
 			run := d.run
-			d.w.After(min(d.of.plan.Hold-waited, int64(2e6)), func() {
+			d.w.After(min(d.of.plan.ReplicaWait-waited, int64(2e6)), func() {
 				if d.run == run && !d.paused {
 					d.admit(q)
 				} else if d.run == run {
@@ -205,12 +205,12 @@
 		d.offer -= float64(d.window[0].cost)
 		d.window = d.window[1:]
 	}
-	if d.offer <= d.of.plan.Fall*d.warmth()*float64(d.of.plan.Cores)*1e9 {
+	if d.offer <= d.of.plan.OverloadFactor*d.warmth()*float64(d.of.plan.Cores)*1e9 {
 		return true
 	}
 	d.w.said("%s falls over, cold", d.name)
 	d.work(q, audit.Read, 0)
-	d.crash(d.of.plan.Restart)
+	d.crash(d.of.plan.RestartTime)
 	return false
 }
 
@@ -218,8 +218,8 @@
 	d.running++
 	run := d.run
 	took := float64(q.cost) * d.slow / d.warmth()
-	if n := d.running + len(d.queue); n > d.of.plan.Thrash {
-		took *= float64(n) / float64(d.of.plan.Thrash)
+	if n := d.running + len(d.queue); n > d.of.plan.ThrashingThreshold {
+		took *= float64(n) / float64(d.of.plan.ThrashingThreshold)
 	}
 	seen := d.reaches() // what a read shows is as of its begin
 	d.w.After(int64(took), func() {
@@ -309,7 +309,7 @@
 	if d.primary {
 		d.reaches()
 		d.primary = false
-		d.w.After(c.plan.Detect, c.elect)
+		d.w.After(c.plan.DetectionTime, c.elect)
 	}
 	run := d.run
 	d.w.After(2e9, func() { // as long as the list service takes to see it
@@ -337,7 +337,7 @@
 		}
 	}
 	if best == nil {
-		c.members[0].w.After(c.plan.Detect/2+1, c.elect)
+		c.members[0].w.After(c.plan.DetectionTime/2+1, c.elect)
 		return
 	}
 	c.promote(best)
@@ -345,7 +345,7 @@
 
 func (c *cluster) promote(d *database) {
 	at := d.reaches()
-	if !c.plan.Sync {
+	if !c.plan.SyncReplication {
 		for i := range c.log {
 			if x := &c.log[i]; x.at > at && !x.lost {
 				x.lost = true
@@ -364,7 +364,7 @@
 			d.primary = false
 		}
 	}
-	to.w.After(c.plan.HandOver, func() {
+	to.w.After(c.plan.SwitchoverTime, func() {
 		for _, d := range c.members {
 			if d.primary {
 				return
@@ -379,9 +379,9 @@
 }
 
 // draw is a service time.
-func (w *world) draw(t *TypePlan) int64 {
+func (w *world) draw(t *TypeConfig) int64 {
 	mean := float64(t.Cost)
-	switch t.Spread {
+	switch t.Distribution {
 	case Exponential:
 		mean *= w.rng.ExpFloat64()
 	case Lognormal: // with a deviation of one, whose mean is held
@@ -390,7 +390,7 @@
 	return max(1, int64(mean))
 }
 
-func newCluster(w *world, no int, p GroupPlan) *cluster {
+func newCluster(w *world, no int, p GroupConfig) *cluster {
 	c := &cluster{no: no, plan: p, of: map[uint64][]int{}, keys: map[uint64]*keyHeld{}}
 	for i := range p.Members {
 		d := &database{w: w, of: c, no: len(w.bases), name: fmt.Sprintf("%d.%d", no, i), zone: i % len(w.s.Zones), primary: i == 0, up: true, slow: 1}
--- a/rehearse/experiment/experiment.go
+++ b/rehearse/experiment/experiment.go
@@ -42,21 +42,25 @@
 }
 
 // Settable are the parameters, with how each is put into a scenario.
-var Settable = map[string]func(*rehearse.Scenario, float64){
+var ParameterSetters = map[string]func(*rehearse.Scenario, float64){
 	"rate":     func(s *rehearse.Scenario, x float64) { s.Traffic.Rate = x },
-	"roam":     func(s *rehearse.Scenario, x float64) { s.Traffic.Roam = x },
+	"roam":     func(s *rehearse.Scenario, x float64) { s.Traffic.RoamingFraction = x },
 	"sessions": func(s *rehearse.Scenario, x float64) { s.Traffic.Sessions = int(x) },
 	"gateways": func(s *rehearse.Scenario, x float64) { s.Gateways = int(x) },
-	"loss":     func(s *rehearse.Scenario, x float64) { s.Network.Loss = x },
-	"far_ms":   func(s *rehearse.Scenario, x float64) { s.Network.Far = int64(x * 1e6) },
-	"lag_ms":   func(s *rehearse.Scenario, x float64) { each(s, func(g *rehearse.GroupPlan) { g.Lag = int64(x * 1e6) }) },
+	"loss":     func(s *rehearse.Scenario, x float64) { s.Network.LossRatio = x },
+	"far_ms":   func(s *rehearse.Scenario, x float64) { s.Network.InterZoneLatency = int64(x * 1e6) },
+	"lag_ms": func(s *rehearse.Scenario, x float64) {
+		forEachGroup(s, func(g *rehearse.GroupConfig) { g.ReplicationLag = int64(x * 1e6) })
+	},
 	"hold_ms": func(s *rehearse.Scenario, x float64) {
-		each(s, func(g *rehearse.GroupPlan) { g.Hold = int64(x * 1e6) })
+		forEachGroup(s, func(g *rehearse.GroupConfig) { g.ReplicaWait = int64(x * 1e6) })
+	},
+	"cores": func(s *rehearse.Scenario, x float64) {
+		forEachGroup(s, func(g *rehearse.GroupConfig) { g.Cores = int(x) })
 	},
-	"cores": func(s *rehearse.Scenario, x float64) { each(s, func(g *rehearse.GroupPlan) { g.Cores = int(x) }) },
 }
 
-func each(s *rehearse.Scenario, f func(*rehearse.GroupPlan)) {
+func forEachGroup(s *rehearse.Scenario, f func(*rehearse.GroupConfig)) {
 	s.Groups = slices.Clone(s.Groups)
 	for i := range s.Groups {
 		f(&s.Groups[i])
@@ -65,21 +69,26 @@
 
 // Run is one day that was played.
 type Run struct {
-	Scenario, Point, Variant string // Point is the values of the parameters
-	Seed                     uint64
-	Service, Worst10         float64
-	WorstType                float64
-	Broken                   int
-	Mark                     string
+	Scenario        string
+	ParameterValues string `json:"Point"` // "name=value " for each parameter
+	Variant         string
+	Seed            uint64
+	Service         float64
+	Worst10         float64
+	WorstType       float64
+	Violations      int    `json:"Broken"`
+	TraceHash       string `json:"Mark"`
 }
 
-func (r *Run) key() string { return fmt.Sprint(r.Scenario, "|", r.Point, "|", r.Variant, "|", r.Seed) }
+func (r *Run) key() string {
+	return fmt.Sprint(r.Scenario, "|", r.ParameterValues, "|", r.Variant, "|", r.Seed)
+}
 
 // job is a day to be played.
 type job struct {
 	Run
-	s *rehearse.Scenario
-	v *Variant
+	scenario *rehearse.Scenario
+	variant  *Variant
 }
 
 // jobs are all days of a plan.
@@ -109,13 +118,13 @@
 					v := &p.Variants[i]
 					day := *s
 					for _, x := range p.Parameters {
-						Settable[x.Name](&day, at[x.Name])
+						ParameterSetters[x.Name](&day, at[x.Name])
 					}
 					day.Seed = uint64(seed + 1)
 					if v.Policy != "" {
 						day.Policy = v.Policy
 					}
-					all = append(all, job{Run{Scenario: s.Name, Point: point, Variant: v.Name, Seed: day.Seed}, &day, v})
+					all = append(all, job{Run{Scenario: s.Name, ParameterValues: point, Variant: v.Name, Seed: day.Seed}, &day, v})
 				}
 			}
 		}
@@ -124,49 +133,49 @@
 }
 
 // play plays one day.
-func (j *job) play() error {
-	if j.v.Program != "" {
-		return j.elsewhere()
+func (j *job) run() error {
+	if j.variant.Program != "" {
+		return j.runExternal()
 	}
-	r, err := rehearse.Simulate(j.s, nil)
+	r, err := rehearse.Simulate(j.scenario, nil)
 	if err != nil {
 		return err
 	}
-	j.Service, j.Worst10, j.Broken, j.Mark = r.Service.Overall, r.Service.Worst10, len(r.Violations), fmt.Sprintf("%016x", r.Mark)
+	j.Service, j.Worst10, j.Violations, j.TraceHash = r.Service.Overall, r.Service.Worst10, len(r.Violations), fmt.Sprintf("%016x", r.TraceHash)
 	_, j.WorstType = r.Service.WorstType()
 	return nil
 }
 
 // elsewhere has another build play it.
-func (j *job) elsewhere() error {
+func (j *job) runExternal() error {
 	dir, err := os.MkdirTemp("", "experiment")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	file := filepath.Join(dir, "day.hcl")
-	if err := os.WriteFile(file, j.s.HCL(), 0o600); err != nil {
+	if err := os.WriteFile(file, j.scenario.HCL(), 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(j.v.Program, "rehearse", "run", file, "--json")
+	cmd := exec.Command(j.variant.Program, "rehearse", "run", file, "--json")
 	var problems bytes.Buffer
 	cmd.Stderr = &problems
 	out, err := cmd.Output() // status 1 is a day that was not as expected
-	var said struct {
+	var response struct {
 		Service, Worst10 float64
 		WorstType        float64 `json:"worst_type_service"`
 		Broken           int
 		Mark             string
 	}
-	if e := json.Unmarshal(out, &said); e != nil {
-		return fmt.Errorf("%s: %v %v: %s", j.v.Program, err, e, problems.String())
+	if e := json.Unmarshal(out, &response); e != nil {
+		return fmt.Errorf("%s: %v %v: %s", j.variant.Program, err, e, problems.String())
 	}
-	j.Service, j.Worst10, j.WorstType, j.Broken, j.Mark = said.Service, said.Worst10, said.WorstType, said.Broken, said.Mark
+	j.Service, j.Worst10, j.WorstType, j.Violations, j.TraceHash = response.Service, response.Worst10, response.WorstType, response.Broken, response.Mark
 	return nil
 }
 
 // Play plays what of a plan is not yet in a folder, and gives all of it in the plan's order. told is called after each day.
-func (p *Plan) Play(folder string, told func(done, all int)) ([]Run, error) {
+func (p *Plan) Execute(folder string, progress func(done, all int)) ([]Run, error) {
 	if len(p.Variants) == 0 || len(p.Scenarios) == 0 || p.Seeds < 1 {
 		return nil, fmt.Errorf("an experiment needs scenarios, seeds and variants")
 	}
@@ -174,11 +183,11 @@
 		return nil, err
 	}
 	path := filepath.Join(folder, "runs.jsonl")
-	before, whole, err := recall(path)
+	loaded, completeBytes, err := loadRuns(path)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Truncate(path, whole); err != nil && !os.IsNotExist(err) { // half a line of one that was interrupted
+	if err := os.Truncate(path, completeBytes); err != nil && !os.IsNotExist(err) { // half a line of one that was interrupted
 		return nil, err
 	}
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
@@ -188,7 +197,7 @@
 	defer func() { _ = file.Close() }()
 	jobs := p.jobs()
 	var mu sync.Mutex
-	var first error
+	var firstErr error
 	done := 0
 	next := make(chan *job)
 	var wg sync.WaitGroup
@@ -197,7 +206,7 @@
 		go func() {
 			defer wg.Done()
 			for j := range next {
-				err := j.play()
+				err := j.run()
 				mu.Lock()
 				if err == nil {
 					var line []byte
@@ -205,12 +214,12 @@
 						_, err = file.Write(append(line, '\n'))
 					}
 				}
-				if err != nil && first == nil {
-					first = err
+				if err != nil && firstErr == nil {
+					firstErr = err
 				}
 				done++
-				if told != nil {
-					told(done, len(jobs))
+				if progress != nil {
+					progress(done, len(jobs))
 				}
 				mu.Unlock()
 			}
@@ -218,7 +227,7 @@
 	}
 	for i := range jobs {
 		j := &jobs[i]
-		if r, ok := before[j.key()]; ok {
+		if r, ok := loaded[j.key()]; ok {
 			j.Run = r
 			mu.Lock()
 			done++
@@ -229,8 +238,8 @@
 	}
 	close(next)
 	wg.Wait()
-	if first != nil {
-		return nil, first
+	if firstErr != nil {
+		return nil, firstErr
 	}
 	var all []Run
 	for i := range jobs {
@@ -240,7 +249,7 @@
 }
 
 // recall reads what was played before, up to the last whole line.
-func recall(path string) (all map[string]Run, whole int64, err error) {
+func loadRuns(path string) (all map[string]Run, completeBytes int64, err error) {
 	all = map[string]Run{}
 	text, err := os.ReadFile(path)
 	if os.IsNotExist(err) {
@@ -251,25 +260,28 @@
 	for lines := bufio.NewReader(bytes.NewReader(text)); ; {
 		line, err := lines.ReadBytes('\n')
 		if err != nil {
-			return all, whole, nil
+			return all, completeBytes, nil
 		}
 		var r Run
 		if err := json.Unmarshal(line, &r); err != nil {
-			return nil, 0, fmt.Errorf("%s: byte %d: %w", path, whole, err)
+			return nil, 0, fmt.Errorf("%s: byte %d: %w", path, completeBytes, err)
 		}
 		all[r.key()] = r
-		whole += int64(len(line))
+		completeBytes += int64(len(line))
 	}
 }
 
 // Verdict is how a variant does against the first.
 type Verdict struct {
-	Scenario, Point, Variant string
-	Measure                  string
-	Mean, Than               float64 // of the variant, and of the first
-	Difference, Low, High    float64 // of the pairs, with the bounds within which it lies with 95%
-	Pairs                    int
-	Says                     string // "better", "worse" or "can't tell"
+	Scenario              string
+	ParameterValues       string `json:"Point"`
+	Variant               string
+	Measure               string
+	Mean                  float64 // of the variant
+	Baseline              float64 `json:"Than"` // mean of the first variant
+	Difference, Low, High float64 // mean of the paired differences and its 95% confidence interval
+	Pairs                 int
+	Conclusion            string `json:"Says"` // "better", "worse" or "can't tell"
 }
 
 // Measures are what variants are compared by; more is better.
@@ -280,42 +292,42 @@
 	{"service", func(r *Run) float64 { return r.Service }},
 	{"worst10", func(r *Run) float64 { return r.Worst10 }},
 	{"worst type", func(r *Run) float64 { return r.WorstType }},
-	{"rules", func(r *Run) float64 { return -float64(r.Broken) }},
+	{"rules", func(r *Run) float64 { return -float64(r.Violations) }},
 }
 
 // Compare compares each variant with the first, pair by pair of the same seed.
 func (p *Plan) Compare(runs []Run) (all []Verdict) {
-	by := map[string]*Run{}
+	runsByKey := map[string]*Run{}
 	type place struct{ scenario, point string }
 	var places []place
 	for i := range runs {
 		r := &runs[i]
-		by[r.key()] = r
-		if at := (place{r.Scenario, r.Point}); !slices.Contains(places, at) {
+		runsByKey[r.key()] = r
+		if at := (place{r.Scenario, r.ParameterValues}); !slices.Contains(places, at) {
 			places = append(places, at)
 		}
 	}
 	for _, at := range places {
 		for _, v := range p.Variants[1:] {
 			for _, m := range Measures {
-				x := Verdict{Scenario: at.scenario, Point: at.point, Variant: v.Name, Measure: m.Name}
+				x := Verdict{Scenario: at.scenario, ParameterValues: at.point, Variant: v.Name, Measure: m.Name}
 				var differences []float64
 				for seed := range p.Seeds {
-					a := by[(&Run{Scenario: at.scenario, Point: at.point, Variant: p.Variants[0].Name, Seed: uint64(seed + 1)}).key()]
-					b := by[(&Run{Scenario: at.scenario, Point: at.point, Variant: v.Name, Seed: uint64(seed + 1)}).key()]
-					x.Mean, x.Than = x.Mean+m.Of(b), x.Than+m.Of(a)
+					a := runsByKey[(&Run{Scenario: at.scenario, ParameterValues: at.point, Variant: p.Variants[0].Name, Seed: uint64(seed + 1)}).key()]
+					b := runsByKey[(&Run{Scenario: at.scenario, ParameterValues: at.point, Variant: v.Name, Seed: uint64(seed + 1)}).key()]
+					x.Mean, x.Baseline = x.Mean+m.Of(b), x.Baseline+m.Of(a)
 					differences = append(differences, m.Of(b)-m.Of(a))
 				}
 				n := float64(len(differences))
-				x.Pairs, x.Mean, x.Than = len(differences), x.Mean/n, x.Than/n
+				x.Pairs, x.Mean, x.Baseline = len(differences), x.Mean/n, x.Baseline/n
 				x.Difference, x.Low, x.High = Bootstrap(differences, 1)
 				switch {
 				case x.Low > 0:
-					x.Says = "better"
+					x.Conclusion = "better"
 				case x.High < 0:
-					x.Says = "worse"
+					x.Conclusion = "worse"
 				default:
-					x.Says = "can't tell"
+					x.Conclusion = "can't tell"
 				}
 				all = append(all, x)
 			}
@@ -325,7 +337,7 @@
 }
 
 // resamples of a bootstrap. Ours: the bounds stand still to a hundredth of their span.
-const resamples = 4000
+const bootstrapResamples = 4000
 
 // Bootstrap gives the mean of some numbers and the bounds within which it lies with 95%, by resampling (Efron 1979, the
 // percentile method). With fewer than five numbers nothing can be said: the bounds are infinite.
@@ -337,12 +349,12 @@
 		return mean, math.Inf(-1), math.Inf(1)
 	}
 	rng := rand.New(rand.NewPCG(seed, 21))
-	means := make([]float64, resamples)
+	means := make([]float64, bootstrapResamples)
 	for i := range means {
 		for range all {
 			means[i] += all[rng.IntN(len(all))] / float64(len(all))
 		}
 	}
 	slices.Sort(means)
-	return mean, means[resamples*25/1000], means[resamples*975/1000]
+	return mean, means[bootstrapResamples*25/1000], means[bootstrapResamples*975/1000]
 }
--- a/rehearse/experiment/experiment_test.go
+++ b/rehearse/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"magpieglade/rehearse"
 )
 
-func small(t testing.TB, name string) *rehearse.Scenario {
+func smallScenario(t testing.TB, name string) *rehearse.Scenario {
 	t.Helper()
 	s, err := rehearse.Find(name)
 	if err != nil {
@@ -24,8 +24,8 @@
 }
 
 // A scenario that is written is read as the same, and plays the same day.
-func TestWrittenIsRead(t *testing.T) {
-	for _, name := range rehearse.Names() {
+func TestHCLRoundTrip(t *testing.T) {
+	for _, name := range rehearse.BuiltinNames() {
 		s, err := rehearse.Find(name)
 		if err != nil {
 			t.Fatal(err)
@@ -39,19 +39,19 @@
 
 // A baseline that is worse is told to be, one that is the same is not told apart; and what was interrupted, in the middle
 // of a line, goes on to the very same result without playing again what was played.
-func TestVerdictsAndResumption(t *testing.T) {
-	p := &Plan{Scenarios: []*rehearse.Scenario{small(t, "jump")}, Seeds: 6,
-		Variants:   []Variant{{Name: "ours"}, {Name: "same", Policy: rehearse.ByModule}, {Name: "main", Policy: rehearse.AllOnMain}},
+func TestCompareAndResume(t *testing.T) {
+	p := &Plan{Scenarios: []*rehearse.Scenario{smallScenario(t, "jump")}, Seeds: 6,
+		Variants:   []Variant{{Name: "ours"}, {Name: "same", Policy: rehearse.PolicyDecide}, {Name: "main", Policy: rehearse.PolicyAllToPrimary}},
 		Parameters: []Parameter{{"rate", []float64{300, 900}}, {"cores", []float64{1}}}}
-	p.Scenarios[0].Traffic.Jumps = nil
+	p.Scenarios[0].Traffic.Bursts = nil
 	folder := t.TempDir()
-	want, err := p.Play(folder, nil)
+	want, err := p.Execute(folder, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	says := map[string]string{}
 	for _, v := range p.Compare(want) {
-		says[v.Point+v.Variant+" "+v.Measure] = v.Says
+		says[v.ParameterValues+v.Variant+" "+v.Measure] = v.Conclusion
 	}
 	if says["rate=900 cores=1 main service"] != "worse" || says["rate=900 cores=1 same service"] != "can't tell" {
 		t.Fatal(says)
@@ -66,7 +66,7 @@
 	}
 	before := strings.Count(string(text[:len(text)*2/3]), "\n")
 	played := 0
-	got, err := p.Play(folder, func(int, int) { played++ })
+	got, err := p.Execute(folder, func(int, int) { played++ })
 	if err != nil || !reflect.DeepEqual(got, want) || played != len(want)-before {
 		t.Fatal(err, played, len(want), before, reflect.DeepEqual(got, want))
 	}
@@ -95,18 +95,18 @@
 
 // A search ends with a day that is no longer than the one it found, has no more faults, and still shows the loss.
 func TestSearch(t *testing.T) {
-	s := small(t, "calm")
+	s := smallScenario(t, "calm")
 	s.Length = 15e9
-	f, err := Search(s, rehearse.ByModule, "", 12, 1, nil)
+	f, err := Search(s, rehearse.PolicyDecide, "", 12, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("lost %.3f of %d faults in %v ns, shrunk to %.3f of %d faults in %v ns, %d days", f.Loss, len(f.Day.Faults), f.Day.Length, f.ShrunkTo, len(f.Shrunk.Faults), f.Shrunk.Length, f.Played)
-	if f.Loss <= 0 || f.ShrunkTo < shrinkPart*f.Loss || len(f.Shrunk.Faults) > len(f.Day.Faults) || f.Shrunk.Length > f.Day.Length ||
-		len(f.Shrunk.Faults) == len(f.Day.Faults) && f.Shrunk.Length == f.Day.Length {
+	t.Logf("lost %.3f of %d faults in %v ns, shrunk to %.3f of %d faults in %v ns, %d days", f.Loss, len(f.Scenario.Faults), f.Scenario.Length, f.ShrunkLoss, len(f.Shrunk.Faults), f.Shrunk.Length, f.Evaluations)
+	if f.Loss <= 0 || f.ShrunkLoss < minRemainingLossFraction*f.Loss || len(f.Shrunk.Faults) > len(f.Scenario.Faults) || f.Shrunk.Length > f.Scenario.Length ||
+		len(f.Shrunk.Faults) == len(f.Scenario.Faults) && f.Shrunk.Length == f.Scenario.Length {
 		t.Fatalf("%+v", f)
 	}
-	again, err := Search(s, rehearse.ByModule, "", 12, 1, nil)
+	again, err := Search(s, rehearse.PolicyDecide, "", 12, 1, nil)
 	if err != nil || !reflect.DeepEqual(again, f) {
 		t.Fatal("another search of the same seed finds another day")
 	}
--- a/rehearse/experiment/read.go
+++ b/rehearse/experiment/read.go
@@ -16,7 +16,7 @@
 )
 
 // text is an experiment's file.
-type text struct {
+type planFile struct {
 	Scenarios []string `hcl:"scenarios"`
 	Seeds     int      `hcl:"seeds"`
 	Variants  []struct {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	var t text
+	var t planFile
 	if err := hclsimple.Decode(path, body, nil, &t); err != nil {
 		var diags hcl.Diagnostics
 		if errors.As(err, &diags) {
@@ -48,14 +48,14 @@
 		}
 		return nil, err
 	}
-	here := filepath.Dir(path)
+	folder := filepath.Dir(path)
 	p := &Plan{Seeds: t.Seeds}
 	if t.Seeds < 1 || len(t.Scenarios) == 0 || len(t.Variants) == 0 {
 		return nil, fmt.Errorf("%s: an experiment needs scenarios, seeds and variants", path)
 	}
 	for _, name := range t.Scenarios {
 		if strings.HasSuffix(name, ".hcl") && !filepath.IsAbs(name) {
-			name = filepath.Join(here, name)
+			name = filepath.Join(folder, name)
 		}
 		s, err := rehearse.Find(name)
 		if err != nil {
@@ -64,24 +64,24 @@
 		p.Scenarios = append(p.Scenarios, s)
 	}
 	for _, v := range t.Variants {
-		wrong := func(format string, a ...any) error {
+		errorf := func(format string, a ...any) error {
 			return fmt.Errorf("%s:%d:%d: variant %q: %s", path, v.At.Start.Line, v.At.Start.Column, v.Name, fmt.Sprintf(format, a...))
 		}
 		if v.Policy != "" && !slices.Contains(rehearse.Policies, v.Policy) {
-			return nil, wrong("unknown policy %q: it is one of %s", v.Policy, strings.Join(rehearse.Policies, ", "))
+			return nil, errorf("unknown policy %q: it is one of %s", v.Policy, strings.Join(rehearse.Policies, ", "))
 		}
 		if slices.ContainsFunc(p.Variants, func(o Variant) bool { return o.Name == v.Name }) {
-			return nil, wrong("it stands twice")
+			return nil, errorf("it stands twice")
 		}
 		if v.Program != "" && !filepath.IsAbs(v.Program) {
-			v.Program = filepath.Join(here, v.Program)
+			v.Program = filepath.Join(folder, v.Program)
 		}
 		p.Variants = append(p.Variants, Variant{v.Name, v.Policy, v.Program})
 	}
 	for _, x := range t.Parameters {
-		if Settable[x.Name] == nil || len(x.Values) == 0 {
+		if ParameterSetters[x.Name] == nil || len(x.Values) == 0 {
 			var all []string
-			for k := range Settable {
+			for k := range ParameterSetters {
 				all = append(all, k)
 			}
 			slices.Sort(all)
--- a/rehearse/experiment/search.go
+++ b/rehearse/experiment/search.go
@@ -8,24 +8,24 @@
 )
 
 // Found is the worst day of a search, and the shortest that still shows it.
-type Found struct {
-	Day      *rehearse.Scenario
-	Loss     float64 // of the day as it was found
-	Shrunk   *rehearse.Scenario
-	ShrunkTo float64 // its loss
-	Played   int
+type SearchResult struct {
+	Scenario    *rehearse.Scenario
+	Loss        float64 // of the day as it was found
+	Shrunk      *rehearse.Scenario
+	ShrunkLoss  float64 // its loss
+	Evaluations int
 }
 
 // shrinkPart of a loss must be left in a shrunk day.
-const shrinkPart = 0.8
+const minRemainingLossFraction = 0.8
 
 // Search plays days with faults by chance on a scenario's fleet and finds the one on which a policy loses most: against
 // another policy, or where that is empty against a day without a fault. Then it takes away what the loss does not need.
-func Search(s *rehearse.Scenario, policy, against string, days int, seed uint64, told func(done, all int)) (*Found, error) {
+func Search(s *rehearse.Scenario, policy, against string, days int, seed uint64, progress func(done, all int)) (*SearchResult, error) {
 	rng := rand.New(rand.NewPCG(seed, 22))
-	f := &Found{}
+	result := &SearchResult{}
 	loss := func(day *rehearse.Scenario) (float64, error) {
-		f.Played++
+		result.Evaluations++
 		a := *day
 		a.Policy = policy
 		got, err := rehearse.Simulate(&a, nil)
@@ -38,67 +38,67 @@
 		} else {
 			b.Policy, b.Faults = policy, nil
 		}
-		than, err := rehearse.Simulate(&b, nil)
+		baseline, err := rehearse.Simulate(&b, nil)
 		if err != nil {
 			return 0, err
 		}
-		return than.Service.Overall - got.Service.Overall + float64(len(got.Violations)), nil // a broken rule is worse than any loss
+		return baseline.Service.Overall - got.Service.Overall + float64(len(got.Violations)), nil // a broken rule is worse than any loss
 	}
 	for i := range days {
-		day := chance(s, rng)
+		day := randomScenario(s, rng)
 		x, err := loss(day)
 		if err != nil {
 			return nil, err
 		}
-		if f.Day == nil || x > f.Loss {
-			f.Day, f.Loss = day, x
+		if result.Scenario == nil || x > result.Loss {
+			result.Scenario, result.Loss = day, x
 		}
-		if told != nil {
-			told(i+1, days)
+		if progress != nil {
+			progress(i+1, days)
 		}
 	}
-	f.Shrunk, f.ShrunkTo = f.Day, f.Loss
-	keep := func(day *rehearse.Scenario) (bool, error) {
+	result.Shrunk, result.ShrunkLoss = result.Scenario, result.Loss
+	keepIfLossRemains := func(day *rehearse.Scenario) (bool, error) {
 		x, err := loss(day)
-		if err == nil && x >= shrinkPart*f.Loss && x > 0 {
-			f.Shrunk, f.ShrunkTo = day, x
+		if err == nil && x >= minRemainingLossFraction*result.Loss && x > 0 {
+			result.Shrunk, result.ShrunkLoss = day, x
 			return true, nil
 		}
 		return false, err
 	}
 	for again := true; again; {
 		again = false
-		for i := 0; i < len(f.Shrunk.Faults) && len(f.Shrunk.Faults) > 1; i++ {
-			day := *f.Shrunk
+		for i := 0; i < len(result.Shrunk.Faults) && len(result.Shrunk.Faults) > 1; i++ {
+			day := *result.Shrunk
 			day.Faults = slices.Delete(slices.Clone(day.Faults), i, i+1)
-			ok, err := keep(&day)
+			ok, err := keepIfLossRemains(&day)
 			if err != nil {
 				return nil, err
 			}
 			again = again || ok
 		}
-		for _, change := range []func(*rehearse.Scenario) bool{half, sooner, shorter} {
-			day := *f.Shrunk
+		for _, change := range []func(*rehearse.Scenario) bool{halveFaults, moveEarlier, trimEnd} {
+			day := *result.Shrunk
 			day.Faults = slices.Clone(day.Faults)
 			if !change(&day) {
 				continue
 			}
-			ok, err := keep(&day)
+			ok, err := keepIfLossRemains(&day)
 			if err != nil {
 				return nil, err
 			}
 			again = again || ok
 		}
 	}
-	return f, nil
+	return result, nil
 }
 
 // chance is a day of one to five faults.
-func chance(s *rehearse.Scenario, rng *rand.Rand) *rehearse.Scenario {
+func randomScenario(s *rehearse.Scenario, rng *rand.Rand) *rehearse.Scenario {
 	day := *s
 	day.Seed, day.Faults, day.Random = rng.Uint64N(1<<53), nil, nil
 	var kinds []string
-	for k := range rehearse.Faults {
+	for k := range rehearse.FaultKinds {
 		kinds = append(kinds, k)
 	}
 	slices.Sort(kinds)
@@ -111,7 +111,7 @@
 	for range 1 + rng.IntN(5) {
 		f := rehearse.Fault{Kind: kinds[rng.IntN(len(kinds))], At: rng.Int64N(s.Length * 2 / 3), Member: members[rng.IntN(len(members))],
 			Gateway: rng.IntN(s.Gateways), Zone: s.Zones[rng.IntN(len(s.Zones))], Lag: 1e8 + rng.Int64N(5e9)}
-		f.For = 5e8 + rng.Int64N(s.Length/3)
+		f.Duration = 5e8 + rng.Int64N(s.Length/3)
 		switch f.Kind {
 		case "slow":
 			f.Factor = 2 + 18*rng.Float64()
@@ -125,18 +125,18 @@
 }
 
 // half has every fault last half as long.
-func half(s *rehearse.Scenario) bool {
+func halveFaults(s *rehearse.Scenario) bool {
 	for i := range s.Faults {
-		if s.Faults[i].For < 2e8 {
+		if s.Faults[i].Duration < 2e8 {
 			return false
 		}
-		s.Faults[i].For /= 2
+		s.Faults[i].Duration /= 2
 	}
 	return len(s.Faults) > 0
 }
 
 // sooner brings the first fault to the second second, and the others with it.
-func sooner(s *rehearse.Scenario) bool {
+func moveEarlier(s *rehearse.Scenario) bool {
 	by := s.Faults[0].At - 2e9
 	if by < 1e9 {
 		return false
@@ -149,10 +149,10 @@
 }
 
 // shorter ends the day soon after the last fault.
-func shorter(s *rehearse.Scenario) bool {
+func trimEnd(s *rehearse.Scenario) bool {
 	end := int64(0)
 	for _, f := range s.Faults {
-		end = max(end, f.At+f.For+4e9)
+		end = max(end, f.At+f.Duration+4e9)
 	}
 	if end >= s.Length-1e9 {
 		return false
--- a/rehearse/library.go
+++ b/rehearse/library.go
@@ -8,14 +8,14 @@
 )
 
 //go:embed scenarios/*.hcl
-var ready embed.FS
+var builtinFiles embed.FS
 
 // Default is the scenario that is played when none is named.
-const Default = "default"
+const DefaultName = "default"
 
 // Names are those of the ready scenarios.
-func Names() (all []string) {
-	files, err := ready.ReadDir("scenarios")
+func BuiltinNames() (all []string) {
+	files, err := builtinFiles.ReadDir("scenarios")
 	if err != nil {
 		panic(err) // it is in the program
 	}
@@ -27,10 +27,10 @@
 }
 
 // Text gives a ready scenario's file.
-func Text(name string) ([]byte, error) {
-	text, err := ready.ReadFile("scenarios/" + name + ".hcl")
+func BuiltinText(name string) ([]byte, error) {
+	text, err := builtinFiles.ReadFile("scenarios/" + name + ".hcl")
 	if err != nil {
-		return nil, fmt.Errorf("there is no ready scenario %q: it is one of %s", name, strings.Join(Names(), ", "))
+		return nil, fmt.Errorf("there is no ready scenario %q: it is one of %s", name, strings.Join(BuiltinNames(), ", "))
 	}
 	return text, nil
 }
@@ -40,7 +40,7 @@
 	if strings.HasSuffix(name, ".hcl") {
 		return Read(name)
 	}
-	text, err := Text(name)
+	text, err := BuiltinText(name)
 	if err != nil {
 		return nil, err
 	}
--- a/rehearse/load.go
+++ b/rehearse/load.go
@@ -17,10 +17,10 @@
 
 // Load is what drives gateways at some addresses: a scenario's txn types and traffic, and nothing of its fleet.
 type Load struct {
-	Scenario  *Scenario
-	Addresses []string
-	Group     int    // that all txns name
-	Prefix    uint32 // of sessions' keys, so that two loads do not share them
+	Scenario      *Scenario
+	Addresses     []string
+	Group         int    // that all txns name
+	SessionPrefix uint32 // of sessions' keys, so that two loads do not share them
 }
 
 // LoadReport is what came of it. Answers are all that is seen: effects, drains and cold members are not, so only the rules
@@ -28,13 +28,13 @@
 type LoadReport struct {
 	Service    audit.Service
 	Violations []audit.Violation
-	Late       *hdrhistogram.Histogram // microseconds between when a try was due and when it was sent
-	Took       time.Duration
+	SendDelay  *hdrhistogram.Histogram // microseconds between when a try was due and when it was sent
+	Elapsed    time.Duration
 	Errors     map[string]int // of connections, by what they say
 }
 
 // Drive sends a scenario's traffic in open loop: what is due is sent, whatever has come back, and counts from when it was due.
-func Drive(l *Load, watch func(Progress)) (*LoadReport, error) {
+func RunLoad(l *Load, watch func(Progress)) (*LoadReport, error) {
 	s := l.Scenario
 	if len(l.Addresses) == 0 {
 		return nil, fmt.Errorf("there is no address")
@@ -43,14 +43,14 @@
 	d := newDriver(s, began)
 	// Another at each start: ids belong to one txn as long as it is open, and keys as long as databases remember them.
 	first := uint64(began.UnixNano()) << 16
-	d.ids.Store(first)
-	d.keys.Store(first)
-	d.prefix, d.group = l.Prefix, func(int) int { return l.Group }
+	d.lastID.Store(first)
+	d.lastKey.Store(first)
+	d.sessionPrefix, d.groupOf = l.SessionPrefix, func(int) int { return l.Group }
 	for _, a := range l.Addresses {
-		d.doors = append(d.doors, &door{front: standin.NewClientPool(a), address: a})
+		d.endpoints = append(d.endpoints, &endpoint{pool: standin.NewClientPool(a), address: a})
 	}
-	d.send(watch)
-	t := s.terms(250e6)
+	d.run(watch)
+	t := s.auditConfig(250e6)
 	t.OverloadFactor = 0
 	var kept []audit.Violation
 	for _, v := range audit.Check(t, &d.log) {
@@ -58,32 +58,32 @@
 			kept = append(kept, v)
 		}
 	}
-	return &LoadReport{Service: audit.Measure(t, &d.log), Violations: kept, Late: d.late, Took: time.Since(d.began), Errors: d.errors}, nil
+	return &LoadReport{Service: audit.Measure(t, &d.log), Violations: kept, SendDelay: d.sendDelay, Elapsed: time.Since(d.start), Errors: d.errors}, nil
 }
 
 // driver is a load under way.
 type driver struct {
-	s      *Scenario
-	prefix uint32
-	group  func(session int) int
-	doors  []*door
-	rng    *rand.Rand
-	thinks *rand.Rand // of mu's, as whoever was answered draws from it
-	began  time.Time
-	mu     sync.Mutex
-	people []person
-	log    audit.Log
-	late   *hdrhistogram.Histogram
-	errors map[string]int
-	ids    atomic.Uint64
-	keys   atomic.Uint64
-	served atomic.Int64
-	wg     sync.WaitGroup
+	scenario      *Scenario
+	sessionPrefix uint32
+	groupOf       func(session int) int
+	endpoints     []*endpoint
+	rng           *rand.Rand
+	thinkRNG      *rand.Rand // of mu's, as whoever was answered draws from it
+	start         time.Time
+	mu            sync.Mutex
+	sessions      []person
+	log           audit.Log
+	sendDelay     *hdrhistogram.Histogram
+	errors        map[string]int
+	lastID        atomic.Uint64
+	lastKey       atomic.Uint64
+	served        atomic.Int64
+	wg            sync.WaitGroup
 }
 
 // door is a gateway as clients reach it, with the connections that wait for the next txn.
-type door struct {
-	front   *standin.ClientPool
+type endpoint struct {
+	pool    *standin.ClientPool
 	address string
 	mu      sync.Mutex
 	idle    []*standin.Client
@@ -91,9 +91,9 @@
 }
 
 // mostIdle is how many connections a door keeps.
-const mostIdle = 1000
+const maxIdle = 1000
 
-func (o *door) client() *standin.Client {
+func (o *endpoint) acquire() *standin.Client {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if k := len(o.idle); k > 0 {
@@ -101,13 +101,13 @@
 		o.idle = o.idle[:k-1]
 		return c
 	}
-	return o.front.NewClient("", standin.TxnTypes{})
+	return o.pool.NewClient("", standin.TxnTypes{})
 }
 
-func (o *door) back(c *standin.Client) {
+func (o *endpoint) release(c *standin.Client) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.downAt.IsZero() && len(o.idle) < mostIdle {
+	if o.downAt.IsZero() && len(o.idle) < maxIdle {
 		o.idle = append(o.idle, c)
 		return
 	}
@@ -115,7 +115,7 @@
 }
 
 // set says that its process runs or has ended.
-func (o *door) set(runs bool) {
+func (o *endpoint) setRunning(runs bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.idle, o.downAt = nil, time.Time{}
@@ -125,29 +125,29 @@
 }
 
 // away tells that the front has seen that it is down.
-func (o *door) away() bool {
+func (o *endpoint) isDown() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !o.downAt.IsZero() && time.Since(o.downAt) > 100*time.Millisecond
 }
 
 func newDriver(s *Scenario, began time.Time) *driver {
-	return &driver{s: s, began: began, people: make([]person, s.Traffic.Sessions), late: hdrhistogram.New(1, 60_000_000, 3), errors: map[string]int{},
-		rng: rand.New(rand.NewPCG(s.Seed, 13)), thinks: rand.New(rand.NewPCG(s.Seed, 15))}
+	return &driver{scenario: s, start: began, sessions: make([]person, s.Traffic.Sessions), sendDelay: hdrhistogram.New(1, 60_000_000, 3), errors: map[string]int{},
+		rng: rand.New(rand.NewPCG(s.Seed, 13)), thinkRNG: rand.New(rand.NewPCG(s.Seed, 15))}
 }
 
-func (d *driver) now() int64 { return int64(time.Since(d.began)) }
+func (d *driver) now() int64 { return int64(time.Since(d.start)) }
 
 // send sends what is due when it is due: who waits for an answer holds nobody else up.
-func (d *driver) send(watch func(Progress)) {
-	s := d.s
+func (d *driver) run(watch func(Progress)) {
+	s := d.scenario
 	sum := 0.0
 	for _, t := range s.Types {
-		sum += t.Share
+		sum += t.Weight
 	}
 	asked := 0
 	over := make(chan struct{})
-	if s.Traffic.Rude > 0 {
+	if s.Traffic.BadClientRate > 0 {
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
@@ -159,37 +159,37 @@
 		if next >= s.Length {
 			break
 		}
-		time.Sleep(time.Until(d.began.Add(time.Duration(next))))
+		time.Sleep(time.Until(d.start.Add(time.Duration(next))))
 		if watch != nil && next-shown > 1e9 {
 			shown = next
 			watch(Progress{At: next, Length: s.Length, Asked: asked, Served: int(d.served.Load())})
 		}
 		x := d.rng.Float64() * sum
 		kind := 0
-		for kind < len(s.Types)-1 && x >= s.Types[kind].Share {
-			x -= s.Types[kind].Share
+		for kind < len(s.Types)-1 && x >= s.Types[kind].Weight {
+			x -= s.Types[kind].Weight
 			kind++
 		}
-		w := &wish{kind: kind, session: d.rng.IntN(len(d.people)), due: next}
-		no := w.session % len(d.doors)
-		if d.rng.Float64() < s.Traffic.Roam {
-			no = d.rng.IntN(len(d.doors))
+		w := &wish{kind: kind, session: d.rng.IntN(len(d.sessions)), due: next}
+		no := w.session % len(d.endpoints)
+		if d.rng.Float64() < s.Traffic.RoamingFraction {
+			no = d.rng.IntN(len(d.endpoints))
 		}
 		if s.Types[kind].Consistency == "mutate" {
 			d.mu.Lock()
-			for i := 0; i < 20 && d.people[w.session].writing; i++ {
-				w.session = d.rng.IntN(len(d.people))
+			for i := 0; i < 20 && d.sessions[w.session].writing; i++ {
+				w.session = d.rng.IntN(len(d.sessions))
 			}
-			p := &d.people[w.session]
+			p := &d.sessions[w.session]
 			p.writing = true
 			p.written++
 			w.version = p.written
 			if s.Types[kind].Effect == "by_key" {
-				w.key = d.keys.Add(1)
+				w.key = d.lastKey.Add(1)
 			}
 			d.mu.Unlock()
 		}
-		if s.Types[kind].Consistency != "mutate" && s.Traffic.Piped > 0 && d.rng.Float64() < s.Traffic.Piped/batch {
+		if s.Types[kind].Consistency != "mutate" && s.Traffic.PipelinedFraction > 0 && d.rng.Float64() < s.Traffic.PipelinedFraction/batch {
 			all := []*wish{w}
 			for len(all) < batch {
 				all = append(all, &wish{kind: kind, session: w.session, due: next})
@@ -206,12 +206,12 @@
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
-			d.wish(w, no)
+			d.runTxn(w, no)
 		}()
 	}
 	close(over)
 	d.wg.Wait()
-	for _, o := range d.doors {
+	for _, o := range d.endpoints {
 		for _, c := range o.idle {
 			c.Close()
 		}
@@ -219,29 +219,29 @@
 }
 
 // wish has a client try, and come again as it is told.
-func (d *driver) wish(x *wish, no int) {
-	s := d.s
+func (d *driver) runTxn(x *wish, no int) {
+	s := d.scenario
 	t := &s.Types[x.kind]
 	for {
-		for i := 0; i < len(d.doors) && d.doors[no].away(); i++ {
-			no = (no + 1) % len(d.doors)
+		for i := 0; i < len(d.endpoints) && d.endpoints[no].isDown(); i++ {
+			no = (no + 1) % len(d.endpoints)
 		}
-		c := d.doors[no].client()
-		id := d.ids.Add(1)
+		c := d.endpoints[no].acquire()
+		id := d.lastID.Add(1)
 		if x.tries++; x.first == 0 {
 			x.first = id
 		}
 		d.mu.Lock()
-		p := &d.people[x.session]
+		p := &d.sessions[x.session]
 		at := d.now()
 		if x.tries == 1 {
-			_ = d.late.RecordValue(max(1, (at-x.due)/1000))
+			_ = d.sendDelay.RecordValue(max(1, (at-x.due)/1000))
 		}
 		left := x.due + t.MaxWait - at
 		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
 			MinVersion: p.told, DueAt: x.due, SentAt: at, Deadline: at + left, Gateway: no})
 		d.mu.Unlock()
-		c.SessionCode, c.Group, c.Timeout = fmt.Sprintf("%08x%08x", d.prefix, x.session+1), d.group(x.session), time.Duration(max(1e6, left))
+		c.SessionCode, c.Group, c.Timeout = fmt.Sprintf("%08x%08x", d.sessionPrefix, x.session+1), d.groupOf(x.session), time.Duration(max(1e6, left))
 		c.Types = standin.TxnTypes{Write: t.Name, Read: t.Name}
 		var a standin.Response
 		if t.Consistency == "mutate" {
@@ -271,13 +271,13 @@
 		d.log.Responses = append(d.log.Responses, audit.Response{ID: id, At: now, Outcome: k, Version: version})
 		if k == audit.Served && t.Consistency == "mutate" {
 			p.told = max(p.told, x.version)
-			if kind := s.followUp(); kind >= 0 {
-				think := time.Duration(d.thinks.ExpFloat64() * float64(s.Traffic.Think))
+			if kind := s.followUpType(); kind >= 0 {
+				think := time.Duration(d.thinkRNG.ExpFloat64() * float64(s.Traffic.ThinkTime))
 				d.wg.Add(1)
 				go func() {
 					defer d.wg.Done()
 					if time.Sleep(think); d.now() < s.Length {
-						d.wish(&wish{kind: kind, session: x.session, due: d.now()}, no)
+						d.runTxn(&wish{kind: kind, session: x.session, due: d.now()}, no)
 					}
 				}()
 			}
@@ -285,7 +285,7 @@
 		if k == audit.Disconnected {
 			d.errors[strings.TrimSpace(a.Code+" "+fmt.Sprint(a.Err))]++
 		} else {
-			d.doors[no].back(c)
+			d.endpoints[no].release(c)
 		}
 		again, _ := strconv.Atoi(a.RetryAfter)
 		pause := max(int64(again)*1e6, int64(20e6))
--- a/rehearse/nodes.go
+++ b/rehearse/nodes.go
@@ -63,7 +63,7 @@
 
 // start begins a process, with the list as it was last held.
 func (n *node) start() error {
-	text, err := n.w.s.settings(n.zone)
+	text, err := n.w.s.gatewaySettings(n.zone)
 	if err != nil {
 		return err
 	}
@@ -99,13 +99,13 @@
 // share begins the shares of tenants, where the scenario has them.
 func (n *node) share() {
 	s := n.w.s
-	if s.InFlight == 0 {
+	if s.MaxInFlight == 0 {
 		return
 	}
-	n.shares = routes.NewShares(&routes.Table{MaxInFlight: s.InFlight, Tenants: s.Tenants}, n.w.Now)
+	n.shares = routes.NewShares(&routes.Table{MaxInFlight: s.MaxInFlight, Tenants: s.Tenants}, n.w.Now)
 	held := map[int32]int{}
 	for i := range s.Tenants {
-		if k := s.Held[s.Tenants[i].Name]; k > 0 {
+		if k := s.ReservedSlots[s.Tenants[i].Name]; k > 0 {
 			held[int32(i)] = k
 		}
 	}
@@ -412,12 +412,12 @@
 		switch {
 		case !d.up:
 			back(func() { n.ended(t, no, reply{result: unreachable}) })
-		case d.conns >= d.of.plan.Connections:
+		case d.conns >= d.of.plan.MaxConnections:
 			back(func() { n.ended(t, no, reply{result: full}) })
 		default:
 			d.conns++
 			s.open, s.run = true, d.run
-			w.After(d.of.plan.Handshake, func() {
+			w.After(d.of.plan.HandshakeTime, func() {
 				if s.over { // given up meanwhile: ended() took the connection back
 					return
 				}
@@ -441,7 +441,7 @@
 	if kind.Consistency == "lag_bound" {
 		q.floor = w.Now - kind.MaxAge
 	}
-	if w.s.Policy == NoTokens {
+	if w.s.Policy == PolicyLeastLoaded {
 		q.floor = 0
 	}
 	q.cost = w.draw(kind)
--- a/rehearse/piped.go
+++ b/rehearse/piped.go
@@ -16,20 +16,20 @@
 
 // piped sends reads ahead on a connection of their own and takes the answers as they come, in the order of the questions.
 func (d *driver) piped(all []*wish, no int) {
-	s := d.s
+	s := d.scenario
 	t := &s.Types[all[0].kind]
-	for i := 0; i < len(d.doors) && d.doors[no].away(); i++ {
-		no = (no + 1) % len(d.doors)
+	for i := 0; i < len(d.endpoints) && d.endpoints[no].isDown(); i++ {
+		no = (no + 1) % len(d.endpoints)
 	}
 	var ids []uint64
 	until := all[0].due + t.MaxWait
 	d.mu.Lock()
 	at := d.now()
 	for _, x := range all {
-		id := d.ids.Add(1)
+		id := d.lastID.Add(1)
 		x.first = id
 		ids = append(ids, id)
-		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: id, Session: uint64(x.session) + 1, Type: x.kind, MinVersion: d.people[x.session].told,
+		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: id, Session: uint64(x.session) + 1, Type: x.kind, MinVersion: d.sessions[x.session].told,
 			DueAt: x.due, SentAt: at, Deadline: until, Gateway: no})
 	}
 	d.mu.Unlock()
@@ -48,7 +48,7 @@
 			answer(audit.Disconnected, 0)
 		}
 	}()
-	c, err := net.DialTimeout("tcp4", d.doors[no].address, time.Second)
+	c, err := net.DialTimeout("tcp4", d.endpoints[no].address, time.Second)
 	if err != nil {
 		return
 	}
@@ -59,7 +59,7 @@
 	for i, x := range all {
 		left := max(1, (until-d.now())/1e6)
 		f.Send(&pgproto3.Query{String: fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=%d */ SELECT data FROM facts WHERE code = '%s'", ids[i], t.Name, left,
-			d.group(x.session), fmt.Sprintf("%08x%08x", d.prefix, x.session+1))})
+			d.groupOf(x.session), fmt.Sprintf("%08x%08x", d.sessionPrefix, x.session+1))})
 	}
 	if f.Flush() != nil {
 		return
--- a/rehearse/real.go
+++ b/rehearse/real.go
@@ -22,170 +22,170 @@
 )
 
 // stage is a scenario on loopback sockets: gateways as processes of a program, stand-ins for all else.
-type stage struct {
-	s       *Scenario
-	program string
-	dir     string
-	rng     *rand.Rand // of the plan of the day; clients and members have their own
-	began   time.Time
-	groups  []*standin.Group
-	members []*standin.Member
-	list    *standin.List
-	nodes   []*process
-	mu      sync.Mutex
-	log     audit.Log
-	marks   []Mark
-	lines   []string
-	health  map[string]string
-	slow    []atomic.Int64   // thousandths, by member
-	left    []string         // what this clock does not play
-	wire    *standin.Network // between gateways, nil where nothing goes wrong there
-	wg      sync.WaitGroup
+type testbed struct {
+	scenario    *Scenario
+	program     string
+	dir         string
+	rng         *rand.Rand // of the plan of the day; clients and members have their own
+	start       time.Time
+	groups      []*standin.Group
+	members     []*standin.Member
+	list        *standin.List
+	gateways    []*gatewayProcess
+	mu          sync.Mutex
+	log         audit.Log
+	marks       []Mark
+	logLines    []string
+	health      map[string]string
+	slowdown    []atomic.Int64   // thousandths, by member
+	unsupported []string         // what this clock does not play
+	network     *standin.Network // between gateways, nil where nothing goes wrong there
+	wg          sync.WaitGroup
 }
 
 // process is one gateway.
-type process struct {
-	st     *stage
-	no     int
-	listen string
-	peer   string
-	at     string // where others reach it, if that is on the wire
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	door   *door
+type gatewayProcess struct {
+	testbed       *testbed
+	number        int
+	listenAddress string
+	peerAddress   string
+	proxyAddress  string // where others reach it, if that is on the wire
+	mu            sync.Mutex
+	cmd           *exec.Cmd
+	exited        chan struct{}
+	endpoint      *endpoint
 }
 
 // Real plays a scenario with gateway processes of a program. Its chance decides what is asked and when, not how fast the
 // machine is.
-func Real(s *Scenario, program string, watch func(Progress)) (*Report, error) {
-	if err := s.Check(); err != nil {
+func RunReal(s *Scenario, program string, watch func(Progress)) (*Report, error) {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	if s.Policy != ByModule {
+	if s.Policy != PolicyDecide {
 		return nil, fmt.Errorf("policy %q is for the virtual clock: processes place reads by the module", s.Policy)
 	}
-	began := time.Now()
+	start := time.Now()
 	dir, err := os.MkdirTemp("", "rehearse")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	st := &stage{s: s, program: program, dir: dir, rng: rand.New(rand.NewPCG(s.Seed, 12)), health: map[string]string{}}
-	if err := st.build(); err != nil {
+	tb := &testbed{scenario: s, program: program, dir: dir, rng: rand.New(rand.NewPCG(s.Seed, 12)), health: map[string]string{}}
+	if err := tb.build(); err != nil {
 		return nil, err
 	}
-	defer st.end()
-	st.began = time.Now()
+	defer tb.close()
+	tb.start = time.Now()
 	for _, f := range s.Faults {
-		st.plan(f)
+		tb.scheduleFault(f)
 	}
-	for _, r := range s.Random {
+	for _, report := range s.Random {
 		for at := int64(0); ; {
-			if at += int64(st.rng.ExpFloat64() * float64(r.Every)); at+r.For >= s.Length {
+			if at += int64(tb.rng.ExpFloat64() * float64(report.MeanInterval)); at+report.Duration >= s.Length {
 				break
 			}
-			m := st.members[st.rng.IntN(len(st.members))]
-			st.plan(Fault{Kind: r.Kinds[st.rng.IntN(len(r.Kinds))], At: at, For: r.For, Member: m.Name, Factor: r.Factor, Lag: r.Lag,
-				Gateway: st.rng.IntN(s.Gateways), Zone: s.Zones[0]})
+			member := tb.members[tb.rng.IntN(len(tb.members))]
+			tb.scheduleFault(Fault{Kind: report.Kinds[tb.rng.IntN(len(report.Kinds))], At: at, Duration: report.Duration, Member: member.Name, Factor: report.Factor, Lag: report.Lag,
+				Gateway: tb.rng.IntN(s.Gateways), Zone: s.Zones[0]})
 		}
 	}
-	d := newDriver(s, st.began)
-	d.group = func(session int) int { return session % len(st.groups) }
-	for _, n := range st.nodes {
-		d.doors = append(d.doors, n.door)
-	}
-	d.send(watch)
-	st.wg.Wait()
-	st.log.Attempts, st.log.Responses = d.log.Attempts, d.log.Responses
-	r := st.report()
-	r.Took = time.Since(began)
-	return r, nil
+	driver := newDriver(s, tb.start)
+	driver.groupOf = func(session int) int { return session % len(tb.groups) }
+	for _, gateway := range tb.gateways {
+		driver.endpoints = append(driver.endpoints, gateway.endpoint)
+	}
+	driver.run(watch)
+	tb.wg.Wait()
+	tb.log.Attempts, tb.log.Responses = driver.log.Attempts, driver.log.Responses
+	report := tb.buildReport()
+	report.Elapsed = time.Since(start)
+	return report, nil
 }
 
-func (st *stage) now() int64 { return int64(time.Since(st.began)) }
+func (tb *testbed) now() int64 { return int64(time.Since(tb.start)) }
 
-func (st *stage) said(format string, a ...any) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	st.lines = append(st.lines, fmt.Sprintf("%8.1f ms  ", float64(st.now())/1e6)+fmt.Sprintf(format, a...))
+func (tb *testbed) logf(format string, a ...any) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.logLines = append(tb.logLines, fmt.Sprintf("%8.1f ms  ", float64(tb.now())/1e6)+fmt.Sprintf(format, a...))
 }
 
-func (st *stage) notice(n audit.Event) {
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	n.At = st.now()
-	st.log.Events = append(st.log.Events, n)
+func (tb *testbed) recordEvent(n audit.Event) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	n.At = tb.now()
+	tb.log.Events = append(tb.log.Events, n)
 }
 
-func (st *stage) build() error {
-	s := st.s
+func (tb *testbed) build() error {
+	s := tb.scenario
 	total := 0
 	for _, p := range s.Groups {
 		total += p.Members
 	}
-	st.slow = make([]atomic.Int64, total)
+	tb.slowdown = make([]atomic.Int64, total)
 	var hosts []standin.Host
 	for i, p := range s.Groups {
 		g := standin.NewGroup(i)
-		g.ReplicaWait = time.Duration(p.Hold)
+		g.ReplicaWait = time.Duration(p.ReplicaWait)
 		for _, t := range s.Types {
 			if t.Effect == "by_key" {
 				g.DedupWindow = time.Duration(t.DedupWindow)
 			}
 		}
-		st.groups = append(st.groups, g)
+		tb.groups = append(tb.groups, g)
 		for k := range p.Members {
 			m := g.NewMember(fmt.Sprintf("%d.%d", i, k), k == 0)
-			no := len(st.members)
-			st.slow[no].Store(1000)
-			m.SetCapacity(p.Cores, st.cost(no))
+			no := len(tb.members)
+			tb.slowdown[no].Store(1000)
+			m.SetCapacity(p.Cores, tb.serviceTimes(no))
 			if k > 0 {
-				m.SetLag(time.Duration(p.Lag))
+				m.SetLag(time.Duration(p.ReplicationLag))
 			}
-			st.members = append(st.members, m)
-			st.log.Cores, st.log.Names = append(st.log.Cores, p.Cores), append(st.log.Names, m.Name)
-			st.health[m.Name] = "active"
-			hosts = append(hosts, st.host(m))
+			tb.members = append(tb.members, m)
+			tb.log.Cores, tb.log.Names = append(tb.log.Cores, p.Cores), append(tb.log.Names, m.Name)
+			tb.health[m.Name] = "active"
+			hosts = append(hosts, tb.listEntry(m))
 		}
 	}
-	st.list = standin.NewList(hosts...)
-	key := filepath.Join(st.dir, "key")
+	tb.list = standin.NewList(hosts...)
+	key := filepath.Join(tb.dir, "key")
 	if err := os.WriteFile(key, []byte(strings.Repeat("ab", 32)), 0o600); err != nil {
 		return err
 	}
 	for i := range s.Gateways {
-		listen, err := freePort("tcp4")
+		listen, err := freeAddress("tcp4")
 		if err != nil {
 			return err
 		}
-		peer, err := freePort("udp4")
+		peer, err := freeAddress("udp4")
 		if err != nil {
 			return err
 		}
-		st.nodes = append(st.nodes, &process{st: st, no: i, listen: listen, peer: peer, door: &door{front: standin.NewClientPool(listen), address: listen}})
+		tb.gateways = append(tb.gateways, &gatewayProcess{testbed: tb, number: i, listenAddress: listen, peerAddress: peer, endpoint: &endpoint{pool: standin.NewClientPool(listen), address: listen}})
 	}
-	if slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.between() }) {
-		st.wire = standin.NewNetwork(s.Seed)
-		for _, n := range st.nodes {
-			n.at = st.wire.Join(n.peer)
+	if slices.ContainsFunc(s.Faults, func(f Fault) bool { return f.isBetweenGateways() }) {
+		tb.network = standin.NewNetwork(s.Seed)
+		for _, n := range tb.gateways {
+			n.proxyAddress = tb.network.Join(n.peerAddress)
 		}
 	}
-	for _, n := range st.nodes {
+	for _, n := range tb.gateways {
 		if err := n.start(); err != nil {
 			return err
 		}
 	}
-	return st.found()
+	return tb.bootstrapFleet()
 }
 
 // found has gateways with a network between them agree on who they are, three of them by their votes.
-func (st *stage) found() error {
-	if st.wire == nil {
+func (tb *testbed) bootstrapFleet() error {
+	if tb.network == nil {
 		return nil
 	}
 	say := func(args ...string) (string, error) {
-		out, err := exec.Command(st.program, append(args, "--control", filepath.Join(st.dir, "control0"))...).CombinedOutput()
+		out, err := exec.Command(tb.program, append(args, "--control", filepath.Join(tb.dir, "control0"))...).CombinedOutput()
 		if err != nil {
 			err = fmt.Errorf("%s: %s", strings.Join(args, " "), out)
 		}
@@ -205,10 +205,10 @@
 	if err := awaits("one of them begins the fleet", func(string) bool { _, err := say("fleet", "found"); return err == nil }); err != nil {
 		return err
 	}
-	if err := awaits("all have joined", func(said string) bool { return strings.Count(said, " all") == len(st.nodes) }); err != nil {
+	if err := awaits("all have joined", func(said string) bool { return strings.Count(said, " all") == len(tb.gateways) }); err != nil {
 		return err
 	}
-	if len(st.nodes) < 3 {
+	if len(tb.gateways) < 3 {
 		return nil
 	}
 	for _, name := range []string{"g1", "g2"} {
@@ -217,32 +217,32 @@
 		}
 	}
 	return awaits("three vote", func(said string) bool {
-		return strings.Count(said, "true") == 3 && strings.Count(said, " all") == len(st.nodes)
+		return strings.Count(said, "true") == 3 && strings.Count(said, " all") == len(tb.gateways)
 	})
 }
 
 // operator is a gateway's own file: sessions, and whom it talks to.
-func (n *process) operator(source string) string {
-	st := n.st
-	if st.wire != nil {
+func (n *gatewayProcess) operatorConfig(source string) string {
+	tb := n.testbed
+	if tb.network != nil {
 		var ask []string
-		for _, o := range st.nodes[:min(3, len(st.nodes))] {
-			ask = append(ask, strconv.Quote(o.at))
+		for _, o := range tb.gateways[:min(3, len(tb.gateways))] {
+			ask = append(ask, strconv.Quote(o.proxyAddress))
 		}
 		return fmt.Sprintf("control = %q\nsessions {\n  source = %q\n}\nagreement {\n  listen  = %q\n  address = %q\n  ask     = [%s]\n  folder  = %q\n  key \"1\" { file = \"key\" }\n}\n",
-			filepath.Join(st.dir, fmt.Sprint("control", n.no)), source, n.peer, n.at, strings.Join(ask, ", "), fmt.Sprint("agreement", n.no))
+			filepath.Join(tb.dir, fmt.Sprint("control", n.number)), source, n.peerAddress, n.proxyAddress, strings.Join(ask, ", "), fmt.Sprint("agreement", n.number))
 	}
-	if len(st.nodes) == 1 {
+	if len(tb.gateways) == 1 {
 		return fmt.Sprintf("sessions {\n  source = %q\n}\n", source)
 	}
 	var all []string
-	for _, o := range st.nodes {
-		all = append(all, strconv.Quote(o.peer))
+	for _, o := range tb.gateways {
+		all = append(all, strconv.Quote(o.peerAddress))
 	}
-	return fmt.Sprintf("sessions {\n  source = %q\n  peers {\n    listen   = %q\n    gateways = [%s]\n    key \"1\" { file = \"key\" }\n  }\n}\n", source, n.peer, strings.Join(all, ", "))
+	return fmt.Sprintf("sessions {\n  source = %q\n  peers {\n    listen   = %q\n    gateways = [%s]\n    key \"1\" { file = \"key\" }\n  }\n}\n", source, n.peerAddress, strings.Join(all, ", "))
 }
 
-func freePort(network string) (string, error) {
+func freeAddress(network string) (string, error) {
 	if network == "udp4" {
 		c, err := net.ListenPacket(network, "127.0.0.1:0")
 		if err != nil {
@@ -260,19 +260,19 @@
 }
 
 // cost is a member's service time for a class.
-func (st *stage) cost(no int) func(class string) time.Duration {
+func (tb *testbed) serviceTimes(no int) func(class string) time.Duration {
 	var mu sync.Mutex
-	rng := rand.New(rand.NewPCG(st.s.Seed, 100+uint64(no)))
+	rng := rand.New(rand.NewPCG(tb.scenario.Seed, 100+uint64(no)))
 	return func(class string) time.Duration {
-		for i := range st.s.Types {
-			t := &st.s.Types[i]
+		for i := range tb.scenario.Types {
+			t := &tb.scenario.Types[i]
 			if t.Name != class {
 				continue
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			x := float64(t.Cost) * float64(st.slow[no].Load()) / 1000
-			switch t.Spread {
+			x := float64(t.Cost) * float64(tb.slowdown[no].Load()) / 1000
+			switch t.Distribution {
 			case Exponential:
 				x *= rng.ExpFloat64()
 			case Lognormal:
@@ -284,51 +284,51 @@
 	}
 }
 
-func (st *stage) host(m *standin.Member) standin.Host {
-	h := m.ListEntry(st.health[m.Name])
-	h.Site = st.s.Zones[0]
+func (tb *testbed) listEntry(m *standin.Member) standin.Host {
+	h := m.ListEntry(tb.health[m.Name])
+	h.Site = tb.scenario.Zones[0]
 	return h
 }
 
 // relist has the list say what it now knows.
-func (st *stage) relist() {
-	st.mu.Lock()
+func (tb *testbed) publishList() {
+	tb.mu.Lock()
 	var hosts []standin.Host
-	for _, m := range st.members {
-		hosts = append(hosts, st.host(m))
+	for _, m := range tb.members {
+		hosts = append(hosts, tb.listEntry(m))
 	}
-	st.mu.Unlock()
-	st.list.SetHosts(hosts...)
+	tb.mu.Unlock()
+	tb.list.SetHosts(hosts...)
 }
 
 // start begins a gateway's process, and waits until it listens.
-func (n *process) start() error {
-	st := n.st
-	settings, err := st.s.settings(0)
+func (n *gatewayProcess) start() error {
+	tb := n.testbed
+	settings, err := tb.scenario.gatewaySettings(0)
 	if err != nil {
 		return err
 	}
 	// Positions are words of the wall clock here.
 	settings = []byte(strings.Replace(string(settings), `"countedFromMs":0`, `"countedFromMs":1000000000000`, 1))
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("g", n.no), "listen": n.listen, "discovery": st.list.Address(),
-		"seed": fmt.Sprintf("%x", st.s.Seed+uint64(n.no)+1), "limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": st.list.Snapshot(),
+	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("g", n.number), "listen": n.listenAddress, "discovery": tb.list.Address(),
+		"seed": fmt.Sprintf("%x", tb.scenario.Seed+uint64(n.number)+1), "limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": tb.list.Snapshot(),
 		"settings": json.RawMessage(settings)})
 	if err != nil {
 		return err
 	}
-	config := filepath.Join(st.dir, fmt.Sprintf("config%d.json", n.no))
-	operator := filepath.Join(st.dir, fmt.Sprintf("operator%d.hcl", n.no))
+	config := filepath.Join(tb.dir, fmt.Sprintf("config%d.json", n.number))
+	operator := filepath.Join(tb.dir, fmt.Sprintf("operator%d.hcl", n.number))
 	source := "covered"
-	if st.s.Sessions != Brought {
-		source = st.s.Sessions
+	if tb.scenario.Sessions != Brought {
+		source = tb.scenario.Sessions
 	}
 	if err := os.WriteFile(config, text, 0o600); err != nil {
 		return err
 	}
-	if err := os.WriteFile(operator, []byte(n.operator(source)), 0o600); err != nil {
+	if err := os.WriteFile(operator, []byte(n.operatorConfig(source)), 0o600); err != nil {
 		return err
 	}
-	cmd := exec.Command(st.program, "serve", "--operator", operator)
+	cmd := exec.Command(tb.program, "serve", "--operator", operator)
 	cmd.Env = append(os.Environ(), "EDGE_CONFIG="+config)
 	pipe, err := cmd.StderrPipe()
 	if err != nil {
@@ -345,8 +345,8 @@
 				open = false
 				close(listening)
 			}
-			if !st.began.IsZero() {
-				st.said("gateway %d: %s", n.no, lines.Text())
+			if !tb.start.IsZero() {
+				tb.logf("gateway %d: %s", n.number, lines.Text())
 			}
 		}
 		_ = cmd.Wait()
@@ -355,23 +355,23 @@
 	select {
 	case <-listening:
 	case <-ended:
-		return fmt.Errorf("gateway %d ended at its start", n.no)
+		return fmt.Errorf("gateway %d ended at its start", n.number)
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
-		return fmt.Errorf("gateway %d does not listen", n.no)
+		return fmt.Errorf("gateway %d does not listen", n.number)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cmd, n.ended = cmd, ended
-	n.door.set(true)
+	n.cmd, n.exited = cmd, ended
+	n.endpoint.setRunning(true)
 	return nil
 }
 
-func (n *process) kill() {
+func (n *gatewayProcess) kill() {
 	n.mu.Lock()
-	cmd, ended := n.cmd, n.ended
+	cmd, ended := n.cmd, n.exited
 	n.cmd = nil
-	n.door.set(false)
+	n.endpoint.setRunning(false)
 	n.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill()
@@ -379,73 +379,73 @@
 	}
 }
 
-func (st *stage) end() {
-	for _, n := range st.nodes {
+func (tb *testbed) close() {
+	for _, n := range tb.gateways {
 		n.kill()
 	}
-	for _, m := range st.members {
+	for _, m := range tb.members {
 		m.Kill()
 	}
-	st.list.Close()
-	if st.wire != nil {
-		st.wire.Close()
+	tb.list.Close()
+	if tb.network != nil {
+		tb.network.Close()
 	}
 }
 
 // at runs something at a time of the day, beside it.
-func (st *stage) at(when int64, do func()) {
-	st.wg.Add(1)
+func (tb *testbed) schedule(when int64, do func()) {
+	tb.wg.Add(1)
 	go func() {
-		defer st.wg.Done()
-		time.Sleep(time.Until(st.began.Add(time.Duration(when))))
+		defer tb.wg.Done()
+		time.Sleep(time.Until(tb.start.Add(time.Duration(when))))
 		do()
 	}()
 }
 
-func (st *stage) plan(f Fault) {
+func (tb *testbed) scheduleFault(f Fault) {
 	var m *standin.Member
 	no := 0
-	if slices.Contains(Faults[f.Kind], "member") {
-		for i, x := range st.members {
+	if slices.Contains(FaultKinds[f.Kind], "member") {
+		for i, x := range tb.members {
 			if x.Name == f.Member {
 				m, no = x, i
 			}
 		}
 	}
 	both := func(on, off func()) {
-		st.marks = append(st.marks, Mark{f.At, f.For, f.String()})
-		st.at(f.At, func() { st.said("%s", f); on() })
-		if f.For > 0 {
-			st.at(f.At+f.For, off)
+		tb.marks = append(tb.marks, Mark{f.At, f.Duration, f.String()})
+		tb.schedule(f.At, func() { tb.logf("%s", f); on() })
+		if f.Duration > 0 {
+			tb.schedule(f.At+f.Duration, off)
 		}
 	}
 	switch f.Kind {
 	case "crash":
 		both(func() {
-			st.notice(audit.Event{Kind: audit.MemberDied, Member: no})
-			p := st.planOf(m)
+			tb.recordEvent(audit.Event{Kind: audit.MemberDied, Member: no})
+			p := tb.groupConfig(m)
 			was := m.Group().Primary() == m
 			m.Kill()
 			if was {
 				m.Group().Demote()
-				st.at(f.At+p.Detect, func() { st.elect(m.Group(), m, p.Sync) })
+				tb.schedule(f.At+p.DetectionTime, func() { tb.failOver(m.Group(), m, p.SyncReplication) })
 			}
 		}, func() {
 			if err := m.Start(); err != nil {
-				st.said("%s does not start: %v", m.Name, err)
+				tb.logf("%s does not start: %v", m.Name, err)
 				return
 			}
-			st.notice(audit.Event{Kind: audit.MemberStarted, Member: no})
+			tb.recordEvent(audit.Event{Kind: audit.MemberStarted, Member: no})
 		})
 	case "pause":
 		both(func() {
 			m.SetHung(true)
 			if m.Group().Primary() == m {
-				p := st.planOf(m)
-				st.at(f.At+p.Detect, func() {
-					if f.For > p.Detect && m.Group().Primary() == m {
+				p := tb.groupConfig(m)
+				tb.schedule(f.At+p.DetectionTime, func() {
+					if f.Duration > p.DetectionTime && m.Group().Primary() == m {
 						m.Group().Demote()
-						st.elect(m.Group(), m, p.Sync)
+						tb.failOver(m.Group(), m, p.SyncReplication)
 					}
 				})
 			}
@@ -453,73 +453,75 @@
 	case "errors":
 		both(func() { m.SetFailRatio(f.Factor) }, func() { m.SetFailRatio(0) })
 	case "slow":
-		both(func() { st.slow[no].Store(int64(1000 * f.Factor)) }, func() { st.slow[no].Store(1000) })
+		both(func() { tb.slowdown[no].Store(int64(1000 * f.Factor)) }, func() { tb.slowdown[no].Store(1000) })
 	case "lag":
-		both(func() { m.SetLag(time.Duration(f.Lag)) }, func() { m.SetLag(time.Duration(st.planOf(m).Lag)) })
+		both(func() { m.SetLag(time.Duration(f.Lag)) }, func() { m.SetLag(time.Duration(tb.groupConfig(m).ReplicationLag)) })
 	case "drain":
 		set := func(health string, kind audit.EventKind) {
-			st.mu.Lock()
-			st.health[m.Name] = health
-			st.mu.Unlock()
-			st.relist()
-			st.list.AwaitDeliveredTo(st.s.Gateways)
-			st.notice(audit.Event{Kind: kind, Member: no})
+			tb.mu.Lock()
+			tb.health[m.Name] = health
+			tb.mu.Unlock()
+			tb.publishList()
+			tb.list.AwaitDeliveredTo(tb.scenario.Gateways)
+			tb.recordEvent(audit.Event{Kind: kind, Member: no})
 		}
 		both(func() { set("leaving", audit.DrainStarted) }, func() { set("active", audit.Restored) })
 	case "answers_lost":
 		both(func() {
-			for i := range st.s.Types {
-				m.DropResponses(st.s.Types[i].Name, int(math.Ceil(f.Factor*10)))
+			for i := range tb.scenario.Types {
+				m.DropResponses(tb.scenario.Types[i].Name, int(math.Ceil(f.Factor*10)))
 			}
 		}, func() {})
 	case "move":
 		both(func() {
-			if st.hangs(m.Name) {
-				st.said("%s hangs and can't take over", m.Name)
+			if tb.isPaused(m.Name) {
+				tb.logf("%s hangs and can't take over", m.Name)
 				return
 			}
 			m.Group().Demote()
-			time.Sleep(time.Duration(st.planOf(m).HandOver))
-			m.Group().Promote(m, st.planOf(m).Sync)
-			st.said("%s is the primary", m.Name)
+			time.Sleep(time.Duration(tb.groupConfig(m).SwitchoverTime))
+			m.Group().Promote(m, tb.groupConfig(m).SyncReplication)
+			tb.logf("%s is the primary", m.Name)
 		}, func() {})
 	case "list":
-		both(func() { st.list.SetDown(true) }, func() { st.list.SetDown(false) })
+		both(func() { tb.list.SetDown(true) }, func() { tb.list.SetDown(false) })
 	case "kill":
-		n := st.nodes[f.Gateway]
+		n := tb.gateways[f.Gateway]
 		both(func() {
-			st.notice(audit.Event{Kind: audit.GatewayKilled, Gateway: n.no})
+			tb.recordEvent(audit.Event{Kind: audit.GatewayKilled, Gateway: n.number})
 			n.kill()
 		}, func() {
 			if err := n.start(); err != nil {
-				st.said("gateway %d does not start: %v", n.no, err)
+				tb.logf("gateway %d does not start: %v", n.number, err)
 				return
 			}
-			st.notice(audit.Event{Kind: audit.GatewayUp, Gateway: n.no})
+			tb.recordEvent(audit.Event{Kind: audit.GatewayUp, Gateway: n.number})
 		})
 	case "apart", "halves":
 		set := func(on bool) {
-			for i := range st.nodes {
-				for k := range st.nodes {
-					if f.parts(i, k, len(st.nodes)) {
-						st.wire.Block(i, k, on)
+			for i := range tb.gateways {
+				for k := range tb.gateways {
+					if f.isolates(i, k, len(tb.gateways)) {
+						tb.network.Block(i, k, on)
 					}
 				}
 			}
 		}
 		both(func() { set(true) }, func() { set(false) })
 	case "rough":
-		both(func() { st.wire.SetFaults(f.Factor, 0, 0) }, func() { st.wire.SetFaults(0, 0, 0) })
+		both(func() { tb.network.SetFaults(f.Factor, 0, 0) }, func() { tb.network.SetFaults(0, 0, 0) })
 	default:
-		st.left = append(st.left, f.String())
+		tb.unsupported = append(tb.unsupported, f.String())
 	}
 }
 
-func (st *stage) planOf(m *standin.Member) *GroupPlan { return &st.s.Groups[m.Group().ID] }
+func (tb *testbed) groupConfig(m *standin.Member) *GroupConfig {
+	return &tb.scenario.Groups[m.Group().ID]
+}
 
-func (st *stage) elect(g *standin.Group, gone *standin.Member, sync bool) {
+func (tb *testbed) failOver(g *standin.Group, gone *standin.Member, sync bool) {
 	var best *standin.Member
-	for _, m := range st.members {
+	for _, m := range tb.members {
 		if m.Group() == g && m != gone && (best == nil || m.Position() > best.Position()) {
 			best = m
 		}
@@ -528,27 +530,27 @@
 		return
 	}
 	g.Promote(best, sync)
-	st.said("%s is the primary", best.Name)
+	tb.logf("%s is the primary", best.Name)
 }
 
 // realSlack is for what a busy machine holds up, on top of what the rules allow.
 const realSlack = int64(250e6)
 
 // afterPause is how long what came while a member hung may be answered after that.
-const afterPause = int64(500e6)
+const pauseGrace = int64(500e6)
 
 // hangs tells whether a member hangs now, by the plan of the day.
-func (st *stage) hangs(member string) bool {
-	now := st.now()
-	return slices.ContainsFunc(st.s.Faults, func(f Fault) bool {
-		return f.Kind == "pause" && f.Member == member && now >= f.At && now < f.At+f.For
+func (tb *testbed) isPaused(member string) bool {
+	now := tb.now()
+	return slices.ContainsFunc(tb.scenario.Faults, func(f Fault) bool {
+		return f.Kind == "pause" && f.Member == member && now >= f.At && now < f.At+f.Duration
 	})
 }
 
 // came is when a query that was done at a time may have come: stand-ins tell when they did it.
-func (st *stage) came(member string, at int64) int64 {
-	for _, f := range st.s.Faults {
-		if f.Kind == "pause" && f.Member == member && at >= f.At && at <= f.At+f.For+afterPause {
+func (tb *testbed) receivedAt(member string, at int64) int64 {
+	for _, f := range tb.scenario.Faults {
+		if f.Kind == "pause" && f.Member == member && at >= f.At && at <= f.At+f.Duration+pauseGrace {
 			return min(at, f.At)
 		}
 	}
@@ -556,34 +558,34 @@
 }
 
 // report reads what the stand-ins saw.
-func (st *stage) report() *Report {
+func (tb *testbed) buildReport() *Report {
 	no := map[string]int{}
-	for i, m := range st.members {
+	for i, m := range tb.members {
 		no[m.Name] = i
 	}
 	kinds := map[string]audit.SubmissionKind{"write": audit.Write, "repeat": audit.Repeat, "read": audit.Read, "miss": audit.Rejected, "behind": audit.Rejected}
 	costs := map[uint64]int64{}
-	st.mu.Lock()
-	defer st.mu.Unlock()
-	for i := range st.log.Attempts {
-		costs[st.log.Attempts[i].ID] = st.s.Types[st.log.Attempts[i].Type].Cost
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	for i := range tb.log.Attempts {
+		costs[tb.log.Attempts[i].ID] = tb.scenario.Types[tb.log.Attempts[i].Type].Cost
 	}
-	for _, g := range st.groups {
+	for _, g := range tb.groups {
 		for _, e := range g.Events() {
 			kind, ok := kinds[e.Kind]
-			if !ok || e.At.Before(st.began) {
+			if !ok || e.At.Before(tb.start) {
 				continue
 			}
 			id, _ := strconv.ParseUint(e.ID, 16, 64)
 			session, _ := strconv.ParseUint(e.Code[max(0, len(e.Code)-8):], 16, 64)
 			version, _ := strconv.ParseUint(e.Value, 10, 64)
 			key, _ := strconv.ParseUint(strings.TrimPrefix(e.Key, "k"), 10, 64)
-			st.log.Submissions = append(st.log.Submissions, audit.Submission{ID: id, Key: key, Session: session, Version: version, Member: no[e.Member], Kind: kind,
-				At: int64(e.At.Sub(st.began)), ReceivedAt: st.came(e.Member, int64(e.At.Sub(st.began))), Cost: costs[id]})
+			tb.log.Submissions = append(tb.log.Submissions, audit.Submission{ID: id, Key: key, Session: session, Version: version, Member: no[e.Member], Kind: kind,
+				At: int64(e.At.Sub(tb.start)), ReceivedAt: tb.receivedAt(e.Member, int64(e.At.Sub(tb.start))), Cost: costs[id]})
 		}
 	}
-	slices.SortStableFunc(st.log.Submissions, func(a, b audit.Submission) int { return int(a.At - b.At) })
-	r := report(st.s, &st.log, 0, realSlack)
-	r.Clock, r.Marks, r.Lines, r.Left = "real", st.marks, st.lines, st.left
+	slices.SortStableFunc(tb.log.Submissions, func(a, b audit.Submission) int { return int(a.At - b.At) })
+	r := newReport(tb.scenario, &tb.log, 0, realSlack)
+	r.Clock, r.Marks, r.LogLines, r.UnsupportedFaults = "real", tb.marks, tb.logLines, tb.unsupported
 	return r
 }
--- a/rehearse/real_test.go
+++ b/rehearse/real_test.go
@@ -13,7 +13,7 @@
 
 // The built-in day, cut to its first twelve seconds, on both clocks: the rules are kept on both, and their service lies
 // within four points.
-func TestBothClocks(t *testing.T) {
+func TestSimulatedAndRealRunsAgree(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "magpieglade")
 	if out, err := exec.Command("go", "build", "-o", program, "magpieglade/cmd/magpieglade").CombinedOutput(); err != nil {
 		t.Fatal(err, string(out))
@@ -22,11 +22,11 @@
 	s.Length, s.Traffic.Rate = 12e9, 300
 	for i := range s.Faults {
 		s.Faults[i].At /= 3
-		s.Faults[i].For /= 3
+		s.Faults[i].Duration /= 3
 	}
-	s.Groups[0].Detect = 600e6
+	s.Groups[0].DetectionTime = 600e6
 	simulated := simulated(t, s)
-	real, err := Real(s, program, nil)
+	real, err := RunReal(s, program, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +36,7 @@
 		}
 	}
 	for _, d := range Differences(simulated, real) {
-		t.Logf("%-28s %.3f %.3f %+.3f", d.What, d.One, d.Other, d.By)
+		t.Logf("%-28s %.3f %.3f %+.3f", d.Measure, d.First, d.Second, d.Delta)
 	}
 	if d := real.Service.Overall - simulated.Service.Overall; math.Abs(d) > 0.04 {
 		t.Errorf("%s apart: %+.3f", s.Name, d)
@@ -45,44 +45,44 @@
 
 // Gateways that can't talk with one another serve their clients, and nothing that they serve is stale, on both clocks. With
 // real processes they agree on their list through a network that the stand-ins keep.
-func TestGatewaysApart(t *testing.T) {
+func TestPartitionedGateways(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "magpieglade")
 	if out, err := exec.Command("go", "build", "-o", program, "magpieglade/cmd/magpieglade").CombinedOutput(); err != nil {
 		t.Fatal(err, string(out))
 	}
 	s := find(t, "gateways-apart")
 	s.Length, s.Gateways, s.Traffic.Rate = 9e9, 4, 250
-	s.Faults = []Fault{{Kind: "apart", At: 1e9, For: 3e9, Gateway: 3, Factor: 1}, {Kind: "halves", At: 5e9, For: 2e9, Factor: 1}, {Kind: "rough", At: 7e9, For: 1e9, Factor: 0.6}}
+	s.Faults = []Fault{{Kind: "apart", At: 1e9, Duration: 3e9, Gateway: 3, Factor: 1}, {Kind: "halves", At: 5e9, Duration: 2e9, Factor: 1}, {Kind: "rough", At: 7e9, Duration: 1e9, Factor: 0.6}}
 	fenced := simulated(t, s)
-	real, err := Real(s, program, nil)
+	real, err := RunReal(s, program, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, r := range []*Report{fenced, real} {
-		if len(r.Violations) > 0 || r.Service.Overall < 0.95 || len(r.Left) > 0 {
-			t.Errorf("%s: served %.3f, broken %v, not played %v", r.Clock, r.Service.Overall, r.Violations, r.Left)
+		if len(r.Violations) > 0 || r.Service.Overall < 0.95 || len(r.UnsupportedFaults) > 0 {
+			t.Errorf("%s: served %.3f, broken %v, not played %v", r.Clock, r.Service.Overall, r.Violations, r.UnsupportedFaults)
 		}
 	}
 }
 
 // A load sends what is due though nothing comes back, and counts from when it was due: one server that serves one query at
 // a time, each for 20 ms, at sixty a second, makes each second's clients wait longer than those before.
-func TestDriveIsOpenLoop(t *testing.T) {
+func TestRunLoadIsOpenLoop(t *testing.T) {
 	m := standin.NewGroup(0).NewMember("m", true)
 	defer m.Kill()
 	m.SetCapacity(1, func(string) time.Duration { return 20 * time.Millisecond })
 	s := find(t, "calm")
 	s.Length, s.Traffic.Rate, s.Traffic.Retry = 3e9, 60, false
 	for i := range s.Types {
-		s.Types[i].Share, s.Types[i].MaxWait = 0, 30e9
+		s.Types[i].Weight, s.Types[i].MaxWait = 0, 30e9
 	}
-	s.Types[0].Share = 1
-	r, err := Drive(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
+	s.Types[0].Weight = 1
+	r, err := RunLoad(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	x := &r.Service.Types[0]
-	t.Logf("%d asked, p50 %v, worst %v, sent late by %d us at the 99th percentile", x.Requested, time.Duration(x.P50), time.Duration(x.Max), r.Late.ValueAtQuantile(99))
+	t.Logf("%d asked, p50 %v, worst %v, sent late by %d us at the 99th percentile", x.Requested, time.Duration(x.P50), time.Duration(x.Max), r.SendDelay.ValueAtQuantile(99))
 	// A closed loop would wait for each answer, and see 20 ms.
 	if x.Served != x.Requested || x.Requested < 100 || time.Duration(x.Max) < 300*time.Millisecond || len(r.Violations) > 0 {
 		t.Fatalf("%+v %v", x, r.Violations)
@@ -90,7 +90,7 @@
 }
 
 // BenchmarkDrive tells how late a load sends by its rate, against a server that answers at once in the same process.
-func BenchmarkDrive(b *testing.B) {
+func BenchmarkRunLoad(b *testing.B) {
 	for _, rate := range []float64{1000, 4000, 8000, 16000, 32000} {
 		b.Run(fmt.Sprint("rate=", rate), func(b *testing.B) {
 			m := standin.NewGroup(0).NewMember("m", true)
@@ -98,12 +98,12 @@
 			s := find(b, "calm")
 			s.Length, s.Traffic.Rate, s.Traffic.Sessions = 3e9, rate, 10_000
 			for range b.N {
-				r, err := Drive(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
+				r, err := RunLoad(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(float64(r.Late.ValueAtQuantile(50))/1000, "late_p50_ms")
-				b.ReportMetric(float64(r.Late.ValueAtQuantile(99))/1000, "late_p99_ms")
+				b.ReportMetric(float64(r.SendDelay.ValueAtQuantile(50))/1000, "late_p50_ms")
+				b.ReportMetric(float64(r.SendDelay.ValueAtQuantile(99))/1000, "late_p99_ms")
 				b.ReportMetric(float64(r.Service.Requested)/3, "sent/s")
 				b.ReportMetric(r.Service.Overall, "service")
 			}
--- a/rehearse/reserved.go
+++ b/rehearse/reserved.go
@@ -66,7 +66,7 @@
 	}
 	groups := max(1, len(t.Groups))
 	g := DefaultGroup()
-	g.Members, g.Cores, g.Connections = e.Members, eventCores, 10_000
+	g.Members, g.Cores, g.MaxConnections = e.Members, eventCores, 10_000
 	cost := func(rate float64) int64 { return int64(float64(eventCores) / rate * 1e9) }
 	aim := eventAim
 	if t.TargetLatency > 0 {
@@ -75,36 +75,36 @@
 	reads, writes := t.Reads*times*float64(groups), t.Writes*times*float64(groups)
 	others := e.Flood * size.Reads * float64(e.Members-1) * float64(groups)
 	all := reads + writes + others
-	s := &Scenario{Name: "event", Length: e.Length, Seed: e.Seed, Gateways: e.Gateways, Zones: e.Zones, Network: NetworkPlan{Near: 200e3, Far: 1e6}, Policy: ByModule,
-		Sessions: Brought, Traffic: TrafficPlan{Rate: all, Sessions: 4000}, Expect: Expectation{-1, -1, -1, false}, InFlight: e.InFlight,
+	s := &Scenario{Name: "event", Length: e.Length, Seed: e.Seed, Gateways: e.Gateways, Zones: e.Zones, Network: NetworkConfig{IntraZoneLatency: 200e3, InterZoneLatency: 1e6}, Policy: PolicyDecide,
+		Sessions: Brought, Traffic: TrafficConfig{Rate: all, Sessions: 4000}, Expect: Expectation{-1, -1, -1, false}, MaxInFlight: e.InFlight,
 		Tenants: []routes.Tenant{{Name: t.Tenant, Weight: 1}, {Name: "others", Weight: othersWeight}}}
 	for range groups {
 		s.Groups = append(s.Groups, g)
 	}
 	add := func(name, effect, need, tenant string, rate float64, of float64) {
 		if rate > 0 && of > 0 {
-			s.Types = append(s.Types, TypePlan{Type: audit.Type{Name: name, Effect: effect, Consistency: need, DedupWindow: 2e9, Value: 1, TargetLatency: aim, MaxWait: 4 * aim},
-				Cost: cost(of), Spread: Exponential, Share: rate / all, Tenant: tenant})
+			s.Types = append(s.Types, TypeConfig{Type: audit.Type{Name: name, Effect: effect, Consistency: need, DedupWindow: 2e9, Value: 1, TargetLatency: aim, MaxWait: 4 * aim},
+				Cost: cost(of), Distribution: Exponential, Weight: rate / all, Tenant: tenant})
 		}
 	}
 	add(eventRead, "repeatable", "eventual", t.Tenant, reads, size.Reads)
 	add(eventWrite, "by_key", "mutate", t.Tenant, writes, size.Writes)
 	add(otherRead, "repeatable", "eventual", "others", others, size.Reads)
 	if held {
-		s.Held = map[string]int{t.Tenant: t.InFlight}
+		s.ReservedSlots = map[string]int{t.Tenant: t.InFlight}
 	}
 	if e.Through > 0 {
-		s.Through = map[string]int{t.Tenant: e.Through}
+		s.TenantGateways = map[string]int{t.Tenant: e.Through}
 	}
 	switch at := e.Length / 3; t.ToleratedLoss {
 	case contracts.MemberLoss:
 		for i := range s.Groups {
-			s.Faults = append(s.Faults, Fault{Kind: "crash", At: at, For: e.Length / 3, Member: fmt.Sprintf("%d.1", i), Factor: 1})
+			s.Faults = append(s.Faults, Fault{Kind: "crash", At: at, Duration: e.Length / 3, Member: fmt.Sprintf("%d.1", i), Factor: 1})
 		}
 	case contracts.ZoneLoss:
-		s.Faults = append(s.Faults, Fault{Kind: "cut", At: at, For: e.Length / 3, Zone: e.Zones[len(e.Zones)-1], Factor: 1})
+		s.Faults = append(s.Faults, Fault{Kind: "cut", At: at, Duration: e.Length / 3, Zone: e.Zones[len(e.Zones)-1], Factor: 1})
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // Play plays it at so many times its size.
--- a/rehearse/results/results.go
+++ b/rehearse/results/results.go
@@ -24,7 +24,7 @@
 )
 
 //go:embed report.html verdicts.html
-var page embed.FS
+var templates embed.FS
 
 // Write writes a folder of results: report.html, seconds.csv, members.csv, types.csv, broken.jsonl.
 func Write(folder string, r *rehearse.Report) error {
@@ -32,7 +32,7 @@
 		return err
 	}
 	for name, write := range map[string]func(io.Writer, *rehearse.Report) error{
-		"report.html": HTML, "seconds.csv": seconds, "members.csv": members, "types.csv": types, "broken.jsonl": broken} {
+		"report.html": HTML, "seconds.csv": writeSeconds, "members.csv": writeMembers, "types.csv": writeTypes, "broken.jsonl": writeViolations} {
 		var out bytes.Buffer
 		if err := write(&out, r); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -44,13 +44,13 @@
 	return nil
 }
 
-func number(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
+func formatFloat(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
 
-func seconds(out io.Writer, r *rehearse.Report) error {
+func writeSeconds(out io.Writer, r *rehearse.Report) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"second", "service"})
 	for i, x := range r.Service.Seconds {
-		text := number(x)
+		text := formatFloat(x)
 		if math.IsNaN(x) {
 			text = ""
 		}
@@ -60,29 +60,29 @@
 	return w.Error()
 }
 
-func members(out io.Writer, r *rehearse.Report) error {
+func writeMembers(out io.Writer, r *rehearse.Report) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"member", "reads", "writes", "repeats", "missed", "busy"})
-	for _, p := range r.Places {
-		_ = w.Write([]string{p.Name, strconv.Itoa(p.Reads), strconv.Itoa(p.Writes), strconv.Itoa(p.Repeats), strconv.Itoa(p.Missed), number(p.Busy)})
+	for _, p := range r.Members {
+		_ = w.Write([]string{p.Name, strconv.Itoa(p.Reads), strconv.Itoa(p.Writes), strconv.Itoa(p.Repeats), strconv.Itoa(p.Rejected), formatFloat(p.Utilization)})
 	}
 	w.Flush()
 	return w.Error()
 }
 
-func types(out io.Writer, r *rehearse.Report) error {
+func writeTypes(out io.Writer, r *rehearse.Report) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"type", "service", "asked", "served", "late", "declined", "rolled_back", "unanswered", "p50_ms", "p90_ms", "p99_ms", "worst_ms"})
 	for i := range r.Service.Types {
 		t := &r.Service.Types[i]
-		_ = w.Write([]string{t.Name, number(t.Service), strconv.Itoa(t.Requested), strconv.Itoa(t.Served), number(t.LateFraction), strconv.Itoa(t.Declined),
-			strconv.Itoa(t.RolledBack), strconv.Itoa(t.Unanswered), millis(t.P50), millis(t.P90), millis(t.P99), millis(t.Max)})
+		_ = w.Write([]string{t.Name, formatFloat(t.Service), strconv.Itoa(t.Requested), strconv.Itoa(t.Served), formatFloat(t.LateFraction), strconv.Itoa(t.Declined),
+			strconv.Itoa(t.RolledBack), strconv.Itoa(t.Unanswered), formatMillis(t.P50), formatMillis(t.P90), formatMillis(t.P99), formatMillis(t.Max)})
 	}
 	w.Flush()
 	return w.Error()
 }
 
-func broken(out io.Writer, r *rehearse.Report) error {
+func writeViolations(out io.Writer, r *rehearse.Report) error {
 	e := json.NewEncoder(out)
 	for _, v := range r.Violations {
 		if err := e.Encode(v); err != nil {
@@ -92,16 +92,16 @@
 	return nil
 }
 
-func millis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', 1, 64) }
+func formatMillis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', 1, 64) }
 
 // HTML writes the page.
 func HTML(out io.Writer, r *rehearse.Report) error {
 	t, err := template.New("report.html").Funcs(template.FuncMap{
 		"three": func(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) },
 		"share": func(x float64) string { return strconv.FormatFloat(100*x, 'f', 1, 64) + " %" },
-		"ms":    millis,
+		"ms":    formatMillis,
 		"span":  func(ns int64) string { return time.Duration(ns).String() },
-	}).ParseFS(page, "report.html")
+	}).ParseFS(templates, "report.html")
 	if err != nil {
 		return err
 	}
@@ -190,7 +190,7 @@
 
 // Verdicts writes a page of what an experiment says.
 func Verdicts(out io.Writer, first string, all []experiment.Verdict) error {
-	t, err := template.ParseFS(page, "verdicts.html")
+	t, err := template.ParseFS(templates, "verdicts.html")
 	if err != nil {
 		return err
 	}
--- a/rehearse/results/results_test.go
+++ b/rehearse/results/results_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.About = "<script>alert(1)</script>"
+	s.Description = "<script>alert(1)</script>"
 	r, err := rehearse.Simulate(s, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/rehearse/results/statements.go
+++ b/rehearse/results/statements.go
@@ -12,18 +12,18 @@
 
 // Statements writes a page of what was kept of a contract, a chart and a table for each of its windows. whole tells that all
 // gateways are counted.
-func Statements(out io.Writer, name string, all []contracts.Statement, whole bool) error {
-	type drawn struct {
+func Statements(out io.Writer, name string, all []contracts.Statement, complete bool) error {
+	type windowChart struct {
 		contracts.Statement
 		Chart template.HTML
 	}
 	page := struct {
 		Name    string
 		Whole   bool
-		Windows []drawn
-	}{Name: name, Whole: whole}
+		Windows []windowChart
+	}{Name: name, Whole: complete}
 	for _, s := range all {
-		d := drawn{Statement: s}
+		d := windowChart{Statement: s}
 		line := chart.ContinuousSeries{Name: "kept"}
 		for _, l := range s.Lines {
 			line.XValues, line.YValues = append(line.XValues, float64(l.At-s.Window.Start)/60e9), append(line.YValues, l.ServedFraction)
--- a/rehearse/results/subsets.go
+++ b/rehearse/results/subsets.go
@@ -12,13 +12,13 @@
 
 // Subsets writes a page that draws loads and moves against the size of a fleet.
 func Subsets(out io.Writer, all []rehearse.SubsetResult) error {
-	by := map[int][]rehearse.SubsetResult{}
+	byMembers := map[int][]rehearse.SubsetResult{}
 	var members []int
 	for _, r := range all {
-		if len(by[r.Members]) == 0 {
+		if len(byMembers[r.Members]) == 0 {
 			members = append(members, r.Members)
 		}
-		by[r.Members] = append(by[r.Members], r)
+		byMembers[r.Members] = append(byMembers[r.Members], r)
 	}
 	page := struct{ Charts []template.HTML }{}
 	for _, x := range []struct {
@@ -31,7 +31,7 @@
 		c := chart.Chart{Title: x.name, Width: 900, Height: 320, XAxis: chart.XAxis{Name: "gateways"}, YAxis: chart.YAxis{Name: x.name}}
 		for _, m := range members {
 			line := chart.ContinuousSeries{Name: fmt.Sprint(m, " members")}
-			for _, r := range by[m] {
+			for _, r := range byMembers[m] {
 				line.XValues, line.YValues = append(line.XValues, float64(r.Gateways)), append(line.YValues, x.of(r))
 			}
 			if len(line.XValues) > 1 {
--- a/rehearse/rude.go
+++ b/rehearse/rude.go
@@ -13,14 +13,14 @@
 // rude has bad clients come to the gateways at a rate, until the day is over: some say nothing, some talk nonsense, some send
 // half a message, some ask and go without waiting. What they get is nobody's concern; what others get is.
 func (d *driver) rude(over <-chan struct{}) {
-	rng := rand.New(rand.NewPCG(d.s.Seed, 14))
+	rng := rand.New(rand.NewPCG(d.scenario.Seed, 14))
 	for {
 		select {
 		case <-over:
 			return
-		case <-time.After(time.Duration(rng.ExpFloat64() / d.s.Traffic.Rude * 1e9)):
+		case <-time.After(time.Duration(rng.ExpFloat64() / d.scenario.Traffic.BadClientRate * 1e9)):
 		}
-		o, kind, n := d.doors[rng.IntN(len(d.doors))], rng.IntN(5), rng.IntN(400)
+		o, kind, n := d.endpoints[rng.IntN(len(d.endpoints))], rng.IntN(5), rng.IntN(400)
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
@@ -31,7 +31,7 @@
 			defer func() { _ = c.Close() }()
 			_ = c.SetDeadline(time.Now().Add(rudeness))
 			hello := startup()
-			query := message("/* id=1,c=" + d.s.Types[0].Name + ",d=900,cluster=0 */ SELECT data FROM facts WHERE code = 'rude'")
+			query := message("/* id=1,c=" + d.scenario.Types[0].Name + ",d=900,cluster=0 */ SELECT data FROM facts WHERE code = 'rude'")
 			switch kind {
 			case 0: // says nothing
 			case 1:
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -11,22 +11,22 @@
 
 // Scenario is a day to be played: a fleet, its traffic, what goes wrong, and what is expected of it. Times are nanoseconds.
 type Scenario struct {
-	Name, About       string
+	Name, Description string
 	Length            int64
 	Seed              uint64
 	Gateways          int
-	Subset            int             // members of a group that a gateway has, 0 for all; on the virtual clock
+	SubsetSize        int             // members of a group that a gateway has, 0 for all; on the virtual clock
 	SubsetConnections int             // gateways that a member has at the least
 	Signals           bool            // gateways tell each other what they learn of members; on the virtual clock
-	InFlight          int             // txns of all tenants at each gateway, 0 for no bound; on the virtual clock
+	MaxInFlight       int             // txns of all tenants at each gateway, 0 for no bound; on the virtual clock
 	Tenants           []routes.Tenant // whose txns they are
-	Held              map[string]int  // room that each gateway holds for tenants
-	Through           map[string]int  // gateways that a tenant's clients come through, the first ones
+	ReservedSlots     map[string]int  // room that each gateway holds for tenants
+	TenantGateways    map[string]int  // gateways that a tenant's clients come through, the first ones
 	Zones             []string
-	Groups            []GroupPlan
-	Network           NetworkPlan
-	Types             []TypePlan
-	Traffic           TrafficPlan
+	Groups            []GroupConfig
+	Network           NetworkConfig
+	Types             []TypeConfig
+	Traffic           TrafficConfig
 	Faults            []Fault
 	Random            []RandomFaults
 	Expect            Expectation
@@ -36,49 +36,49 @@
 
 // Policies of a scenario: the module itself, or with what it is told changed so that it does as a simpler gateway would.
 const (
-	ByModule  = "decide"
-	AllOnMain = "all to primary"
-	NoTokens  = "least loaded"
+	PolicyDecide       = "decide"
+	PolicyAllToPrimary = "all to primary"
+	PolicyLeastLoaded  = "least loaded"
 )
 
 // Policies are all of them.
-var Policies = []string{ByModule, AllOnMain, NoTokens}
+var Policies = []string{PolicyDecide, PolicyAllToPrimary, PolicyLeastLoaded}
 
 // SessionSources are what a session's read can go by.
 var SessionSources = []string{Brought, "covered", "fenced", "own"}
 
 // GroupPlan is a primary and its replicas.
-type GroupPlan struct {
-	Members     int
-	Cores       int
-	Lag         int64 // of shipping
-	Apply       int64 // of one commit, one after another
-	Sync        bool  // a commit outlives its primary
-	Detect      int64 // until a primary that is gone is replaced
-	HandOver    int64 // without a primary when it is moved
-	Connections int   // that a member takes
-	Handshake   int64
-	Thrash      int     // queries at a member past which each makes all of them slower
-	Hold        int64   // that a replica waits for a position
-	Cold        int64   // that a member is cold after its start
-	ColdFrom    float64 // of its speed at first
-	Fall        float64 // multiple of what it can do at which a cold member falls over
-	Restart     int64   // that this takes
+type GroupConfig struct {
+	Members            int
+	Cores              int
+	ReplicationLag     int64 // of shipping
+	ApplyTime          int64 // of one commit, one after another
+	SyncReplication    bool  // a commit outlives its primary
+	DetectionTime      int64 // until a primary that is gone is replaced
+	SwitchoverTime     int64 // without a primary when it is moved
+	MaxConnections     int   // that a member takes
+	HandshakeTime      int64
+	ThrashingThreshold int     // queries at a member past which each makes all of them slower
+	ReplicaWait        int64   // that a replica waits for a position
+	WarmUp             int64   // that a member is cold after its start
+	ColdFraction       float64 // of its speed at first
+	OverloadFactor     float64 // multiple of what it can do at which a cold member falls over
+	RestartTime        int64   // that this takes
 }
 
 // NetworkPlan has ways of one message.
-type NetworkPlan struct {
-	Near, Far int64 // mean, within a zone and between two
-	Loss      float64
+type NetworkConfig struct {
+	IntraZoneLatency, InterZoneLatency int64 // mean, within a zone and between two
+	LossRatio                          float64
 }
 
 // TypePlan is a txn type: what the platform says of it, and what it asks of databases.
-type TypePlan struct {
+type TypeConfig struct {
 	audit.Type
-	Cost   int64 // mean service time on a warm core
-	Spread string
-	Share  float64 // of the txns
-	Tenant string  // whose they are, empty for nobody's
+	Cost         int64 // mean service time on a warm core
+	Distribution string
+	Weight       float64 // of the txns
+	Tenant       string  // whose they are, empty for nobody's
 }
 
 // Spreads of service times.
@@ -89,39 +89,39 @@
 )
 
 // TrafficPlan is what clients send, in time whatever comes back.
-type TrafficPlan struct {
-	Rate     float64 // first tries a second
-	Sessions int
-	Roam     float64 // share of txns at another gateway than the session's own
-	Swing    float64 // of a wave, as a share of the rate
-	Period   int64
-	Jumps    []Jump
-	Retry    bool
-	Think    int64   // mean time after which a session reads what it has written; 0 is that it does not by itself
-	Piped    float64 // share of reads that come three at a time on one connection, none waiting for another's answer
-	Rude     float64 // bad clients a second, in real time
+type TrafficConfig struct {
+	Rate              float64 // first tries a second
+	Sessions          int
+	RoamingFraction   float64 // share of txns at another gateway than the session's own
+	WaveAmplitude     float64 // of a wave, as a share of the rate
+	WavePeriod        int64
+	Bursts            []Burst
+	Retry             bool
+	ThinkTime         int64   // mean time after which a session reads what it has written; 0 is that it does not by itself
+	PipelinedFraction float64 // share of reads that come three at a time on one connection, none waiting for another's answer
+	BadClientRate     float64 // bad clients a second, in real time
 }
 
 // Jump multiplies the rate for a while.
-type Jump struct {
-	At, For int64
-	Times   float64
+type Burst struct {
+	At, Duration int64
+	RateFactor   float64
 }
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	Kind    string
-	At, For int64
-	Member  string // by name: the group's number and the member's, as "0.1"
-	Gateway int
-	Zone    string
-	Group   int
-	Factor  float64
-	Lag     int64
+	Kind         string
+	At, Duration int64
+	Member       string // by name: the group's number and the member's, as "0.1"
+	Gateway      int
+	Zone         string
+	Group        int
+	Factor       float64
+	Lag          int64
 }
 
 // Faults are the kinds, with what each needs.
-var Faults = map[string][]string{
+var FaultKinds = map[string][]string{
 	"crash":        {"member"},           // its process ends, and starts cold after the span
 	"pause":        {"member"},           // it takes all and answers nothing
 	"slow":         {"member", "factor"}, // each query takes this many times as long
@@ -139,7 +139,7 @@
 }
 
 // parts tells whether a fault keeps all messages of one gateway from another.
-func (f *Fault) parts(from, to, gateways int) bool {
+func (f *Fault) isolates(from, to, gateways int) bool {
 	switch f.Kind {
 	case "apart":
 		return (from == f.Gateway) != (to == f.Gateway)
@@ -150,41 +150,43 @@
 }
 
 // between tells whether a fault is one between gateways.
-func (f *Fault) between() bool { return f.Kind == "apart" || f.Kind == "halves" || f.Kind == "rough" }
+func (f *Fault) isBetweenGateways() bool {
+	return f.Kind == "apart" || f.Kind == "halves" || f.Kind == "rough"
+}
 
 // RandomFaults come by chance.
 type RandomFaults struct {
-	Every, For int64
-	Kinds      []string
-	Factor     float64
-	Lag        int64
+	MeanInterval, Duration int64
+	Kinds                  []string
+	Factor                 float64
+	Lag                    int64
 }
 
 // Expectation is what a day must show; below 0 is nothing.
 type Expectation struct {
 	Service, Worst10, WorstType float64
-	Rules                       bool
+	NoViolations                bool
 }
 
 // DefaultGroup is what a group has that a file does not say.
-func DefaultGroup() GroupPlan {
-	return GroupPlan{Members: 3, Cores: 4, Lag: 20e6, Apply: 100e3, Sync: true, Detect: 2e9, HandOver: 300e6, Connections: 200,
-		Handshake: 1e6, Thrash: 64, Hold: 20e6, Cold: 10e9, ColdFrom: 0.25, Fall: 2, Restart: 5e9}
+func DefaultGroup() GroupConfig {
+	return GroupConfig{Members: 3, Cores: 4, ReplicationLag: 20e6, ApplyTime: 100e3, SyncReplication: true, DetectionTime: 2e9, SwitchoverTime: 300e6, MaxConnections: 200,
+		HandshakeTime: 1e6, ThrashingThreshold: 64, ReplicaWait: 20e6, WarmUp: 10e9, ColdFraction: 0.25, OverloadFactor: 2, RestartTime: 5e9}
 }
 
 // DefaultTypes are a portal's.
-func DefaultTypes() []TypePlan {
-	return []TypePlan{
-		{Type: audit.Type{Name: "search", Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 6e6, Spread: Exponential, Share: 0.4},
-		{Type: audit.Type{Name: "my-page", Effect: "repeatable", Consistency: "causal", Value: 2, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 4e6, Spread: Exponential, Share: 0.35},
-		{Type: audit.Type{Name: "overview", Effect: "repeatable", Consistency: "lag_bound", MaxAge: 500e6, Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 5e6, Spread: Exponential, Share: 0.1},
-		{Type: audit.Type{Name: "record", Effect: "by_key", Consistency: "mutate", DedupWindow: 2e9, Value: 4, LateValue: 0.3, TargetLatency: 500e6, MaxWait: 2e9}, Cost: 3e6, Spread: Exponential, Share: 0.14},
-		{Type: audit.Type{Name: "pay", Effect: "once", Consistency: "mutate", Value: 6, LateValue: 0.3, TargetLatency: 500e6, MaxWait: 2e9}, Cost: 3e6, Spread: Exponential, Share: 0.01},
+func DefaultTypes() []TypeConfig {
+	return []TypeConfig{
+		{Type: audit.Type{Name: "search", Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 6e6, Distribution: Exponential, Weight: 0.4},
+		{Type: audit.Type{Name: "my-page", Effect: "repeatable", Consistency: "causal", Value: 2, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 4e6, Distribution: Exponential, Weight: 0.35},
+		{Type: audit.Type{Name: "overview", Effect: "repeatable", Consistency: "lag_bound", MaxAge: 500e6, Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 5e6, Distribution: Exponential, Weight: 0.1},
+		{Type: audit.Type{Name: "record", Effect: "by_key", Consistency: "mutate", DedupWindow: 2e9, Value: 4, LateValue: 0.3, TargetLatency: 500e6, MaxWait: 2e9}, Cost: 3e6, Distribution: Exponential, Weight: 0.14},
+		{Type: audit.Type{Name: "pay", Effect: "once", Consistency: "mutate", Value: 6, LateValue: 0.3, TargetLatency: 500e6, MaxWait: 2e9}, Cost: 3e6, Distribution: Exponential, Weight: 0.01},
 	}
 }
 
 // Check names what is wrong that a reader of files can't see.
-func (s *Scenario) Check() error {
+func (s *Scenario) Validate() error {
 	switch {
 	case s.Length <= 0 || s.Gateways < 1 || len(s.Groups) == 0 || len(s.Types) == 0 || len(s.Zones) == 0:
 		return fmt.Errorf("a scenario needs a length, gateways, zones, groups and txn types")
@@ -196,11 +198,11 @@
 		return fmt.Errorf("unknown policy %q", s.Policy)
 	}
 	for i, f := range s.Faults {
-		if _, ok := Faults[f.Kind]; !ok {
+		if _, ok := FaultKinds[f.Kind]; !ok {
 			return fmt.Errorf("fault %d: unknown kind %q", i+1, f.Kind)
 		}
-		if needs := Faults[f.Kind]; slices.Contains(needs, "member") {
-			if _, _, err := s.memberNamed(f.Member); err != nil {
+		if needs := FaultKinds[f.Kind]; slices.Contains(needs, "member") {
+			if _, _, err := s.findMember(f.Member); err != nil {
 				return fmt.Errorf("fault %d: %w", i+1, err)
 			}
 		} else if slices.Contains(needs, "gateway") && (f.Gateway < 0 || f.Gateway >= s.Gateways) {
@@ -213,15 +215,15 @@
 }
 
 // followUp is the txn type by which a session reads what it has written, below 0 for none.
-func (s *Scenario) followUp() int {
-	if s.Traffic.Think <= 0 {
+func (s *Scenario) followUpType() int {
+	if s.Traffic.ThinkTime <= 0 {
 		return -1
 	}
-	return slices.IndexFunc(s.Types, func(t TypePlan) bool { return t.Consistency == "causal" })
+	return slices.IndexFunc(s.Types, func(t TypeConfig) bool { return t.Consistency == "causal" })
 }
 
 // memberNamed finds a member by its name.
-func (s *Scenario) memberNamed(name string) (group, member int, err error) {
+func (s *Scenario) findMember(name string) (group, member int, err error) {
 	if n, e := fmt.Sscanf(name, "%d.%d", &group, &member); n != 2 || e != nil || fmt.Sprintf("%d.%d", group, member) != name {
 		return 0, 0, fmt.Errorf("%q is no member: write 0.1 for the first replica of the first group", name)
 	}
@@ -232,18 +234,18 @@
 }
 
 // terms are what the auditor holds a run against; slack is for messages under way.
-func (s *Scenario) terms(slack int64) audit.Config {
-	t := audit.Config{DrainGrace: 250e6, Slack: slack, OverloadWindow: 1e9}
+func (s *Scenario) auditConfig(slack int64) audit.Config {
+	config := audit.Config{DrainGrace: 250e6, Slack: slack, OverloadWindow: 1e9}
 	for _, x := range s.Types {
-		t.Types = append(t.Types, x.Type)
+		config.Types = append(config.Types, x.Type)
 	}
 	g := s.Groups[0]
-	t.WarmUp, t.ColdFraction, t.OverloadFactor = g.Cold, g.ColdFrom, g.Fall
-	return t
+	config.WarmUp, config.ColdFraction, config.OverloadFactor = g.WarmUp, g.ColdFraction, g.OverloadFactor
+	return config
 }
 
 // settings are what a gateway's module is told of the platform, for one zone.
-func (s *Scenario) settings(zone int) ([]byte, error) {
+func (s *Scenario) gatewaySettings(zone int) ([]byte, error) {
 	type m = map[string]any
 	millis := func(ns int64) float64 { return float64(ns) / 1e6 }
 	var classes []m
@@ -259,28 +261,28 @@
 			}
 		}
 		classes = append(classes, c)
-		need, bound := t.Consistency, millis(t.MaxAge)
-		if need != "mutate" {
+		consistency, maxAge := t.Consistency, millis(t.MaxAge)
+		if consistency != "mutate" {
 			switch s.Policy {
-			case AllOnMain:
-				need = "strong"
-			case NoTokens:
-				need, bound = "eventual", 0
+			case PolicyAllToPrimary:
+				consistency = "strong"
+			case PolicyLeastLoaded:
+				consistency, maxAge = "eventual", 0
 			}
 		}
-		needs, bounds = append(needs, need), append(bounds, bound)
+		needs, bounds = append(needs, consistency), append(bounds, maxAge)
 	}
 	g := s.Groups[0]
 	return json.Marshal(m{
 		"classes": classes,
 		"familyInfo": m{"consistency": needs, "oldestDataMs": bounds, "whenBehind": "await", "writeMarks": "brought",
-			"roleInList": "none", "countedFromMs": 0, "waitMs": millis(g.Hold), "answersStamped": true},
+			"roleInList": "none", "countedFromMs": 0, "waitMs": millis(g.ReplicaWait), "answersStamped": true},
 		"fleetSize": s.Gateways, "locality": zone, "membershipMode": "ask", "parties": []int{}, "tickMs": 5,
 		"limits": m{"cancelling": true, "maxAttempts": 8, "mayDuplicate": false, "probes": true, "retryAfter": true,
 			"connectTimeoutMs": millis(connectTimeout), "keepaliveMs": 15000, "maxRetryAfterMs": 1000},
 		"loadReport": m{"how": "answers", "fields": []string{"x0", "x1", "util"}},
-		"rules": m{"askWithinMs": 10000, "coldFrom": g.ColdFrom, "coldMs": millis(g.Cold), "drainGraceMs": 250,
-			"fallMultiple": g.Fall, "overloadForMs": 1000},
+		"rules": m{"askWithinMs": 10000, "coldFrom": g.ColdFraction, "coldMs": millis(g.WarmUp), "drainGraceMs": 250,
+			"fallMultiple": g.OverloadFactor, "overloadForMs": 1000},
 		"machineTypes": []string{"m"}, "zones": s.Zones})
 }
 
--- a/rehearse/simulate_test.go
+++ b/rehearse/simulate_test.go
@@ -31,13 +31,13 @@
 
 // Every ready scenario meets its expectations, the five rules where it expects them.
 func TestReady(t *testing.T) {
-	for _, name := range Names() {
+	for _, name := range BuiltinNames() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := simulated(t, find(t, name))
 			worst, x := r.Service.WorstType()
-			t.Logf("service %.3f, worst ten seconds %.3f, %s %.3f, %d events in %v", r.Service.Overall, r.Service.Worst10, worst, x, r.Events, r.Took)
-			for _, f := range r.Failed {
+			t.Logf("service %.3f, worst ten seconds %.3f, %s %.3f, %d events in %v", r.Service.Overall, r.Service.Worst10, worst, x, r.EventCount, r.Elapsed)
+			for _, f := range r.FailedExpectations {
 				t.Error(f)
 			}
 			for _, v := range r.Violations[:min(len(r.Violations), 3)] {
@@ -51,15 +51,15 @@
 func TestSameSeedSameTrace(t *testing.T) {
 	s := find(t, "chance")
 	s.Length = 30e9
-	want := simulated(t, s).Mark
+	want := simulated(t, s).TraceHash
 	before := runtime.GOMAXPROCS(1)
-	one := simulated(t, s).Mark
+	one := simulated(t, s).TraceHash
 	runtime.GOMAXPROCS(before)
-	if again := simulated(t, s).Mark; one != want || again != want {
+	if again := simulated(t, s).TraceHash; one != want || again != want {
 		t.Fatal(want, one, again)
 	}
 	s.Seed++
-	if simulated(t, s).Mark == want {
+	if simulated(t, s).TraceHash == want {
 		t.Fatal("another seed gives the same trace")
 	}
 }
@@ -67,12 +67,12 @@
 // queueing is a single database without a network, on which one txn type is read.
 func queueing(cores int, load float64) *Scenario {
 	g := DefaultGroup()
-	g.Members, g.Cores, g.Thrash, g.Connections, g.Handshake = 1, cores, 1_000_000, 1_000_000, 0
+	g.Members, g.Cores, g.ThrashingThreshold, g.MaxConnections, g.HandshakeTime = 1, cores, 1_000_000, 1_000_000, 0
 	cost := int64(10e6)
-	return &Scenario{Name: "queue", Length: 200e9, Seed: 3, Gateways: 1, Zones: []string{"a"}, Groups: []GroupPlan{g},
-		Network: NetworkPlan{Near: 1, Far: 1}, Policy: ByModule, Sessions: Brought,
-		Types:   []TypePlan{{Type: audit.Type{Name: "any", Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 60e9, MaxWait: 100e9}, Cost: cost, Spread: Exponential, Share: 1}},
-		Traffic: TrafficPlan{Rate: load * float64(cores) * 1e9 / float64(cost), Sessions: 1000}}
+	return &Scenario{Name: "queue", Length: 200e9, Seed: 3, Gateways: 1, Zones: []string{"a"}, Groups: []GroupConfig{g},
+		Network: NetworkConfig{IntraZoneLatency: 1, InterZoneLatency: 1}, Policy: PolicyDecide, Sessions: Brought,
+		Types:   []TypeConfig{{Type: audit.Type{Name: "any", Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 60e9, MaxWait: 100e9}, Cost: cost, Distribution: Exponential, Weight: 1}},
+		Traffic: TrafficConfig{Rate: load * float64(cores) * 1e9 / float64(cost), Sessions: 1000}}
 }
 
 // The model of a database against closed formulas: the mean wait of M/M/1 and M/M/c (Erlang C).
@@ -127,12 +127,12 @@
 // comes faster than it applies.
 func TestGroupModel(t *testing.T) {
 	s := find(t, "calm")
-	s.Groups = []GroupPlan{DefaultGroup()}
-	s.Faults = []Fault{{Kind: "crash", At: 5e9, For: 4e9, Member: "0.0"}}
+	s.Groups = []GroupConfig{DefaultGroup()}
+	s.Faults = []Fault{{Kind: "crash", At: 5e9, Duration: 4e9, Member: "0.0"}}
 	r := simulated(t, s)
-	t.Logf("%v", r.Lines)
+	t.Logf("%v", r.LogLines)
 	found := false
-	for _, l := range r.Lines {
+	for _, l := range r.LogLines {
 		found = found || strings.Contains(l, "67000.0 ms  0.") && strings.Contains(l, "is the primary")
 	}
 	if !found {
@@ -144,7 +144,7 @@
 		t.Fatal(err)
 	}
 	c, replica := w.groups[0], w.bases[1]
-	c.plan.Apply, c.plan.Lag = 10e6, 5e6
+	c.plan.ApplyTime, c.plan.ReplicationLag = 10e6, 5e6
 	for i := range 100 { // a commit each 5 ms, each applied in 10 ms: the last is applied 1,000 ms after the first came
 		w.Now = begin + int64(i)*5e6
 		c.log = append(c.log, commit{at: w.Now, session: 1, version: uint64(i + 1)})
@@ -162,7 +162,7 @@
 // Baselines do what they are for: without tokens reads are stale, with all on the primary a fleet carries less.
 func TestBaselines(t *testing.T) {
 	s := find(t, "slow-apply")
-	s.Policy = NoTokens
+	s.Policy = PolicyLeastLoaded
 	stale := 0
 	for _, v := range simulated(t, s).Violations {
 		if v.Rule == audit.RuleNoStaleRead {
@@ -184,9 +184,9 @@
 		t.Error("no stale read where gateways tell one another nothing")
 	}
 	s = find(t, "jump")
-	s.Policy = AllOnMain
+	s.Policy = PolicyAllToPrimary
 	main := simulated(t, s)
-	s.Policy = ByModule
+	s.Policy = PolicyDecide
 	if ours := simulated(t, s); ours.Service.Overall <= main.Service.Overall {
 		t.Error(ours.Service.Overall, main.Service.Overall)
 	}
@@ -197,8 +197,8 @@
 	m := standin.NewGroup(0).NewMember("m", true)
 	defer m.Kill()
 	s := find(t, "bad-clients")
-	s.Length, s.Traffic.Rude = 2e9, 1000
-	r, err := Drive(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
+	s.Length, s.Traffic.BadClientRate = 2e9, 1000
+	r, err := RunLoad(&Load{Scenario: s, Addresses: []string{m.Address()}}, nil)
 	if err != nil || r.Service.Requested < 600 || len(r.Violations) > 0 || r.Service.Overall < 0.8 {
 		t.Fatal(err, r.Service.Requested, r.Service.Overall, r.Violations)
 	}
@@ -230,13 +230,13 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, name := range Names() {
-		text, _ := Text(name)
+	for _, name := range BuiltinNames() {
+		text, _ := BuiltinText(name)
 		f.Add(string(text))
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		if s, err := Parse([]byte(text), "x.hcl"); err == nil && s.Check() != nil {
-			t.Fatal(s.Check())
+		if s, err := Parse([]byte(text), "x.hcl"); err == nil && s.Validate() != nil {
+			t.Fatal(s.Validate())
 		}
 	})
 }
@@ -252,15 +252,15 @@
 				s.Groups = nil
 				for range groups {
 					g := DefaultGroup()
-					g.Members, g.Connections = 4, 2*n
+					g.Members, g.MaxConnections = 4, 2*n
 					s.Groups = append(s.Groups, g)
 				}
-				s.Traffic.Rate, s.Traffic.Jumps, s.Faults = 400*float64(groups), nil, nil
+				s.Traffic.Rate, s.Traffic.Bursts, s.Faults = 400*float64(groups), nil, nil
 				r := simulated(b, s)
 				var m runtime.MemStats
 				runtime.ReadMemStats(&m)
-				b.ReportMetric(float64(r.Events)/r.Took.Seconds(), "events/s")
-				b.ReportMetric(float64(s.Length)/1e9/r.Took.Seconds(), "simulated_s/s")
+				b.ReportMetric(float64(r.EventCount)/r.Elapsed.Seconds(), "events/s")
+				b.ReportMetric(float64(s.Length)/1e9/r.Elapsed.Seconds(), "simulated_s/s")
 				b.ReportMetric(float64(m.HeapAlloc)/1e6, "MB")
 				b.ReportMetric(r.Service.Overall, "service")
 				if len(r.Violations) > 0 {
--- a/rehearse/some.go
+++ b/rehearse/some.go
@@ -23,18 +23,18 @@
 // subsets are the terms of a scenario's subsets.
 func (s *Scenario) subsets() subset.Config {
 	t := subset.DefaultConfig()
-	t.MinMembers, t.Connections, t.MinOtherZone = s.Subset, s.SubsetConnections, min(t.MinOtherZone, s.Subset-1)
+	t.MinMembers, t.Connections, t.MinOtherZone = s.SubsetSize, s.SubsetConnections, min(t.MinOtherZone, s.SubsetSize-1)
 	return t
 }
 
 func newSome(n *node) (*some, error) {
 	s := n.w.s
-	if s.Subset == 0 && !s.Signals {
+	if s.SubsetSize == 0 && !s.Signals {
 		return nil, nil
 	}
 	x := &some{n: n, primary: map[int]int{}}
 	var err error
-	if s.Subset > 0 {
+	if s.SubsetSize > 0 {
 		if x.module, err = subset.New(s.subsets(), n.w.gatewayOf(n.no), s.Seed); err != nil {
 			return nil, err
 		}
--- a/rehearse/world.go
+++ b/rehearse/world.go
@@ -64,9 +64,9 @@
 
 // way is how long a message takes between two zones.
 func (w *world) way(from, to int) int64 {
-	mean := w.s.Network.Near
+	mean := w.s.Network.IntraZoneLatency
 	if from != to {
-		mean = w.s.Network.Far
+		mean = w.s.Network.InterZoneLatency
 	}
 	return int64(float64(mean) * (0.5 + w.rng.ExpFloat64()/2))
 }
@@ -74,7 +74,7 @@
 // send has something arrive elsewhere; what crosses the border of a zone that is cut off, or is lost, does not.
 func (w *world) send(from, to int, do func()) {
 	took := w.way(from, to)
-	if from != to && (w.cut[from] || w.cut[to]) || w.s.Network.Loss > 0 && w.rng.Float64() < w.s.Network.Loss {
+	if from != to && (w.cut[from] || w.cut[to]) || w.s.Network.LossRatio > 0 && w.rng.Float64() < w.s.Network.LossRatio {
 		return
 	}
 	w.After(took, do)
@@ -84,7 +84,7 @@
 func (w *world) parts(from, to int) bool {
 	lost, pass := false, 1.0
 	for f := range w.parted {
-		lost = lost || f.parts(from, to, w.s.Gateways)
+		lost = lost || f.isolates(from, to, w.s.Gateways)
 		if f.Kind == "rough" {
 			pass *= 1 - f.Factor
 		}
@@ -106,7 +106,7 @@
 
 // newWorld builds a scenario.
 func newWorld(s *Scenario, watch func(Progress)) (*world, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	w := &world{s: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), Scheduler: agenda.Scheduler{Now: begin}, cut: map[int]bool{}, parted: map[*Fault]bool{}, watch: watch, divisions: map[string]*subset.Division{}}
@@ -153,10 +153,10 @@
 }
 
 func (w *world) planRandom(r RandomFaults) {
-	w.After(int64(w.rng.ExpFloat64()*float64(r.Every)), func() {
-		if w.Now-begin+r.For < w.s.Length {
+	w.After(int64(w.rng.ExpFloat64()*float64(r.MeanInterval)), func() {
+		if w.Now-begin+r.Duration < w.s.Length {
 			d := w.bases[w.rng.IntN(len(w.bases))]
-			f := Fault{Kind: r.Kinds[w.rng.IntN(len(r.Kinds))], At: w.Now - begin, For: r.For, Member: d.name, Factor: r.Factor, Lag: r.Lag,
+			f := Fault{Kind: r.Kinds[w.rng.IntN(len(r.Kinds))], At: w.Now - begin, Duration: r.Duration, Member: d.name, Factor: r.Factor, Lag: r.Lag,
 				Gateway: w.rng.IntN(len(w.nodes)), Zone: w.s.Zones[w.rng.IntN(len(w.s.Zones))]}
 			w.plan(f)
 		}
@@ -167,7 +167,7 @@
 // String words a fault for reports.
 func (f Fault) String() string {
 	text := f.Kind
-	for _, need := range Faults[f.Kind] {
+	for _, need := range FaultKinds[f.Kind] {
 		switch need {
 		case "member":
 			text += " " + f.Member
@@ -187,26 +187,26 @@
 // plan has a fault come and go.
 func (w *world) plan(f Fault) {
 	var d *database
-	if slices.Contains(Faults[f.Kind], "member") {
-		g, m, _ := w.s.memberNamed(f.Member) // it was checked
+	if slices.Contains(FaultKinds[f.Kind], "member") {
+		g, m, _ := w.s.findMember(f.Member) // it was checked
 		d = w.groups[g].members[m]
 	}
-	w.marks = append(w.marks, Mark{f.At, f.For, f.String()})
-	from, to := f.At+begin-w.Now, f.At+f.For+begin-w.Now
+	w.marks = append(w.marks, Mark{f.At, f.Duration, f.String()})
+	from, to := f.At+begin-w.Now, f.At+f.Duration+begin-w.Now
 	both := func(on, off func()) {
 		w.After(from, func() { w.said("%s", f); on() })
-		if f.For > 0 {
+		if f.Duration > 0 {
 			w.After(to, off)
 		}
 	}
 	switch f.Kind {
 	case "crash":
-		both(func() { d.crash(f.For) }, func() {})
+		both(func() { d.crash(f.Duration) }, func() {})
 	case "pause":
 		both(func() {
 			d.paused = true
 			if run := d.run; d.primary { // one that hangs is replaced as one that is gone
-				w.After(d.of.plan.Detect, func() {
+				w.After(d.of.plan.DetectionTime, func() {
 					if d.paused && d.run == run && d.primary {
 						d.reaches()
 						d.primary, d.replaced = false, true
@@ -220,7 +220,7 @@
 			}
 			if d.replaced { // it can't go on where it stood: others have written since
 				d.replaced = false
-				d.crash(d.of.plan.Restart)
+				d.crash(d.of.plan.RestartTime)
 				return
 			}
 			d.paused = false
@@ -330,7 +330,7 @@
 func newPeople(w *world) *people {
 	p := &people{w: w, sessions: make([]person, w.s.Traffic.Sessions)}
 	for _, t := range w.s.Types {
-		p.sum += t.Share
+		p.sum += t.Weight
 	}
 	p.next()
 	return p
@@ -339,14 +339,14 @@
 // rate is how many first tries a second are due now.
 func (p *people) rate() float64 { return p.w.s.Traffic.rateAt(p.w.Now - begin) }
 
-func (t *TrafficPlan) rateAt(at int64) float64 {
+func (t *TrafficConfig) rateAt(at int64) float64 {
 	rate := t.Rate
-	if t.Period > 0 {
-		rate *= 1 + t.Swing*math.Sin(2*math.Pi*float64(at)/float64(t.Period))
+	if t.WavePeriod > 0 {
+		rate *= 1 + t.WaveAmplitude*math.Sin(2*math.Pi*float64(at)/float64(t.WavePeriod))
 	}
-	for _, j := range t.Jumps {
-		if at >= j.At && at < j.At+j.For {
-			rate *= j.Times
+	for _, j := range t.Bursts {
+		if at >= j.At && at < j.At+j.Duration {
+			rate *= j.RateFactor
 		}
 	}
 	return rate
@@ -366,8 +366,8 @@
 	w := p.w
 	x := w.rng.Float64() * p.sum
 	kind := 0
-	for kind < len(w.s.Types)-1 && x >= w.s.Types[kind].Share {
-		x -= w.s.Types[kind].Share
+	for kind < len(w.s.Types)-1 && x >= w.s.Types[kind].Weight {
+		x -= w.s.Types[kind].Weight
 		kind++
 	}
 	t := &w.s.Types[kind]
@@ -391,7 +391,7 @@
 			wish.key = p.keys
 		}
 	}
-	if t.Consistency != "mutate" && w.s.Traffic.Piped > 0 && w.rng.Float64() < w.s.Traffic.Piped/batch {
+	if t.Consistency != "mutate" && w.s.Traffic.PipelinedFraction > 0 && w.rng.Float64() < w.s.Traffic.PipelinedFraction/batch {
 		n, first := p.ask(wish)
 		last := first
 		for range batch - 1 {
@@ -416,10 +416,10 @@
 func (p *people) ask(x *wish) (*node, *asked) {
 	w := p.w
 	no := x.session % len(w.nodes)
-	if w.s.Traffic.Roam > 0 && w.rng.Float64() < w.s.Traffic.Roam {
+	if w.s.Traffic.RoamingFraction > 0 && w.rng.Float64() < w.s.Traffic.RoamingFraction {
 		no = w.rng.IntN(len(w.nodes))
 	}
-	if most := w.s.Through[w.s.Types[x.kind].Tenant]; most > 0 {
+	if most := w.s.TenantGateways[w.s.Types[x.kind].Tenant]; most > 0 {
 		no %= most
 	}
 	for i := 0; i < len(w.nodes) && w.nodes[no].away(); i++ { // the front has seen that it is gone
@@ -464,8 +464,8 @@
 			s.writing = false
 			s.told = max(s.told, x.version)
 			s.at = max(s.at, position)
-			if kind := w.s.followUp(); kind >= 0 {
-				w.After(int64(w.rng.ExpFloat64()*float64(w.s.Traffic.Think)), func() {
+			if kind := w.s.followUpType(); kind >= 0 {
+				w.After(int64(w.rng.ExpFloat64()*float64(w.s.Traffic.ThinkTime)), func() {
 					if !p.closed {
 						p.try(&wish{kind: kind, session: x.session, due: w.Now})
 					}
--- a/rehearse/write.go
+++ b/rehearse/write.go
@@ -25,7 +25,7 @@
 	block := func(in *hclwrite.Body, kind string, labels ...string) *hclwrite.Body {
 		return in.AppendNewBlock(kind, labels).Body()
 	}
-	text(top, "about", s.About)
+	text(top, "about", s.Description)
 	span(top, "length", s.Length)
 	top.SetAttributeValue("seed", cty.NumberUIntVal(s.Seed))
 	whole(top, "gateways", s.Gateways)
@@ -36,24 +36,24 @@
 		b := block(top, "group")
 		whole(b, "members", g.Members)
 		whole(b, "cores", g.Cores)
-		whole(b, "connections", g.Connections)
-		whole(b, "thrash", g.Thrash)
-		span(b, "lag", g.Lag)
-		span(b, "apply", g.Apply)
-		span(b, "detect", g.Detect)
-		span(b, "hand_over", g.HandOver)
-		span(b, "handshake", g.Handshake)
-		span(b, "hold", g.Hold)
-		span(b, "cold", g.Cold)
-		span(b, "restart", g.Restart)
-		number(b, "cold_from", g.ColdFrom)
-		number(b, "fall", g.Fall)
-		b.SetAttributeValue("sync", cty.BoolVal(g.Sync))
+		whole(b, "connections", g.MaxConnections)
+		whole(b, "thrash", g.ThrashingThreshold)
+		span(b, "lag", g.ReplicationLag)
+		span(b, "apply", g.ApplyTime)
+		span(b, "detect", g.DetectionTime)
+		span(b, "hand_over", g.SwitchoverTime)
+		span(b, "handshake", g.HandshakeTime)
+		span(b, "hold", g.ReplicaWait)
+		span(b, "cold", g.WarmUp)
+		span(b, "restart", g.RestartTime)
+		number(b, "cold_from", g.ColdFraction)
+		number(b, "fall", g.OverloadFactor)
+		b.SetAttributeValue("sync", cty.BoolVal(g.SyncReplication))
 	}
 	b := block(top, "network")
-	span(b, "near", s.Network.Near)
-	span(b, "far", s.Network.Far)
-	number(b, "loss", s.Network.Loss)
+	span(b, "near", s.Network.IntraZoneLatency)
+	span(b, "far", s.Network.InterZoneLatency)
+	number(b, "loss", s.Network.LossRatio)
 	for _, t := range s.Types {
 		b := block(top, "type", t.Name)
 		text(b, "effect", t.Effect)
@@ -70,36 +70,36 @@
 		span(b, "aim", t.TargetLatency)
 		span(b, "limit", t.MaxWait)
 		span(b, "cost", t.Cost)
-		text(b, "spread", t.Spread)
-		number(b, "share", t.Share)
+		text(b, "spread", t.Distribution)
+		number(b, "share", t.Weight)
 	}
 	b = block(top, "traffic")
 	number(b, "rate", s.Traffic.Rate)
 	whole(b, "sessions", s.Traffic.Sessions)
-	number(b, "roam", s.Traffic.Roam)
-	number(b, "swing", s.Traffic.Swing)
-	if s.Traffic.Period > 0 {
-		span(b, "period", s.Traffic.Period)
+	number(b, "roam", s.Traffic.RoamingFraction)
+	number(b, "swing", s.Traffic.WaveAmplitude)
+	if s.Traffic.WavePeriod > 0 {
+		span(b, "period", s.Traffic.WavePeriod)
 	}
 	b.SetAttributeValue("retry", cty.BoolVal(s.Traffic.Retry))
-	if s.Traffic.Think > 0 {
-		span(b, "think", s.Traffic.Think)
+	if s.Traffic.ThinkTime > 0 {
+		span(b, "think", s.Traffic.ThinkTime)
 	}
-	number(b, "piped", s.Traffic.Piped)
-	number(b, "rude", s.Traffic.Rude)
-	for _, j := range s.Traffic.Jumps {
+	number(b, "piped", s.Traffic.PipelinedFraction)
+	number(b, "rude", s.Traffic.BadClientRate)
+	for _, j := range s.Traffic.Bursts {
 		in := block(b, "jump")
 		span(in, "at", j.At)
-		span(in, "for", j.For)
-		number(in, "times", j.Times)
+		span(in, "for", j.Duration)
+		number(in, "times", j.RateFactor)
 	}
 	for _, x := range s.Faults {
 		b := block(top, "fault", x.Kind)
 		span(b, "at", x.At)
-		if x.For > 0 {
-			span(b, "for", x.For)
+		if x.Duration > 0 {
+			span(b, "for", x.Duration)
 		}
-		for _, need := range Faults[x.Kind] {
+		for _, need := range FaultKinds[x.Kind] {
 			switch need {
 			case "member":
 				text(b, need, x.Member)
@@ -116,8 +116,8 @@
 	}
 	for _, r := range s.Random {
 		b := block(top, "random")
-		span(b, "every", r.Every)
-		span(b, "for", r.For)
+		span(b, "every", r.MeanInterval)
+		span(b, "for", r.Duration)
 		list(b, "kinds", r.Kinds)
 		number(b, "factor", r.Factor)
 		span(b, "lag", r.Lag)
@@ -131,6 +131,6 @@
 			number(b, x.name, x.x)
 		}
 	}
-	b.SetAttributeValue("rules", cty.BoolVal(s.Expect.Rules))
+	b.SetAttributeValue("rules", cty.BoolVal(s.Expect.NoViolations))
 	return f.Bytes()
 }
