--- a/rehearse/experiment/experiment.go
+++ b/rehearse/experiment/experiment.go
@@ -1,6 +1,6 @@
-// Package experiment plays scenarios many times: parameters times seeds times variants, paired by seed, as many at once as
-// the machine has cores, and says what differs and how surely. What was played is kept, so that an experiment that was
-// interrupted goes on where it stood.
+// Package experiment simulates scenarios for each combination of parameter values, seeds and variants, in parallel on all
+// cores, and compares the variants by paired differences with confidence intervals. Results are appended to a file, so that
+// an interrupted experiment can be resumed.
 package experiment
 
 import (
@@ -20,7 +20,7 @@
 	"magpieglade/rehearse"
 )
 
-// Plan is an experiment.
+// Plan describes an experiment: all scenarios are run with all parameter values, seeds and variants.
 type Plan struct {
 	Scenarios  []*rehearse.Scenario
 	Seeds      int
@@ -28,20 +28,20 @@
 	Parameters []Parameter
 }
 
-// Variant is one way of doing it: the first is what the others are held against.
+// Variant is a policy or a build to compare. The first variant of a plan is the baseline.
 type Variant struct {
 	Name    string
-	Policy  string // empty is the scenario's
-	Program string // an earlier build of this program; empty is this one
+	Policy  string // empty for the scenario's own
+	Program string // path of another build of this program, empty for this one
 }
 
-// Parameter is a number of a scenario that takes several values.
+// Parameter is a numeric scenario setting with the values to try.
 type Parameter struct {
 	Name   string
 	Values []float64
 }
 
-// Settable are the parameters, with how each is put into a scenario.
+// ParameterSetters maps each parameter name to a function that sets it in a scenario.
 var ParameterSetters = map[string]func(*rehearse.Scenario, float64){
 	"rate":     func(s *rehearse.Scenario, x float64) { s.Traffic.Rate = x },
 	"roam":     func(s *rehearse.Scenario, x float64) { s.Traffic.RoamingFraction = x },
@@ -67,7 +67,7 @@
 	}
 }
 
-// Run is one day that was played.
+// Run is the result of one simulated scenario. Its JSON form is a line of runs.jsonl.
 type Run struct {
 	Scenario        string
 	ParameterValues string `json:"Point"` // "name=value " for each parameter
@@ -84,47 +84,47 @@
 	return fmt.Sprint(r.Scenario, "|", r.ParameterValues, "|", r.Variant, "|", r.Seed)
 }
 
-// job is a day to be played.
+// job is a scenario to simulate, with its result.
 type job struct {
 	Run
 	scenario *rehearse.Scenario
 	variant  *Variant
 }
 
-// jobs are all days of a plan.
+// jobs returns the jobs of all combinations, in the plan's order.
 func (p *Plan) jobs() (all []job) {
 	points := []map[string]float64{{}}
 	for _, x := range p.Parameters {
-		var more []map[string]float64
-		for _, at := range points {
+		var extended []map[string]float64
+		for _, values := range points {
 			for _, v := range x.Values {
 				next := map[string]float64{x.Name: v}
-				for k, v := range at {
+				for k, v := range values {
 					next[k] = v
 				}
-				more = append(more, next)
+				extended = append(extended, next)
 			}
 		}
-		points = more
+		points = extended
 	}
 	for _, s := range p.Scenarios {
-		for _, at := range points {
+		for _, values := range points {
 			point := ""
 			for _, x := range p.Parameters {
-				point += fmt.Sprintf("%s=%g ", x.Name, at[x.Name])
+				point += fmt.Sprintf("%s=%g ", x.Name, values[x.Name])
 			}
 			for seed := range p.Seeds {
 				for i := range p.Variants {
 					v := &p.Variants[i]
-					day := *s
+					scenario := *s
 					for _, x := range p.Parameters {
-						ParameterSetters[x.Name](&day, at[x.Name])
+						ParameterSetters[x.Name](&scenario, values[x.Name])
 					}
-					day.Seed = uint64(seed + 1)
+					scenario.Seed = uint64(seed + 1)
 					if v.Policy != "" {
-						day.Policy = v.Policy
+						scenario.Policy = v.Policy
 					}
-					all = append(all, job{Run{Scenario: s.Name, ParameterValues: point, Variant: v.Name, Seed: day.Seed}, &day, v})
+					all = append(all, job{Run{Scenario: s.Name, ParameterValues: point, Variant: v.Name, Seed: scenario.Seed}, &scenario, v})
 				}
 			}
 		}
@@ -132,7 +132,7 @@
 	return all
 }
 
-// play plays one day.
+// run simulates the scenario, in this process or with another build, and stores the result.
 func (j *job) run() error {
 	if j.variant.Program != "" {
 		return j.runExternal()
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// elsewhere has another build play it.
+// runExternal runs the scenario with another build of the program.
 func (j *job) runExternal() error {
 	dir, err := os.MkdirTemp("", "experiment")
 	if err != nil {
@@ -160,7 +160,7 @@
 	cmd := exec.Command(j.variant.Program, "rehearse", "run", file, "--json")
 	var problems bytes.Buffer
 	cmd.Stderr = &problems
-	out, err := cmd.Output() // status 1 is a day that was not as expected
+	out, err := cmd.Output() // exit status 1 only means that expectations were not met
 	var response struct {
 		Service, Worst10 float64
 		WorstType        float64 `json:"worst_type_service"`
@@ -174,7 +174,8 @@
 	return nil
 }
 
-// Play plays what of a plan is not yet in a folder, and gives all of it in the plan's order. told is called after each day.
+// Execute runs the jobs whose results are not yet in the folder, and returns the results of all jobs in the plan's order.
+// progress is called after each job.
 func (p *Plan) Execute(folder string, progress func(done, all int)) ([]Run, error) {
 	if len(p.Variants) == 0 || len(p.Scenarios) == 0 || p.Seeds < 1 {
 		return nil, fmt.Errorf("an experiment needs scenarios, seeds and variants")
@@ -187,7 +188,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Truncate(path, completeBytes); err != nil && !os.IsNotExist(err) { // half a line of one that was interrupted
+	if err := os.Truncate(path, completeBytes); err != nil && !os.IsNotExist(err) { // drop a partial last line, left by an interrupted run
 		return nil, err
 	}
 	file, err := os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
@@ -248,7 +249,7 @@
 	return all, nil
 }
 
-// recall reads what was played before, up to the last whole line.
+// loadRuns reads the results of earlier runs, and returns the number of bytes up to the end of the last complete line.
 func loadRuns(path string) (all map[string]Run, completeBytes int64, err error) {
 	all = map[string]Run{}
 	text, err := os.ReadFile(path)
@@ -271,7 +272,7 @@
 	}
 }
 
-// Verdict is how a variant does against the first.
+// Verdict compares one measure of a variant with the baseline.
 type Verdict struct {
 	Scenario              string
 	ParameterValues       string `json:"Point"`
@@ -284,7 +285,7 @@
 	Conclusion            string `json:"Says"` // "better", "worse" or "can't tell"
 }
 
-// Measures are what variants are compared by; more is better.
+// Measures are the quantities by which variants are compared; greater is better.
 var Measures = []struct {
 	Name string
 	Of   func(*Run) float64
@@ -295,52 +296,52 @@
 	{"rules", func(r *Run) float64 { return -float64(r.Violations) }},
 }
 
-// Compare compares each variant with the first, pair by pair of the same seed.
+// Compare compares each variant with the first one, by pairs of runs with the same seed.
 func (p *Plan) Compare(runs []Run) (all []Verdict) {
 	runsByKey := map[string]*Run{}
-	type place struct{ scenario, point string }
-	var places []place
+	type group struct{ scenario, point string }
+	var groups []group
 	for i := range runs {
 		r := &runs[i]
 		runsByKey[r.key()] = r
-		if at := (place{r.Scenario, r.ParameterValues}); !slices.Contains(places, at) {
-			places = append(places, at)
+		if group := (group{r.Scenario, r.ParameterValues}); !slices.Contains(groups, group) {
+			groups = append(groups, group)
 		}
 	}
-	for _, at := range places {
+	for _, group := range groups {
 		for _, v := range p.Variants[1:] {
 			for _, m := range Measures {
-				x := Verdict{Scenario: at.scenario, ParameterValues: at.point, Variant: v.Name, Measure: m.Name}
+				verdict := Verdict{Scenario: group.scenario, ParameterValues: group.point, Variant: v.Name, Measure: m.Name}
 				var differences []float64
 				for seed := range p.Seeds {
-					a := runsByKey[(&Run{Scenario: at.scenario, ParameterValues: at.point, Variant: p.Variants[0].Name, Seed: uint64(seed + 1)}).key()]
-					b := runsByKey[(&Run{Scenario: at.scenario, ParameterValues: at.point, Variant: v.Name, Seed: uint64(seed + 1)}).key()]
-					x.Mean, x.Baseline = x.Mean+m.Of(b), x.Baseline+m.Of(a)
+					a := runsByKey[(&Run{Scenario: group.scenario, ParameterValues: group.point, Variant: p.Variants[0].Name, Seed: uint64(seed + 1)}).key()]
+					b := runsByKey[(&Run{Scenario: group.scenario, ParameterValues: group.point, Variant: v.Name, Seed: uint64(seed + 1)}).key()]
+					verdict.Mean, verdict.Baseline = verdict.Mean+m.Of(b), verdict.Baseline+m.Of(a)
 					differences = append(differences, m.Of(b)-m.Of(a))
 				}
 				n := float64(len(differences))
-				x.Pairs, x.Mean, x.Baseline = len(differences), x.Mean/n, x.Baseline/n
-				x.Difference, x.Low, x.High = Bootstrap(differences, 1)
+				verdict.Pairs, verdict.Mean, verdict.Baseline = len(differences), verdict.Mean/n, verdict.Baseline/n
+				verdict.Difference, verdict.Low, verdict.High = Bootstrap(differences, 1)
 				switch {
-				case x.Low > 0:
-					x.Conclusion = "better"
-				case x.High < 0:
-					x.Conclusion = "worse"
+				case verdict.Low > 0:
+					verdict.Conclusion = "better"
+				case verdict.High < 0:
+					verdict.Conclusion = "worse"
 				default:
-					x.Conclusion = "can't tell"
+					verdict.Conclusion = "can't tell"
 				}
-				all = append(all, x)
+				all = append(all, verdict)
 			}
 		}
 	}
 	return all
 }
 
-// resamples of a bootstrap. Ours: the bounds stand still to a hundredth of their span.
+// bootstrapResamples keeps the confidence bounds stable to a hundredth of the interval's width.
 const bootstrapResamples = 4000
 
-// Bootstrap gives the mean of some numbers and the bounds within which it lies with 95%, by resampling (Efron 1979, the
-// percentile method). With fewer than five numbers nothing can be said: the bounds are infinite.
+// Bootstrap returns the mean of the values and its 95% confidence interval, by the percentile bootstrap (Efron 1979). With
+// fewer than five values the bounds are infinite.
 func Bootstrap(all []float64, seed uint64) (mean, low, high float64) {
 	for _, x := range all {
 		mean += x / float64(len(all))
--- a/rehearse/experiment/experiment_test.go
+++ b/rehearse/experiment/experiment_test.go
@@ -23,7 +23,7 @@
 	return s
 }
 
-// A scenario that is written is read as the same, and plays the same day.
+// Each built-in scenario, encoded as HCL and parsed again, must be equal to the original.
 func TestHCLRoundTrip(t *testing.T) {
 	for _, name := range rehearse.BuiltinNames() {
 		s, err := rehearse.Find(name)
@@ -37,8 +37,8 @@
 	}
 }
 
-// A baseline that is worse is told to be, one that is the same is not told apart; and what was interrupted, in the middle
-// of a line, goes on to the very same result without playing again what was played.
+// Compare must report a worse policy as worse and an identical one as indistinguishable. An experiment whose file was cut in
+// the middle of a line must resume to the same result without repeating the runs on complete lines.
 func TestCompareAndResume(t *testing.T) {
 	p := &Plan{Scenarios: []*rehearse.Scenario{smallScenario(t, "jump")}, Seeds: 6,
 		Variants:   []Variant{{Name: "ours"}, {Name: "same", Policy: rehearse.PolicyDecide}, {Name: "main", Policy: rehearse.PolicyAllToPrimary}},
@@ -72,7 +72,7 @@
 	}
 }
 
-// The bounds hold the true mean nineteen times of twenty, and a few numbers tell nothing.
+// The 95% interval must contain the true mean in about 95% of 200 samples, and be infinite for fewer than five values.
 func TestBootstrap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	held := 0
@@ -93,7 +93,8 @@
 	}
 }
 
-// A search ends with a day that is no longer than the one it found, has no more faults, and still shows the loss.
+// The shrunk scenario of a search must be no longer than the one found, have no more faults, be smaller in one of the two,
+// and still show the loss. The same seed must find the same scenario.
 func TestSearch(t *testing.T) {
 	s := smallScenario(t, "calm")
 	s.Length = 15e9
@@ -101,18 +102,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("lost %.3f of %d faults in %v ns, shrunk to %.3f of %d faults in %v ns, %d days", f.Loss, len(f.Scenario.Faults), f.Scenario.Length, f.ShrunkLoss, len(f.Shrunk.Faults), f.Shrunk.Length, f.Evaluations)
+	t.Logf("loss %.3f with %d faults in %v ns, shrunk to %.3f with %d faults in %v ns, %d evaluations", f.Loss, len(f.Scenario.Faults), f.Scenario.Length, f.ShrunkLoss, len(f.Shrunk.Faults), f.Shrunk.Length, f.Evaluations)
 	if f.Loss <= 0 || f.ShrunkLoss < minRemainingLossFraction*f.Loss || len(f.Shrunk.Faults) > len(f.Scenario.Faults) || f.Shrunk.Length > f.Scenario.Length ||
 		len(f.Shrunk.Faults) == len(f.Scenario.Faults) && f.Shrunk.Length == f.Scenario.Length {
 		t.Fatalf("%+v", f)
 	}
 	again, err := Search(s, rehearse.PolicyDecide, "", 12, 1, nil)
 	if err != nil || !reflect.DeepEqual(again, f) {
-		t.Fatal("another search of the same seed finds another day")
+		t.Fatal("a second search with the same seed found another scenario")
 	}
 }
 
-// What is wrong with an experiment's file is told with its place.
+// Errors in an experiment file carry the file position.
 func Example_wrong() {
 	dir, _ := os.MkdirTemp("", "x")
 	defer func() { _ = os.RemoveAll(dir) }()
--- a/rehearse/experiment/read.go
+++ b/rehearse/experiment/read.go
@@ -15,7 +15,7 @@
 	"magpieglade/rehearse"
 )
 
-// text is an experiment's file.
+// planFile is the schema of an experiment file.
 type planFile struct {
 	Scenarios []string `hcl:"scenarios"`
 	Seeds     int      `hcl:"seeds"`
@@ -34,7 +34,7 @@
 
 func memberName(group, member int) string { return fmt.Sprintf("%d.%d", group, member) }
 
-// Read reads an experiment's file; paths in it count from its folder.
+// Read parses an experiment file. Paths in it are relative to its folder.
 func Read(path string) (*Plan, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -71,7 +71,7 @@
 			return nil, errorf("unknown policy %q: it is one of %s", v.Policy, strings.Join(rehearse.Policies, ", "))
 		}
 		if slices.ContainsFunc(p.Variants, func(o Variant) bool { return o.Name == v.Name }) {
-			return nil, errorf("it stands twice")
+			return nil, errorf("duplicate name")
 		}
 		if v.Program != "" && !filepath.IsAbs(v.Program) {
 			v.Program = filepath.Join(folder, v.Program)
--- a/rehearse/experiment/search.go
+++ b/rehearse/experiment/search.go
@@ -7,32 +7,33 @@
 	"magpieglade/rehearse"
 )
 
-// Found is the worst day of a search, and the shortest that still shows it.
+// SearchResult holds the scenario with the greatest loss that a search found, and a smaller one that still shows it.
 type SearchResult struct {
 	Scenario    *rehearse.Scenario
-	Loss        float64 // of the day as it was found
+	Loss        float64 // of Scenario
 	Shrunk      *rehearse.Scenario
-	ShrunkLoss  float64 // its loss
+	ShrunkLoss  float64 // loss of Shrunk
 	Evaluations int
 }
 
-// shrinkPart of a loss must be left in a shrunk day.
+// minRemainingLossFraction is the fraction of the loss that a shrunk scenario must still show.
 const minRemainingLossFraction = 0.8
 
-// Search plays days with faults by chance on a scenario's fleet and finds the one on which a policy loses most: against
-// another policy, or where that is empty against a day without a fault. Then it takes away what the loss does not need.
-func Search(s *rehearse.Scenario, policy, against string, days int, seed uint64, progress func(done, all int)) (*SearchResult, error) {
+// Search simulates random faults on a scenario's fleet and finds those with which a policy loses the most service, compared
+// with another policy or, if against is empty, with the same scenario without faults. It then shrinks that scenario: it
+// removes faults and shortens times while the loss remains.
+func Search(s *rehearse.Scenario, policy, against string, candidates int, seed uint64, progress func(done, all int)) (*SearchResult, error) {
 	rng := rand.New(rand.NewPCG(seed, 22))
 	result := &SearchResult{}
-	loss := func(day *rehearse.Scenario) (float64, error) {
+	loss := func(scenario *rehearse.Scenario) (float64, error) {
 		result.Evaluations++
-		a := *day
+		a := *scenario
 		a.Policy = policy
-		got, err := rehearse.Simulate(&a, nil)
+		report, err := rehearse.Simulate(&a, nil)
 		if err != nil {
 			return 0, err
 		}
-		b := *day
+		b := *scenario
 		if against != "" {
 			b.Policy = against
 		} else {
@@ -42,61 +43,61 @@
 		if err != nil {
 			return 0, err
 		}
-		return baseline.Service.Overall - got.Service.Overall + float64(len(got.Violations)), nil // a broken rule is worse than any loss
+		return baseline.Service.Overall - report.Service.Overall + float64(len(report.Violations)), nil // a violation outweighs any loss of service
 	}
-	for i := range days {
-		day := randomScenario(s, rng)
-		x, err := loss(day)
+	for i := range candidates {
+		scenario := randomScenario(s, rng)
+		x, err := loss(scenario)
 		if err != nil {
 			return nil, err
 		}
 		if result.Scenario == nil || x > result.Loss {
-			result.Scenario, result.Loss = day, x
+			result.Scenario, result.Loss = scenario, x
 		}
 		if progress != nil {
-			progress(i+1, days)
+			progress(i+1, candidates)
 		}
 	}
 	result.Shrunk, result.ShrunkLoss = result.Scenario, result.Loss
-	keepIfLossRemains := func(day *rehearse.Scenario) (bool, error) {
-		x, err := loss(day)
+	keepIfLossRemains := func(scenario *rehearse.Scenario) (bool, error) {
+		x, err := loss(scenario)
 		if err == nil && x >= minRemainingLossFraction*result.Loss && x > 0 {
-			result.Shrunk, result.ShrunkLoss = day, x
+			result.Shrunk, result.ShrunkLoss = scenario, x
 			return true, nil
 		}
 		return false, err
 	}
-	for again := true; again; {
-		again = false
+	for changed := true; changed; {
+		changed = false
 		for i := 0; i < len(result.Shrunk.Faults) && len(result.Shrunk.Faults) > 1; i++ {
-			day := *result.Shrunk
-			day.Faults = slices.Delete(slices.Clone(day.Faults), i, i+1)
-			ok, err := keepIfLossRemains(&day)
+			scenario := *result.Shrunk
+			scenario.Faults = slices.Delete(slices.Clone(scenario.Faults), i, i+1)
+			ok, err := keepIfLossRemains(&scenario)
 			if err != nil {
 				return nil, err
 			}
-			again = again || ok
+			changed = changed || ok
 		}
 		for _, change := range []func(*rehearse.Scenario) bool{halveFaults, moveEarlier, trimEnd} {
-			day := *result.Shrunk
-			day.Faults = slices.Clone(day.Faults)
-			if !change(&day) {
+			scenario := *result.Shrunk
+			scenario.Faults = slices.Clone(scenario.Faults)
+			if !change(&scenario) {
 				continue
 			}
-			ok, err := keepIfLossRemains(&day)
+			ok, err := keepIfLossRemains(&scenario)
 			if err != nil {
 				return nil, err
 			}
-			again = again || ok
+			changed = changed || ok
 		}
 	}
 	return result, nil
 }
 
-// chance is a day of one to five faults.
+// randomScenario returns a copy of the scenario with one to five random faults.
 func randomScenario(s *rehearse.Scenario, rng *rand.Rand) *rehearse.Scenario {
-	day := *s
-	day.Seed, day.Faults, day.Random = rng.Uint64N(1<<53), nil, nil
+	scenario := *s
+	scenario.Seed, scenario.Faults, scenario.Random = rng.Uint64N(1<<53), nil, nil
 	var kinds []string
 	for k := range rehearse.FaultKinds {
 		kinds = append(kinds, k)
@@ -118,13 +119,13 @@
 		default:
 			f.Factor = 0.05 + 0.6*rng.Float64()
 		}
-		day.Faults = append(day.Faults, f)
+		scenario.Faults = append(scenario.Faults, f)
 	}
-	slices.SortFunc(day.Faults, func(a, b rehearse.Fault) int { return int(a.At - b.At) })
-	return &day
+	slices.SortFunc(scenario.Faults, func(a, b rehearse.Fault) int { return int(a.At - b.At) })
+	return &scenario
 }
 
-// half has every fault last half as long.
+// halveFaults halves the duration of every fault, and reports whether the result is usable.
 func halveFaults(s *rehearse.Scenario) bool {
 	for i := range s.Faults {
 		if s.Faults[i].Duration < 2e8 {
@@ -135,20 +136,20 @@
 	return len(s.Faults) > 0
 }
 
-// sooner brings the first fault to the second second, and the others with it.
+// moveEarlier shifts all faults so that the first starts at 2 s, and reports whether the result is usable.
 func moveEarlier(s *rehearse.Scenario) bool {
-	by := s.Faults[0].At - 2e9
-	if by < 1e9 {
+	shift := s.Faults[0].At - 2e9
+	if shift < 1e9 {
 		return false
 	}
 	for i := range s.Faults {
-		s.Faults[i].At -= by
+		s.Faults[i].At -= shift
 	}
-	s.Length -= by
+	s.Length -= shift
 	return s.Length >= 5e9
 }
 
-// shorter ends the day soon after the last fault.
+// trimEnd ends the scenario 4 s after the last fault, and reports whether that makes it shorter by more than 1 s.
 func trimEnd(s *rehearse.Scenario) bool {
 	end := int64(0)
 	for _, f := range s.Faults {
--- a/rehearse/library.go
+++ b/rehearse/library.go
@@ -10,14 +10,14 @@
 //go:embed scenarios/*.hcl
 var builtinFiles embed.FS
 
-// Default is the scenario that is played when none is named.
+// DefaultName is the built-in scenario that runs if none is named.
 const DefaultName = "default"
 
-// Names are those of the ready scenarios.
+// BuiltinNames returns the names of the built-in scenarios, sorted.
 func BuiltinNames() (all []string) {
 	files, err := builtinFiles.ReadDir("scenarios")
 	if err != nil {
-		panic(err) // it is in the program
+		panic(err) // can't fail: the directory is embedded
 	}
 	for _, f := range files {
 		all = append(all, strings.TrimSuffix(f.Name(), ".hcl"))
@@ -26,7 +26,7 @@
 	return all
 }
 
-// Text gives a ready scenario's file.
+// BuiltinText returns the file of a built-in scenario.
 func BuiltinText(name string) ([]byte, error) {
 	text, err := builtinFiles.ReadFile("scenarios/" + name + ".hcl")
 	if err != nil {
@@ -35,7 +35,7 @@
 	return text, nil
 }
 
-// Find gives a scenario by the name of a ready one, or by the path of a file.
+// Find loads a scenario by built-in name, or by path if the name ends in .hcl.
 func Find(name string) (*Scenario, error) {
 	if strings.HasSuffix(name, ".hcl") {
 		return Read(name)
--- a/rehearse/load.go
+++ b/rehearse/load.go
@@ -15,34 +15,36 @@
 	"magpieglade/standin"
 )
 
-// Load is what drives gateways at some addresses: a scenario's txn types and traffic, and nothing of its fleet.
+// Load configures a load test of running gateways: it uses a scenario's txn types and traffic, but not its fleet.
 type Load struct {
 	Scenario      *Scenario
 	Addresses     []string
-	Group         int    // that all txns name
-	SessionPrefix uint32 // of sessions' keys, so that two loads do not share them
+	Group         int    // database group that all txns address
+	SessionPrefix uint32 // of session codes, so that concurrent loads don't share sessions
 }
 
-// LoadReport is what came of it. Answers are all that is seen: effects, drains and cold members are not, so only the rules
-// of answers and of stale reads are audited.
+// LoadReport holds the results of a load test. Only responses are observed, not effects, drains or cold members, so the
+// audit covers only RuleNoLoss and RuleNoStaleRead.
 type LoadReport struct {
 	Service    audit.Service
 	Violations []audit.Violation
-	SendDelay  *hdrhistogram.Histogram // microseconds between when a try was due and when it was sent
+	SendDelay  *hdrhistogram.Histogram // microseconds from a txn's scheduled time to its first attempt
 	Elapsed    time.Duration
-	Errors     map[string]int // of connections, by what they say
+	Errors     map[string]int // failed attempts, by error text
 }
 
-// Drive sends a scenario's traffic in open loop: what is due is sent, whatever has come back, and counts from when it was due.
+// RunLoad sends a scenario's traffic in an open loop: txns are sent at their scheduled times, whatever has been answered, and
+// latencies count from the scheduled time.
 func RunLoad(l *Load, watch func(Progress)) (*LoadReport, error) {
 	s := l.Scenario
 	if len(l.Addresses) == 0 {
-		return nil, fmt.Errorf("there is no address")
+		return nil, fmt.Errorf("no gateway address given")
 	}
-	began := time.Now()
-	d := newDriver(s, began)
-	// Another at each start: ids belong to one txn as long as it is open, and keys as long as databases remember them.
-	first := uint64(began.UnixNano()) << 16
+	start := time.Now()
+	d := newDriver(s, start)
+	// Start at a different value on each run: an ID must be unique among open txns, and a key must be unique for as long as
+	// databases remember it.
+	first := uint64(start.UnixNano()) << 16
 	d.lastID.Store(first)
 	d.lastKey.Store(first)
 	d.sessionPrefix, d.groupOf = l.SessionPrefix, func(int) int { return l.Group }
@@ -50,25 +52,25 @@
 		d.endpoints = append(d.endpoints, &endpoint{pool: standin.NewClientPool(a), address: a})
 	}
 	d.run(watch)
-	t := s.auditConfig(250e6)
-	t.OverloadFactor = 0
-	var kept []audit.Violation
-	for _, v := range audit.Check(t, &d.log) {
+	config := s.auditConfig(250e6)
+	config.OverloadFactor = 0
+	var violations []audit.Violation
+	for _, v := range audit.Check(config, &d.log) {
 		if v.Rule == audit.RuleNoLoss || v.Rule == audit.RuleNoStaleRead {
-			kept = append(kept, v)
+			violations = append(violations, v)
 		}
 	}
-	return &LoadReport{Service: audit.Measure(t, &d.log), Violations: kept, SendDelay: d.sendDelay, Elapsed: time.Since(d.start), Errors: d.errors}, nil
+	return &LoadReport{Service: audit.Measure(config, &d.log), Violations: violations, SendDelay: d.sendDelay, Elapsed: time.Since(d.start), Errors: d.errors}, nil
 }
 
-// driver is a load under way.
+// driver is a load generator.
 type driver struct {
 	scenario      *Scenario
 	sessionPrefix uint32
 	groupOf       func(session int) int
 	endpoints     []*endpoint
 	rng           *rand.Rand
-	thinkRNG      *rand.Rand // of mu's, as whoever was answered draws from it
+	thinkRNG      *rand.Rand // for think times; guarded by mu, as the goroutines of responses draw from it
 	start         time.Time
 	mu            sync.Mutex
 	sessions      []person
@@ -81,16 +83,16 @@
 	wg            sync.WaitGroup
 }
 
-// door is a gateway as clients reach it, with the connections that wait for the next txn.
+// endpoint is a gateway's client address, with a pool of idle connections.
 type endpoint struct {
 	pool    *standin.ClientPool
 	address string
 	mu      sync.Mutex
 	idle    []*standin.Client
-	downAt  time.Time // of a process that was ended; not set while it runs
+	downAt  time.Time // when the process was killed; zero while it runs
 }
 
-// mostIdle is how many connections a door keeps.
+// maxIdle is the maximum number of idle connections per endpoint.
 const maxIdle = 1000
 
 func (o *endpoint) acquire() *standin.Client {
@@ -114,17 +116,17 @@
 	c.Close()
 }
 
-// set says that its process runs or has ended.
-func (o *endpoint) setRunning(runs bool) {
+// setRunning records whether the gateway's process runs, and forgets the idle connections.
+func (o *endpoint) setRunning(running bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.idle, o.downAt = nil, time.Time{}
-	if !runs {
+	if !running {
 		o.downAt = time.Now()
 	}
 }
 
-// away tells that the front has seen that it is down.
+// isDown reports whether the process has been down for long enough that clients have noticed.
 func (o *endpoint) isDown() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -138,78 +140,78 @@
 
 func (d *driver) now() int64 { return int64(time.Since(d.start)) }
 
-// send sends what is due when it is due: who waits for an answer holds nobody else up.
+// run sends each txn at its scheduled time, in its own goroutine, so that no txn waits for another's response.
 func (d *driver) run(watch func(Progress)) {
 	s := d.scenario
-	sum := 0.0
+	totalWeight := 0.0
 	for _, t := range s.Types {
-		sum += t.Weight
+		totalWeight += t.Weight
 	}
-	asked := 0
-	over := make(chan struct{})
+	attempted := 0
+	done := make(chan struct{})
 	if s.Traffic.BadClientRate > 0 {
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
-			d.rude(over)
+			d.rude(done)
 		}()
 	}
-	for next, shown := int64(0), int64(0); ; {
+	for next, lastProgress := int64(0), int64(0); ; {
 		next += int64(d.rng.ExpFloat64() / max(0.001, s.Traffic.rateAt(next)) * 1e9)
 		if next >= s.Length {
 			break
 		}
 		time.Sleep(time.Until(d.start.Add(time.Duration(next))))
-		if watch != nil && next-shown > 1e9 {
-			shown = next
-			watch(Progress{At: next, Length: s.Length, Asked: asked, Served: int(d.served.Load())})
+		if watch != nil && next-lastProgress > 1e9 {
+			lastProgress = next
+			watch(Progress{At: next, Length: s.Length, Asked: attempted, Served: int(d.served.Load())})
 		}
-		x := d.rng.Float64() * sum
+		x := d.rng.Float64() * totalWeight
 		kind := 0
 		for kind < len(s.Types)-1 && x >= s.Types[kind].Weight {
 			x -= s.Types[kind].Weight
 			kind++
 		}
-		w := &wish{kind: kind, session: d.rng.IntN(len(d.sessions)), due: next}
-		no := w.session % len(d.endpoints)
+		txn := &wish{kind: kind, session: d.rng.IntN(len(d.sessions)), due: next}
+		gateway := txn.session % len(d.endpoints)
 		if d.rng.Float64() < s.Traffic.RoamingFraction {
-			no = d.rng.IntN(len(d.endpoints))
+			gateway = d.rng.IntN(len(d.endpoints))
 		}
 		if s.Types[kind].Consistency == "mutate" {
 			d.mu.Lock()
-			for i := 0; i < 20 && d.sessions[w.session].writing; i++ {
-				w.session = d.rng.IntN(len(d.sessions))
+			for i := 0; i < 20 && d.sessions[txn.session].writing; i++ {
+				txn.session = d.rng.IntN(len(d.sessions))
 			}
-			p := &d.sessions[w.session]
-			p.writing = true
-			p.written++
-			w.version = p.written
+			session := &d.sessions[txn.session]
+			session.writing = true
+			session.written++
+			txn.version = session.written
 			if s.Types[kind].Effect == "by_key" {
-				w.key = d.lastKey.Add(1)
+				txn.key = d.lastKey.Add(1)
 			}
 			d.mu.Unlock()
 		}
 		if s.Types[kind].Consistency != "mutate" && s.Traffic.PipelinedFraction > 0 && d.rng.Float64() < s.Traffic.PipelinedFraction/batch {
-			all := []*wish{w}
+			all := []*wish{txn}
 			for len(all) < batch {
-				all = append(all, &wish{kind: kind, session: w.session, due: next})
+				all = append(all, &wish{kind: kind, session: txn.session, due: next})
 			}
-			asked += batch
+			attempted += batch
 			d.wg.Add(1)
 			go func() {
 				defer d.wg.Done()
-				d.piped(all, no)
+				d.piped(all, gateway)
 			}()
 			continue
 		}
-		asked++
+		attempted++
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
-			d.runTxn(w, no)
+			d.runTxn(txn, gateway)
 		}()
 	}
-	close(over)
+	close(done)
 	d.wg.Wait()
 	for _, o := range d.endpoints {
 		for _, c := range o.idle {
@@ -218,86 +220,86 @@
 	}
 }
 
-// wish has a client try, and come again as it is told.
-func (d *driver) runTxn(x *wish, no int) {
+// runTxn sends a txn and retries it after the delay that the gateway asks for.
+func (d *driver) runTxn(txn *wish, gateway int) {
 	s := d.scenario
-	t := &s.Types[x.kind]
+	t := &s.Types[txn.kind]
 	for {
-		for i := 0; i < len(d.endpoints) && d.endpoints[no].isDown(); i++ {
-			no = (no + 1) % len(d.endpoints)
+		for i := 0; i < len(d.endpoints) && d.endpoints[gateway].isDown(); i++ {
+			gateway = (gateway + 1) % len(d.endpoints)
 		}
-		c := d.endpoints[no].acquire()
+		client := d.endpoints[gateway].acquire()
 		id := d.lastID.Add(1)
-		if x.tries++; x.first == 0 {
-			x.first = id
+		if txn.tries++; txn.first == 0 {
+			txn.first = id
 		}
 		d.mu.Lock()
-		p := &d.sessions[x.session]
+		session := &d.sessions[txn.session]
 		at := d.now()
-		if x.tries == 1 {
-			_ = d.sendDelay.RecordValue(max(1, (at-x.due)/1000))
+		if txn.tries == 1 {
+			_ = d.sendDelay.RecordValue(max(1, (at-txn.due)/1000))
 		}
-		left := x.due + t.MaxWait - at
-		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: x.first, Session: uint64(x.session) + 1, Type: x.kind, Key: x.key, Version: x.version,
-			MinVersion: p.told, DueAt: x.due, SentAt: at, Deadline: at + left, Gateway: no})
+		remaining := txn.due + t.MaxWait - at
+		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: txn.first, Session: uint64(txn.session) + 1, Type: txn.kind, Key: txn.key, Version: txn.version,
+			MinVersion: session.told, DueAt: txn.due, SentAt: at, Deadline: at + remaining, Gateway: gateway})
 		d.mu.Unlock()
-		c.SessionCode, c.Group, c.Timeout = fmt.Sprintf("%08x%08x", d.sessionPrefix, x.session+1), d.groupOf(x.session), time.Duration(max(1e6, left))
-		c.Types = standin.TxnTypes{Write: t.Name, Read: t.Name}
-		var a standin.Response
+		client.SessionCode, client.Group, client.Timeout = fmt.Sprintf("%08x%08x", d.sessionPrefix, txn.session+1), d.groupOf(txn.session), time.Duration(max(1e6, remaining))
+		client.Types = standin.TxnTypes{Write: t.Name, Read: t.Name}
+		var response standin.Response
 		if t.Consistency == "mutate" {
 			key := ""
-			if x.key != 0 {
-				key = fmt.Sprint("k", x.key)
+			if txn.key != 0 {
+				key = fmt.Sprint("k", txn.key)
 			}
-			a = c.WriteWithID(id, 0, key, fmt.Sprintf("%08d", x.version))
+			response = client.WriteWithID(id, 0, key, fmt.Sprintf("%08d", txn.version))
 		} else {
-			a = c.ReadWithID(id, 0)
+			response = client.ReadWithID(id, 0)
 		}
-		k, version := audit.Served, uint64(0)
+		outcome, version := audit.Served, uint64(0)
 		switch {
-		case a.Err != nil || a.Code == "57P03" || strings.HasPrefix(a.Code, "08"):
-			k = audit.Disconnected
-			c.Close()
-		case a.Code == "53300":
-			k = audit.Declined
-		case a.Code != "":
-			k = audit.RolledBack
+		case response.Err != nil || response.Code == "57P03" || strings.HasPrefix(response.Code, "08"):
+			outcome = audit.Disconnected
+			client.Close()
+		case response.Code == "53300":
+			outcome = audit.Declined
+		case response.Code != "":
+			outcome = audit.RolledBack
 		default:
-			version, _ = strconv.ParseUint(a.Value, 10, 64)
+			version, _ = strconv.ParseUint(response.Value, 10, 64)
 			d.served.Add(1)
 		}
 		now := d.now()
 		d.mu.Lock()
-		d.log.Responses = append(d.log.Responses, audit.Response{ID: id, At: now, Outcome: k, Version: version})
-		if k == audit.Served && t.Consistency == "mutate" {
-			p.told = max(p.told, x.version)
+		d.log.Responses = append(d.log.Responses, audit.Response{ID: id, At: now, Outcome: outcome, Version: version})
+		if outcome == audit.Served && t.Consistency == "mutate" {
+			session.told = max(session.told, txn.version)
 			if kind := s.followUpType(); kind >= 0 {
-				think := time.Duration(d.thinkRNG.ExpFloat64() * float64(s.Traffic.ThinkTime))
+				thinkTime := time.Duration(d.thinkRNG.ExpFloat64() * float64(s.Traffic.ThinkTime))
 				d.wg.Add(1)
 				go func() {
 					defer d.wg.Done()
-					if time.Sleep(think); d.now() < s.Length {
-						d.runTxn(&wish{kind: kind, session: x.session, due: d.now()}, no)
+					if time.Sleep(thinkTime); d.now() < s.Length {
+						d.runTxn(&wish{kind: kind, session: txn.session, due: d.now()}, gateway)
 					}
 				}()
 			}
 		}
-		if k == audit.Disconnected {
-			d.errors[strings.TrimSpace(a.Code+" "+fmt.Sprint(a.Err))]++
+		if outcome == audit.Disconnected {
+			d.errors[strings.TrimSpace(response.Code+" "+fmt.Sprint(response.Err))]++
 		} else {
-			d.endpoints[no].release(c)
+			d.endpoints[gateway].release(client)
 		}
-		again, _ := strconv.Atoi(a.RetryAfter)
-		pause := max(int64(again)*1e6, int64(20e6))
-		repeatable := t.Effect == "repeatable" || k == audit.Declined
-		over := k == audit.Served || !s.Traffic.Retry || !repeatable || x.tries >= 5 || now+pause >= x.due+t.MaxWait-int64(50e6)
-		if over && t.Consistency == "mutate" {
-			p.writing = false
+		retryAfterMs, _ := strconv.Atoi(response.RetryAfter)
+		delay := max(int64(retryAfterMs)*1e6, int64(20e6))
+		repeatable := t.Effect == "repeatable" || outcome == audit.Declined
+		done := outcome == audit.Served || !s.Traffic.Retry || !repeatable || txn.tries >= 5 || now+delay >= txn.due+t.MaxWait-int64(50e6)
+		if done && t.Consistency == "mutate" {
+			session.writing = false
 		}
 		d.mu.Unlock()
-		if over {
+		if done {
 			return
 		}
-		time.Sleep(time.Duration(pause))
+		time.Sleep(time.Duration(delay))
 	}
 }
--- a/rehearse/read.go
+++ b/rehearse/read.go
@@ -14,10 +14,10 @@
 	"magpieglade/subset"
 )
 
-// file reads one scenario file.
+// parser reads one scenario file and collects its errors.
 type parser struct{ hclfile.File }
 
-// Read reads a scenario's file.
+// Read parses the scenario file at path.
 func Read(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return Parse(text, path)
 }
 
-// Parse reads a scenario's text; each mistake comes with its place.
+// Parse parses a scenario; errors carry the file position.
 func Parse(text []byte, path string) (*Scenario, error) {
 	body, err := hclfile.Parse(text, path)
 	if err != nil {
@@ -46,12 +46,12 @@
 	content.Int("gateways", &s.Gateways, 1, 5000)
 	s.SubsetConnections = subset.DefaultConfig().Connections
 	if content.Int("subset", &s.SubsetSize, 0, 1000); s.SubsetSize == 1 {
-		p.AddError(content.RangeOf("subset"), "a subset has two members at the least", "0 is all of them.")
+		p.AddError(content.RangeOf("subset"), "a subset must have at least two members", "Use 0 for all members.")
 	}
 	content.Decode("signals", &s.Signals)
 	content.Int("connections", &s.SubsetConnections, 1, 10000)
 	if content.Decode("zones", &s.Zones) && len(s.Zones) == 0 {
-		p.AddError(content.Attrs["zones"].Expr.Range(), "there are no zones", "Name one.")
+		p.AddError(content.Attrs["zones"].Expr.Range(), "zones is empty", "Name at least one zone.")
 	}
 	content.OneOf("policy", &s.Policy, Policies...)
 	if s.Sessions = Brought; s.Gateways <= usualCovered {
@@ -61,7 +61,7 @@
 	seen := map[string]bool{}
 	for _, b := range content.Blocks {
 		if (b.Type == "network" || b.Type == "traffic" || b.Type == "expect") && seen[b.Type] {
-			p.AddError(b.DefRange, "a second block of "+b.Type, "There may be one.")
+			p.AddError(b.DefRange, "a second block of "+b.Type, "Only one is allowed.")
 			continue
 		}
 		seen[b.Type] = true
@@ -93,7 +93,7 @@
 	if len(s.Types) == 0 {
 		s.Types = DefaultTypes()
 	}
-	for _, b := range content.Blocks { // they name what stands elsewhere
+	for _, b := range content.Blocks { // after the loop above, as faults refer to zones, groups and gateways
 		if b.Type == "fault" {
 			p.parseFault(b, s)
 		}
@@ -124,7 +124,7 @@
 	block.Float("fall", &g.OverloadFactor, 1, 100)
 	block.Decode("sync", &g.SyncReplication)
 	if len(s.Groups) > 0 && (g.WarmUp != s.Groups[0].WarmUp || g.ColdFraction != s.Groups[0].ColdFraction || g.OverloadFactor != s.Groups[0].OverloadFactor || g.ReplicaWait != s.Groups[0].ReplicaWait) {
-		p.AddError(b.DefRange, "groups differ in cold, cold_from, fall or hold", "Gateways know one of each for all.")
+		p.AddError(b.DefRange, "groups differ in cold, cold_from, fall or hold", "Gateways have one value of each for all groups.")
 	}
 	for range count {
 		s.Groups = append(s.Groups, g)
@@ -135,7 +135,7 @@
 	block := p.Content(b.Body, b.DefRange, "effect need bound window any_group worth late_value aim limit cost spread share")
 	t := TypeConfig{Type: audit.Type{Name: b.Labels[0], Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 5e6, Distribution: Exponential, Weight: 1}
 	if slices.ContainsFunc(s.Types, func(o TypeConfig) bool { return o.Name == t.Name }) {
-		p.AddError(b.LabelRanges[0], fmt.Sprintf("type %q stands twice", t.Name), "Each stands once.")
+		p.AddError(b.LabelRanges[0], fmt.Sprintf("duplicate type %q", t.Name), "Type names must be unique.")
 	}
 	block.OneOf("effect", &t.Effect, "repeatable", "by_key", "once")
 	block.OneOf("need", &t.Consistency, "eventual", "lag_bound", "causal", "mutate")
@@ -156,10 +156,10 @@
 		block.Require("window")
 	}
 	if (t.Consistency == "mutate") != (t.Effect != "repeatable") {
-		p.AddError(b.DefRange, fmt.Sprintf("type %q: what changes data is by_key or once, what reads is repeatable", t.Name), "Say need and effect that go together.")
+		p.AddError(b.DefRange, fmt.Sprintf("type %q: what changes data must have effect by_key or once, reads must be repeatable", t.Name), "Set need and effect to values that match.")
 	}
 	if t.MaxWait < t.TargetLatency {
-		p.AddError(b.DefRange, fmt.Sprintf("type %q: the limit is under the aim", t.Name), "Raise it.")
+		p.AddError(b.DefRange, fmt.Sprintf("type %q: limit is less than aim", t.Name), "Raise limit.")
 	}
 	s.Types = append(s.Types, t)
 }
@@ -215,7 +215,7 @@
 	block.OneOf("zone", &x.Zone, s.Zones...)
 	if block.Decode("member", &x.Member) {
 		if _, _, err := s.findMember(x.Member); err != nil {
-			p.AddError(block.Attrs["member"].Expr.Range(), err.Error(), "Groups and members count from 0; 0.0 is the first primary.")
+			p.AddError(block.Attrs["member"].Expr.Range(), err.Error(), "Groups and members are numbered from 0; 0.0 is the first primary.")
 		}
 	}
 	s.Faults = append(s.Faults, x)
@@ -235,7 +235,7 @@
 			}
 		}
 		if len(r.Kinds) == 0 {
-			p.AddError(block.Attrs["kinds"].Expr.Range(), "there are no kinds", "Name one.")
+			p.AddError(block.Attrs["kinds"].Expr.Range(), "kinds is empty", "Name at least one kind.")
 		}
 	}
 	s.Random = append(s.Random, r)
--- a/rehearse/real.go
+++ b/rehearse/real.go
@@ -21,12 +21,13 @@
 	"magpieglade/standin"
 )
 
-// stage is a scenario on loopback sockets: gateways as processes of a program, stand-ins for all else.
+// testbed runs a scenario on loopback sockets, with real gateway processes and stand-ins for databases, list service and
+// network.
 type testbed struct {
 	scenario    *Scenario
 	program     string
 	dir         string
-	rng         *rand.Rand // of the plan of the day; clients and members have their own
+	rng         *rand.Rand // for scheduling random faults; clients and members have their own
 	start       time.Time
 	groups      []*standin.Group
 	members     []*standin.Member
@@ -37,33 +38,33 @@
 	marks       []Mark
 	logLines    []string
 	health      map[string]string
-	slowdown    []atomic.Int64   // thousandths, by member
-	unsupported []string         // what this clock does not play
-	network     *standin.Network // between gateways, nil where nothing goes wrong there
+	slowdown    []atomic.Int64   // service time multiplier in thousandths, by member
+	unsupported []string         // faults that can't be injected in real time
+	network     *standin.Network // proxy between gateways, nil if no fault affects that network
 	wg          sync.WaitGroup
 }
 
-// process is one gateway.
+// gatewayProcess is one gateway, which can be killed and restarted.
 type gatewayProcess struct {
 	testbed       *testbed
 	number        int
 	listenAddress string
 	peerAddress   string
-	proxyAddress  string // where others reach it, if that is on the wire
+	proxyAddress  string // where other gateways reach it, if the network is proxied
 	mu            sync.Mutex
 	cmd           *exec.Cmd
 	exited        chan struct{}
 	endpoint      *endpoint
 }
 
-// Real plays a scenario with gateway processes of a program. Its chance decides what is asked and when, not how fast the
-// machine is.
+// RunReal runs a scenario in real time, with gateway processes of the given program. The seed determines which requests are
+// sent and when; latencies depend on the machine.
 func RunReal(s *Scenario, program string, watch func(Progress)) (*Report, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	if s.Policy != PolicyDecide {
-		return nil, fmt.Errorf("policy %q is for the virtual clock: processes place reads by the module", s.Policy)
+		return nil, fmt.Errorf("policy %q needs the virtual clock: gateway processes always place reads by policy \"decide\"", s.Policy)
 	}
 	start := time.Now()
 	dir, err := os.MkdirTemp("", "rehearse")
@@ -179,49 +180,51 @@
 	return tb.bootstrapFleet()
 }
 
-// found has gateways with a network between them agree on who they are, three of them by their votes.
+// bootstrapFleet creates the fleet on gateway 0, waits until all gateways have joined, and makes three of them voters if
+// there are that many.
+// It does nothing if the network between gateways isn't proxied.
 func (tb *testbed) bootstrapFleet() error {
 	if tb.network == nil {
 		return nil
 	}
-	say := func(args ...string) (string, error) {
+	runCommand := func(args ...string) (string, error) {
 		out, err := exec.Command(tb.program, append(args, "--control", filepath.Join(tb.dir, "control0"))...).CombinedOutput()
 		if err != nil {
 			err = fmt.Errorf("%s: %s", strings.Join(args, " "), out)
 		}
 		return string(out), err
 	}
-	awaits := func(what string, f func(status string) bool) error {
-		for began := time.Now(); ; time.Sleep(20 * time.Millisecond) {
-			said, err := say("fleet", "status")
-			if err == nil && f(said) {
+	waitFor := func(what string, f func(status string) bool) error {
+		for start := time.Now(); ; time.Sleep(20 * time.Millisecond) {
+			output, err := runCommand("fleet", "status")
+			if err == nil && f(output) {
 				return nil
 			}
-			if time.Since(began) > 30*time.Second {
-				return fmt.Errorf("the gateways do not agree in time: %s", what)
+			if time.Since(start) > 30*time.Second {
+				return fmt.Errorf("timeout while waiting for the fleet: %s", what)
 			}
 		}
 	}
-	if err := awaits("one of them begins the fleet", func(string) bool { _, err := say("fleet", "found"); return err == nil }); err != nil {
+	if err := waitFor("creating the fleet", func(string) bool { _, err := runCommand("fleet", "found"); return err == nil }); err != nil {
 		return err
 	}
-	if err := awaits("all have joined", func(said string) bool { return strings.Count(said, " all") == len(tb.gateways) }); err != nil {
+	if err := waitFor("all gateways have joined", func(output string) bool { return strings.Count(output, " all") == len(tb.gateways) }); err != nil {
 		return err
 	}
 	if len(tb.gateways) < 3 {
 		return nil
 	}
 	for _, name := range []string{"g1", "g2"} {
-		if _, err := say("fleet", "voters", "--add", name); err != nil {
+		if _, err := runCommand("fleet", "voters", "--add", name); err != nil {
 			return err
 		}
 	}
-	return awaits("three vote", func(said string) bool {
-		return strings.Count(said, "true") == 3 && strings.Count(said, " all") == len(tb.gateways)
+	return waitFor("three gateways are voters", func(output string) bool {
+		return strings.Count(output, "true") == 3 && strings.Count(output, " all") == len(tb.gateways)
 	})
 }
 
-// operator is a gateway's own file: sessions, and whom it talks to.
+// operatorConfig returns the gateway's operator file: its session source and its peers.
 func (n *gatewayProcess) operatorConfig(source string) string {
 	tb := n.testbed
 	if tb.network != nil {
@@ -259,7 +262,7 @@
 	return l.Addr().String(), nil
 }
 
-// cost is a member's service time for a class.
+// serviceTimes returns a function that draws a member's service time for a txn type.
 func (tb *testbed) serviceTimes(no int) func(class string) time.Duration {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(tb.scenario.Seed, 100+uint64(no)))
@@ -290,7 +293,7 @@
 	return h
 }
 
-// relist has the list say what it now knows.
+// publishList updates the list service with the current health of all members.
 func (tb *testbed) publishList() {
 	tb.mu.Lock()
 	var hosts []standin.Host
@@ -301,14 +304,14 @@
 	tb.list.SetHosts(hosts...)
 }
 
-// start begins a gateway's process, and waits until it listens.
+// start starts the gateway's process and waits until it listens.
 func (n *gatewayProcess) start() error {
 	tb := n.testbed
 	settings, err := tb.scenario.gatewaySettings(0)
 	if err != nil {
 		return err
 	}
-	// Positions are words of the wall clock here.
+	// The positions of stand-ins are derived from the wall clock.
 	settings = []byte(strings.Replace(string(settings), `"countedFromMs":0`, `"countedFromMs":1000000000000`, 1))
 	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("g", n.number), "listen": n.listenAddress, "discovery": tb.list.Address(),
 		"seed": fmt.Sprintf("%x", tb.scenario.Seed+uint64(n.number)+1), "limits": map[string]any{"memory_mb": 192, "sockets": 1024}, "known": tb.list.Snapshot(),
@@ -355,10 +358,10 @@
 	select {
 	case <-listening:
 	case <-ended:
-		return fmt.Errorf("gateway %d ended at its start", n.number)
+		return fmt.Errorf("gateway %d exited during startup", n.number)
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
-		return fmt.Errorf("gateway %d does not listen", n.number)
+		return fmt.Errorf("gateway %d did not listen in time", n.number)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -392,7 +395,7 @@
 	}
 }
 
-// at runs something at a time of the day, beside it.
+// schedule calls do in a goroutine when the given time of the run has come.
 func (tb *testbed) schedule(when int64, do func()) {
 	tb.wg.Add(1)
 	go func() {
@@ -403,113 +406,113 @@
 }
 
 func (tb *testbed) scheduleFault(f Fault) {
-	var m *standin.Member
-	no := 0
+	var member *standin.Member
+	index := 0
 	if slices.Contains(FaultKinds[f.Kind], "member") {
 		for i, x := range tb.members {
 			if x.Name == f.Member {
-				m, no = x, i
+				member, index = x, i
 			}
 		}
 	}
-	both := func(on, off func()) {
+	schedulePair := func(begin, end func()) {
 		tb.marks = append(tb.marks, Mark{f.At, f.Duration, f.String()})
-		tb.schedule(f.At, func() { tb.logf("%s", f); on() })
+		tb.schedule(f.At, func() { tb.logf("%s", f); begin() })
 		if f.Duration > 0 {
-			tb.schedule(f.At+f.Duration, off)
+			tb.schedule(f.At+f.Duration, end)
 		}
 	}
 	switch f.Kind {
 	case "crash":
-		both(func() {
-			tb.recordEvent(audit.Event{Kind: audit.MemberDied, Member: no})
-			p := tb.groupConfig(m)
-			was := m.Group().Primary() == m
-			m.Kill()
-			if was {
-				m.Group().Demote()
-				tb.schedule(f.At+p.DetectionTime, func() { tb.failOver(m.Group(), m, p.SyncReplication) })
+		schedulePair(func() {
+			tb.recordEvent(audit.Event{Kind: audit.MemberDied, Member: index})
+			p := tb.groupConfig(member)
+			wasPrimary := member.Group().Primary() == member
+			member.Kill()
+			if wasPrimary {
+				member.Group().Demote()
+				tb.schedule(f.At+p.DetectionTime, func() { tb.failOver(member.Group(), member, p.SyncReplication) })
 			}
 		}, func() {
-			if err := m.Start(); err != nil {
-				tb.logf("%s does not start: %v", m.Name, err)
+			if err := member.Start(); err != nil {
+				tb.logf("%s failed to start: %v", member.Name, err)
 				return
 			}
-			tb.recordEvent(audit.Event{Kind: audit.MemberStarted, Member: no})
+			tb.recordEvent(audit.Event{Kind: audit.MemberStarted, Member: index})
 		})
 	case "pause":
-		both(func() {
-			m.SetHung(true)
-			if m.Group().Primary() == m {
-				p := tb.groupConfig(m)
+		schedulePair(func() {
+			member.SetHung(true)
+			if member.Group().Primary() == member {
+				p := tb.groupConfig(member)
 				tb.schedule(f.At+p.DetectionTime, func() {
-					if f.Duration > p.DetectionTime && m.Group().Primary() == m {
-						m.Group().Demote()
-						tb.failOver(m.Group(), m, p.SyncReplication)
+					if f.Duration > p.DetectionTime && member.Group().Primary() == member {
+						member.Group().Demote()
+						tb.failOver(member.Group(), member, p.SyncReplication)
 					}
 				})
 			}
-		}, func() { m.SetHung(false) })
+		}, func() { member.SetHung(false) })
 	case "errors":
-		both(func() { m.SetFailRatio(f.Factor) }, func() { m.SetFailRatio(0) })
+		schedulePair(func() { member.SetFailRatio(f.Factor) }, func() { member.SetFailRatio(0) })
 	case "slow":
-		both(func() { tb.slowdown[no].Store(int64(1000 * f.Factor)) }, func() { tb.slowdown[no].Store(1000) })
+		schedulePair(func() { tb.slowdown[index].Store(int64(1000 * f.Factor)) }, func() { tb.slowdown[index].Store(1000) })
 	case "lag":
-		both(func() { m.SetLag(time.Duration(f.Lag)) }, func() { m.SetLag(time.Duration(tb.groupConfig(m).ReplicationLag)) })
+		schedulePair(func() { member.SetLag(time.Duration(f.Lag)) }, func() { member.SetLag(time.Duration(tb.groupConfig(member).ReplicationLag)) })
 	case "drain":
 		set := func(health string, kind audit.EventKind) {
 			tb.mu.Lock()
-			tb.health[m.Name] = health
+			tb.health[member.Name] = health
 			tb.mu.Unlock()
 			tb.publishList()
 			tb.list.AwaitDeliveredTo(tb.scenario.Gateways)
-			tb.recordEvent(audit.Event{Kind: kind, Member: no})
+			tb.recordEvent(audit.Event{Kind: kind, Member: index})
 		}
-		both(func() { set("leaving", audit.DrainStarted) }, func() { set("active", audit.Restored) })
+		schedulePair(func() { set("leaving", audit.DrainStarted) }, func() { set("active", audit.Restored) })
 	case "answers_lost":
-		both(func() {
+		schedulePair(func() {
 			for i := range tb.scenario.Types {
-				m.DropResponses(tb.scenario.Types[i].Name, int(math.Ceil(f.Factor*10)))
+				member.DropResponses(tb.scenario.Types[i].Name, int(math.Ceil(f.Factor*10)))
 			}
 		}, func() {})
 	case "move":
-		both(func() {
-			if tb.isPaused(m.Name) {
-				tb.logf("%s hangs and can't take over", m.Name)
+		schedulePair(func() {
+			if tb.isPaused(member.Name) {
+				tb.logf("%s is paused and can't become the primary", member.Name)
 				return
 			}
-			m.Group().Demote()
-			time.Sleep(time.Duration(tb.groupConfig(m).SwitchoverTime))
-			m.Group().Promote(m, tb.groupConfig(m).SyncReplication)
-			tb.logf("%s is the primary", m.Name)
+			member.Group().Demote()
+			time.Sleep(time.Duration(tb.groupConfig(member).SwitchoverTime))
+			member.Group().Promote(member, tb.groupConfig(member).SyncReplication)
+			tb.logf("%s is the primary", member.Name)
 		}, func() {})
 	case "list":
-		both(func() { tb.list.SetDown(true) }, func() { tb.list.SetDown(false) })
+		schedulePair(func() { tb.list.SetDown(true) }, func() { tb.list.SetDown(false) })
 	case "kill":
 		n := tb.gateways[f.Gateway]
-		both(func() {
+		schedulePair(func() {
 			tb.recordEvent(audit.Event{Kind: audit.GatewayKilled, Gateway: n.number})
 			n.kill()
 		}, func() {
 			if err := n.start(); err != nil {
-				tb.logf("gateway %d does not start: %v", n.number, err)
+				tb.logf("gateway %d failed to start: %v", n.number, err)
 				return
 			}
 			tb.recordEvent(audit.Event{Kind: audit.GatewayUp, Gateway: n.number})
 		})
 	case "apart", "halves":
-		set := func(on bool) {
+		set := func(begin bool) {
 			for i := range tb.gateways {
 				for k := range tb.gateways {
 					if f.isolates(i, k, len(tb.gateways)) {
-						tb.network.Block(i, k, on)
+						tb.network.Block(i, k, begin)
 					}
 				}
 			}
 		}
-		both(func() { set(true) }, func() { set(false) })
+		schedulePair(func() { set(true) }, func() { set(false) })
 	case "rough":
-		both(func() { tb.network.SetFaults(f.Factor, 0, 0) }, func() { tb.network.SetFaults(0, 0, 0) })
+		schedulePair(func() { tb.network.SetFaults(f.Factor, 0, 0) }, func() { tb.network.SetFaults(0, 0, 0) })
 	default:
 		tb.unsupported = append(tb.unsupported, f.String())
 	}
@@ -519,10 +522,10 @@
 	return &tb.scenario.Groups[m.Group().ID]
 }
 
-func (tb *testbed) failOver(g *standin.Group, gone *standin.Member, sync bool) {
+func (tb *testbed) failOver(g *standin.Group, lost *standin.Member, sync bool) {
 	var best *standin.Member
 	for _, m := range tb.members {
-		if m.Group() == g && m != gone && (best == nil || m.Position() > best.Position()) {
+		if m.Group() == g && m != lost && (best == nil || m.Position() > best.Position()) {
 			best = m
 		}
 	}
@@ -533,13 +536,13 @@
 	tb.logf("%s is the primary", best.Name)
 }
 
-// realSlack is for what a busy machine holds up, on top of what the rules allow.
+// realSlack is added to the time limits of the rules, for delays on a busy machine.
 const realSlack = int64(250e6)
 
-// afterPause is how long what came while a member hung may be answered after that.
+// pauseGrace is how long after a pause a member may still respond to queries that arrived during it.
 const pauseGrace = int64(500e6)
 
-// hangs tells whether a member hangs now, by the plan of the day.
+// isPaused reports whether a member is paused now by a scheduled fault.
 func (tb *testbed) isPaused(member string) bool {
 	now := tb.now()
 	return slices.ContainsFunc(tb.scenario.Faults, func(f Fault) bool {
@@ -547,7 +550,8 @@
 	})
 }
 
-// came is when a query that was done at a time may have come: stand-ins tell when they did it.
+// receivedAt returns the earliest time at which a query executed at the given time may have arrived. Stand-ins record only
+// the execution time; a query executed during or just after a pause may have arrived when the pause began.
 func (tb *testbed) receivedAt(member string, at int64) int64 {
 	for _, f := range tb.scenario.Faults {
 		if f.Kind == "pause" && f.Member == member && at >= f.At && at <= f.At+f.Duration+pauseGrace {
@@ -557,11 +561,11 @@
 	return at
 }
 
-// report reads what the stand-ins saw.
+// buildReport adds the events of the stand-ins to the audit log and evaluates it.
 func (tb *testbed) buildReport() *Report {
-	no := map[string]int{}
+	memberIndex := map[string]int{}
 	for i, m := range tb.members {
-		no[m.Name] = i
+		memberIndex[m.Name] = i
 	}
 	kinds := map[string]audit.SubmissionKind{"write": audit.Write, "repeat": audit.Repeat, "read": audit.Read, "miss": audit.Rejected, "behind": audit.Rejected}
 	costs := map[uint64]int64{}
@@ -580,7 +584,7 @@
 			session, _ := strconv.ParseUint(e.Code[max(0, len(e.Code)-8):], 16, 64)
 			version, _ := strconv.ParseUint(e.Value, 10, 64)
 			key, _ := strconv.ParseUint(strings.TrimPrefix(e.Key, "k"), 10, 64)
-			tb.log.Submissions = append(tb.log.Submissions, audit.Submission{ID: id, Key: key, Session: session, Version: version, Member: no[e.Member], Kind: kind,
+			tb.log.Submissions = append(tb.log.Submissions, audit.Submission{ID: id, Key: key, Session: session, Version: version, Member: memberIndex[e.Member], Kind: kind,
 				At: int64(e.At.Sub(tb.start)), ReceivedAt: tb.receivedAt(e.Member, int64(e.At.Sub(tb.start))), Cost: costs[id]})
 		}
 	}
--- a/rehearse/real_test.go
+++ b/rehearse/real_test.go
@@ -11,8 +11,8 @@
 	"magpieglade/standin"
 )
 
-// The built-in day, cut to its first twelve seconds, on both clocks: the rules are kept on both, and their service lies
-// within four points.
+// Runs the default scenario, shortened to twelve seconds, in the simulation and with real processes: neither may violate a
+// rule, and their service may differ by at most 0.04.
 func TestSimulatedAndRealRunsAgree(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "magpieglade")
 	if out, err := exec.Command("go", "build", "-o", program, "magpieglade/cmd/magpieglade").CombinedOutput(); err != nil {
@@ -43,8 +43,8 @@
 	}
 }
 
-// Gateways that can't talk with one another serve their clients, and nothing that they serve is stale, on both clocks. With
-// real processes they agree on their list through a network that the stand-ins keep.
+// Gateways that are partitioned from each other must go on serving their clients, and serve nothing stale, in the simulation
+// and with real processes. The real gateways form their fleet through a proxied network.
 func TestPartitionedGateways(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "magpieglade")
 	if out, err := exec.Command("go", "build", "-o", program, "magpieglade/cmd/magpieglade").CombinedOutput(); err != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// A load sends what is due though nothing comes back, and counts from when it was due: one server that serves one query at
-// a time, each for 20 ms, at sixty a second, makes each second's clients wait longer than those before.
+// RunLoad must send txns on schedule without waiting for responses, and measure latency from the scheduled time. The server
+// handles one query at a time in 20 ms, so at 60 txns per second the queue and the latency grow.
 func TestRunLoadIsOpenLoop(t *testing.T) {
 	m := standin.NewGroup(0).NewMember("m", true)
 	defer m.Kill()
@@ -83,13 +83,14 @@
 	}
 	x := &r.Service.Types[0]
 	t.Logf("%d asked, p50 %v, worst %v, sent late by %d us at the 99th percentile", x.Requested, time.Duration(x.P50), time.Duration(x.Max), r.SendDelay.ValueAtQuantile(99))
-	// A closed loop would wait for each answer, and see 20 ms.
+	// A closed loop would wait for each response and measure 20 ms.
 	if x.Served != x.Requested || x.Requested < 100 || time.Duration(x.Max) < 300*time.Millisecond || len(r.Violations) > 0 {
 		t.Fatalf("%+v %v", x, r.Violations)
 	}
 }
 
-// BenchmarkDrive tells how late a load sends by its rate, against a server that answers at once in the same process.
+// BenchmarkRunLoad measures by how much RunLoad misses its schedule at several rates, against a server in the same process
+// that responds at once.
 func BenchmarkRunLoad(b *testing.B) {
 	for _, rate := range []float64{1000, 4000, 8000, 16000, 32000} {
 		b.Run(fmt.Sprint("rate=", rate), func(b *testing.B) {
--- a/rehearse/results/results.go
+++ b/rehearse/results/results.go
@@ -1,4 +1,4 @@
-// Package results writes what came of rehearsals: lines of JSON, CSV, and one HTML page that needs nothing beside it.
+// Package results writes the results of rehearsals as JSON lines, CSV files and self-contained HTML pages.
 package results
 
 import (
@@ -26,7 +26,7 @@
 //go:embed report.html verdicts.html
 var templates embed.FS
 
-// Write writes a folder of results: report.html, seconds.csv, members.csv, types.csv, broken.jsonl.
+// Write writes report.html, seconds.csv, members.csv, types.csv and broken.jsonl into a folder, which it creates if needed.
 func Write(folder string, r *rehearse.Report) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -94,7 +94,7 @@
 
 func formatMillis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', 1, 64) }
 
-// HTML writes the page.
+// HTML writes the report page.
 func HTML(out io.Writer, r *rehearse.Report) error {
 	t, err := template.New("report.html").Funcs(template.FuncMap{
 		"three": func(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) },
@@ -132,7 +132,8 @@
 		"First": r.Violations[:min(len(r.Violations), 20)]})
 }
 
-// serviceChart draws the service of each second, with what went wrong as lines of its own dashes: no colour is needed.
+// serviceChart draws the service of each second, and each fault as a numbered line with its own dash pattern, so that the
+// chart doesn't depend on colour.
 func serviceChart(r *rehearse.Report) (template.HTML, error) {
 	line := chart.ContinuousSeries{Name: "service", Style: chart.Style{StrokeColor: drawing.ColorBlack, StrokeWidth: 2}}
 	for i, x := range r.Service.Seconds {
@@ -155,7 +156,7 @@
 		XAxis: chart.XAxis{Name: "second"}, YAxis: chart.YAxis{Name: "service", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}}})
 }
 
-// latencyChart draws each txn type's latencies by quantile, from due to served, on a scale of powers of ten.
+// latencyChart draws each txn type's latency quantiles on a logarithmic scale. Latency counts from the scheduled time.
 func latencyChart(r *rehearse.Report) (template.HTML, error) {
 	at := []float64{5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 99}
 	var all []chart.Series
@@ -168,7 +169,7 @@
 		for k, ns := range t.Quantiles(at) {
 			line.XValues, line.YValues = append(line.XValues, at[k]), append(line.YValues, math.Log10(max(0.01, float64(ns)/1e6)))
 		}
-		k := (2 + 2*i) % len(at) // each name stands elsewhere on its line
+		k := (2 + 2*i) % len(at) // each label at another quantile, to avoid overlaps
 		all = append(all, line, chart.AnnotationSeries{Annotations: []chart.Value2{{XValue: line.XValues[k], YValue: line.YValues[k], Label: t.Name}}})
 	}
 	if len(all) == 0 {
@@ -183,12 +184,12 @@
 	if err := c.Render(chart.SVG, &out); err != nil {
 		return "", err
 	}
-	// Its size is the page's.
+	// Let the page's style determine the size.
 	svg := bytes.Replace(out.Bytes(), []byte(`width="900" height="320"`), []byte(`viewBox="0 0 900 320" role="img"`), 1)
-	return template.HTML(svg), nil // made here, of numbers and of names that the chart escapes
+	return template.HTML(svg), nil // safe: consists of numbers and of names that the chart library escapes
 }
 
-// Verdicts writes a page of what an experiment says.
+// Verdicts writes the page of an experiment's verdicts. first is the name of the baseline variant.
 func Verdicts(out io.Writer, first string, all []experiment.Verdict) error {
 	t, err := template.ParseFS(templates, "verdicts.html")
 	if err != nil {
--- a/rehearse/results/results_test.go
+++ b/rehearse/results/results_test.go
@@ -10,7 +10,7 @@
 	"magpieglade/rehearse/audit"
 )
 
-// A folder of results has all of its files; the page stands alone, and what it prints of a scenario can't break out of it.
+// Write must write all files. The page must not load external resources, and must escape the scenario's texts.
 func TestWrite(t *testing.T) {
 	s, err := rehearse.Find("gateways-die")
 	if err != nil {
@@ -37,12 +37,12 @@
 	page := files["report.html"]
 	for _, part := range []string{"<svg", "kill gateway 1, at 10s for 4s", "my-page", "broken", "1 times", "1 ms asked", "viewport"} {
 		if !strings.Contains(page, part) {
-			t.Errorf("the page lacks %q", part)
+			t.Errorf("the page does not contain %q", part)
 		}
 	}
 	for _, part := range []string{"<script", "http://", "https://", "planted <b>"} {
 		if strings.Contains(strings.ReplaceAll(strings.ReplaceAll(page, "http://www.w3.org/2000/svg", ""), "http://www.w3.org/1999/xlink", ""), part) {
-			t.Errorf("the page has %q", part)
+			t.Errorf("the page contains %q", part)
 		}
 	}
 	if n := strings.Count(files["seconds.csv"], "\n"); n < 30 || strings.Count(files["members.csv"], "\n") != 4 || strings.Count(files["broken.jsonl"], "\n") != 1 {
--- a/rehearse/results/subsets.go
+++ b/rehearse/results/subsets.go
@@ -10,7 +10,7 @@
 	"magpieglade/rehearse"
 )
 
-// Subsets writes a page that draws loads and moves against the size of a fleet.
+// Subsets writes a page with charts of load balance and subset changes by fleet size.
 func Subsets(out io.Writer, all []rehearse.SubsetResult) error {
 	byMembers := map[int][]rehearse.SubsetResult{}
 	var members []int
@@ -22,17 +22,17 @@
 	}
 	page := struct{ Charts []template.HTML }{}
 	for _, x := range []struct {
-		name string
-		of   func(rehearse.SubsetResult) float64
-	}{{"the most loaded member, parts of the mean", func(r rehearse.SubsetResult) float64 { return r.Load }},
-		{"connections of a member, at the most", func(r rehearse.SubsetResult) float64 { return float64(r.Most) }},
-		{"subsets that move at a join", func(r rehearse.SubsetResult) float64 { return r.Join }},
-		{"subsets that move at a leave", func(r rehearse.SubsetResult) float64 { return r.Leave }}} {
+		name  string
+		value func(rehearse.SubsetResult) float64
+	}{{"load of the most loaded member, as a multiple of the mean", func(r rehearse.SubsetResult) float64 { return r.Load }},
+		{"maximum connections of a member", func(r rehearse.SubsetResult) float64 { return float64(r.Most) }},
+		{"subsets that change when a gateway joins", func(r rehearse.SubsetResult) float64 { return r.Join }},
+		{"subsets that change when a gateway leaves", func(r rehearse.SubsetResult) float64 { return r.Leave }}} {
 		c := chart.Chart{Title: x.name, Width: 900, Height: 320, XAxis: chart.XAxis{Name: "gateways"}, YAxis: chart.YAxis{Name: x.name}}
 		for _, m := range members {
 			line := chart.ContinuousSeries{Name: fmt.Sprint(m, " members")}
 			for _, r := range byMembers[m] {
-				line.XValues, line.YValues = append(line.XValues, float64(r.Gateways)), append(line.YValues, x.of(r))
+				line.XValues, line.YValues = append(line.XValues, float64(r.Gateways)), append(line.YValues, x.value(r))
 			}
 			if len(line.XValues) > 1 {
 				c.Series = append(c.Series, line)
--- a/rehearse/run.go
+++ b/rehearse/run.go
@@ -10,31 +10,31 @@
 
 func sortIDs(ids []uint64) { slices.Sort(ids) }
 
-// Report is what came of a day.
+// Report holds the results of one run of a scenario.
 type Report struct {
 	Scenario           *Scenario
 	Clock              string // "simulated" or "real"
 	Service            audit.Service
 	Violations         []audit.Violation
 	Marks              []Mark
-	Members            []MemberSummary // by member
+	Members            []MemberSummary // indexed by member
 	ReadFractions      map[string]float64
-	EventCount         int    // of the simulation
-	TraceHash          uint64 // the same for the same trace
+	EventCount         int    // events that the simulation processed
+	TraceHash          uint64 // hash of the trace: equal traces have equal hashes
 	Elapsed            time.Duration
-	LogLines           []string // what was said on the way
-	UnsupportedFaults  []string // faults that this clock does not play
-	FailedExpectations []string // expectations that were not met
+	LogLines           []string // log lines of the run
+	UnsupportedFaults  []string // faults that were not injected, as this clock doesn't support them
+	FailedExpectations []string // descriptions of the expectations that were not met
 }
 
-// Place is what a member did.
+// MemberSummary counts the queries of one member.
 type MemberSummary struct {
 	Name                             string
 	Reads, Writes, Repeats, Rejected int
-	Utilization                      float64 // share of its cores, warm
+	Utilization                      float64 // fraction of its core time, at warm service times
 }
 
-// Simulate plays a scenario on a virtual clock.
+// Simulate runs a scenario on a virtual clock.
 func Simulate(s *Scenario, watch func(Progress)) (*Report, error) {
 	start := time.Now()
 	w, err := newWorld(s, watch)
@@ -47,25 +47,25 @@
 	return r, nil
 }
 
-// report works a log out; its times count from a start.
-func newReport(s *Scenario, l *audit.Log, start, slack int64) *Report {
-	t := s.auditConfig(slack)
-	shifted := *l
-	shifted.Attempts = slices.Clone(l.Attempts)
+// newReport evaluates an audit log. Request and response times are shifted to be relative to start.
+func newReport(s *Scenario, log *audit.Log, start, slack int64) *Report {
+	config := s.auditConfig(slack)
+	shifted := *log
+	shifted.Attempts = slices.Clone(log.Attempts)
 	for i := range shifted.Attempts {
 		shifted.Attempts[i].DueAt -= start
 	}
-	shifted.Responses = slices.Clone(l.Responses)
+	shifted.Responses = slices.Clone(log.Responses)
 	for i := range shifted.Responses {
 		shifted.Responses[i].At -= start
 	}
-	r := &Report{Scenario: s, Service: audit.Measure(t, &shifted), Violations: audit.Check(t, l), ReadFractions: map[string]float64{}}
-	for _, name := range l.Names {
+	r := &Report{Scenario: s, Service: audit.Measure(config, &shifted), Violations: audit.Check(config, log), ReadFractions: map[string]float64{}}
+	for _, name := range log.Names {
 		r.Members = append(r.Members, MemberSummary{Name: name})
 	}
 	reads := 0
 	primary := map[int]bool{}
-	for _, w := range l.Submissions {
+	for _, w := range log.Submissions {
 		p := &r.Members[w.Member]
 		switch w.Kind {
 		case audit.Write:
@@ -85,43 +85,44 @@
 	}
 	for i := range r.Members {
 		p := &r.Members[i]
-		p.Utilization /= float64(s.Length) * float64(l.Cores[i])
-		where := "replicas"
+		p.Utilization /= float64(s.Length) * float64(log.Cores[i])
+		role := "replicas"
 		if primary[i] {
-			where = "members that wrote"
+			role = "members that wrote"
 		}
 		if reads > 0 {
-			r.ReadFractions[where] += float64(p.Reads) / float64(reads)
+			r.ReadFractions[role] += float64(p.Reads) / float64(reads)
 		}
 	}
 	r.checkExpectations()
 	return r
 }
 
-// expect names the expectations that were not met.
+// checkExpectations records the expectations that were not met.
 func (r *Report) checkExpectations() {
 	e := &r.Scenario.Expect
-	short := func(what string, got, want float64) {
+	checkMin := func(what string, got, want float64) {
 		if want >= 0 && got < want {
 			r.FailedExpectations = append(r.FailedExpectations, fmt.Sprintf("%s is %.3f, expected at least %.3f", what, got, want))
 		}
 	}
-	short("service", r.Service.Overall, e.Service)
-	short("the worst ten seconds' service", r.Service.Worst10, e.Worst10)
+	checkMin("service", r.Service.Overall, e.Service)
+	checkMin("the worst ten seconds' service", r.Service.Worst10, e.Worst10)
 	name, worst := r.Service.WorstType()
-	short("the service of "+name, worst, e.WorstType)
+	checkMin("the service of "+name, worst, e.WorstType)
 	if e.NoViolations && len(r.Violations) > 0 {
 		r.FailedExpectations = append(r.FailedExpectations, fmt.Sprintf("%d broken rules", len(r.Violations)))
 	}
 }
 
-// Difference is how far two reports of one scenario are apart.
+// Difference compares one measure of two reports of the same scenario; Delta is Second minus First.
 type Difference struct {
 	Measure              string
 	First, Second, Delta float64
 }
 
-// Differences compares what both clocks tell: service, and each txn type's service and median in milliseconds.
+// Differences compares two reports by overall service, worst ten seconds, violations, and each txn type's service and
+// median latency in milliseconds.
 func Differences(one, other *Report) (all []Difference) {
 	add := func(what string, a, b float64) { all = append(all, Difference{what, a, b, b - a}) }
 	add("service", one.Service.Overall, other.Service.Overall)
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -9,19 +9,20 @@
 	"magpieglade/routes"
 )
 
-// Scenario is a day to be played: a fleet, its traffic, what goes wrong, and what is expected of it. Times are nanoseconds.
+// Scenario describes one run: the fleet, its traffic, the faults to inject and the expected results. Times are in
+// nanoseconds.
 type Scenario struct {
 	Name, Description string
 	Length            int64
 	Seed              uint64
 	Gateways          int
-	SubsetSize        int             // members of a group that a gateway has, 0 for all; on the virtual clock
-	SubsetConnections int             // gateways that a member has at the least
-	Signals           bool            // gateways tell each other what they learn of members; on the virtual clock
-	MaxInFlight       int             // txns of all tenants at each gateway, 0 for no bound; on the virtual clock
-	Tenants           []routes.Tenant // whose txns they are
-	ReservedSlots     map[string]int  // room that each gateway holds for tenants
-	TenantGateways    map[string]int  // gateways that a tenant's clients come through, the first ones
+	SubsetSize        int             // members of each group that a gateway connects to, 0 for all; simulation only
+	SubsetConnections int             // minimum number of gateways per member
+	Signals           bool            // gateways share what they learn about members; simulation only
+	MaxInFlight       int             // in-flight limit of each gateway over all tenants, 0 for none; simulation only
+	Tenants           []routes.Tenant // tenants that the txn types belong to
+	ReservedSlots     map[string]int  // in-flight slots that each gateway reserves, by tenant
+	TenantGateways    map[string]int  // number of gateways that a tenant's clients use, counted from gateway 0
 	Zones             []string
 	Groups            []GroupConfig
 	Network           NetworkConfig
@@ -30,89 +31,91 @@
 	Faults            []Fault
 	Random            []RandomFaults
 	Expect            Expectation
-	Sessions          string // what a session's read must see: "covered", "fenced" or "own" by the gateways, or "brought" by clients
-	Policy            string // how reads are placed: "decide", or a baseline
+	Sessions          string // where the minimum position of a session's read comes from: one of SessionSources
+	Policy            string // read placement: one of Policies
 }
 
-// Policies of a scenario: the module itself, or with what it is told changed so that it does as a simpler gateway would.
+// Read placement policies. The baselines use the same decision module, but change the consistency settings it is given so
+// that it behaves like a simpler gateway.
 const (
 	PolicyDecide       = "decide"
 	PolicyAllToPrimary = "all to primary"
 	PolicyLeastLoaded  = "least loaded"
 )
 
-// Policies are all of them.
+// Policies lists the valid values of Scenario.Policy.
 var Policies = []string{PolicyDecide, PolicyAllToPrimary, PolicyLeastLoaded}
 
-// SessionSources are what a session's read can go by.
+// SessionSources lists the valid values of Scenario.Sessions: positions are tracked by the gateways ("covered", "fenced",
+// "own") or carried by the clients ("brought").
 var SessionSources = []string{Brought, "covered", "fenced", "own"}
 
-// GroupPlan is a primary and its replicas.
+// GroupConfig describes a replication group, which has one primary and its replicas.
 type GroupConfig struct {
 	Members            int
 	Cores              int
-	ReplicationLag     int64 // of shipping
-	ApplyTime          int64 // of one commit, one after another
-	SyncReplication    bool  // a commit outlives its primary
-	DetectionTime      int64 // until a primary that is gone is replaced
-	SwitchoverTime     int64 // without a primary when it is moved
-	MaxConnections     int   // that a member takes
+	ReplicationLag     int64 // delay of log shipping
+	ApplyTime          int64 // per commit; commits are applied serially
+	SyncReplication    bool  // a commit survives the loss of its primary
+	DetectionTime      int64 // from the loss of a primary to its replacement
+	SwitchoverTime     int64 // time without a primary during a planned switchover
+	MaxConnections     int   // connection limit of a member
 	HandshakeTime      int64
-	ThrashingThreshold int     // queries at a member past which each makes all of them slower
-	ReplicaWait        int64   // that a replica waits for a position
-	WarmUp             int64   // that a member is cold after its start
-	ColdFraction       float64 // of its speed at first
-	OverloadFactor     float64 // multiple of what it can do at which a cold member falls over
-	RestartTime        int64   // that this takes
+	ThrashingThreshold int     // concurrent queries at a member above which each further one slows all down
+	ReplicaWait        int64   // how long a replica waits to reach a requested position
+	WarmUp             int64   // how long a member is cold after its start
+	ColdFraction       float64 // initial speed of a cold member, as a fraction of its warm speed
+	OverloadFactor     float64 // load, as a multiple of its capacity, at which a cold member fails
+	RestartTime        int64   // how long a member takes to restart after such a failure
 }
 
-// NetworkPlan has ways of one message.
+// NetworkConfig describes the one-way latency and the loss of messages.
 type NetworkConfig struct {
-	IntraZoneLatency, InterZoneLatency int64 // mean, within a zone and between two
+	IntraZoneLatency, InterZoneLatency int64 // means
 	LossRatio                          float64
 }
 
-// TypePlan is a txn type: what the platform says of it, and what it asks of databases.
+// TypeConfig describes a txn type: its service requirements and the load that it puts on databases.
 type TypeConfig struct {
 	audit.Type
-	Cost         int64 // mean service time on a warm core
+	Cost         int64 // mean service time on one core of a warm member
 	Distribution string
-	Weight       float64 // of the txns
-	Tenant       string  // whose they are, empty for nobody's
+	Weight       float64 // relative frequency among all txns
+	Tenant       string  // empty for none
 }
 
-// Spreads of service times.
+// Distributions of service times.
 const (
 	Fixed       = "fixed"
 	Exponential = "exponential"
 	Lognormal   = "lognormal"
 )
 
-// TrafficPlan is what clients send, in time whatever comes back.
+// TrafficConfig describes an open-loop load: clients send at scheduled times, whatever the responses.
 type TrafficConfig struct {
-	Rate              float64 // first tries a second
+	Rate              float64 // txns per second, without retries
 	Sessions          int
-	RoamingFraction   float64 // share of txns at another gateway than the session's own
-	WaveAmplitude     float64 // of a wave, as a share of the rate
+	RoamingFraction   float64 // fraction of txns sent to a random gateway instead of the session's own
+	WaveAmplitude     float64 // amplitude of a periodic variation, as a fraction of the rate
 	WavePeriod        int64
 	Bursts            []Burst
 	Retry             bool
-	ThinkTime         int64   // mean time after which a session reads what it has written; 0 is that it does not by itself
-	PipelinedFraction float64 // share of reads that come three at a time on one connection, none waiting for another's answer
-	BadClientRate     float64 // bad clients a second, in real time
+	ThinkTime         int64   // mean delay before a session reads its own write back, 0 for no such read
+	PipelinedFraction float64 // fraction of reads sent three at a time on one connection, without waiting for responses
+	BadClientRate     float64 // misbehaving clients per second; real processes only
 }
 
-// Jump multiplies the rate for a while.
+// Burst multiplies the traffic rate for a limited time.
 type Burst struct {
 	At, Duration int64
 	RateFactor   float64
 }
 
-// Fault is one thing that goes wrong.
+// Fault is one injected fault.
 type Fault struct {
 	Kind         string
 	At, Duration int64
-	Member       string // by name: the group's number and the member's, as "0.1"
+	Member       string // "group.member", for example "0.1"
 	Gateway      int
 	Zone         string
 	Group        int
@@ -120,25 +123,25 @@
 	Lag          int64
 }
 
-// Faults are the kinds, with what each needs.
+// FaultKinds maps each kind of fault to the attributes that it requires besides its time.
 var FaultKinds = map[string][]string{
-	"crash":        {"member"},           // its process ends, and starts cold after the span
-	"pause":        {"member"},           // it takes all and answers nothing
-	"slow":         {"member", "factor"}, // each query takes this many times as long
-	"lag":          {"member", "lag"},    // it applies this much later
-	"drain":        {"member"},           // the list says so
-	"errors":       {"member", "factor"}, // this share of its answers are errors
-	"answers_lost": {"member", "factor"}, // this share of its connections break after the work is done
-	"move":         {"member"},           // it is made the primary of its group
-	"cut":          {"zone"},             // nothing passes between it and others
-	"list":         {},                   // the list service is out of reach
-	"kill":         {"gateway"},          // its process ends, and starts from nothing after the span
-	"apart":        {"gateway"},          // nothing passes between it and the other gateways; its clients and databases stay
-	"halves":       {},                   // the same between the first half of the gateways and the others
-	"rough":        {"factor"},           // this share of what gateways tell one another is lost
+	"crash":        {"member"},           // the member's process ends, and restarts cold after the duration
+	"pause":        {"member"},           // the member accepts queries and never responds
+	"slow":         {"member", "factor"}, // service times are multiplied by the factor
+	"lag":          {"member", "lag"},    // the replication lag is set to this value
+	"drain":        {"member"},           // the member list marks the member as leaving
+	"errors":       {"member", "factor"}, // this fraction of its responses are errors
+	"answers_lost": {"member", "factor"}, // this fraction of its connections break after the query has run, before the response
+	"move":         {"member"},           // planned switchover to this member
+	"cut":          {"zone"},             // the zone is partitioned from all others
+	"list":         {},                   // the list service is unavailable
+	"kill":         {"gateway"},          // the gateway's process ends, and restarts without state after the duration
+	"apart":        {"gateway"},          // the gateway is partitioned from the other gateways, but not from its clients and databases
+	"halves":       {},                   // the same, between the first half of the gateways and the others
+	"rough":        {"factor"},           // this fraction of the messages between gateways is lost
 }
 
-// parts tells whether a fault keeps all messages of one gateway from another.
+// isolates reports whether the fault blocks all messages from one gateway to another.
 func (f *Fault) isolates(from, to, gateways int) bool {
 	switch f.Kind {
 	case "apart":
@@ -149,12 +152,12 @@
 	return false
 }
 
-// between tells whether a fault is one between gateways.
+// isBetweenGateways reports whether the fault affects only the network between gateways.
 func (f *Fault) isBetweenGateways() bool {
 	return f.Kind == "apart" || f.Kind == "halves" || f.Kind == "rough"
 }
 
-// RandomFaults come by chance.
+// RandomFaults injects faults at random times, of random kinds and on random targets.
 type RandomFaults struct {
 	MeanInterval, Duration int64
 	Kinds                  []string
@@ -162,19 +165,19 @@
 	Lag                    int64
 }
 
-// Expectation is what a day must show; below 0 is nothing.
+// Expectation holds the minimum results of a run; a negative minimum is not checked.
 type Expectation struct {
 	Service, Worst10, WorstType float64
 	NoViolations                bool
 }
 
-// DefaultGroup is what a group has that a file does not say.
+// DefaultGroup returns the defaults of a group block.
 func DefaultGroup() GroupConfig {
 	return GroupConfig{Members: 3, Cores: 4, ReplicationLag: 20e6, ApplyTime: 100e3, SyncReplication: true, DetectionTime: 2e9, SwitchoverTime: 300e6, MaxConnections: 200,
 		HandshakeTime: 1e6, ThrashingThreshold: 64, ReplicaWait: 20e6, WarmUp: 10e9, ColdFraction: 0.25, OverloadFactor: 2, RestartTime: 5e9}
 }
 
-// DefaultTypes are a portal's.
+// DefaultTypes returns the txn types of a web portal, used when a file has none.
 func DefaultTypes() []TypeConfig {
 	return []TypeConfig{
 		{Type: audit.Type{Name: "search", Effect: "repeatable", Consistency: "eventual", Value: 1, TargetLatency: 300e6, MaxWait: 1e9}, Cost: 6e6, Distribution: Exponential, Weight: 0.4},
@@ -185,7 +188,7 @@
 	}
 }
 
-// Check names what is wrong that a reader of files can't see.
+// Validate checks what the parser of scenario files doesn't check.
 func (s *Scenario) Validate() error {
 	switch {
 	case s.Length <= 0 || s.Gateways < 1 || len(s.Groups) == 0 || len(s.Types) == 0 || len(s.Zones) == 0:
@@ -193,7 +196,7 @@
 	case s.Traffic.Rate <= 0 || s.Traffic.Sessions < 1:
 		return fmt.Errorf("traffic needs a rate and sessions")
 	case !slices.Contains(SessionSources, s.Sessions):
-		return fmt.Errorf("unknown source of sessions %q", s.Sessions)
+		return fmt.Errorf("unknown session source %q", s.Sessions)
 	case !slices.Contains(Policies, s.Policy):
 		return fmt.Errorf("unknown policy %q", s.Policy)
 	}
@@ -214,7 +217,7 @@
 	return nil
 }
 
-// followUp is the txn type by which a session reads what it has written, below 0 for none.
+// followUpType returns the index of the txn type with which a session reads its own writes, or -1 for none.
 func (s *Scenario) followUpType() int {
 	if s.Traffic.ThinkTime <= 0 {
 		return -1
@@ -222,10 +225,10 @@
 	return slices.IndexFunc(s.Types, func(t TypeConfig) bool { return t.Consistency == "causal" })
 }
 
-// memberNamed finds a member by its name.
+// findMember resolves a member name of the form "group.member".
 func (s *Scenario) findMember(name string) (group, member int, err error) {
 	if n, e := fmt.Sscanf(name, "%d.%d", &group, &member); n != 2 || e != nil || fmt.Sprintf("%d.%d", group, member) != name {
-		return 0, 0, fmt.Errorf("%q is no member: write 0.1 for the first replica of the first group", name)
+		return 0, 0, fmt.Errorf("%q is not a member name: 0.1 is the first replica of the first group", name)
 	}
 	if group < 0 || group >= len(s.Groups) || member < 0 || member >= s.Groups[group].Members {
 		return 0, 0, fmt.Errorf("there is no member %s", name)
@@ -233,7 +236,7 @@
 	return group, member, nil
 }
 
-// terms are what the auditor holds a run against; slack is for messages under way.
+// auditConfig returns the auditor's configuration; slack allows for messages in transit.
 func (s *Scenario) auditConfig(slack int64) audit.Config {
 	config := audit.Config{DrainGrace: 250e6, Slack: slack, OverloadWindow: 1e9}
 	for _, x := range s.Types {
@@ -244,7 +247,7 @@
 	return config
 }
 
-// settings are what a gateway's module is told of the platform, for one zone.
+// gatewaySettings returns the platform settings, as JSON, that the decision module of a gateway in the given zone receives.
 func (s *Scenario) gatewaySettings(zone int) ([]byte, error) {
 	type m = map[string]any
 	millis := func(ns int64) float64 { return float64(ns) / 1e6 }
