--- a/rehearse/experiment/experiment_test.go
+++ b/rehearse/experiment/experiment_test.go
@@ -23,7 +23,8 @@
 	return s
 }
 
-// Each built-in scenario, encoded as HCL and parsed again, must be equal to the original.
+// Each built-in scenario, encoded as HCL and parsed again, must be equal to the original, so that another build that reads
+// the file simulates the same.
 func TestHCLRoundTrip(t *testing.T) {
 	for _, name := range rehearse.BuiltinNames() {
 		s, err := rehearse.Find(name)
--- a/rehearse/real.go
+++ b/rehearse/real.go
@@ -81,13 +81,13 @@
 	for _, f := range s.Faults {
 		tb.scheduleFault(f)
 	}
-	for _, report := range s.Random {
+	for _, random := range s.Random {
 		for at := int64(0); ; {
-			if at += int64(tb.rng.ExpFloat64() * float64(report.MeanInterval)); at+report.Duration >= s.Length {
+			if at += int64(tb.rng.ExpFloat64() * float64(random.MeanInterval)); at+random.Duration >= s.Length {
 				break
 			}
 			member := tb.members[tb.rng.IntN(len(tb.members))]
-			tb.scheduleFault(Fault{Kind: report.Kinds[tb.rng.IntN(len(report.Kinds))], At: at, Duration: report.Duration, Member: member.Name, Factor: report.Factor, Lag: report.Lag,
+			tb.scheduleFault(Fault{Kind: random.Kinds[tb.rng.IntN(len(random.Kinds))], At: at, Duration: random.Duration, Member: member.Name, Factor: random.Factor, Lag: random.Lag,
 				Gateway: tb.rng.IntN(s.Gateways), Zone: s.Zones[0]})
 		}
 	}
@@ -181,8 +181,7 @@
 }
 
 // bootstrapFleet creates the fleet on gateway 0, waits until all gateways have joined, and makes three of them voters if
-// there are that many.
-// It does nothing if the network between gateways isn't proxied.
+// there are that many. It does nothing if the network between gateways isn't proxied.
 func (tb *testbed) bootstrapFleet() error {
 	if tb.network == nil {
 		return nil
@@ -340,7 +339,7 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	ended, listening := make(chan struct{}), make(chan struct{})
+	exited, listening := make(chan struct{}), make(chan struct{})
 	go func() {
 		open := true
 		for lines := bufio.NewScanner(pipe); lines.Scan(); {
@@ -353,11 +352,11 @@
 			}
 		}
 		_ = cmd.Wait()
-		close(ended)
+		close(exited)
 	}()
 	select {
 	case <-listening:
-	case <-ended:
+	case <-exited:
 		return fmt.Errorf("gateway %d exited during startup", n.number)
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
@@ -365,20 +364,20 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cmd, n.exited = cmd, ended
+	n.cmd, n.exited = cmd, exited
 	n.endpoint.setRunning(true)
 	return nil
 }
 
 func (n *gatewayProcess) kill() {
 	n.mu.Lock()
-	cmd, ended := n.cmd, n.exited
+	cmd, exited := n.cmd, n.exited
 	n.cmd = nil
 	n.endpoint.setRunning(false)
 	n.mu.Unlock()
 	if cmd != nil {
 		_ = cmd.Process.Kill()
-		<-ended
+		<-exited
 	}
 }
 
@@ -460,7 +459,7 @@
 	case "lag":
 		schedulePair(func() { member.SetLag(time.Duration(f.Lag)) }, func() { member.SetLag(time.Duration(tb.groupConfig(member).ReplicationLag)) })
 	case "drain":
-		set := func(health string, kind audit.EventKind) {
+		setHealth := func(health string, kind audit.EventKind) {
 			tb.mu.Lock()
 			tb.health[member.Name] = health
 			tb.mu.Unlock()
@@ -468,7 +467,7 @@
 			tb.list.AwaitDeliveredTo(tb.scenario.Gateways)
 			tb.recordEvent(audit.Event{Kind: kind, Member: index})
 		}
-		schedulePair(func() { set("leaving", audit.DrainStarted) }, func() { set("active", audit.Restored) })
+		schedulePair(func() { setHealth("leaving", audit.DrainStarted) }, func() { setHealth("active", audit.Restored) })
 	case "answers_lost":
 		schedulePair(func() {
 			for i := range tb.scenario.Types {
@@ -501,16 +500,16 @@
 			tb.recordEvent(audit.Event{Kind: audit.GatewayUp, Gateway: n.number})
 		})
 	case "apart", "halves":
-		set := func(begin bool) {
+		setBlocked := func(blocked bool) {
 			for i := range tb.gateways {
 				for k := range tb.gateways {
 					if f.isolates(i, k, len(tb.gateways)) {
-						tb.network.Block(i, k, begin)
+						tb.network.Block(i, k, blocked)
 					}
 				}
 			}
 		}
-		schedulePair(func() { set(true) }, func() { set(false) })
+		schedulePair(func() { setBlocked(true) }, func() { setBlocked(false) })
 	case "rough":
 		schedulePair(func() { tb.network.SetFaults(f.Factor, 0, 0) }, func() { tb.network.SetFaults(0, 0, 0) })
 	default:
--- a/rehearse/results/statements.go
+++ b/rehearse/results/statements.go
@@ -48,5 +48,5 @@
 {{range .Windows}}<h2>{{at .Window.Start}} to {{at .Window.End}}</h2><p>Price {{.Price}}, credit {{.Credit}}{{if not .Final}}; the window is still open{{end}}.</p>
 {{.Chart}}<table><tr><th>interval<th>gateways<th>size<th>asked<th>in time<th>late<th>no room<th>no member<th>unagreed<th>rolled back<th>left<th>kept<th>cause
 {{range .Lines}}<tr><td>{{at .At}}<td>{{.Gateways}}<td>{{printf "%.0f" .Size}}<td>{{.Requested}}<td>{{.InTime}}<td>{{.Late}}<td>{{.Overloaded}}<td>{{.NoMember}}<td>{{.NoAgreement}}<td>{{.RolledBack}}<td>{{.Abandoned}}<td>{{printf "%.4f" .ServedFraction}}<td>{{.Cause}}
-{{end}}</table>{{else}}<p>The contract has had no window yet.</p>{{end}}
+{{end}}</table>{{else}}<p>The contract had no window.</p>{{end}}
 `))
