--- a/rehearse/covered.go
+++ b/rehearse/covered.go
@@ -23,7 +23,7 @@
 // newSessionHost returns nil where clients carry their positions.
 func newSessionHost(n *simGateway) (*sessionHost, error) {
 	w := n.w
-	if w.scenario.Sessions == Brought || w.scenario.Policy != ByModule {
+	if w.scenario.Sessions == Brought || w.scenario.Policy != PolicyDecide {
 		return nil, nil
 	}
 	t := session.DefaultConfig()
--- a/rehearse/databases.go
+++ b/rehearse/databases.go
@@ -10,7 +10,7 @@
 // replicaGroup is a group's commit log and its members.
 type replicaGroup struct {
 	index            int
-	plan             GroupPlan
+	plan             GroupConfig
 	members          []*database
 	log              []commit              // by position
 	lastPosition     int64                 // position of the latest commit
@@ -99,13 +99,13 @@
 		d.nextCommit, d.applyFreeAt = len(d.group.log), now
 		return d.applied
 	}
-	ship := d.group.plan.Lag + d.extraLag
+	ship := d.group.plan.ReplicationLag + d.extraLag
 	for d.nextCommit < len(d.group.log) {
 		c := &d.group.log[d.nextCommit]
 		if c.position+ship > now {
 			break
 		}
-		end := max(d.applyFreeAt, c.position+ship) + d.group.plan.Apply
+		end := max(d.applyFreeAt, c.position+ship) + d.group.plan.ApplyTime
 		if end > now {
 			return d.applied
 		}
@@ -135,10 +135,10 @@
 func (d *database) speedFraction() float64 {
 	p := &d.group.plan
 	age := d.w.Now - d.startedAt
-	if d.startedAt == 0 || age >= p.Cold {
+	if d.startedAt == 0 || age >= p.WarmUp {
 		return 1
 	}
-	return p.ColdFrom + (1-p.ColdFrom)*float64(age)/float64(p.Cold)
+	return p.ColdFraction + (1-p.ColdFraction)*float64(age)/float64(p.WarmUp)
 }
 
 // receive accepts a query.
@@ -168,9 +168,9 @@
 		return
 	}
 	if q.floor > 0 && d.appliedPosition() < q.floor {
-		if waited := d.w.Now - q.receivedAt; waited < d.group.plan.Hold {
+		if waited := d.w.Now - q.receivedAt; waited < d.group.plan.ReplicaWait {
 			run := d.incarnation
-			d.w.After(min(d.group.plan.Hold-waited, int64(2e6)), func() {
+			d.w.After(min(d.group.plan.ReplicaWait-waited, int64(2e6)), func() {
 				if d.incarnation == run && !d.paused {
 					d.admit(q)
 				} else if d.incarnation == run {
@@ -205,12 +205,12 @@
 		d.coldLoadSum -= float64(d.coldLoad[0].cost)
 		d.coldLoad = d.coldLoad[1:]
 	}
-	if d.coldLoadSum <= d.group.plan.Fall*d.speedFraction()*float64(d.group.plan.Cores)*1e9 {
+	if d.coldLoadSum <= d.group.plan.OverloadFactor*d.speedFraction()*float64(d.group.plan.Cores)*1e9 {
 		return true
 	}
 	d.w.logf("%s falls over, cold", d.name)
 	d.recordSubmission(q, audit.Read, 0)
-	d.crash(d.group.plan.Restart)
+	d.crash(d.group.plan.RestartTime)
 	return false
 }
 
@@ -218,8 +218,8 @@
 	d.running++
 	run := d.incarnation
 	took := float64(q.cost) * d.slowdown / d.speedFraction()
-	if n := d.running + len(d.queue); n > d.group.plan.Thrash {
-		took *= float64(n) / float64(d.group.plan.Thrash)
+	if n := d.running + len(d.queue); n > d.group.plan.ThrashingThreshold {
+		took *= float64(n) / float64(d.group.plan.ThrashingThreshold)
 	}
 	seen := d.appliedPosition() // a read sees the data as of its start
 	d.w.After(int64(took), func() {
@@ -309,7 +309,7 @@
 	if d.primary {
 		d.appliedPosition()
 		d.primary = false
-		d.w.After(c.plan.Detect, c.elect)
+		d.w.After(c.plan.DetectionTime, c.elect)
 	}
 	run := d.incarnation
 	d.w.After(2e9, func() { // detection delay of the list service
@@ -337,7 +337,7 @@
 		}
 	}
 	if best == nil {
-		c.members[0].w.After(c.plan.Detect/2+1, c.elect)
+		c.members[0].w.After(c.plan.DetectionTime/2+1, c.elect)
 		return
 	}
 	c.promote(best)
@@ -345,7 +345,7 @@
 
 func (c *replicaGroup) promote(d *database) {
 	at := d.appliedPosition()
-	if !c.plan.Sync {
+	if !c.plan.SyncReplication {
 		for i := range c.log {
 			if x := &c.log[i]; x.position > at && !x.lost {
 				x.lost = true
@@ -364,7 +364,7 @@
 			d.primary = false
 		}
 	}
-	to.w.After(c.plan.HandOver, func() {
+	to.w.After(c.plan.SwitchoverTime, func() {
 		for _, d := range c.members {
 			if d.primary {
 				return
@@ -379,9 +379,9 @@
 }
 
 // drawServiceTime draws the service time of a query.
-func (w *simulation) drawServiceTime(t *TypePlan) int64 {
+func (w *simulation) drawServiceTime(t *TypeConfig) int64 {
 	mean := float64(t.Cost)
-	switch t.Spread {
+	switch t.Distribution {
 	case Exponential:
 		mean *= w.rng.ExpFloat64()
 	case Lognormal: // sigma 1; the -0.5 keeps the mean
@@ -390,7 +390,7 @@
 	return max(1, int64(mean))
 }
 
-func newReplicaGroup(w *simulation, no int, p GroupPlan) *replicaGroup {
+func newReplicaGroup(w *simulation, no int, p GroupConfig) *replicaGroup {
 	c := &replicaGroup{index: no, plan: p, commitsBySession: map[uint64][]int{}, keys: map[uint64]*keyRecord{}}
 	for i := range p.Members {
 		d := &database{w: w, group: c, index: len(w.databases), name: fmt.Sprintf("%d.%d", no, i), zone: i % len(w.scenario.Zones), primary: i == 0, up: true, slowdown: 1}
--- a/rehearse/experiment/experiment_test.go
+++ b/rehearse/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"magpieglade/rehearse"
 )
 
-func small(t testing.TB, name string) *rehearse.Scenario {
+func smallScenario(t testing.TB, name string) *rehearse.Scenario {
 	t.Helper()
 	s, err := rehearse.Find(name)
 	if err != nil {
@@ -23,9 +23,10 @@
 	return s
 }
 
-// A scenario that is written is read as the same, and plays the same day.
-func TestWrittenIsRead(t *testing.T) {
-	for _, name := range rehearse.Names() {
+// Each built-in scenario, encoded as HCL and parsed again, must be equal to the original, so that another build that reads
+// the file simulates the same.
+func TestHCLRoundTrip(t *testing.T) {
+	for _, name := range rehearse.BuiltinNames() {
 		s, err := rehearse.Find(name)
 		if err != nil {
 			t.Fatal(err)
@@ -37,21 +38,21 @@
 	}
 }
 
-// A baseline that is worse is told to be, one that is the same is not told apart; and what was interrupted, in the middle
-// of a line, goes on to the very same result without playing again what was played.
-func TestVerdictsAndResumption(t *testing.T) {
-	p := &Plan{Scenarios: []*rehearse.Scenario{small(t, "jump")}, Seeds: 6,
-		Variants:   []Variant{{Name: "ours"}, {Name: "same", Policy: rehearse.ByModule}, {Name: "main", Policy: rehearse.AllOnMain}},
+// Compare must report a worse policy as worse and an identical one as indistinguishable. An experiment whose file was cut in
+// the middle of a line must resume to the same result without repeating the runs on complete lines.
+func TestCompareAndResume(t *testing.T) {
+	p := &Plan{Scenarios: []*rehearse.Scenario{smallScenario(t, "jump")}, Seeds: 6,
+		Variants:   []Variant{{Name: "ours"}, {Name: "same", Policy: rehearse.PolicyDecide}, {Name: "main", Policy: rehearse.PolicyAllToPrimary}},
 		Parameters: []Parameter{{"rate", []float64{300, 900}}, {"cores", []float64{1}}}}
-	p.Scenarios[0].Traffic.Jumps = nil
+	p.Scenarios[0].Traffic.Bursts = nil
 	folder := t.TempDir()
-	want, err := p.Play(folder, nil)
+	want, err := p.Execute(folder, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	says := map[string]string{}
 	for _, v := range p.Compare(want) {
-		says[v.Point+v.Variant+" "+v.Measure] = v.Says
+		says[v.ParameterValues+v.Variant+" "+v.Measure] = v.Conclusion
 	}
 	if says["rate=900 cores=1 main service"] != "worse" || says["rate=900 cores=1 same service"] != "can't tell" {
 		t.Fatal(says)
@@ -66,13 +67,13 @@
 	}
 	before := strings.Count(string(text[:len(text)*2/3]), "\n")
 	played := 0
-	got, err := p.Play(folder, func(int, int) { played++ })
+	got, err := p.Execute(folder, func(int, int) { played++ })
 	if err != nil || !reflect.DeepEqual(got, want) || played != len(want)-before {
 		t.Fatal(err, played, len(want), before, reflect.DeepEqual(got, want))
 	}
 }
 
-// The bounds hold the true mean nineteen times of twenty, and a few numbers tell nothing.
+// The 95% interval must contain the true mean in about 95% of 200 samples, and be infinite for fewer than five values.
 func TestBootstrap(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	held := 0
@@ -93,26 +94,27 @@
 	}
 }
 
-// A search ends with a day that is no longer than the one it found, has no more faults, and still shows the loss.
+// The shrunk scenario of a search must be no longer than the one found, have no more faults, be smaller in one of the two,
+// and still show the loss. The same seed must find the same scenario.
 func TestSearch(t *testing.T) {
-	s := small(t, "calm")
+	s := smallScenario(t, "calm")
 	s.Length = 15e9
-	f, err := Search(s, rehearse.ByModule, "", 12, 1, nil)
+	f, err := Search(s, rehearse.PolicyDecide, "", 12, 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("lost %.3f of %d faults in %v ns, shrunk to %.3f of %d faults in %v ns, %d days", f.Loss, len(f.Day.Faults), f.Day.Length, f.ShrunkTo, len(f.Shrunk.Faults), f.Shrunk.Length, f.Played)
-	if f.Loss <= 0 || f.ShrunkTo < shrinkPart*f.Loss || len(f.Shrunk.Faults) > len(f.Day.Faults) || f.Shrunk.Length > f.Day.Length ||
-		len(f.Shrunk.Faults) == len(f.Day.Faults) && f.Shrunk.Length == f.Day.Length {
+	t.Logf("loss %.3f with %d faults in %v ns, shrunk to %.3f with %d faults in %v ns, %d evaluations", f.Loss, len(f.Scenario.Faults), f.Scenario.Length, f.ShrunkLoss, len(f.Shrunk.Faults), f.Shrunk.Length, f.Evaluations)
+	if f.Loss <= 0 || f.ShrunkLoss < minRemainingLossFraction*f.Loss || len(f.Shrunk.Faults) > len(f.Scenario.Faults) || f.Shrunk.Length > f.Scenario.Length ||
+		len(f.Shrunk.Faults) == len(f.Scenario.Faults) && f.Shrunk.Length == f.Scenario.Length {
 		t.Fatalf("%+v", f)
 	}
-	again, err := Search(s, rehearse.ByModule, "", 12, 1, nil)
+	again, err := Search(s, rehearse.PolicyDecide, "", 12, 1, nil)
 	if err != nil || !reflect.DeepEqual(again, f) {
-		t.Fatal("another search of the same seed finds another day")
+		t.Fatal("a second search with the same seed found another scenario")
 	}
 }
 
-// What is wrong with an experiment's file is told with its place.
+// Errors in an experiment file carry the file position.
 func Example_wrong() {
 	dir, _ := os.MkdirTemp("", "x")
 	defer func() { _ = os.RemoveAll(dir) }()
--- a/rehearse/nodes.go
+++ b/rehearse/nodes.go
@@ -65,7 +65,7 @@
 
 // start starts a gateway process with the cached member list.
 func (n *simGateway) start() error {
-	text, err := n.w.scenario.settings(n.zone)
+	text, err := n.w.scenario.gatewaySettings(n.zone)
 	if err != nil {
 		return err
 	}
@@ -101,13 +101,13 @@
 // initShares sets up the tenants' shares if the scenario limits txns in flight.
 func (n *simGateway) initShares() {
 	s := n.w.scenario
-	if s.InFlight == 0 {
+	if s.MaxInFlight == 0 {
 		return
 	}
-	n.shares = routes.NewShares(&routes.Table{MaxInFlight: s.InFlight, Tenants: s.Tenants}, n.w.Now)
+	n.shares = routes.NewShares(&routes.Table{MaxInFlight: s.MaxInFlight, Tenants: s.Tenants}, n.w.Now)
 	held := map[int32]int{}
 	for i := range s.Tenants {
-		if k := s.Held[s.Tenants[i].Name]; k > 0 {
+		if k := s.ReservedSlots[s.Tenants[i].Name]; k > 0 {
 			held[int32(i)] = k
 		}
 	}
@@ -414,12 +414,12 @@
 		switch {
 		case !d.up:
 			sendBack(func() { n.endSubmission(t, no, reply{result: unreachable}) })
-		case d.connections >= d.group.plan.Connections:
+		case d.connections >= d.group.plan.MaxConnections:
 			sendBack(func() { n.endSubmission(t, no, reply{result: atCapacity}) })
 		default:
 			d.connections++
 			s.connected, s.incarnation = true, d.incarnation
-			w.After(d.group.plan.Handshake, func() {
+			w.After(d.group.plan.HandshakeTime, func() {
 				if s.ended { // abandoned meanwhile: endSubmission released the connection
 					return
 				}
@@ -443,7 +443,7 @@
 	if kind.Consistency == "lag_bound" {
 		q.floor = w.Now - kind.MaxAge
 	}
-	if w.scenario.Policy == NoTokens {
+	if w.scenario.Policy == PolicyLeastLoaded {
 		q.floor = 0
 	}
 	q.cost = w.drawServiceTime(kind)
--- a/rehearse/piped.go
+++ b/rehearse/piped.go
@@ -16,20 +16,20 @@
 
 // sendPipelined pipelines reads on a new connection and receives the responses in request order.
 func (d *driver) sendPipelined(requests []*clientRequest, no int) {
-	s := d.s
+	s := d.scenario
 	t := &s.Types[requests[0].txnType]
-	for i := 0; i < len(d.doors) && d.doors[no].away(); i++ {
-		no = (no + 1) % len(d.doors)
+	for i := 0; i < len(d.endpoints) && d.endpoints[no].isDown(); i++ {
+		no = (no + 1) % len(d.endpoints)
 	}
 	var ids []uint64
 	deadline := requests[0].dueAt + t.MaxWait
 	d.mu.Lock()
 	at := d.now()
 	for _, x := range requests {
-		id := d.ids.Add(1)
+		id := d.lastID.Add(1)
 		x.firstID = id
 		ids = append(ids, id)
-		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: id, Session: uint64(x.session) + 1, Type: x.txnType, MinVersion: d.people[x.session].confirmed,
+		d.log.Attempts = append(d.log.Attempts, audit.Attempt{ID: id, FirstID: id, Session: uint64(x.session) + 1, Type: x.txnType, MinVersion: d.sessions[x.session].confirmed,
 			DueAt: x.dueAt, SentAt: at, Deadline: deadline, Gateway: no})
 	}
 	d.mu.Unlock()
@@ -48,7 +48,7 @@
 			answer(audit.Disconnected, 0)
 		}
 	}()
-	c, err := net.DialTimeout("tcp4", d.doors[no].address, time.Second)
+	c, err := net.DialTimeout("tcp4", d.endpoints[no].address, time.Second)
 	if err != nil {
 		return
 	}
@@ -59,7 +59,7 @@
 	for i, x := range requests {
 		left := max(1, (deadline-d.now())/1e6)
 		f.Send(&pgproto3.Query{String: fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=%d */ SELECT data FROM facts WHERE code = '%s'", ids[i], t.Name, left,
-			d.group(x.session), fmt.Sprintf("%08x%08x", d.prefix, x.session+1))})
+			d.groupOf(x.session), fmt.Sprintf("%08x%08x", d.sessionPrefix, x.session+1))})
 	}
 	if f.Flush() != nil {
 		return
--- a/rehearse/reserved.go
+++ b/rehearse/reserved.go
@@ -66,7 +66,7 @@
 	}
 	groups := max(1, len(t.Groups))
 	g := DefaultGroup()
-	g.Members, g.Cores, g.Connections = e.Members, memberCores, 10_000
+	g.Members, g.Cores, g.MaxConnections = e.Members, memberCores, 10_000
 	cost := func(rate float64) int64 { return int64(float64(memberCores) / rate * 1e9) }
 	aim := defaultTargetLatency
 	if t.TargetLatency > 0 {
@@ -75,36 +75,36 @@
 	reads, writes := t.Reads*multiple*float64(groups), t.Writes*multiple*float64(groups)
 	others := e.FloodFactor * size.Reads * float64(e.Members-1) * float64(groups)
 	all := reads + writes + others
-	s := &Scenario{Name: "event", Length: e.Duration, Seed: e.Seed, Gateways: e.Gateways, Zones: e.Zones, Network: NetworkPlan{Near: 200e3, Far: 1e6}, Policy: ByModule,
-		Sessions: Brought, Traffic: TrafficPlan{Rate: all, Sessions: 4000}, Expect: Expectation{-1, -1, -1, false}, InFlight: e.InFlight,
+	s := &Scenario{Name: "event", Length: e.Duration, Seed: e.Seed, Gateways: e.Gateways, Zones: e.Zones, Network: NetworkConfig{IntraZoneLatency: 200e3, InterZoneLatency: 1e6}, Policy: PolicyDecide,
+		Sessions: Brought, Traffic: TrafficConfig{Rate: all, Sessions: 4000}, Expect: Expectation{-1, -1, -1, false}, MaxInFlight: e.InFlight,
 		Tenants: []routes.Tenant{{Name: t.Tenant, Weight: 1}, {Name: "others", Weight: othersWeight}}}
 	for range groups {
 		s.Groups = append(s.Groups, g)
 	}
 	add := func(name, effect, need, tenant string, rate float64, of float64) {
 		if rate > 0 && of > 0 {
-			s.Types = append(s.Types, TypePlan{Type: audit.Type{Name: name, Effect: effect, Consistency: need, DedupWindow: 2e9, Value: 1, TargetLatency: aim, MaxWait: 4 * aim},
-				Cost: cost(of), Spread: Exponential, Share: rate / all, Tenant: tenant})
+			s.Types = append(s.Types, TypeConfig{Type: audit.Type{Name: name, Effect: effect, Consistency: need, DedupWindow: 2e9, Value: 1, TargetLatency: aim, MaxWait: 4 * aim},
+				Cost: cost(of), Distribution: Exponential, Weight: rate / all, Tenant: tenant})
 		}
 	}
 	add(contractRead, "repeatable", "eventual", t.Tenant, reads, size.Reads)
 	add(contractWrite, "by_key", "mutate", t.Tenant, writes, size.Writes)
 	add(otherRead, "repeatable", "eventual", "others", others, size.Reads)
 	if holdSlots {
-		s.Held = map[string]int{t.Tenant: t.InFlight}
+		s.ReservedSlots = map[string]int{t.Tenant: t.InFlight}
 	}
 	if e.TenantGateways > 0 {
-		s.Through = map[string]int{t.Tenant: e.TenantGateways}
+		s.TenantGateways = map[string]int{t.Tenant: e.TenantGateways}
 	}
 	switch at := e.Duration / 3; t.ToleratedLoss {
 	case contracts.MemberLoss:
 		for i := range s.Groups {
-			s.Faults = append(s.Faults, Fault{Kind: "crash", At: at, For: e.Duration / 3, Member: fmt.Sprintf("%d.1", i), Factor: 1})
+			s.Faults = append(s.Faults, Fault{Kind: "crash", At: at, Duration: e.Duration / 3, Member: fmt.Sprintf("%d.1", i), Factor: 1})
 		}
 	case contracts.ZoneLoss:
-		s.Faults = append(s.Faults, Fault{Kind: "cut", At: at, For: e.Duration / 3, Zone: e.Zones[len(e.Zones)-1], Factor: 1})
+		s.Faults = append(s.Faults, Fault{Kind: "cut", At: at, Duration: e.Duration / 3, Zone: e.Zones[len(e.Zones)-1], Factor: 1})
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // Run simulates the contract at a multiple of its size, with or without held slots.
--- a/rehearse/results/results.go
+++ b/rehearse/results/results.go
@@ -1,4 +1,4 @@
-// Package results writes what came of rehearsals: lines of JSON, CSV, and one HTML page that needs nothing beside it.
+// Package results writes the results of rehearsals as JSON lines, CSV files and self-contained HTML pages.
 package results
 
 import (
@@ -24,15 +24,15 @@
 )
 
 //go:embed report.html verdicts.html
-var page embed.FS
+var templates embed.FS
 
-// Write writes a folder of results: report.html, seconds.csv, members.csv, types.csv, broken.jsonl.
+// Write writes report.html, seconds.csv, members.csv, types.csv and broken.jsonl into a folder, which it creates if needed.
 func Write(folder string, r *rehearse.Report) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
 	for name, write := range map[string]func(io.Writer, *rehearse.Report) error{
-		"report.html": HTML, "seconds.csv": seconds, "members.csv": members, "types.csv": types, "broken.jsonl": broken} {
+		"report.html": HTML, "seconds.csv": writeSeconds, "members.csv": writeMembers, "types.csv": writeTypes, "broken.jsonl": writeViolations} {
 		var out bytes.Buffer
 		if err := write(&out, r); err != nil {
 			return fmt.Errorf("%s: %w", name, err)
@@ -44,13 +44,13 @@
 	return nil
 }
 
-func number(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
+func formatFloat(x float64) string { return strconv.FormatFloat(x, 'f', 4, 64) }
 
-func seconds(out io.Writer, r *rehearse.Report) error {
+func writeSeconds(out io.Writer, r *rehearse.Report) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"second", "service"})
 	for i, x := range r.Service.Seconds {
-		text := number(x)
+		text := formatFloat(x)
 		if math.IsNaN(x) {
 			text = ""
 		}
@@ -60,29 +60,29 @@
 	return w.Error()
 }
 
-func members(out io.Writer, r *rehearse.Report) error {
+func writeMembers(out io.Writer, r *rehearse.Report) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"member", "reads", "writes", "repeats", "missed", "busy"})
-	for _, p := range r.Places {
-		_ = w.Write([]string{p.Name, strconv.Itoa(p.Reads), strconv.Itoa(p.Writes), strconv.Itoa(p.Repeats), strconv.Itoa(p.Missed), number(p.Busy)})
+	for _, p := range r.Members {
+		_ = w.Write([]string{p.Name, strconv.Itoa(p.Reads), strconv.Itoa(p.Writes), strconv.Itoa(p.Repeats), strconv.Itoa(p.Rejected), formatFloat(p.Utilization)})
 	}
 	w.Flush()
 	return w.Error()
 }
 
-func types(out io.Writer, r *rehearse.Report) error {
+func writeTypes(out io.Writer, r *rehearse.Report) error {
 	w := csv.NewWriter(out)
 	_ = w.Write([]string{"type", "service", "asked", "served", "late", "declined", "rolled_back", "unanswered", "p50_ms", "p90_ms", "p99_ms", "worst_ms"})
 	for i := range r.Service.Types {
 		t := &r.Service.Types[i]
-		_ = w.Write([]string{t.Name, number(t.Service), strconv.Itoa(t.Requested), strconv.Itoa(t.Served), number(t.LateFraction), strconv.Itoa(t.Declined),
-			strconv.Itoa(t.RolledBack), strconv.Itoa(t.Unanswered), millis(t.P50), millis(t.P90), millis(t.P99), millis(t.Max)})
+		_ = w.Write([]string{t.Name, formatFloat(t.Service), strconv.Itoa(t.Requested), strconv.Itoa(t.Served), formatFloat(t.LateFraction), strconv.Itoa(t.Declined),
+			strconv.Itoa(t.RolledBack), strconv.Itoa(t.Unanswered), formatMillis(t.P50), formatMillis(t.P90), formatMillis(t.P99), formatMillis(t.Max)})
 	}
 	w.Flush()
 	return w.Error()
 }
 
-func broken(out io.Writer, r *rehearse.Report) error {
+func writeViolations(out io.Writer, r *rehearse.Report) error {
 	e := json.NewEncoder(out)
 	for _, v := range r.Violations {
 		if err := e.Encode(v); err != nil {
@@ -92,16 +92,16 @@
 	return nil
 }
 
-func millis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', 1, 64) }
+func formatMillis(ns int64) string { return strconv.FormatFloat(float64(ns)/1e6, 'f', 1, 64) }
 
-// HTML writes the page.
+// HTML writes the report page.
 func HTML(out io.Writer, r *rehearse.Report) error {
 	t, err := template.New("report.html").Funcs(template.FuncMap{
 		"three": func(x float64) string { return strconv.FormatFloat(x, 'f', 3, 64) },
 		"share": func(x float64) string { return strconv.FormatFloat(100*x, 'f', 1, 64) + " %" },
-		"ms":    millis,
+		"ms":    formatMillis,
 		"span":  func(ns int64) string { return time.Duration(ns).String() },
-	}).ParseFS(page, "report.html")
+	}).ParseFS(templates, "report.html")
 	if err != nil {
 		return err
 	}
@@ -132,7 +132,8 @@
 		"First": r.Violations[:min(len(r.Violations), 20)]})
 }
 
-// serviceChart draws the service of each second, with what went wrong as lines of its own dashes: no colour is needed.
+// serviceChart draws the service of each second, and each fault as a numbered line with its own dash pattern, so that the
+// chart doesn't depend on colour.
 func serviceChart(r *rehearse.Report) (template.HTML, error) {
 	line := chart.ContinuousSeries{Name: "service", Style: chart.Style{StrokeColor: drawing.ColorBlack, StrokeWidth: 2}}
 	for i, x := range r.Service.Seconds {
@@ -155,7 +156,7 @@
 		XAxis: chart.XAxis{Name: "second"}, YAxis: chart.YAxis{Name: "service", Range: &chart.ContinuousRange{Min: 0, Max: 1.02}}})
 }
 
-// latencyChart draws each txn type's latencies by quantile, from due to served, on a scale of powers of ten.
+// latencyChart draws each txn type's latency quantiles on a logarithmic scale. Latency counts from the scheduled time.
 func latencyChart(r *rehearse.Report) (template.HTML, error) {
 	at := []float64{5, 10, 20, 30, 40, 50, 60, 70, 80, 90, 95, 99}
 	var all []chart.Series
@@ -168,7 +169,7 @@
 		for k, ns := range t.Quantiles(at) {
 			line.XValues, line.YValues = append(line.XValues, at[k]), append(line.YValues, math.Log10(max(0.01, float64(ns)/1e6)))
 		}
-		k := (2 + 2*i) % len(at) // each name stands elsewhere on its line
+		k := (2 + 2*i) % len(at) // each label at another quantile, to avoid overlaps
 		all = append(all, line, chart.AnnotationSeries{Annotations: []chart.Value2{{XValue: line.XValues[k], YValue: line.YValues[k], Label: t.Name}}})
 	}
 	if len(all) == 0 {
@@ -183,14 +184,14 @@
 	if err := c.Render(chart.SVG, &out); err != nil {
 		return "", err
 	}
-	// Its size is the page's.
+	// Let the page's style determine the size.
 	svg := bytes.Replace(out.Bytes(), []byte(`width="900" height="320"`), []byte(`viewBox="0 0 900 320" role="img"`), 1)
-	return template.HTML(svg), nil // made here, of numbers and of names that the chart escapes
+	return template.HTML(svg), nil // safe: consists of numbers and of names that the chart library escapes
 }
 
-// Verdicts writes a page of what an experiment says.
+// Verdicts writes the page of an experiment's verdicts. first is the name of the baseline variant.
 func Verdicts(out io.Writer, first string, all []experiment.Verdict) error {
-	t, err := template.ParseFS(page, "verdicts.html")
+	t, err := template.ParseFS(templates, "verdicts.html")
 	if err != nil {
 		return err
 	}
--- a/rehearse/results/subsets.go
+++ b/rehearse/results/subsets.go
@@ -10,29 +10,29 @@
 	"magpieglade/rehearse"
 )
 
-// Subsets writes a page that draws loads and moves against the size of a fleet.
+// Subsets writes a page with charts of load balance and subset changes by fleet size.
 func Subsets(out io.Writer, all []rehearse.SubsetResult) error {
-	by := map[int][]rehearse.SubsetResult{}
+	byMembers := map[int][]rehearse.SubsetResult{}
 	var members []int
 	for _, r := range all {
-		if len(by[r.Members]) == 0 {
+		if len(byMembers[r.Members]) == 0 {
 			members = append(members, r.Members)
 		}
-		by[r.Members] = append(by[r.Members], r)
+		byMembers[r.Members] = append(byMembers[r.Members], r)
 	}
 	page := struct{ Charts []template.HTML }{}
 	for _, x := range []struct {
-		name string
-		of   func(rehearse.SubsetResult) float64
-	}{{"the most loaded member, parts of the mean", func(r rehearse.SubsetResult) float64 { return r.MaxLoad }},
-		{"connections of a member, at the most", func(r rehearse.SubsetResult) float64 { return float64(r.MaxGateways) }},
-		{"subsets that move at a join", func(r rehearse.SubsetResult) float64 { return r.MovedOnJoin }},
-		{"subsets that move at a leave", func(r rehearse.SubsetResult) float64 { return r.MovedOnLeave }}} {
+		name  string
+		value func(rehearse.SubsetResult) float64
+	}{{"load of the most loaded member, as a multiple of the mean", func(r rehearse.SubsetResult) float64 { return r.MaxLoad }},
+		{"maximum connections of a member", func(r rehearse.SubsetResult) float64 { return float64(r.MaxGateways) }},
+		{"subsets that change when a gateway joins", func(r rehearse.SubsetResult) float64 { return r.MovedOnJoin }},
+		{"subsets that change when a gateway leaves", func(r rehearse.SubsetResult) float64 { return r.MovedOnLeave }}} {
 		c := chart.Chart{Title: x.name, Width: 900, Height: 320, XAxis: chart.XAxis{Name: "gateways"}, YAxis: chart.YAxis{Name: x.name}}
 		for _, m := range members {
 			line := chart.ContinuousSeries{Name: fmt.Sprint(m, " members")}
-			for _, r := range by[m] {
-				line.XValues, line.YValues = append(line.XValues, float64(r.Gateways)), append(line.YValues, x.of(r))
+			for _, r := range byMembers[m] {
+				line.XValues, line.YValues = append(line.XValues, float64(r.Gateways)), append(line.YValues, x.value(r))
 			}
 			if len(line.XValues) > 1 {
 				c.Series = append(c.Series, line)
--- a/rehearse/rude.go
+++ b/rehearse/rude.go
@@ -13,14 +13,14 @@
 // runBadClients connects bad clients to the gateways at a rate until the run is over: some send nothing, garbage or
 // half a message, some disconnect without waiting for the response. Only the service of the other clients is checked.
 func (d *driver) runBadClients(over <-chan struct{}) {
-	rng := rand.New(rand.NewPCG(d.s.Seed, 14))
+	rng := rand.New(rand.NewPCG(d.scenario.Seed, 14))
 	for {
 		select {
 		case <-over:
 			return
-		case <-time.After(time.Duration(rng.ExpFloat64() / d.s.Traffic.Rude * 1e9)):
+		case <-time.After(time.Duration(rng.ExpFloat64() / d.scenario.Traffic.BadClientRate * 1e9)):
 		}
-		o, kind, n := d.doors[rng.IntN(len(d.doors))], rng.IntN(5), rng.IntN(400)
+		o, kind, n := d.endpoints[rng.IntN(len(d.endpoints))], rng.IntN(5), rng.IntN(400)
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
@@ -31,7 +31,7 @@
 			defer func() { _ = c.Close() }()
 			_ = c.SetDeadline(time.Now().Add(badClientTimeout))
 			hello := startupMessage()
-			query := queryMessage("/* id=1,c=" + d.s.Types[0].Name + ",d=900,cluster=0 */ SELECT data FROM facts WHERE code = 'rude'")
+			query := queryMessage("/* id=1,c=" + d.scenario.Types[0].Name + ",d=900,cluster=0 */ SELECT data FROM facts WHERE code = 'rude'")
 			switch kind {
 			case 0: // sends nothing
 			case 1:
--- a/rehearse/some.go
+++ b/rehearse/some.go
@@ -23,18 +23,18 @@
 // subsetConfig is the configuration of a scenario's subsets.
 func (s *Scenario) subsetConfig() subset.Config {
 	t := subset.DefaultConfig()
-	t.MinMembers, t.Connections, t.MinOtherZone = s.Subset, s.SubsetConnections, min(t.MinOtherZone, s.Subset-1)
+	t.MinMembers, t.Connections, t.MinOtherZone = s.SubsetSize, s.SubsetConnections, min(t.MinOtherZone, s.SubsetSize-1)
 	return t
 }
 
 func newSubsetHost(n *simGateway) (*subsetHost, error) {
 	s := n.w.scenario
-	if s.Subset == 0 && !s.Signals {
+	if s.SubsetSize == 0 && !s.Signals {
 		return nil, nil
 	}
 	x := &subsetHost{gateway: n, primary: map[int]int{}}
 	var err error
-	if s.Subset > 0 {
+	if s.SubsetSize > 0 {
 		if x.module, err = subset.New(s.subsetConfig(), n.w.gatewayOf(n.index), s.Seed); err != nil {
 			return nil, err
 		}
--- a/rehearse/world.go
+++ b/rehearse/world.go
@@ -64,9 +64,9 @@
 
 // networkDelay draws the time that a message takes between two zones.
 func (w *simulation) networkDelay(from, to int) int64 {
-	mean := w.scenario.Network.Near
+	mean := w.scenario.Network.IntraZoneLatency
 	if from != to {
-		mean = w.scenario.Network.Far
+		mean = w.scenario.Network.InterZoneLatency
 	}
 	return int64(float64(mean) * (0.5 + w.rng.ExpFloat64()/2))
 }
@@ -74,7 +74,7 @@
 // send schedules a delivery, unless the message is lost or crosses the border of an isolated zone.
 func (w *simulation) send(from, to int, do func()) {
 	took := w.networkDelay(from, to)
-	if from != to && (w.isolatedZones[from] || w.isolatedZones[to]) || w.scenario.Network.Loss > 0 && w.rng.Float64() < w.scenario.Network.Loss {
+	if from != to && (w.isolatedZones[from] || w.isolatedZones[to]) || w.scenario.Network.LossRatio > 0 && w.rng.Float64() < w.scenario.Network.LossRatio {
 		return
 	}
 	w.After(took, do)
@@ -84,7 +84,7 @@
 func (w *simulation) lostBetween(from, to int) bool {
 	lost, pass := false, 1.0
 	for f := range w.gatewayFaults {
-		lost = lost || f.parts(from, to, w.scenario.Gateways)
+		lost = lost || f.isolates(from, to, w.scenario.Gateways)
 		if f.Kind == "rough" {
 			pass *= 1 - f.Factor
 		}
@@ -106,7 +106,7 @@
 
 // newSimulation builds the simulation of a scenario.
 func newSimulation(s *Scenario, watch func(Progress)) (*simulation, error) {
-	if err := s.Check(); err != nil {
+	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	w := &simulation{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 11)), Scheduler: agenda.Scheduler{Now: startTime}, isolatedZones: map[int]bool{}, gatewayFaults: map[*Fault]bool{}, onProgress: watch, divisions: map[string]*subset.Division{}}
@@ -153,10 +153,10 @@
 }
 
 func (w *simulation) scheduleRandomFaults(r RandomFaults) {
-	w.After(int64(w.rng.ExpFloat64()*float64(r.Every)), func() {
-		if w.Now-startTime+r.For < w.scenario.Length {
+	w.After(int64(w.rng.ExpFloat64()*float64(r.MeanInterval)), func() {
+		if w.Now-startTime+r.Duration < w.scenario.Length {
 			d := w.databases[w.rng.IntN(len(w.databases))]
-			f := Fault{Kind: r.Kinds[w.rng.IntN(len(r.Kinds))], At: w.Now - startTime, For: r.For, Member: d.name, Factor: r.Factor, Lag: r.Lag,
+			f := Fault{Kind: r.Kinds[w.rng.IntN(len(r.Kinds))], At: w.Now - startTime, Duration: r.Duration, Member: d.name, Factor: r.Factor, Lag: r.Lag,
 				Gateway: w.rng.IntN(len(w.gateways)), Zone: w.scenario.Zones[w.rng.IntN(len(w.scenario.Zones))]}
 			w.scheduleFault(f)
 		}
@@ -167,7 +167,7 @@
 // String describes a fault for reports.
 func (f Fault) String() string {
 	text := f.Kind
-	for _, need := range Faults[f.Kind] {
+	for _, need := range FaultKinds[f.Kind] {
 		switch need {
 		case "member":
 			text += " " + f.Member
@@ -187,26 +187,26 @@
 // scheduleFault schedules the start and the end of a fault.
 func (w *simulation) scheduleFault(f Fault) {
 	var d *database
-	if slices.Contains(Faults[f.Kind], "member") {
-		g, m, _ := w.scenario.memberNamed(f.Member) // Check has validated the name
+	if slices.Contains(FaultKinds[f.Kind], "member") {
+		g, m, _ := w.scenario.findMember(f.Member) // Check has validated the name
 		d = w.groups[g].members[m]
 	}
-	w.incidents = append(w.incidents, Incident{f.At, f.For, f.String()})
-	from, to := f.At+startTime-w.Now, f.At+f.For+startTime-w.Now
+	w.incidents = append(w.incidents, Incident{f.At, f.Duration, f.String()})
+	from, to := f.At+startTime-w.Now, f.At+f.Duration+startTime-w.Now
 	schedule := func(on, off func()) {
 		w.After(from, func() { w.logf("%s", f); on() })
-		if f.For > 0 {
+		if f.Duration > 0 {
 			w.After(to, off)
 		}
 	}
 	switch f.Kind {
 	case "crash":
-		schedule(func() { d.crash(f.For) }, func() {})
+		schedule(func() { d.crash(f.Duration) }, func() {})
 	case "pause":
 		schedule(func() {
 			d.paused = true
 			if run := d.incarnation; d.primary { // a hung primary is replaced like a crashed one
-				w.After(d.group.plan.Detect, func() {
+				w.After(d.group.plan.DetectionTime, func() {
 					if d.paused && d.incarnation == run && d.primary {
 						d.appliedPosition()
 						d.primary, d.replaced = false, true
@@ -220,7 +220,7 @@
 			}
 			if d.replaced { // it can't resume, as the new primary has committed since: restart it
 				d.replaced = false
-				d.crash(d.group.plan.Restart)
+				d.crash(d.group.plan.RestartTime)
 				return
 			}
 			d.paused = false
@@ -330,7 +330,7 @@
 func newClientPool(w *simulation) *clientPool {
 	p := &clientPool{w: w, sessions: make([]clientSession, w.scenario.Traffic.Sessions)}
 	for _, t := range w.scenario.Types {
-		p.shareSum += t.Share
+		p.shareSum += t.Weight
 	}
 	p.scheduleNext()
 	return p
@@ -339,14 +339,14 @@
 // rate is the current rate of first attempts per second.
 func (p *clientPool) rate() float64 { return p.w.scenario.Traffic.rateAt(p.w.Now - startTime) }
 
-func (t *TrafficPlan) rateAt(at int64) float64 {
+func (t *TrafficConfig) rateAt(at int64) float64 {
 	rate := t.Rate
-	if t.Period > 0 {
-		rate *= 1 + t.Swing*math.Sin(2*math.Pi*float64(at)/float64(t.Period))
+	if t.WavePeriod > 0 {
+		rate *= 1 + t.WaveAmplitude*math.Sin(2*math.Pi*float64(at)/float64(t.WavePeriod))
 	}
-	for _, j := range t.Jumps {
-		if at >= j.At && at < j.At+j.For {
-			rate *= j.Times
+	for _, j := range t.Bursts {
+		if at >= j.At && at < j.At+j.Duration {
+			rate *= j.RateFactor
 		}
 	}
 	return rate
@@ -366,8 +366,8 @@
 	w := p.w
 	x := w.rng.Float64() * p.shareSum
 	kind := 0
-	for kind < len(w.scenario.Types)-1 && x >= w.scenario.Types[kind].Share {
-		x -= w.scenario.Types[kind].Share
+	for kind < len(w.scenario.Types)-1 && x >= w.scenario.Types[kind].Weight {
+		x -= w.scenario.Types[kind].Weight
 		kind++
 	}
 	t := &w.scenario.Types[kind]
@@ -391,7 +391,7 @@
 			request.key = p.lastKey
 		}
 	}
-	if t.Consistency != "mutate" && w.scenario.Traffic.Piped > 0 && w.rng.Float64() < w.scenario.Traffic.Piped/pipelineDepth {
+	if t.Consistency != "mutate" && w.scenario.Traffic.PipelinedFraction > 0 && w.rng.Float64() < w.scenario.Traffic.PipelinedFraction/pipelineDepth {
 		n, first := p.newAttempt(request)
 		last := first
 		for range pipelineDepth - 1 {
@@ -416,10 +416,10 @@
 func (p *clientPool) newAttempt(x *clientRequest) (*simGateway, *txn) {
 	w := p.w
 	no := x.session % len(w.gateways)
-	if w.scenario.Traffic.Roam > 0 && w.rng.Float64() < w.scenario.Traffic.Roam {
+	if w.scenario.Traffic.RoamingFraction > 0 && w.rng.Float64() < w.scenario.Traffic.RoamingFraction {
 		no = w.rng.IntN(len(w.gateways))
 	}
-	if maxGateways := w.scenario.Through[w.scenario.Types[x.txnType].Tenant]; maxGateways > 0 {
+	if maxGateways := w.scenario.TenantGateways[w.scenario.Types[x.txnType].Tenant]; maxGateways > 0 {
 		no %= maxGateways
 	}
 	for i := 0; i < len(w.gateways) && w.gateways[no].knownDown(); i++ { // the load balancer has detected that it is down
@@ -464,8 +464,8 @@
 			s.writing = false
 			s.confirmed = max(s.confirmed, x.version)
 			s.position = max(s.position, position)
-			if kind := w.scenario.followUp(); kind >= 0 {
-				w.After(int64(w.rng.ExpFloat64()*float64(w.scenario.Traffic.Think)), func() {
+			if kind := w.scenario.followUpType(); kind >= 0 {
+				w.After(int64(w.rng.ExpFloat64()*float64(w.scenario.Traffic.ThinkTime)), func() {
 					if !p.closed {
 						p.send(&clientRequest{txnType: kind, session: x.session, dueAt: w.Now})
 					}
