--- a/gateway/accept_test.go
+++ b/gateway/accept_test.go
@@ -13,7 +13,7 @@
 
 // limitDescriptors bounds the numbers of new descriptors of the gateway's process, so that the kernel refuses every new
 // one with EMFILE. The function that it returns restores the former bound.
-func (w *world) limitDescriptors(t *testing.T, most uint64) (restore func()) {
+func (w *environment) limitDescriptors(t *testing.T, most uint64) (restore func()) {
 	t.Helper()
 	var former unix.Rlimit
 	pid := w.process.Process.Pid
@@ -31,40 +31,40 @@
 }
 
 // dialRaw connects without waiting for the gateway to accept.
-func (w *world) dialRaw(t *testing.T) net.Conn {
+func (w *environment) dialRaw(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", w.address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	_ = c.SetDeadline(time.Now().Add(soon))
+	_ = c.SetDeadline(time.Now().Add(eventTimeout))
 	return c
 }
 
 // TestOpenRequestsSurviveFailedAccept guards against a failed accept that ends the process and every open request with it.
 func TestOpenRequestsSurviveFailedAccept(t *testing.T) {
 	m := newMember("m", "read-write", "silent")
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	open, asked := w.connect(), make(chan string, 1)
 	steady := w.connect()
-	go func() { asked <- ask(open, sql("once", "")) }()
-	await(m.open)
+	go func() { asked <- execute(open, txnSQL("once", "")) }()
+	await(m.queries)
 	restore := w.limitDescriptors(t, 1)
 	late := w.dialRaw(t)
-	if _, err := io.WriteString(late, hello+query(sql("any", ""))); err != nil {
+	if _, err := io.WriteString(late, startupMessage+queryMessage(txnSQL("any", ""))); err != nil {
 		t.Fatal(err)
 	}
-	w.logged("too many open files")
-	if got := ask(steady, sql("any", "")); got != "committed by m" && got[:5] != "53300" {
+	w.awaitLog("too many open files")
+	if got := execute(steady, txnSQL("any", "")); got != "committed by m" && got[:5] != "53300" {
 		t.Errorf("an open connection while accept fails: %s", got)
 	}
 	restore()
 	if got := await(asked); got[:5] != "40000" {
 		t.Errorf("the request that was open: %s", got)
 	}
-	if got := answers(bufio.NewReader(late), 12); got != "RSSSSSKZTD(m)CZ" {
+	if got := summarizeResponses(bufio.NewReader(late), 12); got != "RSSSSSKZTD(m)CZ" {
 		t.Errorf("the client that came while accept failed: %s", got)
 	}
 }
--- a/gateway/agreed_test.go
+++ b/gateway/agreed_test.go
@@ -95,7 +95,7 @@
 
 func (u *union) await(what string, f func() bool) {
 	u.t.Helper()
-	u.awaitFor(soon, what, f)
+	u.awaitFor(eventTimeout, what, f)
 }
 
 // awaitFor is for what takes an election, another keeper and its quiet.
@@ -129,7 +129,7 @@
 // halt stops a process as it stands, and waits until all of its threads do.
 func (p *process) halt() {
 	must(p.cmd.Process.Signal(syscall.SIGSTOP))
-	until(func() bool {
+	pollUntil(func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 		must(err)
 		for _, x := range tasks {
--- a/gateway/control_test.go
+++ b/gateway/control_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	settled := func(part string) {
-		until(func() bool { return strings.Contains(command("config", "status", "--control", socket), part) })
+		pollUntil(func() bool { return strings.Contains(command("config", "status", "--control", socket), part) })
 	}
 	info, err := os.Stat(socket)
 	fmt.Println(info.Mode().Perm(), err)
--- a/gateway/ending_test.go
+++ b/gateway/ending_test.go
@@ -11,31 +11,31 @@
 func TestEndsBeforeThePlatformKills(t *testing.T) {
 	t.Parallel()
 	var ahead atomic.Int64
-	d, m := newScript(t), newScript(t)
+	d, m := newScriptedServer(t), newScriptedServer(t)
 	began := time.Now()
-	g, ended, stop := heldGatewayWith(t, func(c *Config) {
+	g, ended, stop := startTestGatewayWith(t, func(c *Config) {
 		c.Elapsed = func() time.Duration { return time.Since(began) + time.Duration(ahead.Load()) }
-	}, d, m.host("m", "active"))
-	d.next(t).call(t)
-	open := heldClient(t, g)
-	open.ask("once", 60_000)
-	up := m.next(t)
+	}, d, m.listEntry("m", "active"))
+	d.accept(t).readCall(t)
+	open := connectClient(t, g)
+	open.sendRead("once", 60_000)
+	up := m.accept(t)
 	defer up.Close()
-	up.startup()
-	up.ready()
-	up.query()
-	half := newEnd(dialled(t, g))
+	up.readStartup()
+	up.sendReady()
+	up.readQuery()
+	half := newTestConn(dialGateway(t, g))
 	_, _ = half.Write([]byte("\x00\x00"))
 	stop()
-	g.hold(func() { // it has begun to leave
+	g.runOnLoop(func() { // it has begun to leave
 		for !g.leaving {
 			g.leave()
 		}
 	})
 	// The longest time of a class is 10 s here; the platform waits for 3 s of it at the most.
 	ahead.Store(int64(lateComers + longestKill - 10_000_000))
-	g.hold(g.onTimer)
-	if got := open.answer(); got != "40000" {
+	g.runOnLoop(g.onTimer)
+	if got := open.readResponse(); got != "40000" {
 		t.Errorf("the request that was open: %s", got)
 	}
 	select {
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -193,7 +193,7 @@
 		case err := <-p.exited:
 			p.exited <- err
 			panic(fmt.Sprintf("gateway %d ended before %q: %v\n%s", p.no, part, err, strings.Join(p.all, "\n")))
-		case <-time.After(soon):
+		case <-time.After(eventTimeout):
 			panic(fmt.Sprintf("gateway %d did not log %q:\n%s", p.no, part, strings.Join(p.all, "\n")))
 		}
 	}
--- a/gateway/flood_test.go
+++ b/gateway/flood_test.go
@@ -19,7 +19,7 @@
 // other work is in it.
 func TestFloodOfClients(t *testing.T) {
 	const sockets, each = 256, 300
-	w := start(sockets, newMember("m", "read-write"), newMember("r", "read-only"))
+	w := startGateway(sockets, newMember("m", "read-write"), newMember("r", "read-only"))
 	defer w.stop()
 	steady := w.connect()
 	flood := func(f func(c net.Conn)) {
@@ -28,24 +28,24 @@
 			if err != nil {
 				continue // none is free: it is turned away by the kernel
 			}
-			_ = c.SetDeadline(time.Now().Add(soon))
+			_ = c.SetDeadline(time.Now().Add(eventTimeout))
 			f(c)
 		}
 	}
 	var all sync.WaitGroup
 	for _, f := range []func(net.Conn){
 		func(c net.Conn) { // asks and resets
-			_, _ = io.WriteString(c, hello+query(sql("any", "")))
+			_, _ = io.WriteString(c, startupMessage+queryMessage(txnSQL("any", "")))
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		},
 		func(c net.Conn) { _ = c.Close() },
 		func(c net.Conn) { // sends much ahead, reads nothing and goes
-			_, _ = io.WriteString(c, hello+strings.Repeat(query(sql("any", "")), 50))
+			_, _ = io.WriteString(c, startupMessage+strings.Repeat(queryMessage(txnSQL("any", "")), 50))
 			_ = c.Close()
 		},
 		func(c net.Conn) { // a message that never ends; it is sent away by and by
-			_, _ = io.WriteString(c, hello+"Q\x00\x01\x00\x00half")
+			_, _ = io.WriteString(c, startupMessage+"Q\x00\x01\x00\x00half")
 			t.Cleanup(func() { _ = c.Close() })
 		},
 	} {
@@ -62,7 +62,7 @@
 			over = true
 		default:
 		}
-		if got := ask(steady, sql("any", "")); !strings.HasPrefix(got, "committed") {
+		if got := execute(steady, txnSQL("any", "")); !strings.HasPrefix(got, "committed") {
 			t.Fatalf("after %d served: %s", served, got)
 		}
 		served++
@@ -76,7 +76,7 @@
 	must(w.process.Process.Signal(syscall.SIGTERM))
 	line := ""
 	for !strings.Contains(line, "ended") {
-		line = await(w.log)
+		line = await(w.logLines)
 	}
 	t.Logf("%d served beside %d clients of the flood; %s", served, 16*each, line)
 	_, most, _ := strings.Cut(line, "most_descriptors=")
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -55,13 +55,13 @@
 }
 
 // soon is how long an event may take before the test is given up; no test passes by waiting for it.
-const soon = 20 * time.Second
+const eventTimeout = 20 * time.Second
 
 func await[T any](events <-chan T) (e T) {
 	select {
 	case e = <-events:
 		return e
-	case <-time.After(soon):
+	case <-time.After(eventTimeout):
 		panic("an event did not come")
 	}
 }
@@ -81,17 +81,17 @@
 
 // member is a stand-in for a database server, which answers each query with its own name.
 type member struct {
-	name, mode string
-	l          net.Listener
-	open       chan string // a query came
-	shut       chan string // the gateway closed a connection: the query that was open on it
-	plan       *plan
-	holds      string       // queries with this in them get no answer
-	put        atomic.Int32 // answers of which what is behind came later than any server's does, as the machine is busy
+	name, mode     string
+	listener       net.Listener
+	queries        chan string // a query came
+	closed         chan string // the gateway closed a connection: the query that was open on it
+	plan           *responsePlan
+	unansweredText string       // queries with this in them get no answer
+	lateTrailers   atomic.Int32 // answers of which what is behind came later than any server's does, as the machine is busy
 }
 
 // plan is what the next connections or queries meet, at any of the members that have it.
-type plan struct {
+type responsePlan struct {
 	mu    sync.Mutex
 	steps []string
 }
@@ -99,8 +99,8 @@
 func newMember(name, mode string, steps ...string) *member {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	must(err)
-	m := &member{name: name, mode: mode, l: l, plan: &plan{steps: steps},
-		open: make(chan string, 1e5), shut: make(chan string, 1000)}
+	m := &member{name: name, mode: mode, listener: l, plan: &responsePlan{steps: steps},
+		queries: make(chan string, 1e5), closed: make(chan string, 1000)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -114,10 +114,10 @@
 }
 
 // next takes the first of the plan if it is of this kind: a connection's are in capitals.
-func (p *plan) next(connection bool) (step string) {
+func (p *responsePlan) next(forConnection bool) (step string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.steps) > 0 && (strings.ToUpper(p.steps[0]) == p.steps[0]) == connection {
+	if len(p.steps) > 0 && (strings.ToUpper(p.steps[0]) == p.steps[0]) == forConnection {
 		step, p.steps = p.steps[0], p.steps[1:]
 	}
 	return step
@@ -145,7 +145,7 @@
 	for {
 		kind, err := r.ReadByte()
 		if err != nil {
-			m.shut <- "an idle connection"
+			m.closed <- "an idle connection"
 			return
 		}
 		_, _ = io.ReadFull(r, size[:])
@@ -154,63 +154,63 @@
 			return
 		}
 		sql := string(body[:len(body)-1])
-		m.open <- sql
-		said := message('S', "mode\x00"+m.mode+"\x00") +
+		m.queries <- sql
+		status := message('S', "mode\x00"+m.mode+"\x00") +
 			message('S', fmt.Sprintf("wal_time\x00%d\x00", time.Now().UnixMilli())) + message('Z', "I")
 		row := message('T', "\x00\x01data\x00"+strings.Repeat("\x00", 18)) +
 			message('D', "\x00\x01\x00\x00\x00"+string(rune(len(m.name)))+m.name)
 		step := m.plan.next(false)
-		spoilt, isSpoilt := map[string]string{
+		malformed, isMalformed := map[string]string{
 			"noise": "\x01no message", "order": row[30:] + row[:30], "short": strings.Replace(row, "\x00\x01\x00\x00\x00\x01", "\x00\x01\x00\x00\x00\x02", 1),
 			"huge": row[:30] + "D\xb2\xd0\x5e\x00\x00\x01", "stuck": row[:len(row)-1],
 			"told": message('E', "SERROR\x00C53300\x00Mfull\x00\x00") + "noise", "state": row + message('C', "SELECT 1\x00") + message('Z', "?"),
 		}[step]
-		stale := strings.Replace(row, m.name, "?", 1) + message('C', "SELECT 1\x00") + said
+		stale := strings.Replace(row, m.name, "?", 1) + message('C', "SELECT 1\x00") + status
 		switch {
-		case isSpoilt: // and the connection stays open
-			_, _ = io.WriteString(c, spoilt)
+		case isMalformed: // and the connection stays open
+			_, _ = io.WriteString(c, malformed)
 		case step == "slow":
 			time.Sleep(200 * time.Millisecond)
-			_, _ = io.WriteString(c, row+message('C', "INSERT 0 1\x00")+said)
+			_, _ = io.WriteString(c, row+message('C', "INSERT 0 1\x00")+status)
 		case step == "report":
-			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+message('S', "stats\x00x0=,x1=0;\x00")+said)
+			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+message('S', "stats\x00x0=,x1=0;\x00")+status)
 		case step == "long":
 			value := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, 350000)) + strings.Repeat("v", 350000)
-			_, _ = io.WriteString(c, row[:30]+message('D', value)+message('C', "SELECT 1\x00")+said)
+			_, _ = io.WriteString(c, row[:30]+message('D', value)+message('C', "SELECT 1\x00")+status)
 		case step == "twice":
-			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+said+stale)
+			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+status+stale)
 		case step == "late":
-			began := time.Now()
-			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+said)
+			startedAt := time.Now()
+			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+status)
 			_, _ = io.WriteString(c, stale)
-			if time.Since(began) > time.Millisecond { // this process was put aside in between, for longer than any server is late
-				m.put.Add(1)
+			if time.Since(startedAt) > time.Millisecond { // this process was put aside in between, for longer than any server is late
+				m.lateTrailers.Add(1)
 			}
 		case step == "half":
 			_, _ = io.WriteString(c, row[:len(row)-1])
 			return
-		case step == "silent" || m.holds != "" && strings.Contains(sql, m.holds):
+		case step == "silent" || m.unansweredText != "" && strings.Contains(sql, m.unansweredText):
 			_, _ = r.ReadByte()
-			m.shut <- sql
+			m.closed <- sql
 			return
 		case step == "two":
-			_, _ = io.WriteString(c, row+row[30:]+message('C', "SELECT 2\x00")+said)
+			_, _ = io.WriteString(c, row+row[30:]+message('C', "SELECT 2\x00")+status)
 		case step == "error":
-			_, _ = io.WriteString(c, message('E', "SERROR\x00CXX000\x00Moops\x00\x00")+said)
+			_, _ = io.WriteString(c, message('E', "SERROR\x00CXX000\x00Moops\x00\x00")+status)
 		case step == "full":
-			_, _ = io.WriteString(c, message('E', "SERROR\x00C53300\x00Mfull\x00\x00")+said)
+			_, _ = io.WriteString(c, message('E', "SERROR\x00C53300\x00Mfull\x00\x00")+status)
 		case strings.Contains(sql, "INSERT") && m.mode == "read-only":
-			_, _ = io.WriteString(c, message('E', "SERROR\x00C25006\x00Mreplica\x00\x00")+said)
+			_, _ = io.WriteString(c, message('E', "SERROR\x00C25006\x00Mreplica\x00\x00")+status)
 		default:
-			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+said)
+			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+status)
 		}
 	}
 }
 
 // statements counts what came so far but probes, which a busy machine makes the gateway send.
-func (m *member) statements() (n int) {
-	for len(m.open) > 0 {
-		if strings.Contains(<-m.open, "facts") {
+func (m *member) countStatements() (n int) {
+	for len(m.queries) > 0 {
+		if strings.Contains(<-m.queries, "facts") {
 			n++
 		}
 	}
@@ -218,9 +218,9 @@
 }
 
 // writes counts the writes that came so far; probes come as well.
-func (m *member) writes() (n int) {
-	for len(m.open) > 0 {
-		if strings.Contains(<-m.open, "INSERT") {
+func (m *member) countWrites() (n int) {
+	for len(m.queries) > 0 {
+		if strings.Contains(<-m.queries, "INSERT") {
 			n++
 		}
 	}
@@ -229,27 +229,27 @@
 
 // discovery is a stand-in for the list service.
 type discovery struct {
-	l       net.Listener
-	mu      sync.Mutex
-	seq     int
-	hosts   []map[string]any
-	changed chan struct{}
-	down    string // what it answers instead
-	asked   chan url.Values
+	listener    net.Listener
+	mu          sync.Mutex
+	seq         int
+	hosts       []map[string]any
+	changed     chan struct{}
+	replacement string // what it answers instead
+	requests    chan url.Values
 }
 
 func newDiscovery() *discovery {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	must(err)
-	d := &discovery{l: l, changed: make(chan struct{}), asked: make(chan url.Values, 1000)}
+	d := &discovery{listener: l, changed: make(chan struct{}), requests: make(chan url.Values, 1000)}
 	go func() { _ = http.Serve(l, d) }()
 	return d
 }
 
-func (d *discovery) set(down string, hosts ...map[string]any) {
+func (d *discovery) update(replacement string, hosts ...map[string]any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.down = down
+	d.replacement = replacement
 	if hosts != nil {
 		d.seq++
 		d.hosts = hosts
@@ -264,7 +264,7 @@
 
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	d.asked <- q
+	d.requests <- q
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if wait := q.Get("wait_ms"); wait != "" && wait != "0" && q.Get("after") == fmt.Sprint(d.seq) {
@@ -276,41 +276,43 @@
 		}
 		d.mu.Lock()
 	}
-	switch d.down {
+	switch d.replacement {
 	case "":
 		_ = json.NewEncoder(w).Encode(d.list(true))
 	case "503":
 		w.WriteHeader(503)
 	default:
-		_, _ = io.WriteString(w, d.down)
+		_, _ = io.WriteString(w, d.replacement)
 	}
 }
 
-func (m *member) host(health string) map[string]any {
-	return map[string]any{"host": m.name, "dial": m.l.Addr().String(), "site": "a", "class": "m", "block": 0,
+func (m *member) listEntry(health string) map[string]any {
+	return map[string]any{"host": m.name, "dial": m.listener.Addr().String(), "site": "a", "class": "m", "block": 0,
 		"health": health, "share": 1.0, "born_ms": 0}
 }
 
 // world is a gateway and what stands around it.
-type world struct {
-	d       *discovery
-	members []*member
-	address string
-	process *exec.Cmd
-	exited  chan error
-	log     chan string
-	config  string
+type environment struct {
+	discovery  *discovery
+	members    []*member
+	address    string
+	process    *exec.Cmd
+	exited     chan error
+	logLines   chan string
+	configPath string
 }
 
 // start starts a gateway that knows the members from the list as last held.
-func start(sockets int, members ...*member) *world { return startDown("", sockets, members...) }
+func startGateway(sockets int, members ...*member) *environment {
+	return startGatewayWithDiscovery("", sockets, members...)
+}
 
 // startDown starts one while discovery answers something else than its list.
-func startDown(down string, sockets int, members ...*member) *world {
-	w := &world{d: newDiscovery(), members: members, exited: make(chan error, 1), log: make(chan string, 10000)}
-	w.d.down = down
+func startGatewayWithDiscovery(replacement string, sockets int, members ...*member) *environment {
+	w := &environment{discovery: newDiscovery(), members: members, exited: make(chan error, 1), logLines: make(chan string, 10000)}
+	w.discovery.replacement = replacement
 	for _, m := range members {
-		w.d.hosts = append(w.d.hosts, m.host("active"))
+		w.discovery.hosts = append(w.discovery.hosts, m.listEntry("active"))
 	}
 	// Nothing else here uses this address, so a port that was free a moment ago is so still.
 	l, err := net.Listen("tcp4", "127.0.0.2:0")
@@ -318,57 +320,57 @@
 	w.address = l.Addr().String()
 	must(l.Close())
 	dir := filepath.Dir(program)
-	w.config = filepath.Join(dir, "config.json")
-	w.configure(w.d, sockets)
+	w.configPath = filepath.Join(dir, "config.json")
+	w.writeConfig(w.discovery, sockets)
 	w.process = exec.Command(program)
-	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.config, "EDGE_DISCOVERY="+w.d.l.Addr().String())
-	w.run()
-	w.logged("listening")
+	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.configPath, "EDGE_DISCOVERY="+w.discovery.listener.Addr().String())
+	w.startProcess()
+	w.awaitLog("listening")
 	return w
 }
 
 // run starts the process and reads what it logs.
-func (w *world) run() {
+func (w *environment) startProcess() {
 	pipe, err := w.process.StderrPipe()
 	must(err)
 	must(w.process.Start())
 	go func() {
 		for s := bufio.NewScanner(pipe); s.Scan(); {
-			w.log <- s.Text()
+			w.logLines <- s.Text()
 		}
 		w.exited <- w.process.Wait()
 	}()
 }
 
-func (w *world) configure(d *discovery, sockets int) {
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": w.address, "discovery": d.l.Addr().String(),
+func (w *environment) writeConfig(d *discovery, sockets int) {
+	text, err := json.Marshal(map[string]any{"name": "n0", "listen": w.address, "discovery": d.listener.Addr().String(),
 		"seed": "1", "limits": map[string]any{"memory_mb": 192, "sockets": sockets}, "known": d.list(true),
 		"settings": json.RawMessage(settings)})
 	must(err)
-	must(os.WriteFile(w.config, text, 0o600))
+	must(os.WriteFile(w.configPath, text, 0o600))
 }
 
 // logged waits for a line.
-func (w *world) logged(part string) {
-	for line := ""; !strings.Contains(line, part); {
-		line = await(w.log)
+func (w *environment) awaitLog(text string) {
+	for line := ""; !strings.Contains(line, text); {
+		line = await(w.logLines)
 	}
 }
 
-func (w *world) stop() {
+func (w *environment) stop() {
 	_ = w.process.Process.Kill()
 	<-w.exited
-	_ = w.d.l.Close()
+	_ = w.discovery.listener.Close()
 	for _, m := range w.members {
-		_ = m.l.Close()
+		_ = m.listener.Close()
 	}
 }
 
-var ids atomic.Uint64
+var lastID atomic.Uint64
 
 // sql words a txn as clients do.
-func sql(class string, more string) string {
-	text := fmt.Sprintf("/* id=%016x,c=%s,d=900,cluster=0%s */ ", ids.Add(1), class, more)
+func txnSQL(class string, attributes string) string {
+	text := fmt.Sprintf("/* id=%016x,c=%s,d=900,cluster=0%s */ ", lastID.Add(1), class, attributes)
 	if class == "keyed" || class == "once" {
 		return text + `INSERT INTO facts (code, data) VALUES ('7f3a', '\x9f03') RETURNING data`
 	}
@@ -376,20 +378,20 @@
 }
 
 // connect opens a session by pgconn, which asks for encryption first.
-func (w *world) connect() *pgconn.PgConn {
+func (w *environment) connect() *pgconn.PgConn {
 	c, err := pgconn.Connect(context.Background(), "postgres://portal@"+w.address+"/crm?sslmode=prefer")
 	must(err)
 	return c
 }
 
-func ask(c *pgconn.PgConn, sql string) string {
-	ctx, cancel := context.WithTimeout(context.Background(), soon)
+func execute(c *pgconn.PgConn, sql string) string {
+	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
 	results, err := c.Exec(ctx, sql).ReadAll()
-	var told *pgconn.PgError
+	var serverError *pgconn.PgError
 	switch {
-	case errors.As(err, &told):
-		return told.Code + " " + told.Message
+	case errors.As(err, &serverError):
+		return serverError.Code + " " + serverError.Message
 	case err != nil:
 		return err.Error()
 	case len(results) == 0 || len(results[0].Rows) == 0:
@@ -398,29 +400,29 @@
 	return "committed by " + string(results[0].Rows[0][0])
 }
 
-var budget = regexp.MustCompile(`,d=(\d+)`)
+var budgetAttribute = regexp.MustCompile(`,d=(\d+)`)
 
 // A write finds the primary, a read that must see it goes to a replica, and the statement is passed on as it
 // came but for the time that the gateway waits.
 func Example_writeAndRead() {
 	p, r := newMember("p", "read-write"), newMember("r", "read-only")
-	w := start(256, p, r)
+	w := startGateway(256, p, r)
 	defer w.stop()
 	c := w.connect()
-	fmt.Println(ask(c, ""))
-	fmt.Println(ask(c, sql("keyed", ",k=1")))
-	for len(r.open) > 0 {
-		<-r.open // a write that tried it first
-	}
-	read := sql("session", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
-	fmt.Println(ask(c, read))
-	passed := await(r.open)
+	fmt.Println(execute(c, ""))
+	fmt.Println(execute(c, txnSQL("keyed", ",k=1")))
+	for len(r.queries) > 0 {
+		<-r.queries // a write that tried it first
+	}
+	read := txnSQL("session", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
+	fmt.Println(execute(c, read))
+	passed := await(r.queries)
 	for !strings.Contains(passed, "c=session") { // a probe
-		passed = await(r.open)
+		passed = await(r.queries)
 	}
 	var d int
-	_, err := fmt.Sscanf(budget.FindString(passed), ",d=%d", &d)
-	fmt.Println(budget.ReplaceAllString(passed, ",d=900") == budget.ReplaceAllString(read, ",d=900"), d > 0 && d <= 900, err)
+	_, err := fmt.Sscanf(budgetAttribute.FindString(passed), ",d=%d", &d)
+	fmt.Println(budgetAttribute.ReplaceAllString(passed, ",d=900") == budgetAttribute.ReplaceAllString(read, ",d=900"), d > 0 && d <= 900, err)
 	// Output:
 	// empty
 	// committed by p
@@ -430,18 +432,18 @@
 
 // Half an answer, an answer of two rows, one that is spoilt and an error are no answers: a repeatable txn is sent again, and nothing
 // of them reaches the client. A once-only txn that may have run is rolled back.
-func Example_badAnswers() {
+func Example_invalidResponses() {
 	for _, step := range []string{"half", "two", "full", "FULL", "noise", "order", "short", "huge", "stuck", "state", "report"} {
 		m, other := newMember("m", "read-write", step), newMember("m", "read-only")
 		other.plan = m.plan
-		w := start(256, m, other)
-		fmt.Println(step, ask(w.connect(), sql("any", "")))
+		w := startGateway(256, m, other)
+		fmt.Println(step, execute(w.connect(), txnSQL("any", "")))
 		w.stop()
 	}
 	for _, step := range []string{"half", "two", "error", "full", "told", "stuck"} {
 		m := newMember("m", "read-write", step)
-		w := start(256, m)
-		fmt.Println(step, ask(w.connect(), sql("once", "")), m.writes())
+		w := startGateway(256, m)
+		fmt.Println(step, execute(w.connect(), txnSQL("once", "")), m.countWrites())
 		w.stop()
 	}
 	// Output:
@@ -466,19 +468,19 @@
 
 // A good answer with more behind it is passed on once, and what is behind is never another txn's answer, whether
 // it comes with it or a little later.
-func Example_moreBehind() {
+func Example_trailingData() {
 	for _, step := range []string{"twice", "late"} {
 		m := newMember("m", "read-write", slices.Repeat([]string{step}, 200)...)
-		w := start(256, m)
+		w := startGateway(256, m)
 		c := w.connect()
 		wrong := map[string]int{}
 		for range 200 {
-			if got := ask(c, sql("any", "")); got != "committed by m" {
+			if got := execute(c, txnSQL("any", "")); got != "committed by m" {
 				wrong[got]++
 			}
 		}
 		w.stop()
-		if wrong["committed by ?"] <= int(m.put.Load()) {
+		if wrong["committed by ?"] <= int(m.lateTrailers.Load()) {
 			delete(wrong, "committed by ?")
 		}
 		for got, n := range wrong {
@@ -489,13 +491,13 @@
 }
 
 // Values longer than agreed, as members were seen to give, are passed on; what is announced as huge is not.
-func Example_longAnswer() {
+func Example_longValue() {
 	m := newMember("m", "read-write", "long", "huge")
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	c := w.connect()
-	fmt.Println(len(ask(c, sql("any", ""))) - len("committed by "))
-	fmt.Println(ask(c, sql("any", "")))
+	fmt.Println(len(execute(c, txnSQL("any", ""))) - len("committed by "))
+	fmt.Println(execute(c, txnSQL("any", "")))
 	// Output:
 	// 350000
 	// committed by m
@@ -503,20 +505,20 @@
 
 // A member that is silent costs a txn its time, not its answer, and what was given up is closed. So it is when
 // the client leaves.
-func Example_silence() {
+func Example_silentMember() {
 	m := newMember("m", "read-write", "silent", "silent")
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	at := time.Now()
-	fmt.Println(ask(w.connect(), sql("once", "")), time.Since(at) < 950*time.Millisecond)
-	await(m.shut)
+	fmt.Println(execute(w.connect(), txnSQL("once", "")), time.Since(at) < 950*time.Millisecond)
+	await(m.closed)
 	c := w.connect()
-	go ask(c, sql("any", ""))
-	await(m.open)
-	for q := await(m.open); !strings.Contains(q, "c=any"); q = await(m.open) {
+	go execute(c, txnSQL("any", ""))
+	await(m.queries)
+	for q := await(m.queries); !strings.Contains(q, "c=any"); q = await(m.queries) {
 	}
 	must(c.Conn().Close())
-	fmt.Println(strings.Contains(await(m.shut), "c=any")) // none was idle before
+	fmt.Println(strings.Contains(await(m.closed), "c=any")) // none was idle before
 	// Output:
 	// 40000 rolled back, it may have had its effect true
 	// true
@@ -525,19 +527,19 @@
 // A member that drains gets nothing new, and its idle connections are closed.
 func Example_drain() {
 	a, b := newMember("a", "read-only"), newMember("b", "read-only")
-	w := start(256, a)
+	w := startGateway(256, a)
 	defer w.stop()
 	c := w.connect()
-	fmt.Println(ask(c, sql("any", "")))
-	w.logged("list followed")
-	w.d.set("", a.host("leaving"), b.host("active"))
-	fmt.Println(await(a.shut))
+	fmt.Println(execute(c, txnSQL("any", "")))
+	w.awaitLog("list followed")
+	w.discovery.update("", a.listEntry("leaving"), b.listEntry("active"))
+	fmt.Println(await(a.closed))
 	for range 20 {
-		if got := ask(c, sql("any", "")); got != "committed by b" {
+		if got := execute(c, txnSQL("any", "")); got != "committed by b" {
 			fmt.Println(got)
 		}
 	}
-	fmt.Println(len(a.open), len(b.open))
+	fmt.Println(len(a.queries), len(b.queries))
 	// Output:
 	// committed by a
 	// an idle connection
@@ -548,30 +550,30 @@
 // EDGE_DISCOVERY says and however it counts; a file that is wrong changes nothing.
 func Example_reload() {
 	a, b := newMember("a", "read-only"), newMember("b", "read-only")
-	w := start(256, a)
+	w := startGateway(256, a)
 	defer w.stop()
 	c := w.connect()
-	fmt.Println(ask(c, sql("any", "")))
-	w.logged("list followed")
+	fmt.Println(execute(c, txnSQL("any", "")))
+	w.awaitLog("list followed")
 	next := newDiscovery()
 	next.seq = -7 // lower than any that the first gave
-	next.set("", b.host("active"))
+	next.update("", b.listEntry("active"))
 	for _, wrong := range []string{"{", `{"listen":"127.0.0.1:1"}`} {
-		must(os.WriteFile(w.config, []byte(wrong), 0o600))
+		must(os.WriteFile(w.configPath, []byte(wrong), 0o600))
 		must(w.process.Process.Signal(syscall.SIGHUP))
-		w.logged("not reloaded")
-		fmt.Println(ask(c, sql("any", "")))
+		w.awaitLog("not reloaded")
+		fmt.Println(execute(c, txnSQL("any", "")))
 	}
-	w.configure(next, 256)
+	w.writeConfig(next, 256)
 	must(w.process.Process.Signal(syscall.SIGHUP))
-	w.logged("reloaded")
-	fmt.Println(len(await(next.asked)), await(next.asked).Get("after")) // the whole list, then a watch
-	fmt.Println(await(a.shut))                                          // as the new list lacks it
-	fmt.Println(ask(c, sql("any", "")))
-	next.set("", a.host("active"))
-	await(next.asked)
-	fmt.Println(await(b.shut))
-	fmt.Println(ask(c, sql("any", "")))
+	w.awaitLog("reloaded")
+	fmt.Println(len(await(next.requests)), await(next.requests).Get("after")) // the whole list, then a watch
+	fmt.Println(await(a.closed))                                              // as the new list lacks it
+	fmt.Println(execute(c, txnSQL("any", "")))
+	next.update("", a.listEntry("active"))
+	await(next.requests)
+	fmt.Println(await(b.closed))
+	fmt.Println(execute(c, txnSQL("any", "")))
 	// Output:
 	// committed by a
 	// committed by a
@@ -586,17 +588,17 @@
 // Without discovery the list as last held serves; whatever it answers that is no list changes nothing.
 func Example_discoveryDown() {
 	m := newMember("m", "read-write")
-	w := startDown("503", 256, m)
+	w := startGatewayWithDiscovery("503", 256, m)
 	defer w.stop()
 	c := w.connect()
 	for _, down := range []string{"503", `{"seq":1,"hosts":[`, "[]", `{"seq":"x"}`} {
-		w.d.set(down, m.host("active"))
-		w.logged("call to discovery failed")
-		fmt.Println(ask(c, sql("any", "")))
+		w.discovery.update(down, m.listEntry("active"))
+		w.awaitLog("call to discovery failed")
+		fmt.Println(execute(c, txnSQL("any", "")))
 	}
-	w.d.set("", m.host("active"))
-	w.logged("list followed")
-	fmt.Println(ask(c, sql("any", "")))
+	w.discovery.update("", m.listEntry("active"))
+	w.awaitLog("list followed")
+	fmt.Println(execute(c, txnSQL("any", "")))
 	// Output:
 	// committed by m
 	// committed by m
@@ -606,84 +608,84 @@
 }
 
 // raw sends bytes, a few at a time, and gives the types and codes of what comes back until the end.
-func (w *world) raw(in string, step int) string {
+func (w *environment) exchange(input string, chunkSize int) string {
 	c, err := net.Dial("tcp4", w.address)
 	must(err)
 	defer c.Close()
-	must(c.SetDeadline(time.Now().Add(soon)))
-	for chunk := range slices.Chunk([]byte(in), step) {
+	must(c.SetDeadline(time.Now().Add(eventTimeout)))
+	for chunk := range slices.Chunk([]byte(input), chunkSize) {
 		if _, err := c.Write(chunk); err != nil {
 			break
 		}
 	}
-	return answers(bufio.NewReader(c), 99)
+	return summarizeResponses(bufio.NewReader(c), 99)
 }
 
 // answers reads so many messages and gives their types, with codes and values.
-func answers(r *bufio.Reader, most int) (seen string) {
-	for range most {
+func summarizeResponses(r *bufio.Reader, maxMessages int) (summary string) {
+	for range maxMessages {
 		kind, err := r.ReadByte()
 		if err != nil {
-			return seen + "."
+			return summary + "."
 		}
-		if kind == 'N' && len(seen) == 0 {
-			seen += "N"
+		if kind == 'N' && len(summary) == 0 {
+			summary += "N"
 			continue
 		}
 		var size [4]byte
 		_, _ = io.ReadFull(r, size[:])
 		body := make([]byte, binary.BigEndian.Uint32(size[:])-4)
 		if _, err := io.ReadFull(r, body); err != nil {
-			return seen + "~"
+			return summary + "~"
 		}
-		seen += string(kind)
+		summary += string(kind)
 		switch kind {
 		case 'E':
 			_, code, _ := strings.Cut(string(body), "\x00C")
-			seen += "(" + code[:5] + ")"
+			summary += "(" + code[:5] + ")"
 		case 'D':
-			seen += "(" + string(body[6:]) + ")"
+			summary += "(" + string(body[6:]) + ")"
 		}
 	}
-	return seen
+	return summary
 }
 
-const hello = "\x00\x00\x00\x16\x00\x03\x00\x00user\x00portal\x00\x00\x00"
+const startupMessage = "\x00\x00\x00\x16\x00\x03\x00\x00user\x00portal\x00\x00\x00"
 
-func query(sql string) string { return message('Q', sql+"\x00") }
+func queryMessage(sql string) string { return message('Q', sql+"\x00") }
 
 // Whatever clients send gets a plain answer, in order; in one piece or byte by byte makes no difference.
 func Example_clients() {
 	m := newMember("m", "read-write")
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	bye := message('X', "")
 	for _, in := range []string{
-		hello + bye,
-		"\x00\x00\x00\x08\x04\xd2\x16\x2f" + hello + bye,
-		hello + query(" ;") + bye,
-		hello + query("SELECT 1") + query("") + bye,
-		hello + query("/* id=1,c=nothing,d=5,cluster=0 */") + bye,
-		hello + query("/* id=1,c=keyed,d=5,cluster=0 */") + bye,
-		hello + query("/* id=1,c=any,d=5,cluster=7 */") + bye,
-		hello + message('P', "\x00SELECT\x00\x00\x00") + message('B', "") + message('S', "") + query("") + bye,
-		hello + message('F', "") + message('?', "") + bye,
-		hello + message('Q', "no end") + query(""),
-		hello + "Q\x7f\x00\x00\x00",
+		startupMessage + bye,
+		"\x00\x00\x00\x08\x04\xd2\x16\x2f" + startupMessage + bye,
+		startupMessage + queryMessage(" ;") + bye,
+		startupMessage + queryMessage("SELECT 1") + queryMessage("") + bye,
+		startupMessage + queryMessage("/* id=1,c=nothing,d=5,cluster=0 */") + bye,
+		startupMessage + queryMessage("/* id=1,c=keyed,d=5,cluster=0 */") + bye,
+		startupMessage + queryMessage("/* id=1,c=any,d=5,cluster=7 */") + bye,
+		startupMessage + message('P', "\x00SELECT\x00\x00\x00") + message('B', "") + message('S', "") + queryMessage("") + bye,
+		startupMessage + message('F', "") + message('?', "") + bye,
+		startupMessage + message('Q', "no end") + queryMessage(""),
+		startupMessage + "Q\x7f\x00\x00\x00",
 		"\x00\x00\x00\x08\x00\x02\x00\x00",
 		"GET / HTTP/1.1\r\n\r\n",
 		"\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x01",
 	} {
-		whole := w.raw(in, len(in))
-		fmt.Println(strings.Replace(whole, "RSSSSSKZ", "hello ", 1), whole == w.raw(in, 1))
+		whole := w.exchange(in, len(in))
+		fmt.Println(strings.Replace(whole, "RSSSSSKZ", "hello ", 1), whole == w.exchange(in, 1))
 	}
 	c, err := net.Dial("tcp4", w.address)
 	must(err)
 	defer c.Close()
-	first := sql("any", "")
-	_, err = io.WriteString(c, hello+query(first)+query("")+query(sql("any", ""))+query(sql("once", "")))
+	first := txnSQL("any", "")
+	_, err = io.WriteString(c, startupMessage+queryMessage(first)+queryMessage("")+queryMessage(txnSQL("any", ""))+queryMessage(txnSQL("once", "")))
 	must(err)
-	fmt.Println(answers(bufio.NewReader(c), 8+4+2+4+4))
+	fmt.Println(summarizeResponses(bufio.NewReader(c), 8+4+2+4+4))
 	// Output:
 	// hello . true
 	// Nhello . true
@@ -705,13 +707,13 @@
 // An id that is open belongs to its txn: who else sends it gets an error, and the first goes on.
 func Example_sameID() {
 	m := newMember("m", "read-write", "silent")
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
-	text := sql("once", "")
+	text := txnSQL("once", "")
 	got := make(chan string)
-	go func() { got <- ask(w.connect(), text) }()
-	await(m.open)
-	fmt.Println(ask(w.connect(), text))
+	go func() { got <- execute(w.connect(), text) }()
+	await(m.queries)
+	fmt.Println(execute(w.connect(), text))
 	fmt.Println(await(got))
 	// Output:
 	// 42601 id belongs to an open txn
@@ -719,15 +721,15 @@
 }
 
 // Who sends more ahead than is held for a client, or never reads its answers, is sent away; others are served.
-func Example_greedy() {
+func Example_clientOverMemoryLimit() {
 	m := newMember("m", "read-write")
-	m.holds = "INSERT"
-	w := start(256, m)
+	m.unansweredText = "INSERT"
+	w := startGateway(256, m)
 	defer w.stop()
-	ahead := hello + query(sql("once", "")) + strings.Repeat(query(sql("any", "")), 200000) // over a sixteenth of the memory
+	ahead := startupMessage + queryMessage(txnSQL("once", "")) + strings.Repeat(queryMessage(txnSQL("any", "")), 200000) // over a sixteenth of the memory
 	// It may go before the last word reaches who still writes.
-	fmt.Println(strings.Replace(w.raw(ahead, 1<<16), "E(08P01).", ".", 1))
-	got, _, _ := strings.Cut(ask(w.connect(), sql("any", "")), " by ")
+	fmt.Println(strings.Replace(w.exchange(ahead, 1<<16), "E(08P01).", ".", 1))
+	got, _, _ := strings.Cut(execute(w.connect(), txnSQL("any", "")), " by ")
 	fmt.Println(got)
 	// Output:
 	// RSSSSSKZ.
@@ -738,26 +740,26 @@
 // itself with status 0.
 func Example_shutdown() {
 	m := newMember("m", "read-write", "silent")
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	idle, busy, steady := w.connect(), w.connect(), w.connect()
 	got, served := make(chan string), make(chan int)
-	go func() { got <- ask(busy, sql("once", "")) }()
-	await(m.open)
+	go func() { got <- execute(busy, txnSQL("once", "")) }()
+	await(m.queries)
 	must(w.process.Process.Signal(syscall.SIGTERM))
-	w.logged("leaving")
-	fmt.Println(ask(w.connect(), sql("any", "")))
+	w.awaitLog("leaving")
+	fmt.Println(execute(w.connect(), txnSQL("any", "")))
 	go func() { // asks until it is sent away
 		n := 1
-		for ask(steady, sql("any", "")) == "committed by m" {
+		for execute(steady, txnSQL("any", "")) == "committed by m" {
 			n++
 		}
 		served <- n
 	}()
 	fmt.Println(await(got))
 	err := await(w.exited)
-	fmt.Println(err, ask(idle, "") != "empty")
-	fmt.Println(m.statements()-await(served), "taken and not answered")
+	fmt.Println(err, execute(idle, "") != "empty")
+	fmt.Println(m.countStatements()-await(served), "taken and not answered")
 	w.exited <- err
 	// Output:
 	// committed by m
@@ -768,14 +770,14 @@
 
 // A query that crosses the end of its connection comes once more on a new one. The gateway that ends serves it: it
 // turned it away, and as the query was unread the reset took the word for it along, so that the txn was lost.
-func Example_crossing() {
-	w := start(256, newMember("m", "read-write"))
+func Example_queryDuringClose() {
+	w := startGateway(256, newMember("m", "read-write"))
 	defer w.stop()
 	idle := w.connect()
-	fmt.Println(ask(idle, sql("any", "")))
+	fmt.Println(execute(idle, txnSQL("any", "")))
 	must(w.process.Process.Signal(syscall.SIGTERM))
 	_, err := idle.Conn().Read(make([]byte, 1))
-	fmt.Println(errors.Is(err, io.EOF), ask(w.connect(), sql("any", "")))
+	fmt.Println(errors.Is(err, io.EOF), execute(w.connect(), txnSQL("any", "")))
 	err = await(w.exited)
 	fmt.Println(err)
 	w.exited <- err
@@ -787,8 +789,8 @@
 
 // Descriptors are counted before they are taken: clients past the budget are told so, and members are reached
 // all the same.
-func Example_budget() {
-	w := start(100, newMember("m", "read-write", slices.Repeat([]string{"silent"}, 100)...))
+func Example_descriptorBudget() {
+	w := startGateway(100, newMember("m", "read-write", slices.Repeat([]string{"silent"}, 100)...))
 	defer w.stop()
 	seen := map[string]int{}
 	var open []net.Conn
@@ -796,10 +798,10 @@
 		c, err := net.Dial("tcp4", w.address)
 		must(err)
 		open = append(open, c)
-		must(c.SetDeadline(time.Now().Add(soon)))
-		_, err = io.WriteString(c, hello+query(strings.Replace(sql("once", ""), "d=900", "d=30000", 1)))
+		must(c.SetDeadline(time.Now().Add(eventTimeout)))
+		_, err = io.WriteString(c, startupMessage+queryMessage(strings.Replace(txnSQL("once", ""), "d=900", "d=30000", 1)))
 		must(err)
-		return answers(bufio.NewReader(c), 8)
+		return summarizeResponses(bufio.NewReader(c), 8)
 	}
 	for range 50 {
 		seen[ask()]++
@@ -807,19 +809,19 @@
 	served, told := seen["RSSSSSKZ"], seen["E(53300)."]
 	fmt.Println(served+told, told > 0, served > 30) // connections to the member take a few
 	must(open[0].Close())
-	until(func() bool { return ask() == "RSSSSSKZ" })
+	pollUntil(func() bool { return ask() == "RSSSSSKZ" })
 	// Output:
 	// 50 true true
 }
 
 // Clients that ask once and stay are closed soon once there is a crowd of them, as their front may hold no more
 // connections than that: sooner than one that has only connected, before them.
-func Example_crowd() {
-	w := start(100, newMember("m", "read-write"))
+func Example_idleClientsOverLimit() {
+	w := startGateway(100, newMember("m", "read-write"))
 	defer w.stop()
 	closed := make(chan string, 100)
 	stay := func(name string, c net.Conn) {
-		must(c.SetDeadline(time.Now().Add(soon)))
+		must(c.SetDeadline(time.Now().Add(eventTimeout)))
 		go func() {
 			_, err := c.Read(make([]byte, 1))
 			closed <- fmt.Sprint(name, " ", errors.Is(err, io.EOF))
@@ -830,7 +832,7 @@
 	stay("silent", silent)
 	for range 30 {
 		c := w.connect()
-		if got := ask(c, sql("any", "")); got != "committed by m" {
+		if got := execute(c, txnSQL("any", "")); got != "committed by m" {
 			fmt.Println(got)
 		}
 		stay("asked once", c.Conn())
@@ -842,35 +844,35 @@
 
 // Who connects and says nothing, or begins a message and does not end it, is sent away, and meanwhile makes way
 // for others; so do those that asked once and stay. A word that is still unread does not destroy the error.
-func Example_badClients() {
+func Example_misbehavingClients() {
 	m := newMember("m", "read-write")
-	w := start(100, m)
+	w := startGateway(100, m)
 	defer w.stop()
 	var silent []net.Conn
 	for range 60 {
 		c, err := net.Dial("tcp4", w.address)
 		must(err)
 		defer c.Close()
-		must(c.SetDeadline(time.Now().Add(soon)))
+		must(c.SetDeadline(time.Now().Add(eventTimeout)))
 		silent = append(silent, c)
 	}
-	until(func() bool {
+	pollUntil(func() bool {
 		c, err := pgconn.Connect(context.Background(), "postgres://portal@"+w.address+"/crm?sslmode=disable")
-		return err == nil && ask(c, sql("any", "")) == "committed by m"
+		return err == nil && execute(c, txnSQL("any", "")) == "committed by m"
 	})
 	for _, c := range silent { // a close, and nothing before
 		if n, err := c.Read(make([]byte, 1)); n > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			fmt.Println(n, err)
 		}
 	}
-	for _, in := range []string{"\x00", hello, hello + "Q\x00\x00\x00\x50/*", hello + message('?', "") + strings.Repeat("x", 1e5),
-		hello + strings.Repeat(query("x"), 100)} {
-		fmt.Println(strings.Replace(w.raw(in, len(in)), "RSSSSSKZ", "hello ", 1))
+	for _, in := range []string{"\x00", startupMessage, startupMessage + "Q\x00\x00\x00\x50/*", startupMessage + message('?', "") + strings.Repeat("x", 1e5),
+		startupMessage + strings.Repeat(queryMessage("x"), 100)} {
+		fmt.Println(strings.Replace(w.exchange(in, len(in)), "RSSSSSKZ", "hello ", 1))
 	}
 	var once []*pgconn.PgConn // more of them than there is room for, one after the other
-	until(func() bool {
+	pollUntil(func() bool {
 		c, err := pgconn.Connect(context.Background(), "postgres://portal@"+w.address+"/crm?sslmode=disable")
-		if err == nil && ask(c, sql("any", "")) == "committed by m" {
+		if err == nil && execute(c, txnSQL("any", "")) == "committed by m" {
 			once = append(once, c)
 		}
 		return len(once) == 50
@@ -884,8 +886,8 @@
 }
 
 // until does something again and again until it is done.
-func until(done func() bool) {
-	for end := time.Now().Add(soon); !done(); time.Sleep(10 * time.Millisecond) {
+func pollUntil(done func() bool) {
+	for end := time.Now().Add(eventTimeout); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			panic("it is not done")
 		}
--- a/gateway/generations_test.go
+++ b/gateway/generations_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err, findings)
 	}
-	until(func() bool {
+	pollUntil(func() bool {
 		s, err := g.Status(bg)
 		must(err)
 		return s.InForce == no || s.Staged != no
@@ -148,7 +148,7 @@
 	out.SetHung(true)
 	got := make(chan map[string]int)
 	go func() { got <- reads(20) }()
-	until(func() bool { return out.Busy() > 0 })
+	pollUntil(func() bool { return out.Busy() > 0 })
 	changed(t, g, &routes.Document{Excluded: []routes.Member{{Name: out.Name}}}, time.Hour)
 	out.SetHung(false)
 	if at := <-got; at[out.Name] == 0 {
@@ -157,7 +157,7 @@
 	if at := reads(20); at[out.Name] != 0 {
 		t.Fatal("an excluded member gets work", at)
 	}
-	until(func() bool { return out.Connections() == 0 })
+	pollUntil(func() bool { return out.Connections() == 0 })
 	must(g.Undo(bg))
 	if at := reads(40); at[out.Name] == 0 {
 		t.Fatal("it gets nothing after the undo", at)
@@ -200,7 +200,7 @@
 	}
 	defer wg.Wait()
 	defer close(done)
-	until(func() bool { // it knows the time before
+	pollUntil(func() bool { // it knows the time before
 		s, err := g.Status(bg)
 		must(err)
 		return strings.HasPrefix(s.Health, "health 0.9") || strings.HasPrefix(s.Health, "health 1")
@@ -278,7 +278,7 @@
 			}
 		}()
 	}
-	until(func() bool { return refused.Load() > 0 && served.Load() > 20 })
+	pollUntil(func() bool { return refused.Load() > 0 && served.Load() > 20 })
 	ok, beside := ask()
 	close(done)
 	wg.Wait()
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -80,7 +80,7 @@
 			if strings.Contains(l, part) {
 				return
 			}
-		case <-time.After(soon):
+		case <-time.After(eventTimeout):
 			t.Fatalf("%q was not logged", part)
 		}
 	}
@@ -193,7 +193,7 @@
 	awaitLine(t, lines, "records are not kept")
 	d.set(func() { d.full = false })
 	awaitLine(t, lines, "now=false span_ms")
-	until(func() bool { return complete(t, plan.Ledger.Folder) })
+	pollUntil(func() bool { return complete(t, plan.Ledger.Folder) })
 }
 
 // A folder that another process has is refused at the start.
--- a/gateway/migration_test.go
+++ b/gateway/migration_test.go
@@ -139,7 +139,7 @@
 	defer old.Close()
 	defer fresh.Close()
 	// It was told, and reads what it was told when its loop comes to it.
-	for end := time.Now().Add(soon); old.Read(0).Code != "53300"; {
+	for end := time.Now().Add(eventTimeout); old.Read(0).Code != "53300"; {
 		if time.Now().After(end) {
 			t.Fatal("old shape, nobody listed: still served")
 		}
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -55,19 +55,19 @@
 	for _, number := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.ENETUNREACH, syscall.EAGAIN, syscall.EPERM, syscall.EINTR} {
 		network, logged := new(faultyNetwork), new(logBuffer)
-		d, m := newScript(t), newScript(t)
-		g, ended, stop := heldGatewayWith(t, func(c *Config) {
+		d, m := newScriptedServer(t), newScriptedServer(t)
+		g, ended, stop := startTestGatewayWith(t, func(c *Config) {
 			c.Network, c.Log = network, slog.New(slog.NewTextHandler(logged, nil))
-			c.Settings = json.RawMessage(strings.Replace(heldSettings, `"probes":false`, `"probes":true`, 1))
-		}, d, m.host("m", "active"))
+			c.Settings = json.RawMessage(strings.Replace(testSettings, `"probes":false`, `"probes":true`, 1))
+		}, d, m.listEntry("m", "active"))
 		served := m.serve("m", "read-only")
 		network.dialError.Store(&number)
-		c := heldClient(t, g)
-		c.ask("any", 9000)
+		c := connectClient(t, g)
+		c.sendRead("any", 9000)
 		answer := make(chan string, 1)
-		go func() { answer <- c.answer() }()
-		for end := time.Now().Add(soonHeld); network.failures.Load() < 5 && len(answer) == 0 && time.Now().Before(end); {
-			g.hold(func() {})
+		go func() { answer <- c.readResponse() }()
+		for end := time.Now().Add(testTimeout); network.failures.Load() < 5 && len(answer) == 0 && time.Now().Before(end); {
+			g.runOnLoop(func() {})
 		}
 		network.dialError.Store(nil)
 		if got := <-answer; got != "served by m" || served.Load() != 1 {
@@ -77,7 +77,7 @@
 			t.Errorf("%v: the member counts as suspect", number)
 		}
 		var failures uint64
-		g.hold(func() { failures = g.outcomes.snapshot().DialErrors[neterr.Label(number)] })
+		g.runOnLoop(func() { failures = g.outcomes.snapshot().DialErrors[neterr.Label(number)] })
 		if failures == 0 {
 			t.Errorf("%v: not counted", number)
 		}
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -8,9 +8,9 @@
 // awaitOutcome waits until a count by cause has come to what is wanted.
 func awaitOutcome(t *testing.T, g *Gateway, count func(*Outcomes) uint64, want uint64) {
 	t.Helper()
-	for end := time.Now().Add(soonHeld); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		var got uint64
-		g.hold(func() {
+		g.runOnLoop(func() {
 			o := g.outcomes.snapshot()
 			got = count(&o)
 		})
@@ -26,22 +26,22 @@
 // Each close of a client's connection and each end of an attempt is counted under its cause.
 func TestOutcomesAreCountedByCause(t *testing.T) {
 	t.Parallel()
-	d, m := newScript(t), newScript(t)
-	g, ended, stop := heldGateway(t, d, m.host("m", "active"))
-	leaves, terminates, spoils := heldClient(t, g), heldClient(t, g), heldClient(t, g)
-	leaves.ask("any", 9000)
-	up := m.next(t)
+	d, m := newScriptedServer(t), newScriptedServer(t)
+	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
+	leaves, terminates, spoils := connectClient(t, g), connectClient(t, g), connectClient(t, g)
+	leaves.sendRead("any", 9000)
+	up := m.accept(t)
 	defer up.Close()
-	up.startup()
-	up.ready()
-	up.query()
+	up.readStartup()
+	up.sendReady()
+	up.readQuery()
 	_ = leaves.Close()
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.Unanswered[string(closedByClient)] }, 1)
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.Attempts["cancelled"] }, 1)
 	_, _ = terminates.Write([]byte("X\x00\x00\x00\x04"))
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.ClientsClosed[string(closedTerminated)] }, 1)
 	_, _ = spoils.Write([]byte("?\x00\x00\x00\x04"))
-	spoils.answer()
+	spoils.readResponse()
 	_ = spoils.Close()
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.ClientsClosed["refused 08P01"] }, 1)
 	stop()
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -50,7 +50,7 @@
 		return at
 	}
 	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
-	until(func() bool { return reads(1)["r2"] == 1 }) // the list has been told; nothing tells when the gateway has read it
+	pollUntil(func() bool { return reads(1)["r2"] == 1 }) // the list has been told; nothing tells when the gateway has read it
 	if at := reads(30); at["r2"] != 30 {
 		t.Fatal("reads leave their pool", at)
 	}
@@ -62,7 +62,7 @@
 	hosts[2].Health = "leaving"
 	list.SetHosts(append(hosts, standin.NewGroup(5).NewMember("q", true).ListEntry("active"))...)
 	list.AwaitDelivered()
-	until(func() bool { return reads(1)["r2"] == 0 })
+	pollUntil(func() bool { return reads(1)["r2"] == 0 })
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("a pool goes before a drain", at)
 	}
@@ -98,7 +98,7 @@
 	got = append(got, all[0].Read(0).String(), ask())
 	all[0].Close()
 	all[1].Close()
-	until(func() bool { return ask() == "served" })
+	pollUntil(func() bool { return ask() == "served" })
 	changed(t, g, bound(100, ""), time.Hour)
 	if s := fmt.Sprint(got); s != "[served served served refused served  refused]" {
 		t.Fatal(s)
@@ -111,7 +111,7 @@
 			} else if bytes.Contains([]byte(l), []byte("generation 2")) {
 				t.Fatal(l)
 			}
-		case <-time.After(soon):
+		case <-time.After(eventTimeout):
 			t.Fatal("the change is not logged")
 		}
 	}
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -111,7 +111,7 @@
 	used := func(what string, least float64, span time.Duration, gateways ...int) {
 		t.Helper()
 		f.only(gateways...)
-		u.awaitFor(3*soon, what+": the first is served", func() bool { n := f.served(); time.Sleep(200 * time.Millisecond); return f.served() > n+4 })
+		u.awaitFor(3*eventTimeout, what+": the first is served", func() bool { n := f.served(); time.Sleep(200 * time.Millisecond); return f.served() > n+4 })
 		time.Sleep(time.Second)
 		before, began := f.served(), time.Now()
 		time.Sleep(span)
@@ -123,7 +123,7 @@
 	}
 	keeper := func() int {
 		at := -1
-		u.awaitFor(3*soon, "somebody keeps the book", func() bool {
+		u.awaitFor(3*eventTimeout, "somebody keeps the book", func() bool {
 			for i, p := range u.gateways {
 				if p.cmd != nil && strings.Contains(u.said(i, "fleet", "shares"), "not lent") {
 					at = i
@@ -161,7 +161,7 @@
 	u.gateways[k].kill()
 	used("who kept the book is killed", 0, 2*time.Second, 0, 1, 2, 3, 4)
 	gone := time.Now()
-	u.awaitFor(3*soon, "another one keeps the book", func() bool { return keeper() != k })
+	u.awaitFor(3*eventTimeout, "another one keeps the book", func() bool { return keeper() != k })
 	used("another one keeps the book", 0.6, 2*time.Second, 0, 1, 2, 3, 4)
 	t.Logf("the book is kept by another one, and the bound used, %v after its keeper was killed, the look included", time.Since(gone).Round(time.Second))
 	must(os.RemoveAll(filepath.Join(u.dir, fmt.Sprint("ledger", k))))
@@ -210,7 +210,7 @@
 	at := u.leader(0, 1, 2)
 	killed := (at + 1) % 3 // one that votes, but does not lead
 	u.gateways[killed].kill()
-	u.awaitFor(3*soon, "others have its part", func() bool {
+	u.awaitFor(3*eventTimeout, "others have its part", func() bool {
 		n, began := f.served(), time.Now()
 		f.only(0, 1, 2, 3)
 		time.Sleep(time.Second)
@@ -233,7 +233,7 @@
 
 	// Clients of a tenant, let in through four gateways at once. Their bound's book may have been that of the one that was
 	// killed: then nobody is let in until another one keeps it and is no longer quiet.
-	u.awaitFor(2*soon, "clients are let in", func() bool {
+	u.awaitFor(2*eventTimeout, "clients are let in", func() bool {
 		var wg sync.WaitGroup
 		var in atomic.Int64
 		var all []*standin.Client
@@ -281,7 +281,7 @@
 				t.Logf("%s: %.1f of %d a second are served", what, got, rate)
 				return
 			}
-			if time.Since(began) > 3*soon {
+			if time.Since(began) > 3*eventTimeout {
 				t.Fatal("not in time: ", what)
 			}
 		}
--- a/gateway/races_test.go
+++ b/gateway/races_test.go
@@ -18,36 +18,36 @@
 // What comes between two steps of an end, a hand-over or a wait, on real connections, each time in the order that harms.
 
 // speak opens a connection without a library, past the startup messages.
-func (w *world) speak() (net.Conn, *bufio.Reader) {
+func (w *environment) speak() (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp4", w.address)
 	must(err)
-	must(c.SetDeadline(time.Now().Add(soon)))
-	_, err = io.WriteString(c, hello)
+	must(c.SetDeadline(time.Now().Add(eventTimeout)))
+	_, err = io.WriteString(c, startupMessage)
 	must(err)
 	r := bufio.NewReader(c)
-	answers(r, 8)
+	summarizeResponses(r, 8)
 	return c, r
 }
 
 // large words a write of a value of 64 KiB.
 func large(class string) string {
-	return strings.Replace(sql(class, ""), `\x9f03`, `\x`+strings.Repeat("9f", 64<<10), 1)
+	return strings.Replace(txnSQL(class, ""), `\x9f03`, `\x`+strings.Repeat("9f", 64<<10), 1)
 }
 
 // Many commands that are sent at once are served one after the other, though together they are larger than any bound for one
 // message. The gateway ended the connection with the ninth part of a megabyte, and all of them were lost.
 func Example_pipelineOfLargeWrites() {
-	w := start(256, newMember("m", "read-write"))
+	w := startGateway(256, newMember("m", "read-write"))
 	defer w.stop()
 	c, r := w.speak()
 	defer c.Close()
 	all := ""
 	for range 6 {
-		all += query(large("once"))
+		all += queryMessage(large("once"))
 	}
 	go func() { _, _ = io.WriteString(c, all) }()
 	for range 6 {
-		fmt.Println(answers(r, 4))
+		fmt.Println(summarizeResponses(r, 4))
 	}
 	// Output:
 	// TD(m)CZ
@@ -62,17 +62,17 @@
 // goes on. The gateway gave all the same key of zeros and passed every cancel over. A key that fits nobody cancels nothing.
 func Example_cancel() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"silent"}, 2)...)
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	c, other := w.connect(), w.connect()
 	got := make(chan string)
-	go func() { got <- ask(c, sql("any", "")) }()
-	await(m.open)
+	go func() { got <- execute(c, txnSQL("any", "")) }()
+	await(m.queries)
 	must(other.CancelRequest(context.Background())) // it has asked nothing
 	for _, wrong := range []uint32{0, c.SecretKey() + 1} {
 		key := binary.BigEndian.AppendUint32([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), c.PID())
 		key = binary.BigEndian.AppendUint32(key, wrong)
-		fmt.Printf("%q\n", w.raw(string(key), len(key)))
+		fmt.Printf("%q\n", w.exchange(string(key), len(key)))
 	}
 	select {
 	case early := <-got:
@@ -81,9 +81,9 @@
 	}
 	must(c.CancelRequest(context.Background()))
 	fmt.Println(await(got))
-	fmt.Println(await(m.shut) != "", m.statements()) // called off at its member too, and sent nowhere else
+	fmt.Println(await(m.closed) != "", m.countStatements()) // called off at its member too, and sent nowhere else
 	m.plan.next(false)
-	fmt.Println(ask(c, sql("any", "")))
+	fmt.Println(execute(c, txnSQL("any", "")))
 	// Output:
 	// "."
 	// "."
@@ -96,19 +96,19 @@
 // platform waits no longer than the longest time of a txn type, and its clients send as long as a connection is open.
 func Example_answeredBeforeTheKill() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"silent"}, 9)...)
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
-	long := func() string { return query(strings.Replace(sql("once", ""), "d=900", "d=30000", 1)) }
+	long := func() string { return queryMessage(strings.Replace(txnSQL("once", ""), "d=900", "d=30000", 1)) }
 	c, r := w.speak()
 	defer c.Close()
 	_, err := io.WriteString(c, long())
 	must(err)
-	await(m.open)
+	await(m.queries)
 	must(w.process.Process.Signal(syscall.SIGTERM))
-	w.logged("leaving")
+	w.awaitLog("leaving")
 	_, err = io.WriteString(c, long()) // behind the first: taken while the gateway ends
 	must(err)
-	fmt.Println(answers(r, 2), answers(r, 2))
+	fmt.Println(summarizeResponses(r, 2), summarizeResponses(r, 2))
 	err = await(w.exited)
 	fmt.Println(err)
 	w.exited <- err
@@ -121,18 +121,18 @@
 // it came, not from when the first of all came. Commands past the first second were declined unsent.
 func Example_alwaysOneAhead() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"slow"}, 100)...)
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	c, r := w.speak()
 	defer c.Close()
-	_, err := io.WriteString(c, query(sql("once", ""))+query(sql("once", "")))
+	_, err := io.WriteString(c, queryMessage(txnSQL("once", ""))+queryMessage(txnSQL("once", "")))
 	must(err)
 	served := 0
 	for range 9 {
-		if answers(r, 4) == "TD(m)CZ" {
+		if summarizeResponses(r, 4) == "TD(m)CZ" {
 			served++
 		}
-		_, err = io.WriteString(c, query(sql("once", "")))
+		_, err = io.WriteString(c, queryMessage(txnSQL("once", "")))
 		must(err)
 	}
 	fmt.Println(served)
@@ -147,18 +147,18 @@
 	must(err)
 	_, run, _ := strings.Cut(string(text), "\nrun = \"")
 	run, _, _ = strings.Cut(run, "\"")
-	w := start(256, newMember("m", "read-write"))
+	w := startGateway(256, newMember("m", "read-write"))
 	defer w.stop()
 	must(w.process.Process.Kill())
 	<-w.exited
 	next := newDiscovery()
-	defer next.l.Close()
-	w.configure(next, 256)
+	defer next.listener.Close()
+	w.writeConfig(next, 256)
 	// The shell sends it itself, at the last moment before the program is there.
 	w.process = exec.Command("sh", "-c", strings.Replace(run, "exec bin/magpieglade", "kill -HUP $$; exec "+program, 1))
-	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.config, "EDGE_DISCOVERY="+w.d.l.Addr().String())
-	w.run()
-	fmt.Printf("after=%s\n", await(next.asked).Get("after"))
+	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.configPath, "EDGE_DISCOVERY="+w.discovery.listener.Addr().String())
+	w.startProcess()
+	fmt.Printf("after=%s\n", await(next.requests).Get("after"))
 	// Output:
 	// after=0
 }
@@ -172,20 +172,20 @@
 		{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP},
 	} {
 		m := newMember("m", "read-write", "slow")
-		w := start(256, m)
+		w := startGateway(256, m)
 		busy := w.connect()
 		got := make(chan string)
-		go func() { got <- ask(busy, sql("once", "")) }()
-		await(m.open)
-		must(os.WriteFile(w.config, []byte("{"), 0o600))
+		go func() { got <- execute(busy, txnSQL("once", "")) }()
+		await(m.queries)
+		must(os.WriteFile(w.configPath, []byte("{"), 0o600))
 		must(w.process.Process.Signal(syscall.SIGSTOP)) // they come while it stands still
 		for _, s := range signals {
 			must(w.process.Process.Signal(s))
 		}
 		must(w.process.Process.Signal(syscall.SIGCONT))
-		w.logged("leaving")
+		w.awaitLog("leaving")
 		late := w.connect()
-		fmt.Println(ask(late, sql("any", "")), "/", await(got))
+		fmt.Println(execute(late, txnSQL("any", "")), "/", await(got))
 		err := await(w.exited)
 		fmt.Println(err)
 		w.exited <- err
--- a/gateway/reentry_test.go
+++ b/gateway/reentry_test.go
@@ -13,7 +13,7 @@
 // awaitHangUp waits until the other side of a connection has reset it, and leaves that unread.
 func awaitHangUp(t *testing.T, fd int) {
 	t.Helper()
-	for end := time.Now().Add(soonHeld); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		if n, err := unix.Poll(state, 10); err == nil && n == 1 && state[0].Revents&(unix.POLLHUP|unix.POLLERR) != 0 {
 			return
@@ -27,24 +27,24 @@
 func TestAnswerToClientThatReset(t *testing.T) {
 	t.Parallel()
 	var late atomic.Pointer[func() bool]
-	d, m := newScript(t), newScript(t)
+	d, m := newScriptedServer(t), newScriptedServer(t)
 	began := time.Now()
-	g, ended, stop := heldGatewayWith(t, func(c *Config) {
+	g, ended, stop := startTestGatewayWith(t, func(c *Config) {
 		c.Elapsed = func() time.Duration {
 			if f := late.Load(); f != nil && (*f)() {
 				return time.Since(began) + time.Minute
 			}
 			return time.Since(began)
 		}
-	}, d, m.host("m", "active"))
-	d.next(t).call(t)
-	c := heldClient(t, g)
-	c.ask("any", 9000)
-	up := m.next(t)
-	up.startup()
-	up.ready()
-	up.query()
-	g.hold(func() {
+	}, d, m.listEntry("m", "active"))
+	d.accept(t).readCall(t)
+	c := connectClient(t, g)
+	c.sendRead("any", 9000)
+	up := m.accept(t)
+	up.readStartup()
+	up.sendReady()
+	up.readQuery()
+	g.runOnLoop(func() {
 		var request slots.Ref
 		for _, ref := range g.txns.Refs() {
 			request = ref
@@ -55,7 +55,7 @@
 			return x == nil || x.answered
 		}
 		late.Store(&answered)
-		up.row("m", "read-only")
+		up.sendRow("m", "read-only")
 		awaitUnread(t, g.members.conns.Get(g.txns.Get(request).subs[0]).conn.Fd())
 		_ = c.SetLinger(0)
 		_ = c.Close()
@@ -63,16 +63,16 @@
 			awaitHangUp(t, g.clients.open.Get(ref).conn.Fd())
 		}
 	})
-	other := heldClient(t, g)
-	other.ask("any", 9000)
+	other := connectClient(t, g)
+	other.sendRead("any", 9000)
 	served := m.serve("m", "read-only")
 	go func() { // on the connection that served before, if it was kept
-		if _, ok := up.query(); ok {
+		if _, ok := up.readQuery(); ok {
 			served.Add(1)
-			up.row("m", "read-only")
+			up.sendRow("m", "read-only")
 		}
 	}()
-	if got := other.answer(); got != "served by m" {
+	if got := other.readResponse(); got != "served by m" {
 		t.Error(got)
 	}
 	stop()
--- a/gateway/reserved_test.go
+++ b/gateway/reserved_test.go
@@ -134,7 +134,7 @@
 	for _, i := range []int{0, 1, 2} {
 		u.gateways[i].kill()
 		u.gateways[i].start()
-		u.awaitFor(2*soon, "the others have told it", func() bool { got, _ := stated(i); return got == asked })
+		u.awaitFor(2*eventTimeout, "the others have told it", func() bool { got, _ := stated(i); return got == asked })
 	}
 	adds("nothing is counted twice or forgotten", 0, 1, 2)
 }
@@ -231,7 +231,7 @@
 	u.gateways[at].start()
 
 	// All are killed, and start again.
-	u.awaitFor(2*soon, "all may act", func() bool {
+	u.awaitFor(2*eventTimeout, "all may act", func() bool {
 		for _, i := range all {
 			if !strings.Contains(u.said(i, "fleet", "status"), "may act") {
 				return false
@@ -247,7 +247,7 @@
 		p.start()
 	}
 	for _, i := range all {
-		u.awaitFor(2*soon, "the book is what it was", func() bool {
+		u.awaitFor(2*eventTimeout, "the book is what it was", func() bool {
 			return u.said(i, "contracts", "history", "final")+u.said(i, "contracts", "history", "gala") == book && strings.Contains(u.said(i, "contracts", "list"), "held here now: 12 in flight for tv")
 		})
 	}
@@ -268,7 +268,7 @@
 	if strings.Contains(said[1], "is booked") {
 		won = "gala"
 	}
-	u.awaitFor(2*soon, "it is cancelled", func() bool { return strings.Contains(u.said(2, "contracts", "cancel", won), "is cancelled") })
+	u.awaitFor(2*eventTimeout, "it is cancelled", func() bool { return strings.Contains(u.said(2, "contracts", "cancel", won), "is cancelled") })
 	for _, i := range all {
 		u.await("no room is held", func() bool { return !strings.Contains(u.said(i, "contracts", "list"), "held here now") })
 	}
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -12,33 +12,33 @@
 func TestIdleMemberConnectionsMakeWayForClients(t *testing.T) {
 	t.Parallel()
 	const atOnce, more = 8, 8
-	d, m := newScript(t), newScript(t)
-	g, ended, stop := heldGatewayWith(t, func(c *Config) { c.Limits.Sockets = 64 }, d, m.host("m", "active"))
-	d.next(t).call(t)
-	var clients, busy []*end
+	d, m := newScriptedServer(t), newScriptedServer(t)
+	g, ended, stop := startTestGatewayWith(t, func(c *Config) { c.Limits.Sockets = 64 }, d, m.listEntry("m", "active"))
+	d.accept(t).readCall(t)
+	var clients, busy []*testConn
 	for range atOnce { // each on a connection of its own, as the others have no answer yet
-		c := heldClient(t, g)
-		c.ask("any", 9000)
-		up := m.next(t)
-		up.startup()
-		up.ready()
-		up.query()
+		c := connectClient(t, g)
+		c.sendRead("any", 9000)
+		up := m.accept(t)
+		up.readStartup()
+		up.sendReady()
+		up.readQuery()
 		clients, busy = append(clients, c), append(busy, up)
 	}
 	var answered sync.WaitGroup
 	for i := range clients {
 		answered.Go(func() {
-			busy[i].row("m", "read-only")
-			if got := clients[i].answer(); got != "served by m" {
+			busy[i].sendRow("m", "read-only")
+			if got := clients[i].readResponse(); got != "served by m" {
 				t.Error(got)
 			}
 		})
 	}
 	answered.Wait()
 	for i := range more {
-		next := newEnd(dialled(t, g))
+		next := newTestConn(dialGateway(t, g))
 		_, _ = next.Write(pgwire.AppendStartup(nil, "portal", "crm"))
-		if got := next.answer(); got != "" {
+		if got := next.readResponse(); got != "" {
 			t.Fatalf("client %d is told %s", atOnce+i+1, got)
 		}
 	}
--- a/gateway/sessions_test.go
+++ b/gateway/sessions_test.go
@@ -89,7 +89,7 @@
 	for began := time.Now(); ; {
 		a := c.Read(gateway)
 		after, err := strconv.Atoi(a.RetryAfter)
-		if a.Code != "53300" || err != nil || time.Since(began) > soon {
+		if a.Code != "53300" || err != nil || time.Since(began) > eventTimeout {
 			return a
 		}
 		time.Sleep(time.Duration(after) * time.Millisecond)
@@ -415,7 +415,7 @@
 						cl := f.front.NewClient(fmt.Sprintf("%08x", 0x100+i), classes)
 						defer cl.Close()
 						for k := range 50 {
-							w := cl.Write(k%2, fmt.Sprint("b", ids.Add(1)), "1")
+							w := cl.Write(k%2, fmt.Sprint("b", lastID.Add(1)), "1")
 							r := cl.Read((k + 1) % 2)
 							mu.Lock()
 							if w.Code+r.Code != "" || w.Err != nil || r.Err != nil {
--- a/gateway/signals_test.go
+++ b/gateway/signals_test.go
@@ -11,13 +11,13 @@
 // TestRequestsSurviveSecondSIGTERM guards against an end in order that a second SIGTERM cuts off.
 func TestRequestsSurviveSecondSIGTERM(t *testing.T) {
 	m := newMember("m", "read-write", "slow")
-	w := start(256, m)
+	w := startGateway(256, m)
 	defer w.stop()
 	busy, got := w.connect(), make(chan string, 1)
-	go func() { got <- ask(busy, sql("once", "")) }()
-	await(m.open)
+	go func() { got <- execute(busy, txnSQL("once", "")) }()
+	await(m.queries)
 	must(w.process.Process.Signal(syscall.SIGTERM))
-	w.logged("leaving")
+	w.awaitLog("leaving")
 	must(w.process.Process.Signal(syscall.SIGTERM))
 	if answer := await(got); answer != "committed by m" {
 		t.Errorf("the request that was open: %s", answer)
@@ -31,7 +31,7 @@
 
 // TestRequestsSurviveLostLogReader guards against a process that SIGPIPE ends when nobody reads its log any more.
 func TestRequestsSurviveLostLogReader(t *testing.T) {
-	w := start(256, newMember("m", "read-write"))
+	w := startGateway(256, newMember("m", "read-write"))
 	defer w.stop()
 	must(w.process.Process.Kill())
 	<-w.exited
@@ -39,16 +39,16 @@
 	must(err)
 	must(reader.Close())
 	w.process = exec.Command(program)
-	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.config, "EDGE_DISCOVERY="+w.d.l.Addr().String())
+	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.configPath, "EDGE_DISCOVERY="+w.discovery.listener.Addr().String())
 	w.process.Stderr = writer
 	must(w.process.Start())
 	must(writer.Close())
 	go func() { w.exited <- w.process.Wait() }()
-	asked := await(w.d.asked) // it has logged that it listens
+	asked := await(w.discovery.requests) // it has logged that it listens
 	for asked.Get("after") == "" {
-		asked = await(w.d.asked)
+		asked = await(w.discovery.requests)
 	}
-	if got := ask(w.connect(), sql("any", "")); !strings.HasPrefix(got, "committed") {
+	if got := execute(w.connect(), txnSQL("any", "")); !strings.HasPrefix(got, "committed") {
 		t.Error(got)
 	}
 	must(w.process.Process.Signal(syscall.SIGTERM))
@@ -61,14 +61,14 @@
 
 // TestReloadSurvivesFailedRead guards against a reload that is dropped as the file could not be opened for a moment.
 func TestReloadSurvivesFailedRead(t *testing.T) {
-	w := start(256, newMember("m", "read-write"))
+	w := startGateway(256, newMember("m", "read-write"))
 	defer w.stop()
 	next := newDiscovery()
-	defer next.l.Close()
-	w.configure(next, 256)
+	defer next.listener.Close()
+	w.writeConfig(next, 256)
 	restore := w.limitDescriptors(t, 1)
 	must(w.process.Process.Signal(syscall.SIGHUP))
-	w.logged("config.json: too many open files")
+	w.awaitLog("config.json: too many open files")
 	restore()
-	await(next.asked)
+	await(next.requests)
 }
--- a/gateway/soak/main_test.go
+++ b/gateway/soak/main_test.go
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	if text := os.Getenv(envFaults); text != "" {
-		if err := serve(text); err != nil {
+		if err := runGateway(text); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -32,7 +32,7 @@
 }
 
 // serve is the program's command of this name, on a network that fails.
-func serve(seedText string) error {
+func runGateway(seedText string) error {
 	seed, err := strconv.ParseUint(seedText, 10, 64)
 	if err != nil {
 		return err
@@ -66,108 +66,108 @@
 // failingNetwork is the operating system's, with spells in which accept or connect fail as Linux documents.
 type failingNetwork struct {
 	gateway.SystemNetwork
-	accepts, dials *spells
+	acceptFaults, dialFaults *faultPeriods
 }
 
 func newFailingNetwork(seed uint64) *failingNetwork {
 	return &failingNetwork{
-		accepts: newSpells(rand.New(rand.NewPCG(seed, 1)), syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+		acceptFaults: newFaultPeriods(rand.New(rand.NewPCG(seed, 1)), syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 			syscall.ECONNABORTED, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH, syscall.EINTR, syscall.EPERM),
-		dials: newSpells(rand.New(rand.NewPCG(seed, 2)), syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL,
+		dialFaults: newFaultPeriods(rand.New(rand.NewPCG(seed, 2)), syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL,
 			syscall.ENETUNREACH, syscall.EINTR, syscall.EHOSTUNREACH, syscall.ETIMEDOUT),
 	}
 }
 
 // Listen fails for a moment at first.
 func (n *failingNetwork) Listen(address netip.AddrPort) (net.Listener, error) {
-	if err := n.accepts.once(); err != nil {
+	if err := n.acceptFaults.firstError(); err != nil {
 		return nil, err
 	}
 	l, err := n.SystemNetwork.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	return &failingListener{Listener: l, spells: n.accepts}, nil
+	return &failingListener{Listener: l, faults: n.acceptFaults}, nil
 }
 
 // Dial gives small buffers, so that writes are short.
 func (n *failingNetwork) Dial(address string, timeout time.Duration) (net.Conn, error) {
-	if err := n.dials.now(); err != nil {
+	if err := n.dialFaults.currentError(); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
 	}
 	c, err := n.SystemNetwork.Dial(address, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return c, c.(*net.TCPConn).SetWriteBuffer(smallBuffer)
+	return c, c.(*net.TCPConn).SetWriteBuffer(writeBufferSize)
 }
 
-const smallBuffer = 4 << 10 // bytes
+const writeBufferSize = 4 << 10 // bytes
 
 type failingListener struct {
 	net.Listener
-	spells *spells
+	faults *faultPeriods
 }
 
 // Accept fails behind the kernel's, as a connection that is lost by it is no request that was read.
 func (l *failingListener) Accept() (net.Conn, error) {
-	if err := l.spells.now(); err != nil {
+	if err := l.faults.currentError(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: err}
 	}
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return c, c.(*net.TCPConn).SetWriteBuffer(smallBuffer)
+	return c, c.(*net.TCPConn).SetWriteBuffer(writeBufferSize)
 }
 
 // Lengths of spells: good ones up to, bad ones up to.
 const (
-	mostGood = 800 * time.Millisecond
-	mostBad  = 150 * time.Millisecond
+	maxHealthyPeriod = 800 * time.Millisecond
+	maxFaultPeriod   = 150 * time.Millisecond
 )
 
 // spells are times in which all calls of a kind fail with one error, and times between them.
-type spells struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	errors []syscall.Errno
-	until  time.Time
-	bad    bool
-	err    syscall.Errno
-	begun  bool
+type faultPeriods struct {
+	mu      sync.Mutex
+	random  *rand.Rand
+	errors  []syscall.Errno
+	until   time.Time
+	failing bool
+	err     syscall.Errno
+	fired   bool
 }
 
-func newSpells(random *rand.Rand, errors ...syscall.Errno) *spells {
-	return &spells{random: random, errors: errors, bad: true, until: time.Now()}
+func newFaultPeriods(random *rand.Rand, errors ...syscall.Errno) *faultPeriods {
+	return &faultPeriods{random: random, errors: errors, failing: true, until: time.Now()}
 }
 
 // now is what a call at this moment fails with, nil if it does not.
-func (s *spells) now() error {
+func (s *faultPeriods) currentError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for !time.Now().Before(s.until) {
-		s.bad = !s.bad
-		most := mostGood
-		if s.bad {
-			most = mostBad
+		s.failing = !s.failing
+		maxPeriod := maxHealthyPeriod
+		if s.failing {
+			maxPeriod = maxFaultPeriod
 			s.err = s.errors[s.random.IntN(len(s.errors))]
 		}
-		s.until = time.Now().Add(time.Duration(s.random.Int64N(int64(most))))
+		s.until = time.Now().Add(time.Duration(s.random.Int64N(int64(maxPeriod))))
 	}
-	if s.bad {
+	if s.failing {
 		return s.err
 	}
 	return nil
 }
 
 // once fails the first time that it is asked.
-func (s *spells) once() error {
+func (s *faultPeriods) firstError() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.begun {
+	if s.fired {
 		return nil
 	}
-	s.begun = true
+	s.fired = true
 	return syscall.ENOBUFS
 }
--- a/gateway/soak/servers_test.go
+++ b/gateway/soak/servers_test.go
@@ -18,19 +18,19 @@
 
 // attempt is a statement that came to a server.
 type attempt struct {
-	server   string
-	class    string
-	at       time.Time
-	deadline time.Duration // that the gateway passed on
+	server     string
+	txnType    string
+	receivedAt time.Time
+	timeout    time.Duration // that the gateway passed on
 }
 
 // records keep what servers saw, by request.
-type records struct {
+type attemptLog struct {
 	mu       sync.Mutex
 	attempts map[uint64][]attempt
 }
 
-func (r *records) add(id uint64, a attempt) {
+func (r *attemptLog) add(id uint64, a attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.attempts[id] = append(r.attempts[id], a)
@@ -40,19 +40,19 @@
 type server struct {
 	name, mode string
 	listener   net.Listener
-	records    *records
+	attempts   *attemptLog
 	mu         sync.Mutex
 	random     *rand.Rand
-	hangs      time.Time // until when it answers nothing
+	hangUntil  time.Time // until when it answers nothing
 	conns      map[net.Conn]bool
 }
 
-func newServer(name, mode string, r *records, random *rand.Rand) (*server, error) {
+func newServer(name, mode string, attempts *attemptLog, random *rand.Rand) (*server, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{name: name, mode: mode, listener: l, records: r, random: random, conns: map[net.Conn]bool{}}
+	s := &server{name: name, mode: mode, listener: l, attempts: attempts, random: random, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -78,48 +78,48 @@
 }
 
 // hang answers nothing for a while.
-func (s *server) hang(span time.Duration) {
+func (s *server) hang(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hangs = time.Now().Add(span)
+	s.hangUntil = time.Now().Add(duration)
 }
 
 // behaviour is how a server deals with a statement.
 type behaviour int
 
 const (
-	answers behaviour = iota
-	fallsSilent
-	resets
-	halfAnswer
-	tellsError
+	respond behaviour = iota
+	staySilent
+	resetConn
+	truncateResponse
+	returnError
 )
 
-func (s *server) next() (b behaviour, wait time.Duration) {
+func (s *server) nextBehaviour() (b behaviour, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait = time.Duration(s.random.ExpFloat64() * float64(5*time.Millisecond))
-	if hang := time.Until(s.hangs); hang > 0 {
-		wait += hang
+	delay = time.Duration(s.random.ExpFloat64() * float64(5*time.Millisecond))
+	if hang := time.Until(s.hangUntil); hang > 0 {
+		delay += hang
 	}
 	switch n := s.random.IntN(100); {
 	case n < 2:
-		return fallsSilent, wait
+		return staySilent, delay
 	case n < 4:
-		return resets, wait
+		return resetConn, delay
 	case n < 6:
-		return halfAnswer, wait
+		return truncateResponse, delay
 	case n < 8:
-		return tellsError, wait
+		return returnError, delay
 	}
-	return answers, wait
+	return respond, delay
 }
 
 func message(kind byte, body string) string {
 	return string(binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(body)+4))) + body
 }
 
-var comment = regexp.MustCompile(`id=([0-9a-f]{16}),c=([a-z]+),d=(\d+)`)
+var txnComment = regexp.MustCompile(`id=([0-9a-f]{16}),c=([a-z]+),d=(\d+)`)
 
 func (s *server) serve(c net.Conn) {
 	defer c.Close()
@@ -138,18 +138,18 @@
 			return
 		}
 		value := "probe"
-		found := comment.FindStringSubmatch(string(body))
-		if found != nil {
-			value = found[1]
-			id, _ := strconv.ParseUint(found[1], 16, 64)
-			left, _ := strconv.Atoi(found[3])
-			s.records.add(id, attempt{s.name, found[2], time.Now(), time.Duration(left) * time.Millisecond})
+		match := txnComment.FindStringSubmatch(string(body))
+		if match != nil {
+			value = match[1]
+			id, _ := strconv.ParseUint(match[1], 16, 64)
+			left, _ := strconv.Atoi(match[3])
+			s.attempts.add(id, attempt{s.name, match[2], time.Now(), time.Duration(left) * time.Millisecond})
 		}
-		b, wait := s.next()
-		if found == nil {
-			b = answers
+		b, delay := s.nextBehaviour()
+		if match == nil {
+			b = respond
 		}
-		time.Sleep(wait)
+		time.Sleep(delay)
 		if !s.reply(c, r, b, value) {
 			return
 		}
@@ -158,24 +158,24 @@
 
 // reply answers a statement; false is the end of the connection.
 func (s *server) reply(c net.Conn, r *bufio.Reader, b behaviour, value string) bool {
-	end := message('S', "mode\x00"+s.mode+"\x00") + message('S', fmt.Sprintf("wal_time\x00%d\x00", time.Now().UnixMilli())) + message('Z', "I")
+	status := message('S', "mode\x00"+s.mode+"\x00") + message('S', fmt.Sprintf("wal_time\x00%d\x00", time.Now().UnixMilli())) + message('Z', "I")
 	row := message('T', "\x00\x01data\x00"+strings.Repeat("\x00", 18)) +
 		message('D', "\x00\x01"+string(binary.BigEndian.AppendUint32(nil, uint32(len(value))))+value)
 	switch b {
-	case fallsSilent:
+	case staySilent:
 		_, _ = r.ReadByte()
 		return false
-	case resets:
+	case resetConn:
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
-	case halfAnswer:
+	case truncateResponse:
 		_, _ = io.WriteString(c, row[:len(row)-1])
 		return false
-	case tellsError:
-		_, _ = io.WriteString(c, message('E', "SERROR\x00CXX000\x00Mfault\x00\x00")+end)
+	case returnError:
+		_, _ = io.WriteString(c, message('E', "SERROR\x00CXX000\x00Mfault\x00\x00")+status)
 		return true
 	}
-	_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+end)
+	_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+status)
 	return true
 }
 
@@ -191,13 +191,13 @@
 
 // discovery is the list service, at two addresses.
 type discovery struct {
-	listeners [2]net.Listener
-	mu        sync.Mutex
-	version   int
-	hosts     []map[string]any
-	changed   chan struct{}
-	down      bool
-	leftAt    time.Time // when a list with a draining server was first written
+	listeners     [2]net.Listener
+	mu            sync.Mutex
+	version       int
+	hosts         []map[string]any
+	changed       chan struct{}
+	down          bool
+	drainListedAt time.Time // when a list with a draining server was first written
 }
 
 func newDiscovery() (*discovery, error) {
@@ -219,12 +219,12 @@
 	}
 }
 
-func (s *server) host(health string) map[string]any {
+func (s *server) listEntry(health string) map[string]any {
 	return map[string]any{"host": s.name, "dial": s.listener.Addr().String(), "site": "a", "class": "m", "block": 0,
 		"health": health, "share": 1.0, "born_ms": 0}
 }
 
-func (d *discovery) set(hosts ...map[string]any) {
+func (d *discovery) setHosts(hosts ...map[string]any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -264,8 +264,8 @@
 	}
 	_ = json.NewEncoder(w).Encode(d.list())
 	for _, h := range d.hosts {
-		if h["health"] == "leaving" && d.leftAt.IsZero() {
-			d.leftAt = time.Now()
+		if h["health"] == "leaving" && d.drainListedAt.IsZero() {
+			d.drainListedAt = time.Now()
 		}
 	}
 }
--- a/gateway/soak/soak_test.go
+++ b/gateway/soak/soak_test.go
@@ -28,7 +28,7 @@
 // envSeeds names the seeds to play, as 1-50.
 const envSeeds = "MAGPIEGLADE_SOAK_SEEDS"
 
-const usualSeeds = "1-36"
+const defaultSeeds = "1-36"
 
 const settings = `{"classes":[
  {"effect":"repeatable","promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"any"},
@@ -44,41 +44,41 @@
 
 // Spans of a play and bounds of the rules.
 const (
-	beforeSIGTERM  = 2500 * time.Millisecond
-	longest        = 2000 * time.Millisecond // that a class of the settings waits
-	killAfter      = longest + 700*time.Millisecond
-	window         = 800 * time.Millisecond // of the keyed class
-	drainGrace     = 250 * time.Millisecond
-	deadlineSlack  = 150 * time.Millisecond // of the deadline passed on
-	leftSlack      = 100 * time.Millisecond // for an attempt behind its client's close
-	mostStopped    = 100 * time.Millisecond // that SIGSTOP holds the process
-	sockets        = 192
-	mostOfDrainDue = drainGrace + 150*time.Millisecond
+	runDuration      = 2500 * time.Millisecond
+	maxTxnWait       = 2000 * time.Millisecond // that a class of the settings waits
+	killAfter        = maxTxnWait + 700*time.Millisecond
+	dedupWindow      = 800 * time.Millisecond // of the keyed class
+	drainGrace       = 250 * time.Millisecond
+	timeoutTolerance = 150 * time.Millisecond // of the deadline passed on
+	leaveTolerance   = 100 * time.Millisecond // for an attempt behind its client's close
+	maxStopDuration  = 100 * time.Millisecond // that SIGSTOP holds the process
+	socketLimit      = 192
+	maxDrainDelay    = drainGrace + 150*time.Millisecond
 )
 
 // play is one seed's.
-type play struct {
-	t       *testing.T
-	seed    uint64
-	random  *rand.Rand
-	dir     string
-	records *records
-	servers []*server
-	list    *discovery
-	load    *load
-	process *exec.Cmd
-	lines   []string // of the process's log
-	logged  sync.WaitGroup
-	exited  chan error
-	lag     atomic.Int64 // by which this process was late at the most, in nanoseconds
-	drained string       // server that a list calls draining
-	ending  time.Time    // when the first SIGTERM was sent
+type soakRun struct {
+	t              *testing.T
+	seed           uint64
+	random         *rand.Rand
+	dir            string
+	attempts       *attemptLog
+	servers        []*server
+	discovery      *discovery
+	load           *clientLoad
+	process        *exec.Cmd
+	logLines       []string // of the process's log
+	logReader      sync.WaitGroup
+	exited         chan error
+	maxLag         atomic.Int64 // by which this process was late at the most, in nanoseconds
+	drainingServer string       // server that a list calls draining
+	terminatedAt   time.Time    // when the first SIGTERM was sent
 }
 
-func seeds(t *testing.T) (all []uint64) {
+func seedRange(t *testing.T) (selected []uint64) {
 	text := os.Getenv(envSeeds)
 	if text == "" {
-		text = usualSeeds
+		text = defaultSeeds
 	}
 	from, to, _ := strings.Cut(text, "-")
 	first, err := strconv.ParseUint(from, 10, 64)
@@ -90,92 +90,92 @@
 		t.Fatalf("%s: %v", envSeeds, err)
 	}
 	for seed := first; seed <= last; seed++ {
-		all = append(all, seed)
+		selected = append(selected, seed)
 	}
-	return all
+	return selected
 }
 
 // TestSoak plays seeds and judges them by the rules.
 func TestSoak(t *testing.T) {
-	for _, seed := range seeds(t) {
+	for _, seed := range seedRange(t) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
-			p := &play{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 0)), dir: t.TempDir(),
-				records: &records{attempts: map[uint64][]attempt{}}, exited: make(chan error, 1)}
+			p := &soakRun{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 0)), dir: t.TempDir(),
+				attempts: &attemptLog{attempts: map[uint64][]attempt{}}, exited: make(chan error, 1)}
 			p.run()
 		})
 	}
 }
 
-func (p *play) must(err error) {
+func (p *soakRun) must(err error) {
 	p.t.Helper()
 	if err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *play) run() {
-	stopWatch := p.watchLag()
-	defer stopWatch()
+func (p *soakRun) run() {
+	stopMeasuring := p.measureLag()
+	defer stopMeasuring()
 	p.start()
 	defer func() {
 		_ = p.process.Process.Kill()
-		p.list.close()
+		p.discovery.close()
 		for _, s := range p.servers {
 			s.close()
 		}
 	}()
 	p.startClients()
-	p.faultsUntil(time.Now().Add(beforeSIGTERM))
-	p.hearsNewClient()
-	p.end()
-	p.judge()
+	p.injectFaults(time.Now().Add(runDuration))
+	p.checkNewClient()
+	p.shutDown()
+	p.checkRules()
 }
 
 // watchLag measures by how much this process is late, which its own times may not be blamed on the gateway for.
-func (p *play) watchLag() (stop func()) {
-	over := make(chan struct{})
+func (p *soakRun) measureLag() (stop func()) {
+	done := make(chan struct{})
 	go func() {
 		const step = 2 * time.Millisecond
 		for {
-			began := time.Now()
+			startedAt := time.Now()
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-time.After(step):
 			}
-			p.lag.Store(max(p.lag.Load(), int64(time.Since(began)-step)))
+			p.maxLag.Store(max(p.maxLag.Load(), int64(time.Since(startedAt)-step)))
 		}
 	}()
-	return func() { close(over) }
+	return func() { close(done) }
 }
 
-func (p *play) start() {
+func (p *soakRun) start() {
 	var err error
-	p.list, err = newDiscovery()
+	p.discovery, err = newDiscovery()
 	p.must(err)
 	var hosts []map[string]any
 	for i, mode := range []string{"read-write", "read-only", "read-only"} {
-		s, err := newServer(fmt.Sprint("s", i), mode, p.records, rand.New(rand.NewPCG(p.seed, uint64(10+i))))
+		s, err := newServer(fmt.Sprint("s", i), mode, p.attempts, rand.New(rand.NewPCG(p.seed, uint64(10+i))))
 		p.must(err)
 		p.servers = append(p.servers, s)
-		hosts = append(hosts, s.host("active"))
+		hosts = append(hosts, s.listEntry("active"))
 	}
-	p.list.set(hosts...)
+	p.discovery.setHosts(hosts...)
 	l, err := net.Listen("tcp4", "127.0.0.4:0")
 	p.must(err)
-	p.load = &load{address: l.Addr().String(), over: make(chan struct{})}
+	p.load = &clientLoad{address: l.Addr().String(), done: make(chan struct{})}
 	p.must(l.Close())
-	p.configure(0)
+	p.writeConfig(0)
 	p.process = exec.Command(os.Args[0])
 	p.process.Env = append(os.Environ(), envFaults+"="+fmt.Sprint(p.seed), "EDGE_CONFIG="+filepath.Join(p.dir, "config.json"))
 	pipe, err := p.process.StderrPipe()
 	p.must(err)
 	p.must(p.process.Start())
 	listening := make(chan struct{})
-	p.logged.Go(func() {
+	p.logReader.Go(func() {
 		for s := bufio.NewScanner(pipe); s.Scan(); {
-			if p.lines = append(p.lines, s.Text()); strings.Contains(s.Text(), "listening") {
+			if p.logLines = append(p.logLines, s.Text()); strings.Contains(s.Text(), "listening") {
 				close(listening)
 			}
 		}
@@ -184,14 +184,14 @@
 	select {
 	case <-listening:
 	case err := <-p.exited:
-		p.t.Fatal("it does not start: ", err, p.lines)
+		p.t.Fatal("it does not start: ", err, p.logLines)
 	}
 }
 
 // configure writes the file, with discovery at one of its addresses.
-func (p *play) configure(at int) {
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": p.load.address, "discovery": p.list.listeners[at].Addr().String(),
-		"seed": strconv.FormatUint(p.seed, 16), "limits": map[string]any{"memory_mb": 192, "sockets": sockets}, "known": p.list.list(),
+func (p *soakRun) writeConfig(addressIndex int) {
+	text, err := json.Marshal(map[string]any{"name": "n0", "listen": p.load.address, "discovery": p.discovery.listeners[addressIndex].Addr().String(),
+		"seed": strconv.FormatUint(p.seed, 16), "limits": map[string]any{"memory_mb": 192, "sockets": socketLimit}, "known": p.discovery.list(),
 		"settings": json.RawMessage(settings)})
 	p.must(err)
 	next := filepath.Join(p.dir, "next.json")
@@ -199,8 +199,8 @@
 	p.must(os.Rename(next, filepath.Join(p.dir, "config.json")))
 }
 
-func (p *play) startClients() {
-	slack := answerSlack + mostStopped
+func (p *soakRun) startClients() {
+	tolerance := responseTolerance + maxStopDuration
 	client := func(n int, f func(*rand.Rand)) {
 		for range n {
 			random := rand.New(rand.NewPCG(p.seed, p.random.Uint64()))
@@ -208,58 +208,58 @@
 		}
 	}
 	l := p.load
-	client(6, func(r *rand.Rand) { l.steady(r, 1, slack) })
-	client(2, func(r *rand.Rand) { l.steady(r, 3, slack) })
-	client(2, l.leaving)
-	client(2, func(r *rand.Rand) { l.cancelling(r, slack) })
-	client(1, func(r *rand.Rand) { l.slowWriters(r, slack) })
+	client(6, func(r *rand.Rand) { l.runSteady(r, 1, tolerance) })
+	client(2, func(r *rand.Rand) { l.runSteady(r, 3, tolerance) })
+	client(2, l.runLeaving)
+	client(2, func(r *rand.Rand) { l.runCancelling(r, tolerance) })
+	client(1, func(r *rand.Rand) { l.runSlowWriter(r, tolerance) })
 	if p.random.IntN(3) == 0 {
-		client(1, func(r *rand.Rand) { l.crowd(r, 2*sockets) })
+		client(1, func(r *rand.Rand) { l.runIdleCrowd(r, 2*socketLimit) })
 	}
 }
 
-func (p *play) signal(s syscall.Signal) { _ = p.process.Process.Signal(s) }
+func (p *soakRun) signal(s syscall.Signal) { _ = p.process.Process.Signal(s) }
 
 // faultsUntil brings about one fault after another.
-func (p *play) faultsUntil(end time.Time) {
+func (p *soakRun) injectFaults(end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(p.random.IntN(200)) * time.Millisecond)
-		span := time.Duration(p.random.Int64N(int64(mostStopped)))
+		duration := time.Duration(p.random.Int64N(int64(maxStopDuration)))
 		switch p.random.IntN(7) {
 		case 0:
-			p.configure(p.random.IntN(2))
+			p.writeConfig(p.random.IntN(2))
 			p.signal(syscall.SIGHUP)
 		case 1:
 			p.must(os.WriteFile(filepath.Join(p.dir, "config.json"), []byte("{"), 0o600))
 			p.signal(syscall.SIGHUP)
-			p.configure(p.random.IntN(2))
+			p.writeConfig(p.random.IntN(2))
 		case 2:
 			p.signal(syscall.SIGSTOP)
-			time.Sleep(span)
+			time.Sleep(duration)
 			p.signal(syscall.SIGCONT)
 		case 3:
-			p.refuseDescriptors(span)
+			p.denyDescriptors(duration)
 		case 4:
-			p.list.setDown(true)
-			time.Sleep(2 * span)
-			p.list.setDown(false)
+			p.discovery.setDown(true)
+			time.Sleep(2 * duration)
+			p.discovery.setDown(false)
 		case 5:
-			p.servers[p.random.IntN(len(p.servers))].hang(5 * span)
+			p.servers[p.random.IntN(len(p.servers))].hang(5 * duration)
 		case 6:
-			p.drain()
+			p.drainReplica()
 		}
 	}
 }
 
 // hearsNewClient has a client that was never there before admitted, or told that there is no room for it: faults of accept
 // last for a moment only.
-func (p *play) hearsNewClient() {
-	for end := time.Now().Add(longest); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+func (p *soakRun) checkNewClient() {
+	for end := time.Now().Add(maxTxnWait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		c, err := p.load.connect()
 		if err == nil {
 			_ = c.Close()
 		}
-		if err == nil || errors.Is(err, errTurnedAway) {
+		if err == nil || errors.Is(err, errRejected) {
 			return
 		}
 	}
@@ -267,28 +267,28 @@
 }
 
 // refuseDescriptors has the kernel refuse the process any new descriptor for a while.
-func (p *play) refuseDescriptors(span time.Duration) {
-	var former unix.Rlimit
+func (p *soakRun) denyDescriptors(duration time.Duration) {
+	var original unix.Rlimit
 	pid := p.process.Process.Pid
-	p.must(unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &former))
-	p.must(unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1, Max: former.Max}, nil))
-	time.Sleep(span)
-	p.must(unix.Prlimit(pid, unix.RLIMIT_NOFILE, &former, nil))
+	p.must(unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &original))
+	p.must(unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: 1, Max: original.Max}, nil))
+	time.Sleep(duration)
+	p.must(unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil))
 }
 
 // drain has the list call a replica draining; it stays up.
-func (p *play) drain() {
-	if p.drained != "" {
+func (p *soakRun) drainReplica() {
+	if p.drainingServer != "" {
 		return
 	}
-	out := p.servers[2]
-	p.drained = out.name
-	p.list.set(p.servers[0].host("active"), p.servers[1].host("active"), out.host("leaving"))
+	replica := p.servers[2]
+	p.drainingServer = replica.name
+	p.discovery.setHosts(p.servers[0].listEntry("active"), p.servers[1].listEntry("active"), replica.listEntry("leaving"))
 }
 
 // end tells the process to end, more than once, and kills it as late as the platform may do so at the earliest.
-func (p *play) end() {
-	p.ending = time.Now()
+func (p *soakRun) shutDown() {
+	p.terminatedAt = time.Now()
 	p.signal(syscall.SIGTERM)
 	kill := time.NewTimer(killAfter)
 	defer kill.Stop()
@@ -311,66 +311,66 @@
 		<-p.exited
 		p.t.Error("it is still there when it may be killed")
 	}
-	close(p.load.over)
+	close(p.load.done)
 	p.load.clients.Wait()
-	p.logged.Wait()
+	p.logReader.Wait()
 }
 
 // judge holds the play to the rules.
-func (p *play) judge() {
-	lag := time.Duration(p.lag.Load())
+func (p *soakRun) checkRules() {
+	lag := time.Duration(p.maxLag.Load())
 	counts := map[string]int{}
 	for _, r := range p.load.requests {
-		p.judgeAnswer(r, counts)
-		p.judgeAttempts(r, p.records.attempts[r.id], lag)
+		p.checkResult(r, counts)
+		p.checkAttempts(r, p.attempts.attempts[r.id], lag)
 	}
-	for _, line := range p.lines {
+	for _, line := range p.logLines {
 		if strings.Contains(line, "request ends without an answer") || strings.Contains(line, "panic") {
 			p.t.Error(line)
 		}
 	}
 	p.t.Logf("%d requests %v, this process late by %v at the most", len(p.load.requests), counts, lag)
 	if p.t.Failed() {
-		p.t.Logf("again: %s=%d go test -count=1 -run TestSoak ./gateway/soak\n%s", envSeeds, p.seed, strings.Join(p.lines, "\n"))
+		p.t.Logf("again: %s=%d go test -count=1 -run TestSoak ./gateway/soak\n%s", envSeeds, p.seed, strings.Join(p.logLines, "\n"))
 	}
 }
 
-func (p *play) judgeAnswer(r *request, counts map[string]int) {
-	own := fmt.Sprintf("%016x", r.id)
+func (p *soakRun) checkResult(r *request, counts map[string]int) {
+	id := fmt.Sprintf("%016x", r.id)
 	switch r.result {
-	case own:
+	case id:
 		counts["committed"]++
 	case "53300", "40000", "57014":
 		counts[r.result]++
-	case unread, gone:
+	case resultUnread, resultClientLeft:
 		counts[r.result]++
 	default:
-		p.t.Errorf("request %s, class %s, sent %v after SIGTERM, %v to wait: %s after %v; attempts %v", own, r.class,
-			r.sent.Sub(p.ending), r.budget, r.result, r.took, p.records.attempts[r.id])
+		p.t.Errorf("request %s, class %s, sent %v after SIGTERM, %v to wait: %s after %v; attempts %v", id, r.txnType,
+			r.sentAt.Sub(p.terminatedAt), r.timeout, r.result, r.latency, p.attempts.attempts[r.id])
 	}
 }
 
-func (p *play) judgeAttempts(r *request, attempts []attempt, lag time.Duration) {
-	own := fmt.Sprintf("%016x", r.id)
-	slices.SortFunc(attempts, func(a, b attempt) int { return a.at.Compare(b.at) })
-	if r.class == "once" && len(attempts) > 1 {
-		p.t.Errorf("request %s, once only, came to servers %d times", own, len(attempts))
+func (p *soakRun) checkAttempts(r *request, attempts []attempt, lag time.Duration) {
+	id := fmt.Sprintf("%016x", r.id)
+	slices.SortFunc(attempts, func(a, b attempt) int { return a.receivedAt.Compare(b.receivedAt) })
+	if r.txnType == "once" && len(attempts) > 1 {
+		p.t.Errorf("request %s, once only, came to servers %d times", id, len(attempts))
 	}
-	if r.result == "53300" && r.class != "any" && len(attempts) > 0 {
-		p.t.Errorf("request %s was declined, and came to a server", own)
+	if r.result == "53300" && r.txnType != "any" && len(attempts) > 0 {
+		p.t.Errorf("request %s was declined, and came to a server", id)
 	}
 	for i, a := range attempts {
-		if passed := a.at.Sub(attempts[0].at); r.class == "keyed" && passed > window+lag {
-			p.t.Errorf("request %s, keyed, came to %s %v behind its first attempt", own, a.server, passed)
+		if elapsed := a.receivedAt.Sub(attempts[0].receivedAt); r.txnType == "keyed" && elapsed > dedupWindow+lag {
+			p.t.Errorf("request %s, keyed, came to %s %v behind its first attempt", id, a.server, elapsed)
 		}
-		if left := r.sent.Add(r.budget).Sub(a.at); a.deadline > left+deadlineSlack+lag {
-			p.t.Errorf("request %s: %s is told %v, its client waits %v", own, a.server, a.deadline, left)
+		if remaining := r.sentAt.Add(r.timeout).Sub(a.receivedAt); a.timeout > remaining+timeoutTolerance+lag {
+			p.t.Errorf("request %s: %s is told %v, its client waits %v", id, a.server, a.timeout, remaining)
 		}
-		if behind := a.at.Sub(r.left); !r.left.IsZero() && behind > leftSlack+mostStopped+lag {
-			p.t.Errorf("request %s: attempt %d begins %v after its client left", own, i+1, behind)
+		if delay := a.receivedAt.Sub(r.leftAt); !r.leftAt.IsZero() && delay > leaveTolerance+maxStopDuration+lag {
+			p.t.Errorf("request %s: attempt %d begins %v after its client left", id, i+1, delay)
 		}
-		if told := p.list.leftAt; a.server == p.drained && !told.IsZero() && a.at.Sub(told) > mostOfDrainDue+mostStopped+lag {
-			p.t.Errorf("request %s came to %s %v after its drain was told", own, a.server, a.at.Sub(told))
+		if listedAt := p.discovery.drainListedAt; a.server == p.drainingServer && !listedAt.IsZero() && a.receivedAt.Sub(listedAt) > maxDrainDelay+maxStopDuration+lag {
+			p.t.Errorf("request %s came to %s %v after its drain was told", id, a.server, a.receivedAt.Sub(listedAt))
 		}
 	}
 }
--- a/gateway/told_test.go
+++ b/gateway/told_test.go
@@ -17,7 +17,7 @@
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 34))
 		upTo := func(span decide.Nanos) decide.Nanos { return decide.Nanos(rng.Int64N(int64(span))) }
-		settings := strings.Replace(heldSettings, `"askWithinMs":10000`, `"askWithinMs":`+[]string{"4000", "10000", "60000"}[seed%3], 1)
+		settings := strings.Replace(testSettings, `"askWithinMs":10000`, `"askWithinMs":`+[]string{"4000", "10000", "60000"}[seed%3], 1)
 		g, err := decide.New(seed, []byte(settings))
 		if err != nil {
 			t.Fatal(err)
--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -67,7 +67,7 @@
 // rested waits until members' idle connections have rested, so that the next query goes on one of them.
 func (g *Gateway) rested() {
 	for all := false; !all; {
-		g.hold(func() {
+		g.runOnLoop(func() {
 			all = true
 			for _, ref := range g.members.conns.Refs() {
 				m := g.members.conns.Get(ref)
@@ -78,15 +78,15 @@
 }
 
 // admit takes a connection of the gateway's up to its first query.
-func (s *script) admit(t *testing.T) *end {
-	up := s.next(t)
-	up.startup()
-	up.ready()
+func (s *scriptedServer) admit(t *testing.T) *testConn {
+	up := s.accept(t)
+	up.readStartup()
+	up.sendReady()
 	return up
 }
 
 // told words the next call to discovery.
-func (e *end) told(t *testing.T) string {
+func (e *testConn) told(t *testing.T) string {
 	line, err := e.r.ReadString('\n')
 	if err != nil {
 		t.Fatal("no call: ", err)
@@ -100,7 +100,7 @@
 }
 
 // ended waits for the end of a connection.
-func (e *end) ended() string {
+func (e *testConn) ended() string {
 	if _, err := io.Copy(io.Discard, e.r); err != nil {
 		return "the connection broke"
 	}
@@ -110,47 +110,47 @@
 func TestTranscriptOfAnEndThatQueriesCross(t *testing.T) {
 	t.Parallel()
 	r := &recorder{t: t}
-	d, m := newScript(t), newScript(t)
-	g, ended, stop := heldGateway(t, d, m.host("m", "active"))
-	d.next(t).call(t)
-	a, b, last := heldClient(t, g), heldClient(t, g), heldClient(t, g)
-	last.ask("once", 9000) // which is never sent twice, however long it takes
+	d, m := newScriptedServer(t), newScriptedServer(t)
+	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
+	d.accept(t).readCall(t)
+	a, b, last := connectClient(t, g), connectClient(t, g), connectClient(t, g)
+	last.sendRead("once", 9000) // which is never sent twice, however long it takes
 	held := m.admit(t)
-	held.query()
+	held.readQuery()
 	r.says("last", "asks for a write; the member does not answer yet")
-	a.ask("any", 9000)
+	a.sendRead("any", 9000)
 	up := m.admit(t)
-	up.query()
-	up.row("m", "read-only")
-	r.says("a", "%s", a.answer())
+	up.readQuery()
+	up.sendRow("m", "read-only")
+	r.says("a", "%s", a.readResponse())
 	g.rested()
 	stop()
 	for leaves := false; !leaves; {
-		g.hold(func() { leaves = g.leaving })
+		g.runOnLoop(func() { leaves = g.leaving })
 	}
 	r.says("operator", "SIGTERM")
 	r.says("a", "asks in the moment in which clients are sent away, and is not read yet")
-	g.hold(func() {
+	g.runOnLoop(func() {
 		for _, ref := range g.clients.open.Refs() {
 			if c := g.clients.open.Get(ref); c.asked && c.stage == quiet {
-				a.ask("any", 9000)
+				a.sendRead("any", 9000)
 				awaitUnread(t, c.conn.Fd())
 			}
 		}
 		g.closeIdleClients()
 	})
-	up.query()
-	up.row("m", "read-only")
-	r.says("a", "%s, then %s", a.answer(), a.ended())
+	up.readQuery()
+	up.sendRow("m", "read-only")
+	r.says("a", "%s, then %s", a.readResponse(), a.ended())
 	r.says("b", "has asked nothing: %s", b.ended())
-	again := heldClient(t, g)
+	again := connectClient(t, g)
 	g.rested()
-	again.ask("any", 9000)
-	up.query()
-	up.row("m", "read-only")
-	r.says("a", "asks once more on a new connection what crossed the end of another: %s", again.answer())
-	held.row("m", "read-only")
-	r.says("last", "%s, then %s", last.answer(), last.ended())
+	again.sendRead("any", 9000)
+	up.readQuery()
+	up.sendRow("m", "read-only")
+	r.says("a", "asks once more on a new connection what crossed the end of another: %s", again.readResponse())
+	held.sendRow("m", "read-only")
+	r.says("last", "%s, then %s", last.readResponse(), last.ended())
 	_ = again.Close()
 	r.says("gateway", "ends: %v", <-ended)
 	r.approve("end-crossed")
@@ -159,50 +159,50 @@
 func TestTranscriptOfACancelledQuery(t *testing.T) {
 	t.Parallel()
 	r := &recorder{t: t}
-	d, m := newScript(t), newScript(t)
-	g, ended, stop := heldGateway(t, d, m.host("m", "active"))
-	c := heldClient(t, g)
+	d, m := newScriptedServer(t), newScriptedServer(t)
+	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
+	c := connectClient(t, g)
 	var key pgwire.CancelKey
-	g.hold(func() { key = g.clients.open.Get(g.clients.open.Refs()[0]).key })
+	g.runOnLoop(func() { key = g.clients.open.Get(g.clients.open.Refs()[0]).key })
 	cancel := func(key pgwire.CancelKey) {
-		e := newEnd(dialled(t, g))
+		e := newTestConn(dialGateway(t, g))
 		message := binary.BigEndian.AppendUint32([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key.Process)
 		_, _ = e.Write(binary.BigEndian.AppendUint32(message, key.Secret))
 		r.says("another", "sends a cancel request; %s", e.ended())
 	}
-	c.ask("any", 9000)
+	c.sendRead("any", 9000)
 	up := m.admit(t)
-	text, _ := up.query()
+	text, _ := up.readQuery()
 	r.says("member", "gets %s", text)
 	r.says("another", "has a key that does not fit")
 	cancel(pgwire.CancelKey{Process: key.Process, Secret: key.Secret + 1})
 	r.says("another", "has the key")
 	cancel(key)
-	r.says("client", "%s", c.answer())
+	r.says("client", "%s", c.readResponse())
 	r.says("member", "%s", up.ended())
-	c.ask("any", 9000)
+	c.sendRead("any", 9000)
 	up = m.admit(t)
-	up.query()
-	up.row("m", "read-only")
-	r.says("client", "asks the next: %s", c.answer())
+	up.readQuery()
+	up.sendRow("m", "read-only")
+	r.says("client", "asks the next: %s", c.readResponse())
 	r.says("another", "cancels behind the answer")
 	cancel(key)
 	g.rested()
-	c.ask("any", 9000)
-	up.query()
-	up.row("m", "read-only")
-	r.says("client", "asks the next: %s", c.answer())
+	c.sendRead("any", 9000)
+	up.readQuery()
+	up.sendRow("m", "read-only")
+	r.says("client", "asks the next: %s", c.readResponse())
 	stop()
 	<-ended
 	r.approve("cancelled")
 }
 
 // follows starts a gateway that follows the list of a discovery, which is called so, with one member.
-func (r *recorder) follows(called string, d, a *script) (g *Gateway, watch *end, stop func()) {
-	g, ended, leave := heldGatewayThatLogs(r.t, slog.New(r), d, a.host("a", "active"))
-	watch = d.next(r.t)
+func (r *recorder) follows(called string, d, a *scriptedServer) (g *Gateway, watch *testConn, stop func()) {
+	g, ended, leave := startTestGatewayWithLog(r.t, slog.New(r), d, a.listEntry("a", "active"))
+	watch = d.accept(r.t)
 	r.says("gateway", "%s", watch.told(r.t))
-	watch.list(5, a.host("a", "active"))
+	watch.sendList(5, a.listEntry("a", "active"))
 	r.says(called, "list 5: a is active")
 	r.says("gateway", "%s", watch.told(r.t))
 	return g, watch, func() { leave(); <-ended }
@@ -211,29 +211,29 @@
 func TestTranscriptOfASilentWatchBeforeADrain(t *testing.T) {
 	t.Parallel()
 	r := &recorder{t: t}
-	d, a, b := newScript(t), newScript(t), newScript(t)
+	d, a, b := newScriptedServer(t), newScriptedServer(t), newScriptedServer(t)
 	g, watch, end := r.follows("discovery", d, a)
-	c := heldClient(t, g)
-	c.ask("any", 9000)
+	c := connectClient(t, g)
+	c.sendRead("any", 9000)
 	idle := a.admit(t)
-	idle.query()
-	idle.row("a", "read-only")
-	r.says("client", "%s", c.answer())
+	idle.readQuery()
+	idle.sendRow("a", "read-only")
+	r.says("client", "%s", c.readResponse())
 	r.says("discovery", "falls silent, and a begins to drain")
-	g.timesOut(callWatch)
-	again := d.next(t)
+	g.expireCall(callWatch)
+	again := d.accept(t)
 	r.says("gateway", "%s", again.told(t))
-	again.list(6, a.host("a", "leaving"), b.host("b", "active"))
+	again.sendList(6, a.listEntry("a", "leaving"), b.listEntry("b", "active"))
 	r.says("discovery", "list 6: a is leaving, b is active")
 	r.says("a", "%s", idle.ended())
 	r.says("gateway", "%s", again.told(t))
-	c.ask("any", 9000)
+	c.sendRead("any", 9000)
 	up := b.admit(t)
-	up.query()
-	up.row("b", "read-only")
-	r.says("client", "%s", c.answer())
+	up.readQuery()
+	up.sendRow("b", "read-only")
+	r.says("client", "%s", c.readResponse())
 	r.says("discovery", "the watch that was silent brings what it missed")
-	watch.list(6, a.host("a", "leaving"), b.host("b", "active"))
+	watch.sendList(6, a.listEntry("a", "leaving"), b.listEntry("b", "active"))
 	r.says("gateway", "%s of the silent watch", watch.ended())
 	r.approve("silent-watch")
 	end()
@@ -242,28 +242,28 @@
 func TestTranscriptOfAReload(t *testing.T) {
 	t.Parallel()
 	r := &recorder{t: t}
-	former, next, a, b := newScript(t), newScript(t), newScript(t), newScript(t)
+	former, next, a, b := newScriptedServer(t), newScriptedServer(t), newScriptedServer(t), newScriptedServer(t)
 	g, watch, end := r.follows("former", former, a)
 	c := g.config
-	c.Discovery = next.at()
+	c.Discovery = next.address()
 	r.says("operator", "SIGHUP, with another discovery; an answer of the former one is in the socket then")
-	g.hold(func() {
-		watch.list(6, a.host("a", "leaving"))
+	g.runOnLoop(func() {
+		watch.sendList(6, a.listEntry("a", "leaving"))
 		awaitUnread(t, g.discovery.calls[callWatch].conn.Fd())
 		g.reload(c)
 	})
 	r.says("former", "%s", watch.ended())
-	call := next.next(t)
+	call := next.accept(t)
 	r.says("gateway", "%s", call.told(t))
-	call.list(2, a.host("a", "active"), b.host("b", "leaving"))
+	call.sendList(2, a.listEntry("a", "active"), b.listEntry("b", "leaving"))
 	r.says("next", "list 2, by numbers of its own: a is active, b is leaving")
 	r.says("gateway", "%s", call.told(t))
-	asks := heldClient(t, g)
-	asks.ask("any", 9000)
+	asks := connectClient(t, g)
+	asks.sendRead("any", 9000)
 	up := a.admit(t)
-	up.query()
-	up.row("a", "read-only")
-	r.says("client", "%s", asks.answer())
+	up.readQuery()
+	up.sendRow("a", "read-only")
+	r.says("client", "%s", asks.readResponse())
 	r.approve("reload")
 	end()
 }
