--- a/gateway/soak/clients_test.go
+++ b/gateway/soak/clients_test.go
@@ -18,33 +18,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// request is what a client asked and what came of it.
+// request is a client's request and its result.
 type request struct {
 	id      uint64
 	txnType string
 	sentAt  time.Time
 	timeout time.Duration
-	leftAt  time.Time // when its client closed or cancelled, zero while it did not
-	result  string    // a value, an error's code, or how its connection ended
+	leftAt  time.Time // when the client closed or cancelled; zero if it did neither
+	result  string    // a value, an error code, or how the connection ended
 	latency time.Duration
 }
 
-// Results that are no answer.
+// Results of requests that got no response.
 const (
-	resultUnread     = "connection ended, request unread" // by the gateway: it was never taken
-	resultLost       = "connection ended without an answer"
-	resultTimeout    = "no answer in time"
+	resultUnread     = "connection ended, request unread" // the gateway closed the connection and never took the request
+	resultLost       = "connection ended without a response"
+	resultTimeout    = "no response in time"
 	resultClientLeft = "client left"
 )
 
-// answerSlack is by how much an answer may come behind the request's deadline.
+// responseTolerance is how long after the request's deadline a response may still arrive.
 const responseTolerance = 500 * time.Millisecond
 
-// load is the clients of a play.
+// clientLoad runs the clients of a soak run and collects their requests.
 type clientLoad struct {
 	address  string
 	lastID   atomic.Uint64
-	done     chan struct{} // closed when no request is sent any more
+	done     chan struct{} // closed to stop the clients
 	clients  sync.WaitGroup
 	mu       sync.Mutex
 	requests []*request
@@ -67,16 +67,16 @@
 
 const startupMessage = "\x00\x00\x00\x16\x00\x03\x00\x00user\x00portal\x00\x00\x00"
 
-// connection is a client's, past the startup.
+// clientConn is a client's connection.
 type clientConn struct {
 	*net.TCPConn
 	r         *bufio.Reader
-	cancelKey string // of a cancel request
+	cancelKey string // process id and secret for a cancel request
 }
 
-var errRejected = errors.New("turned away")
+var errRejected = errors.New("connection rejected")
 
-// connect opens a connection. It fails where the gateway is not there or turns it away.
+// connect opens a connection and completes the startup. It fails if the gateway is unreachable or rejects the client.
 func (l *clientLoad) connect() (*clientConn, error) {
 	raw, err := net.DialTimeout("tcp4", l.address, time.Second)
 	if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// newRequest draws one.
+// newRequest draws a random type and timeout and records the request.
 func (l *clientLoad) newRequest(random *rand.Rand) *request {
 	txnType := []string{"any", "any", "any", "keyed", "once"}[random.IntN(5)]
 	r := &request{id: l.lastID.Add(1), txnType: txnType, timeout: time.Duration(100+random.IntN(900)) * time.Millisecond}
@@ -113,6 +113,7 @@
 	return r
 }
 
+// statement returns the query message of the request.
 func (r *request) statement() string {
 	head := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=0", r.id, r.txnType, r.timeout.Milliseconds())
 	switch r.txnType {
@@ -124,7 +125,8 @@
 	return message('Q', head+" */ INSERT INTO facts (code, data) VALUES ('7f3a', '\\x9f03') RETURNING data\x00")
 }
 
-// await reads a request's answer. Answers come in order, so that it is due once those before it are here.
+// readResponse reads the response to a request and reports whether the connection is still open. Responses come in
+// order, so a request whose deadline passed while earlier responses were read gets the tolerance from now on.
 func (c *clientConn) readResponse(r *request, tolerance time.Duration) (open bool) {
 	due := r.sentAt.Add(r.timeout)
 	if now := time.Now(); now.After(due) {
@@ -152,9 +154,10 @@
 	}
 }
 
-// ended tells whether the gateway had read the request when it ended the connection: a close over something unread resets
-// it, at once or when the request comes behind the close. What its kernel never acknowledged it has not read either: a segment
-// that crosses the close can be dropped, and the reset comes with its repeat.
+// classifyClose determines whether the gateway had read the request when it closed the connection. Closing with unread
+// data resets the connection, at once or when the request arrives after the close. A request that the gateway's kernel
+// never acknowledged was not read either: a segment that crosses the close can be dropped, and the reset follows only its
+// retransmission.
 func (c *clientConn) classifyClose(err error) string {
 	if errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) {
 		return resultUnread
@@ -179,7 +182,7 @@
 	return result
 }
 
-// steady asks on one connection for as long as it stays open, then on the next.
+// runSteady sends batches of requests on one connection for as long as it stays open, then reconnects.
 func (l *clientLoad) runSteady(random *rand.Rand, batchSize int, tolerance time.Duration) {
 	for !l.isDone() {
 		c, err := l.connect()
@@ -195,7 +198,7 @@
 	}
 }
 
-// askSome sends some requests at once and reads their answers in order.
+// sendBatch sends a batch of requests in one write and reads their responses in order.
 func (l *clientLoad) sendBatch(c *clientConn, random *rand.Rand, batchSize int, tolerance time.Duration) (open bool) {
 	var batch []*request
 	messages := ""
@@ -218,7 +221,7 @@
 		if c.readResponse(r, tolerance) {
 			continue
 		}
-		for _, behind := range batch[i+1:] { // answered in order, or not at all
+		for _, behind := range batch[i+1:] { // responses are ordered: none follows a missing one
 			behind.result = r.result
 		}
 		return false
@@ -226,7 +229,7 @@
 	return true
 }
 
-// leaving clients ask and close or reset a moment later.
+// runLeaving sends requests and closes or resets each connection a moment later.
 func (l *clientLoad) runLeaving(random *rand.Rand) {
 	for !l.isDone() {
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
@@ -249,7 +252,7 @@
 	}
 }
 
-// cancelling clients cancel a moment after they have asked, and read what comes.
+// runCancelling sends requests, cancels each a moment later, and reads the response.
 func (l *clientLoad) runCancelling(random *rand.Rand, tolerance time.Duration) {
 	for !l.isDone() {
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
@@ -277,7 +280,7 @@
 	}
 }
 
-// slowWriters send a request byte by byte.
+// runSlowWriter sends requests byte by byte.
 func (l *clientLoad) runSlowWriter(random *rand.Rand, tolerance time.Duration) {
 	for !l.isDone() {
 		c, err := l.connect()
@@ -300,7 +303,7 @@
 	}
 }
 
-// crowd opens connections that say nothing, or half of a message, and stay.
+// runIdleCrowd opens connections that send nothing or half a message, and keeps them open.
 func (l *clientLoad) runIdleCrowd(random *rand.Rand, size int) {
 	var open []net.Conn
 	defer func() {
--- a/gateway/soak/main_test.go
+++ b/gateway/soak/main_test.go
@@ -17,7 +17,7 @@
 	"magpieglade/gateway"
 )
 
-// envFaults makes this test program a gateway whose system calls fail by a seed.
+// envFaults holds a seed and makes this test program run a gateway whose system calls fail at times drawn from it.
 const envFaults = "MAGPIEGLADE_SOAK_FAULTS"
 
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// serve is the program's command of this name, on a network that fails.
+// runGateway does what the program's serve command does, on a failing network.
 func runGateway(seedText string) error {
 	seed, err := strconv.ParseUint(seedText, 10, 64)
 	if err != nil {
@@ -63,7 +63,8 @@
 	return g.Run(ctx)
 }
 
-// failingNetwork is the operating system's, with spells in which accept or connect fail as Linux documents.
+// failingNetwork is the operating system's network with periods in which accept or connect return errors that Linux
+// documents for them.
 type failingNetwork struct {
 	gateway.SystemNetwork
 	acceptFaults, dialFaults *faultPeriods
@@ -78,7 +79,7 @@
 	}
 }
 
-// Listen fails for a moment at first.
+// Listen fails on the first call.
 func (n *failingNetwork) Listen(address netip.AddrPort) (net.Listener, error) {
 	if err := n.acceptFaults.firstError(); err != nil {
 		return nil, err
@@ -90,7 +91,7 @@
 	return &failingListener{Listener: l, faults: n.acceptFaults}, nil
 }
 
-// Dial gives small buffers, so that writes are short.
+// Dial sets small write buffers, so that short writes occur.
 func (n *failingNetwork) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	if err := n.dialFaults.currentError(); err != nil {
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
@@ -109,7 +110,8 @@
 	faults *faultPeriods
 }
 
-// Accept fails behind the kernel's, as a connection that is lost by it is no request that was read.
+// Accept returns an injected error before it calls the kernel's accept: such a failure takes no connection from the
+// backlog, and so loses no request that was read.
 func (l *failingListener) Accept() (net.Conn, error) {
 	if err := l.faults.currentError(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: err}
@@ -121,13 +123,14 @@
 	return c, c.(*net.TCPConn).SetWriteBuffer(writeBufferSize)
 }
 
-// Lengths of spells: good ones up to, bad ones up to.
+// Upper bounds of the random lengths of fault-free and faulty periods.
 const (
 	maxHealthyPeriod = 800 * time.Millisecond
 	maxFaultPeriod   = 150 * time.Millisecond
 )
 
-// spells are times in which all calls of a kind fail with one error, and times between them.
+// faultPeriods alternates between periods in which every call of a kind fails with one error and periods in which
+// none fails.
 type faultPeriods struct {
 	mu      sync.Mutex
 	random  *rand.Rand
@@ -142,32 +145,32 @@
 	return &faultPeriods{random: random, errors: errors, failing: true, until: time.Now()}
 }
 
-// now is what a call at this moment fails with, nil if it does not.
-func (s *faultPeriods) currentError() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for !time.Now().Before(s.until) {
-		s.failing = !s.failing
+// currentError returns the error of a call made now, nil in a fault-free period.
+func (p *faultPeriods) currentError() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for !time.Now().Before(p.until) {
+		p.failing = !p.failing
 		maxPeriod := maxHealthyPeriod
-		if s.failing {
+		if p.failing {
 			maxPeriod = maxFaultPeriod
-			s.err = s.errors[s.random.IntN(len(s.errors))]
+			p.err = p.errors[p.random.IntN(len(p.errors))]
 		}
-		s.until = time.Now().Add(time.Duration(s.random.Int64N(int64(maxPeriod))))
+		p.until = time.Now().Add(time.Duration(p.random.Int64N(int64(maxPeriod))))
 	}
-	if s.failing {
-		return s.err
+	if p.failing {
+		return p.err
 	}
 	return nil
 }
 
-// once fails the first time that it is asked.
-func (s *faultPeriods) firstError() error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.fired {
+// firstError returns an error on the first call and nil afterwards.
+func (p *faultPeriods) firstError() error {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.fired {
 		return nil
 	}
-	s.fired = true
+	p.fired = true
 	return syscall.ENOBUFS
 }
--- a/gateway/soak/servers_test.go
+++ b/gateway/soak/servers_test.go
@@ -16,34 +16,35 @@
 	"time"
 )
 
-// attempt is a statement that came to a server.
+// attempt is a transaction's statement as a server received it.
 type attempt struct {
 	server     string
 	txnType    string
 	receivedAt time.Time
-	timeout    time.Duration // that the gateway passed on
+	timeout    time.Duration // time left to the client, as the gateway passed it on
 }
 
-// records keep what servers saw, by request.
+// attemptLog holds the attempts that the servers received, by request id.
 type attemptLog struct {
-	mu       sync.Mutex
-	attempts map[uint64][]attempt
+	mu   sync.Mutex
+	byID map[uint64][]attempt
 }
 
 func (r *attemptLog) add(id uint64, a attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.attempts[id] = append(r.attempts[id], a)
+	r.byID[id] = append(r.byID[id], a)
 }
 
-// server is a database server that answers with the request's id, and sometimes not as it should.
+// server is a stand-in for a database server. It returns the request's id as the value, and some statements fail at
+// random.
 type server struct {
 	name, mode string
 	listener   net.Listener
 	attempts   *attemptLog
 	mu         sync.Mutex
 	random     *rand.Rand
-	hangUntil  time.Time // until when it answers nothing
+	hangUntil  time.Time // no response is sent before this time
 	conns      map[net.Conn]bool
 }
 
@@ -77,14 +78,14 @@
 	}
 }
 
-// hang answers nothing for a while.
+// hang delays all responses by the given duration from now on.
 func (s *server) hang(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hangUntil = time.Now().Add(duration)
 }
 
-// behaviour is how a server deals with a statement.
+// behaviour is how a server handles a statement.
 type behaviour int
 
 const (
@@ -95,6 +96,7 @@
 	returnError
 )
 
+// nextBehaviour draws how the server handles the next statement and how long it waits before that.
 func (s *server) nextBehaviour() (b behaviour, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +148,7 @@
 			s.attempts.add(id, attempt{s.name, match[2], time.Now(), time.Duration(left) * time.Millisecond})
 		}
 		b, delay := s.nextBehaviour()
-		if match == nil {
+		if match == nil { // a probe
 			b = respond
 		}
 		time.Sleep(delay)
@@ -156,7 +158,7 @@
 	}
 }
 
-// reply answers a statement; false is the end of the connection.
+// reply responds to a statement and reports whether the connection stays open.
 func (s *server) reply(c net.Conn, r *bufio.Reader, b behaviour, value string) bool {
 	status := message('S', "mode\x00"+s.mode+"\x00") + message('S', fmt.Sprintf("wal_time\x00%d\x00", time.Now().UnixMilli())) + message('Z', "I")
 	row := message('T', "\x00\x01data\x00"+strings.Repeat("\x00", 18)) +
@@ -189,7 +191,7 @@
 	return head[0], body, err
 }
 
-// discovery is the list service, at two addresses.
+// discovery is a stand-in for the list service, listening on two addresses.
 type discovery struct {
 	listeners     [2]net.Listener
 	mu            sync.Mutex
@@ -197,7 +199,7 @@
 	hosts         []map[string]any
 	changed       chan struct{}
 	down          bool
-	drainListedAt time.Time // when a list with a draining server was first written
+	drainListedAt time.Time // when a list with a draining server was first sent
 }
 
 func newDiscovery() (*discovery, error) {
@@ -243,7 +245,7 @@
 	return map[string]any{"seq": d.version, "whole": true, "hosts": d.hosts}
 }
 
-// ServeHTTP answers a call, or a watch once there is something new.
+// ServeHTTP responds to a call at once, and to a watch when the list changes or its wait expires.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	d.mu.Lock()
--- a/gateway/soak/soak_test.go
+++ b/gateway/soak/soak_test.go
@@ -1,6 +1,6 @@
-// Package soak plays a gateway's process among stand-ins on loopback, with faults drawn by a seed: system calls that fail,
-// signals in series, clients that leave, cancel or crowd, servers that hang, reset or drain, discovery that is down. Each play
-// is judged by the five rules.
+// Package soak runs a gateway process against stand-ins on loopback, with faults drawn from a seed: failing system calls,
+// repeated signals, clients that leave, cancel or take up all connections, servers that hang, reset or drain, and an
+// unavailable discovery service. Each run is checked against the five rules.
 package soak
 
 import (
@@ -25,7 +25,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// envSeeds names the seeds to play, as 1-50.
+// envSeeds selects the seeds to run, as 7 or 1-50.
 const envSeeds = "MAGPIEGLADE_SOAK_SEEDS"
 
 const defaultSeeds = "1-36"
@@ -42,21 +42,21 @@
  "rules":{"askWithinMs":10000,"coldFrom":0.2,"coldMs":10000,"drainGraceMs":250,"fallMultiple":2,"overloadForMs":1000},
  "machineTypes":["m"],"zones":["a"],"tickMs":5}`
 
-// Spans of a play and bounds of the rules.
+// Durations of a run and bounds of the rules.
 const (
-	runDuration      = 2500 * time.Millisecond
-	maxTxnWait       = 2000 * time.Millisecond // that a class of the settings waits
+	runDuration      = 2500 * time.Millisecond // until SIGTERM
+	maxTxnWait       = 2000 * time.Millisecond // the longest hardLimitMs of the settings
 	killAfter        = maxTxnWait + 700*time.Millisecond
-	dedupWindow      = 800 * time.Millisecond // of the keyed class
+	dedupWindow      = 800 * time.Millisecond // windowMs of the keyed class
 	drainGrace       = 250 * time.Millisecond
-	timeoutTolerance = 150 * time.Millisecond // of the deadline passed on
-	leaveTolerance   = 100 * time.Millisecond // for an attempt behind its client's close
-	maxStopDuration  = 100 * time.Millisecond // that SIGSTOP holds the process
+	timeoutTolerance = 150 * time.Millisecond // on the time left that the gateway passes on
+	leaveTolerance   = 100 * time.Millisecond // for an attempt after its client left
+	maxStopDuration  = 100 * time.Millisecond // for which SIGSTOP suspends the process
 	socketLimit      = 192
 	maxDrainDelay    = drainGrace + 150*time.Millisecond
 )
 
-// play is one seed's.
+// soakRun is the run of one seed.
 type soakRun struct {
 	t              *testing.T
 	seed           uint64
@@ -67,11 +67,11 @@
 	discovery      *discovery
 	load           *clientLoad
 	process        *exec.Cmd
-	logLines       []string // of the process's log
+	logLines       []string // the gateway process's log
 	logReader      sync.WaitGroup
 	exited         chan error
-	maxLag         atomic.Int64 // by which this process was late at the most, in nanoseconds
-	drainingServer string       // server that a list calls draining
+	maxLag         atomic.Int64 // the longest scheduling delay of this process, in nanoseconds
+	drainingServer string       // the server listed as draining
 	terminatedAt   time.Time    // when the first SIGTERM was sent
 }
 
@@ -95,13 +95,13 @@
 	return selected
 }
 
-// TestSoak plays seeds and judges them by the rules.
+// TestSoak runs each seed and checks it against the rules.
 func TestSoak(t *testing.T) {
 	for _, seed := range seedRange(t) {
 		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) {
 			t.Parallel()
 			p := &soakRun{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 0)), dir: t.TempDir(),
-				attempts: &attemptLog{attempts: map[uint64][]attempt{}}, exited: make(chan error, 1)}
+				attempts: &attemptLog{byID: map[uint64][]attempt{}}, exited: make(chan error, 1)}
 			p.run()
 		})
 	}
@@ -132,7 +132,7 @@
 	p.checkRules()
 }
 
-// watchLag measures by how much this process is late, which its own times may not be blamed on the gateway for.
+// measureLag measures this process's longest scheduling delay, which the checks must not attribute to the gateway.
 func (p *soakRun) measureLag() (stop func()) {
 	done := make(chan struct{})
 	go func() {
@@ -184,11 +184,11 @@
 	select {
 	case <-listening:
 	case err := <-p.exited:
-		p.t.Fatal("it does not start: ", err, p.logLines)
+		p.t.Fatal("the gateway did not start: ", err, p.logLines)
 	}
 }
 
-// configure writes the file, with discovery at one of its addresses.
+// writeConfig replaces the configuration file; discovery is at the address of this index.
 func (p *soakRun) writeConfig(addressIndex int) {
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": p.load.address, "discovery": p.discovery.listeners[addressIndex].Addr().String(),
 		"seed": strconv.FormatUint(p.seed, 16), "limits": map[string]any{"memory_mb": 192, "sockets": socketLimit}, "known": p.discovery.list(),
@@ -220,7 +220,7 @@
 
 func (p *soakRun) signal(s syscall.Signal) { _ = p.process.Process.Signal(s) }
 
-// faultsUntil brings about one fault after another.
+// injectFaults injects one random fault after another.
 func (p *soakRun) injectFaults(end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(p.random.IntN(200)) * time.Millisecond)
@@ -251,8 +251,8 @@
 	}
 }
 
-// hearsNewClient has a client that was never there before admitted, or told that there is no room for it: faults of accept
-// last for a moment only.
+// checkNewClient checks that a new client is accepted, or rejected with an error, within maxTxnWait: accept must recover
+// when its faults end.
 func (p *soakRun) checkNewClient() {
 	for end := time.Now().Add(maxTxnWait); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		c, err := p.load.connect()
@@ -263,10 +263,10 @@
 			return
 		}
 	}
-	p.t.Error("no new client is heard")
+	p.t.Error("no new client was accepted or rejected")
 }
 
-// refuseDescriptors has the kernel refuse the process any new descriptor for a while.
+// denyDescriptors makes the kernel deny the process new descriptors for a while.
 func (p *soakRun) denyDescriptors(duration time.Duration) {
 	var original unix.Rlimit
 	pid := p.process.Process.Pid
@@ -276,7 +276,7 @@
 	p.must(unix.Prlimit(pid, unix.RLIMIT_NOFILE, &original, nil))
 }
 
-// drain has the list call a replica draining; it stays up.
+// drainReplica lists a replica as draining, once per run; the replica keeps running.
 func (p *soakRun) drainReplica() {
 	if p.drainingServer != "" {
 		return
@@ -286,7 +286,8 @@
 	p.discovery.setHosts(p.servers[0].listEntry("active"), p.servers[1].listEntry("active"), replica.listEntry("leaving"))
 }
 
-// end tells the process to end, more than once, and kills it as late as the platform may do so at the earliest.
+// shutDown sends SIGTERM and further signals, and fails if the process still runs at the earliest time at which the
+// platform may kill it.
 func (p *soakRun) shutDown() {
 	p.terminatedAt = time.Now()
 	p.signal(syscall.SIGTERM)
@@ -304,37 +305,39 @@
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			p.t.Errorf("it ends with %v", err)
+			p.t.Errorf("the gateway exited with %v", err)
 		}
 	case <-kill.C:
 		_ = p.process.Process.Kill()
 		<-p.exited
-		p.t.Error("it is still there when it may be killed")
+		p.t.Error("the gateway still ran when the platform may kill it")
 	}
 	close(p.load.done)
 	p.load.clients.Wait()
 	p.logReader.Wait()
 }
 
-// judge holds the play to the rules.
+// checkRules checks every request of the run against the rules.
 func (p *soakRun) checkRules() {
 	lag := time.Duration(p.maxLag.Load())
 	counts := map[string]int{}
 	for _, r := range p.load.requests {
 		p.checkResult(r, counts)
-		p.checkAttempts(r, p.attempts.attempts[r.id], lag)
+		p.checkAttempts(r, p.attempts.byID[r.id], lag)
 	}
 	for _, line := range p.logLines {
 		if strings.Contains(line, "request ends without an answer") || strings.Contains(line, "panic") {
 			p.t.Error(line)
 		}
 	}
-	p.t.Logf("%d requests %v, this process late by %v at the most", len(p.load.requests), counts, lag)
+	p.t.Logf("%d requests %v, longest scheduling delay of this process %v", len(p.load.requests), counts, lag)
 	if p.t.Failed() {
-		p.t.Logf("again: %s=%d go test -count=1 -run TestSoak ./gateway/soak\n%s", envSeeds, p.seed, strings.Join(p.logLines, "\n"))
+		p.t.Logf("rerun: %s=%d go test -count=1 -run TestSoak ./gateway/soak\n%s", envSeeds, p.seed, strings.Join(p.logLines, "\n"))
 	}
 }
 
+// checkResult checks that the request got its own value, one of the expected errors, or no response for a reason that
+// the rules allow, and counts it.
 func (p *soakRun) checkResult(r *request, counts map[string]int) {
 	id := fmt.Sprintf("%016x", r.id)
 	switch r.result {
@@ -345,32 +348,33 @@
 	case resultUnread, resultClientLeft:
 		counts[r.result]++
 	default:
-		p.t.Errorf("request %s, class %s, sent %v after SIGTERM, %v to wait: %s after %v; attempts %v", id, r.txnType,
-			r.sentAt.Sub(p.terminatedAt), r.timeout, r.result, r.latency, p.attempts.attempts[r.id])
+		p.t.Errorf("request %s, type %s, sent %v after SIGTERM, timeout %v: %s after %v; attempts %v", id, r.txnType,
+			r.sentAt.Sub(p.terminatedAt), r.timeout, r.result, r.latency, p.attempts.byID[r.id])
 	}
 }
 
+// checkAttempts checks the attempts that servers received for a request: how many, how late, and with which timeout.
 func (p *soakRun) checkAttempts(r *request, attempts []attempt, lag time.Duration) {
 	id := fmt.Sprintf("%016x", r.id)
 	slices.SortFunc(attempts, func(a, b attempt) int { return a.receivedAt.Compare(b.receivedAt) })
 	if r.txnType == "once" && len(attempts) > 1 {
-		p.t.Errorf("request %s, once only, came to servers %d times", id, len(attempts))
+		p.t.Errorf("request %s, once only, reached servers %d times", id, len(attempts))
 	}
 	if r.result == "53300" && r.txnType != "any" && len(attempts) > 0 {
-		p.t.Errorf("request %s was declined, and came to a server", id)
+		p.t.Errorf("request %s was rejected but reached a server", id)
 	}
 	for i, a := range attempts {
 		if elapsed := a.receivedAt.Sub(attempts[0].receivedAt); r.txnType == "keyed" && elapsed > dedupWindow+lag {
-			p.t.Errorf("request %s, keyed, came to %s %v behind its first attempt", id, a.server, elapsed)
+			p.t.Errorf("request %s, keyed, reached %s %v after its first attempt", id, a.server, elapsed)
 		}
 		if remaining := r.sentAt.Add(r.timeout).Sub(a.receivedAt); a.timeout > remaining+timeoutTolerance+lag {
-			p.t.Errorf("request %s: %s is told %v, its client waits %v", id, a.server, a.timeout, remaining)
+			p.t.Errorf("request %s: %s received a timeout of %v, but its client waits %v", id, a.server, a.timeout, remaining)
 		}
 		if delay := a.receivedAt.Sub(r.leftAt); !r.leftAt.IsZero() && delay > leaveTolerance+maxStopDuration+lag {
-			p.t.Errorf("request %s: attempt %d begins %v after its client left", id, i+1, delay)
+			p.t.Errorf("request %s: attempt %d arrived %v after its client left", id, i+1, delay)
 		}
 		if listedAt := p.discovery.drainListedAt; a.server == p.drainingServer && !listedAt.IsZero() && a.receivedAt.Sub(listedAt) > maxDrainDelay+maxStopDuration+lag {
-			p.t.Errorf("request %s came to %s %v after its drain was told", id, a.server, a.receivedAt.Sub(listedAt))
+			p.t.Errorf("request %s reached %s %v after its drain was listed", id, a.server, a.receivedAt.Sub(listedAt))
 		}
 	}
 }
