--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -26,8 +26,8 @@
 	"github.com/jackc/pgx/v5/pgconn"
 )
 
-// The tests here start the program and speak to it over loopback. Members and discovery are stand-ins, written
-// from the public specifications of PostgreSQL's protocol and of HTTP; clients are pgx's pgconn or raw sockets.
+// These tests start the program and connect to it over loopback. Members and discovery are stand-ins written from the
+// public specifications of the PostgreSQL protocol and HTTP; clients are pgx's pgconn or raw sockets.
 
 var program string
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// soon is how long an event may take before the test is given up; no test passes by waiting for it.
+// eventTimeout is how long an event may take before the test fails; no test passes by waiting for it.
 const eventTimeout = 20 * time.Second
 
 func await[T any](events <-chan T) (e T) {
@@ -62,7 +62,7 @@
 	case e = <-events:
 		return e
 	case <-time.After(eventTimeout):
-		panic("an event did not come")
+		panic("timed out waiting for an event")
 	}
 }
 
@@ -79,18 +79,18 @@
  "rules":{"askWithinMs":10000,"coldFrom":0.2,"coldMs":10000,"drainGraceMs":250,"fallMultiple":2,"overloadForMs":1000},
  "machineTypes":["m"],"zones":["a"],"tickMs":5}`
 
-// member is a stand-in for a database server, which answers each query with its own name.
+// member is a stand-in for a database server that responds to each query with its own name.
 type member struct {
 	name, mode     string
 	listener       net.Listener
-	queries        chan string // a query came
-	closed         chan string // the gateway closed a connection: the query that was open on it
+	queries        chan string // queries received
+	closed         chan string // connections closed by the gateway: the query that was running on each
 	plan           *responsePlan
-	unansweredText string       // queries with this in them get no answer
-	lateTrailers   atomic.Int32 // answers of which what is behind came later than any server's does, as the machine is busy
+	unansweredText string       // queries that contain this text get no response
+	lateTrailers   atomic.Int32 // responses whose trailing data was written unrealistically late because the machine is busy
 }
 
-// plan is what the next connections or queries meet, at any of the members that have it.
+// responsePlan is how the next connections or queries are handled, by any of the members that share it.
 type responsePlan struct {
 	mu    sync.Mutex
 	steps []string
@@ -113,7 +113,7 @@
 	return m
 }
 
-// next takes the first of the plan if it is of this kind: a connection's are in capitals.
+// next takes the plan's first step if it is of the given kind; steps for connections are in capitals.
 func (p *responsePlan) next(forConnection bool) (step string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,9 +161,9 @@
 			message('D', "\x00\x01\x00\x00\x00"+string(rune(len(m.name)))+m.name)
 		step := m.plan.next(false)
 		malformed, isMalformed := map[string]string{
-			"noise": "\x01no message", "order": row[30:] + row[:30], "short": strings.Replace(row, "\x00\x01\x00\x00\x00\x01", "\x00\x01\x00\x00\x00\x02", 1),
-			"huge": row[:30] + "D\xb2\xd0\x5e\x00\x00\x01", "stuck": row[:len(row)-1],
-			"told": message('E', "SERROR\x00C53300\x00Mfull\x00\x00") + "noise", "state": row + message('C', "SELECT 1\x00") + message('Z', "?"),
+			"noise": "\x01no message", "reordered": row[30:] + row[:30], "badLength": strings.Replace(row, "\x00\x01\x00\x00\x00\x01", "\x00\x01\x00\x00\x00\x02", 1),
+			"huge": row[:30] + "D\xb2\xd0\x5e\x00\x00\x01", "incomplete": row[:len(row)-1],
+			"errorThenNoise": message('E', "SERROR\x00C53300\x00Mfull\x00\x00") + "noise", "badStatus": row + message('C', "SELECT 1\x00") + message('Z', "?"),
 		}[step]
 		stale := strings.Replace(row, m.name, "?", 1) + message('C', "SELECT 1\x00") + status
 		switch {
@@ -172,7 +172,7 @@
 		case step == "slow":
 			time.Sleep(200 * time.Millisecond)
 			_, _ = io.WriteString(c, row+message('C', "INSERT 0 1\x00")+status)
-		case step == "report":
+		case step == "badStats":
 			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+message('S', "stats\x00x0=,x1=0;\x00")+status)
 		case step == "long":
 			value := "\x00\x01" + string(binary.BigEndian.AppendUint32(nil, 350000)) + strings.Repeat("v", 350000)
@@ -183,17 +183,17 @@
 			startedAt := time.Now()
 			_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+status)
 			_, _ = io.WriteString(c, stale)
-			if time.Since(startedAt) > time.Millisecond { // this process was put aside in between, for longer than any server is late
+			if time.Since(startedAt) > time.Millisecond { // this process was suspended in between, for longer than a server's delay
 				m.lateTrailers.Add(1)
 			}
-		case step == "half":
+		case step == "truncated":
 			_, _ = io.WriteString(c, row[:len(row)-1])
 			return
 		case step == "silent" || m.unansweredText != "" && strings.Contains(sql, m.unansweredText):
 			_, _ = r.ReadByte()
 			m.closed <- sql
 			return
-		case step == "two":
+		case step == "twoRows":
 			_, _ = io.WriteString(c, row+row[30:]+message('C', "SELECT 2\x00")+status)
 		case step == "error":
 			_, _ = io.WriteString(c, message('E', "SERROR\x00CXX000\x00Moops\x00\x00")+status)
@@ -207,7 +207,7 @@
 	}
 }
 
-// statements counts what came so far but probes, which a busy machine makes the gateway send.
+// countStatements counts the statements received so far, without probes, which the gateway sends on a busy machine.
 func (m *member) countStatements() (n int) {
 	for len(m.queries) > 0 {
 		if strings.Contains(<-m.queries, "facts") {
@@ -217,7 +217,7 @@
 	return n
 }
 
-// writes counts the writes that came so far; probes come as well.
+// countWrites counts the writes received so far; the queries also include probes.
 func (m *member) countWrites() (n int) {
 	for len(m.queries) > 0 {
 		if strings.Contains(<-m.queries, "INSERT") {
@@ -234,7 +234,7 @@
 	seq         int
 	hosts       []map[string]any
 	changed     chan struct{}
-	replacement string // what it answers instead
+	replacement string // the response sent instead of the list; "503" is sent as a status
 	requests    chan url.Values
 }
 
@@ -291,7 +291,7 @@
 		"health": health, "share": 1.0, "born_ms": 0}
 }
 
-// world is a gateway and what stands around it.
+// environment is a gateway process with its discovery, members and configuration.
 type environment struct {
 	discovery  *discovery
 	members    []*member
@@ -302,73 +302,73 @@
 	configPath string
 }
 
-// start starts a gateway that knows the members from the list as last held.
+// startGateway starts a gateway whose configuration holds the members as the last known list.
 func startGateway(sockets int, members ...*member) *environment {
 	return startGatewayWithDiscovery("", sockets, members...)
 }
 
-// startDown starts one while discovery answers something else than its list.
+// startGatewayWithDiscovery starts a gateway while discovery sends the replacement instead of its list.
 func startGatewayWithDiscovery(replacement string, sockets int, members ...*member) *environment {
-	w := &environment{discovery: newDiscovery(), members: members, exited: make(chan error, 1), logLines: make(chan string, 10000)}
-	w.discovery.replacement = replacement
+	env := &environment{discovery: newDiscovery(), members: members, exited: make(chan error, 1), logLines: make(chan string, 10000)}
+	env.discovery.replacement = replacement
 	for _, m := range members {
-		w.discovery.hosts = append(w.discovery.hosts, m.listEntry("active"))
+		env.discovery.hosts = append(env.discovery.hosts, m.listEntry("active"))
 	}
-	// Nothing else here uses this address, so a port that was free a moment ago is so still.
+	// Nothing else in these tests uses this address, so a port that was free a moment ago still is.
 	l, err := net.Listen("tcp4", "127.0.0.2:0")
 	must(err)
-	w.address = l.Addr().String()
+	env.address = l.Addr().String()
 	must(l.Close())
 	dir := filepath.Dir(program)
-	w.configPath = filepath.Join(dir, "config.json")
-	w.writeConfig(w.discovery, sockets)
-	w.process = exec.Command(program)
-	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.configPath, "EDGE_DISCOVERY="+w.discovery.listener.Addr().String())
-	w.startProcess()
-	w.awaitLog("listening")
-	return w
-}
-
-// run starts the process and reads what it logs.
-func (w *environment) startProcess() {
-	pipe, err := w.process.StderrPipe()
+	env.configPath = filepath.Join(dir, "config.json")
+	env.writeConfig(env.discovery, sockets)
+	env.process = exec.Command(program)
+	env.process.Env = append(os.Environ(), "EDGE_CONFIG="+env.configPath, "EDGE_DISCOVERY="+env.discovery.listener.Addr().String())
+	env.startProcess()
+	env.awaitLog("listening")
+	return env
+}
+
+// startProcess starts the process and collects its log lines.
+func (env *environment) startProcess() {
+	pipe, err := env.process.StderrPipe()
 	must(err)
-	must(w.process.Start())
+	must(env.process.Start())
 	go func() {
 		for s := bufio.NewScanner(pipe); s.Scan(); {
-			w.logLines <- s.Text()
+			env.logLines <- s.Text()
 		}
-		w.exited <- w.process.Wait()
+		env.exited <- env.process.Wait()
 	}()
 }
 
-func (w *environment) writeConfig(d *discovery, sockets int) {
-	text, err := json.Marshal(map[string]any{"name": "n0", "listen": w.address, "discovery": d.listener.Addr().String(),
+func (env *environment) writeConfig(d *discovery, sockets int) {
+	text, err := json.Marshal(map[string]any{"name": "n0", "listen": env.address, "discovery": d.listener.Addr().String(),
 		"seed": "1", "limits": map[string]any{"memory_mb": 192, "sockets": sockets}, "known": d.list(true),
 		"settings": json.RawMessage(settings)})
 	must(err)
-	must(os.WriteFile(w.configPath, text, 0o600))
+	must(os.WriteFile(env.configPath, text, 0o600))
 }
 
-// logged waits for a line.
-func (w *environment) awaitLog(text string) {
+// awaitLog waits for a log line that contains the text.
+func (env *environment) awaitLog(text string) {
 	for line := ""; !strings.Contains(line, text); {
-		line = await(w.logLines)
+		line = await(env.logLines)
 	}
 }
 
-func (w *environment) stop() {
-	_ = w.process.Process.Kill()
-	<-w.exited
-	_ = w.discovery.listener.Close()
-	for _, m := range w.members {
+func (env *environment) stop() {
+	_ = env.process.Process.Kill()
+	<-env.exited
+	_ = env.discovery.listener.Close()
+	for _, m := range env.members {
 		_ = m.listener.Close()
 	}
 }
 
 var lastID atomic.Uint64
 
-// sql words a txn as clients do.
+// txnSQL returns the SQL of a txn with its comment, as clients write it.
 func txnSQL(class string, attributes string) string {
 	text := fmt.Sprintf("/* id=%016x,c=%s,d=900,cluster=0%s */ ", lastID.Add(1), class, attributes)
 	if class == "keyed" || class == "once" {
@@ -377,9 +377,9 @@
 	return text + "SELECT data FROM facts WHERE code = '7f3a'"
 }
 
-// connect opens a session by pgconn, which asks for encryption first.
-func (w *environment) connect() *pgconn.PgConn {
-	c, err := pgconn.Connect(context.Background(), "postgres://portal@"+w.address+"/crm?sslmode=prefer")
+// connect opens a session with pgconn, which requests encryption first.
+func (env *environment) connect() *pgconn.PgConn {
+	c, err := pgconn.Connect(context.Background(), "postgres://portal@"+env.address+"/crm?sslmode=prefer")
 	must(err)
 	return c
 }
@@ -402,27 +402,27 @@
 
 var budgetAttribute = regexp.MustCompile(`,d=(\d+)`)
 
-// A write finds the primary, a read that must see it goes to a replica, and the statement is passed on as it
-// came but for the time that the gateway waits.
+// A write reaches the primary, a read that must see it goes to a replica, and the statement is forwarded unchanged
+// except for the remaining time.
 func Example_writeAndRead() {
 	p, r := newMember("p", "read-write"), newMember("r", "read-only")
-	w := startGateway(256, p, r)
-	defer w.stop()
-	c := w.connect()
+	env := startGateway(256, p, r)
+	defer env.stop()
+	c := env.connect()
 	fmt.Println(execute(c, ""))
 	fmt.Println(execute(c, txnSQL("keyed", ",k=1")))
 	for len(r.queries) > 0 {
-		<-r.queries // a write that tried it first
+		<-r.queries // the write, if it was tried here first
 	}
 	read := txnSQL("session", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
 	fmt.Println(execute(c, read))
-	passed := await(r.queries)
-	for !strings.Contains(passed, "c=session") { // a probe
-		passed = await(r.queries)
+	forwarded := await(r.queries)
+	for !strings.Contains(forwarded, "c=session") { // a probe
+		forwarded = await(r.queries)
 	}
 	var d int
-	_, err := fmt.Sscanf(budgetAttribute.FindString(passed), ",d=%d", &d)
-	fmt.Println(budgetAttribute.ReplaceAllString(passed, ",d=900") == budgetAttribute.ReplaceAllString(read, ",d=900"), d > 0 && d <= 900, err)
+	_, err := fmt.Sscanf(budgetAttribute.FindString(forwarded), ",d=%d", &d)
+	fmt.Println(budgetAttribute.ReplaceAllString(forwarded, ",d=900") == budgetAttribute.ReplaceAllString(read, ",d=900"), d > 0 && d <= 900, err)
 	// Output:
 	// empty
 	// committed by p
@@ -430,56 +430,56 @@
 	// true true <nil>
 }
 
-// Half an answer, an answer of two rows, one that is spoilt and an error are no answers: a repeatable txn is sent again, and nothing
-// of them reaches the client. A once-only txn that may have run is rolled back.
+// Truncated responses, responses of two rows, malformed ones and errors are discarded: a repeatable txn is retried, and
+// no part of the bad response reaches the client. A once-only txn that may have run is reported as rolled back.
 func Example_invalidResponses() {
-	for _, step := range []string{"half", "two", "full", "FULL", "noise", "order", "short", "huge", "stuck", "state", "report"} {
+	for _, step := range []string{"truncated", "twoRows", "full", "FULL", "noise", "reordered", "badLength", "huge", "incomplete", "badStatus", "badStats"} {
 		m, other := newMember("m", "read-write", step), newMember("m", "read-only")
 		other.plan = m.plan
-		w := startGateway(256, m, other)
-		fmt.Println(step, execute(w.connect(), txnSQL("any", "")))
-		w.stop()
+		env := startGateway(256, m, other)
+		fmt.Println(step, execute(env.connect(), txnSQL("any", "")))
+		env.stop()
 	}
-	for _, step := range []string{"half", "two", "error", "full", "told", "stuck"} {
+	for _, step := range []string{"truncated", "twoRows", "error", "full", "errorThenNoise", "incomplete"} {
 		m := newMember("m", "read-write", step)
-		w := startGateway(256, m)
-		fmt.Println(step, execute(w.connect(), txnSQL("once", "")), m.countWrites())
-		w.stop()
+		env := startGateway(256, m)
+		fmt.Println(step, execute(env.connect(), txnSQL("once", "")), m.countWrites())
+		env.stop()
 	}
 	// Output:
-	// half committed by m
-	// two committed by m
+	// truncated committed by m
+	// twoRows committed by m
 	// full committed by m
 	// FULL committed by m
 	// noise committed by m
-	// order committed by m
-	// short committed by m
+	// reordered committed by m
+	// badLength committed by m
 	// huge committed by m
-	// stuck committed by m
-	// state committed by m
-	// report committed by m
-	// half 40000 rolled back, it may have had its effect 1
-	// two 40000 rolled back, it may have had its effect 1
+	// incomplete committed by m
+	// badStatus committed by m
+	// badStats committed by m
+	// truncated 40000 rolled back, it may have had its effect 1
+	// twoRows 40000 rolled back, it may have had its effect 1
 	// error 40000 rolled back, it may have had its effect 1
 	// full committed by m 2
-	// told 40000 rolled back, it may have had its effect 1
-	// stuck 40000 rolled back, it may have had its effect 1
+	// errorThenNoise 40000 rolled back, it may have had its effect 1
+	// incomplete 40000 rolled back, it may have had its effect 1
 }
 
-// A good answer with more behind it is passed on once, and what is behind is never another txn's answer, whether
-// it comes with it or a little later.
+// A valid response followed by trailing data is forwarded once, and the trailing data is never taken for another txn's
+// response, whether it arrives with the response or shortly after it.
 func Example_trailingData() {
 	for _, step := range []string{"twice", "late"} {
 		m := newMember("m", "read-write", slices.Repeat([]string{step}, 200)...)
-		w := startGateway(256, m)
-		c := w.connect()
+		env := startGateway(256, m)
+		c := env.connect()
 		wrong := map[string]int{}
 		for range 200 {
 			if got := execute(c, txnSQL("any", "")); got != "committed by m" {
 				wrong[got]++
 			}
 		}
-		w.stop()
+		env.stop()
 		if wrong["committed by ?"] <= int(m.lateTrailers.Load()) {
 			delete(wrong, "committed by ?")
 		}
@@ -490,12 +490,13 @@
 	// Output:
 }
 
-// Values longer than agreed, as members were seen to give, are passed on; what is announced as huge is not.
+// Values longer than agreed, which members have been seen to send, are forwarded; a response whose announced size is
+// huge is not.
 func Example_longValue() {
 	m := newMember("m", "read-write", "long", "huge")
-	w := startGateway(256, m)
-	defer w.stop()
-	c := w.connect()
+	env := startGateway(256, m)
+	defer env.stop()
+	c := env.connect()
 	fmt.Println(len(execute(c, txnSQL("any", ""))) - len("committed by "))
 	fmt.Println(execute(c, txnSQL("any", "")))
 	// Output:
@@ -503,16 +504,16 @@
 	// committed by m
 }
 
-// A member that is silent costs a txn its time, not its answer, and what was given up is closed. So it is when
-// the client leaves.
+// A txn on a member that never responds ends at its deadline with an error, and the connection of the abandoned
+// attempt is closed. The same happens when the client disconnects.
 func Example_silentMember() {
 	m := newMember("m", "read-write", "silent", "silent")
-	w := startGateway(256, m)
-	defer w.stop()
+	env := startGateway(256, m)
+	defer env.stop()
 	at := time.Now()
-	fmt.Println(execute(w.connect(), txnSQL("once", "")), time.Since(at) < 950*time.Millisecond)
+	fmt.Println(execute(env.connect(), txnSQL("once", "")), time.Since(at) < 950*time.Millisecond)
 	await(m.closed)
-	c := w.connect()
+	c := env.connect()
 	go execute(c, txnSQL("any", ""))
 	await(m.queries)
 	for q := await(m.queries); !strings.Contains(q, "c=any"); q = await(m.queries) {
@@ -524,15 +525,15 @@
 	// true
 }
 
-// A member that drains gets nothing new, and its idle connections are closed.
+// A draining member gets no new txns, and its idle connections are closed.
 func Example_drain() {
 	a, b := newMember("a", "read-only"), newMember("b", "read-only")
-	w := startGateway(256, a)
-	defer w.stop()
-	c := w.connect()
+	env := startGateway(256, a)
+	defer env.stop()
+	c := env.connect()
 	fmt.Println(execute(c, txnSQL("any", "")))
-	w.awaitLog("list followed")
-	w.discovery.update("", a.listEntry("leaving"), b.listEntry("active"))
+	env.awaitLog("list followed")
+	env.discovery.update("", a.listEntry("leaving"), b.listEntry("active"))
 	fmt.Println(await(a.closed))
 	for range 20 {
 		if got := execute(c, txnSQL("any", "")); got != "committed by b" {
@@ -546,29 +547,29 @@
 	// 1 20
 }
 
-// A new configuration names another discovery, which is asked for its whole list first and then watched, whatever
-// EDGE_DISCOVERY says and however it counts; a file that is wrong changes nothing.
+// After a reload with another discovery address, the gateway fetches the whole list there and then watches it, whatever
+// EDGE_DISCOVERY says and whatever its sequence numbers are; an invalid file changes nothing.
 func Example_reload() {
 	a, b := newMember("a", "read-only"), newMember("b", "read-only")
-	w := startGateway(256, a)
-	defer w.stop()
-	c := w.connect()
+	env := startGateway(256, a)
+	defer env.stop()
+	c := env.connect()
 	fmt.Println(execute(c, txnSQL("any", "")))
-	w.awaitLog("list followed")
+	env.awaitLog("list followed")
 	next := newDiscovery()
-	next.seq = -7 // lower than any that the first gave
+	next.seq = -7 // lower than any sequence number of the first discovery
 	next.update("", b.listEntry("active"))
 	for _, wrong := range []string{"{", `{"listen":"127.0.0.1:1"}`} {
-		must(os.WriteFile(w.configPath, []byte(wrong), 0o600))
-		must(w.process.Process.Signal(syscall.SIGHUP))
-		w.awaitLog("not reloaded")
+		must(os.WriteFile(env.configPath, []byte(wrong), 0o600))
+		must(env.process.Process.Signal(syscall.SIGHUP))
+		env.awaitLog("not reloaded")
 		fmt.Println(execute(c, txnSQL("any", "")))
 	}
-	w.writeConfig(next, 256)
-	must(w.process.Process.Signal(syscall.SIGHUP))
-	w.awaitLog("reloaded")
+	env.writeConfig(next, 256)
+	must(env.process.Process.Signal(syscall.SIGHUP))
+	env.awaitLog("reloaded")
 	fmt.Println(len(await(next.requests)), await(next.requests).Get("after")) // the whole list, then a watch
-	fmt.Println(await(a.closed))                                              // as the new list lacks it
+	fmt.Println(await(a.closed))                                              // since the new list lacks it
 	fmt.Println(execute(c, txnSQL("any", "")))
 	next.update("", a.listEntry("active"))
 	await(next.requests)
@@ -585,19 +586,19 @@
 	// committed by a
 }
 
-// Without discovery the list as last held serves; whatever it answers that is no list changes nothing.
+// While discovery is unavailable the last known list is used; a response that is not a list changes nothing.
 func Example_discoveryDown() {
 	m := newMember("m", "read-write")
-	w := startGatewayWithDiscovery("503", 256, m)
-	defer w.stop()
-	c := w.connect()
+	env := startGatewayWithDiscovery("503", 256, m)
+	defer env.stop()
+	c := env.connect()
 	for _, down := range []string{"503", `{"seq":1,"hosts":[`, "[]", `{"seq":"x"}`} {
-		w.discovery.update(down, m.listEntry("active"))
-		w.awaitLog("call to discovery failed")
+		env.discovery.update(down, m.listEntry("active"))
+		env.awaitLog("call to discovery failed")
 		fmt.Println(execute(c, txnSQL("any", "")))
 	}
-	w.discovery.update("", m.listEntry("active"))
-	w.awaitLog("list followed")
+	env.discovery.update("", m.listEntry("active"))
+	env.awaitLog("list followed")
 	fmt.Println(execute(c, txnSQL("any", "")))
 	// Output:
 	// committed by m
@@ -607,9 +608,9 @@
 	// committed by m
 }
 
-// raw sends bytes, a few at a time, and gives the types and codes of what comes back until the end.
-func (w *environment) exchange(input string, chunkSize int) string {
-	c, err := net.Dial("tcp4", w.address)
+// exchange sends the input in chunks and summarizes what comes back until the end of the connection.
+func (env *environment) exchange(input string, chunkSize int) string {
+	c, err := net.Dial("tcp4", env.address)
 	must(err)
 	defer c.Close()
 	must(c.SetDeadline(time.Now().Add(eventTimeout)))
@@ -621,7 +622,8 @@
 	return summarizeResponses(bufio.NewReader(c), 99)
 }
 
-// answers reads so many messages and gives their types, with codes and values.
+// summarizeResponses reads up to maxMessages messages and returns their types, with error codes and values; "." marks
+// the end of the connection and "~" a truncated message.
 func summarizeResponses(r *bufio.Reader, maxMessages int) (summary string) {
 	for range maxMessages {
 		kind, err := r.ReadByte()
@@ -654,32 +656,32 @@
 
 func queryMessage(sql string) string { return message('Q', sql+"\x00") }
 
-// Whatever clients send gets a plain answer, in order; in one piece or byte by byte makes no difference.
+// Whatever clients send gets a well-formed response, in order, whether it arrives in one piece or byte by byte.
 func Example_clients() {
 	m := newMember("m", "read-write")
-	w := startGateway(256, m)
-	defer w.stop()
-	bye := message('X', "")
+	env := startGateway(256, m)
+	defer env.stop()
+	terminate := message('X', "")
 	for _, in := range []string{
-		startupMessage + bye,
-		"\x00\x00\x00\x08\x04\xd2\x16\x2f" + startupMessage + bye,
-		startupMessage + queryMessage(" ;") + bye,
-		startupMessage + queryMessage("SELECT 1") + queryMessage("") + bye,
-		startupMessage + queryMessage("/* id=1,c=nothing,d=5,cluster=0 */") + bye,
-		startupMessage + queryMessage("/* id=1,c=keyed,d=5,cluster=0 */") + bye,
-		startupMessage + queryMessage("/* id=1,c=any,d=5,cluster=7 */") + bye,
-		startupMessage + message('P', "\x00SELECT\x00\x00\x00") + message('B', "") + message('S', "") + queryMessage("") + bye,
-		startupMessage + message('F', "") + message('?', "") + bye,
+		startupMessage + terminate,
+		"\x00\x00\x00\x08\x04\xd2\x16\x2f" + startupMessage + terminate,
+		startupMessage + queryMessage(" ;") + terminate,
+		startupMessage + queryMessage("SELECT 1") + queryMessage("") + terminate,
+		startupMessage + queryMessage("/* id=1,c=nothing,d=5,cluster=0 */") + terminate,
+		startupMessage + queryMessage("/* id=1,c=keyed,d=5,cluster=0 */") + terminate,
+		startupMessage + queryMessage("/* id=1,c=any,d=5,cluster=7 */") + terminate,
+		startupMessage + message('P', "\x00SELECT\x00\x00\x00") + message('B', "") + message('S', "") + queryMessage("") + terminate,
+		startupMessage + message('F', "") + message('?', "") + terminate,
 		startupMessage + message('Q', "no end") + queryMessage(""),
 		startupMessage + "Q\x7f\x00\x00\x00",
 		"\x00\x00\x00\x08\x00\x02\x00\x00",
 		"GET / HTTP/1.1\r\n\r\n",
 		"\x00\x00\x00\x10\x04\xd2\x16\x2e\x00\x00\x00\x01\x00\x00\x00\x01",
 	} {
-		whole := w.exchange(in, len(in))
-		fmt.Println(strings.Replace(whole, "RSSSSSKZ", "hello ", 1), whole == w.exchange(in, 1))
+		whole := env.exchange(in, len(in))
+		fmt.Println(strings.Replace(whole, "RSSSSSKZ", "hello ", 1), whole == env.exchange(in, 1))
 	}
-	c, err := net.Dial("tcp4", w.address)
+	c, err := net.Dial("tcp4", env.address)
 	must(err)
 	defer c.Close()
 	first := txnSQL("any", "")
@@ -704,52 +706,51 @@
 	// RSSSSSKZTD(m)CZIZTD(m)CZTD(m)CZ
 }
 
-// An id that is open belongs to its txn: who else sends it gets an error, and the first goes on.
+// While a txn is open, another with the same id gets an error, and the first continues.
 func Example_sameID() {
 	m := newMember("m", "read-write", "silent")
-	w := startGateway(256, m)
-	defer w.stop()
+	env := startGateway(256, m)
+	defer env.stop()
 	text := txnSQL("once", "")
 	got := make(chan string)
-	go func() { got <- execute(w.connect(), text) }()
+	go func() { got <- execute(env.connect(), text) }()
 	await(m.queries)
-	fmt.Println(execute(w.connect(), text))
+	fmt.Println(execute(env.connect(), text))
 	fmt.Println(await(got))
 	// Output:
 	// 42601 id belongs to an open txn
 	// 40000 rolled back, it may have had its effect
 }
 
-// Who sends more ahead than is held for a client, or never reads its answers, is sent away; others are served.
+// A client that pipelines more than its buffer limit, or never reads its responses, is disconnected; others are served.
 func Example_clientOverMemoryLimit() {
 	m := newMember("m", "read-write")
 	m.unansweredText = "INSERT"
-	w := startGateway(256, m)
-	defer w.stop()
-	ahead := startupMessage + queryMessage(txnSQL("once", "")) + strings.Repeat(queryMessage(txnSQL("any", "")), 200000) // over a sixteenth of the memory
-	// It may go before the last word reaches who still writes.
-	fmt.Println(strings.Replace(w.exchange(ahead, 1<<16), "E(08P01).", ".", 1))
-	got, _, _ := strings.Cut(execute(w.connect(), txnSQL("any", "")), " by ")
+	env := startGateway(256, m)
+	defer env.stop()
+	pipelined := startupMessage + queryMessage(txnSQL("once", "")) + strings.Repeat(queryMessage(txnSQL("any", "")), 200000) // more than a sixteenth of the memory limit
+	// The connection may end before the error reaches a client that is still writing.
+	fmt.Println(strings.Replace(env.exchange(pipelined, 1<<16), "E(08P01).", ".", 1))
+	got, _, _ := strings.Cut(execute(env.connect(), txnSQL("any", "")), " by ")
 	fmt.Println(got)
 	// Output:
 	// RSSSSSKZ.
 	// committed
 }
 
-// At the end that was asked for, what is open is answered, what still comes is served, and the program ends by
-// itself with status 0.
+// After SIGTERM, open txns are completed, txns that still arrive are served, and the program exits with status 0.
 func Example_shutdown() {
 	m := newMember("m", "read-write", "silent")
-	w := startGateway(256, m)
-	defer w.stop()
-	idle, busy, steady := w.connect(), w.connect(), w.connect()
+	env := startGateway(256, m)
+	defer env.stop()
+	idle, busy, steady := env.connect(), env.connect(), env.connect()
 	got, served := make(chan string), make(chan int)
 	go func() { got <- execute(busy, txnSQL("once", "")) }()
 	await(m.queries)
-	must(w.process.Process.Signal(syscall.SIGTERM))
-	w.awaitLog("leaving")
-	fmt.Println(execute(w.connect(), txnSQL("any", "")))
-	go func() { // asks until it is sent away
+	must(env.process.Process.Signal(syscall.SIGTERM))
+	env.awaitLog("leaving")
+	fmt.Println(execute(env.connect(), txnSQL("any", "")))
+	go func() { // sends queries until it is disconnected
 		n := 1
 		for execute(steady, txnSQL("any", "")) == "committed by m" {
 			n++
@@ -757,10 +758,10 @@
 		served <- n
 	}()
 	fmt.Println(await(got))
-	err := await(w.exited)
+	err := await(env.exited)
 	fmt.Println(err, execute(idle, "") != "empty")
 	fmt.Println(m.countStatements()-await(served), "taken and not answered")
-	w.exited <- err
+	env.exited <- err
 	// Output:
 	// committed by m
 	// 40000 rolled back, it may have had its effect
@@ -768,34 +769,35 @@
 	// 0 taken and not answered
 }
 
-// A query that crosses the end of its connection comes once more on a new one. The gateway that ends serves it: it
-// turned it away, and as the query was unread the reset took the word for it along, so that the txn was lost.
+// A client whose query crosses the close of its connection sends it again on a new connection, which the gateway must
+// serve while it shuts down. When it rejected the query instead, the reset for the unread query discarded the error
+// message as well, and the txn was lost.
 func Example_queryDuringClose() {
-	w := startGateway(256, newMember("m", "read-write"))
-	defer w.stop()
-	idle := w.connect()
+	env := startGateway(256, newMember("m", "read-write"))
+	defer env.stop()
+	idle := env.connect()
 	fmt.Println(execute(idle, txnSQL("any", "")))
-	must(w.process.Process.Signal(syscall.SIGTERM))
+	must(env.process.Process.Signal(syscall.SIGTERM))
 	_, err := idle.Conn().Read(make([]byte, 1))
-	fmt.Println(errors.Is(err, io.EOF), execute(w.connect(), txnSQL("any", "")))
-	err = await(w.exited)
+	fmt.Println(errors.Is(err, io.EOF), execute(env.connect(), txnSQL("any", "")))
+	err = await(env.exited)
 	fmt.Println(err)
-	w.exited <- err
+	env.exited <- err
 	// Output:
 	// committed by m
 	// true committed by m
 	// <nil>
 }
 
-// Descriptors are counted before they are taken: clients past the budget are told so, and members are reached
-// all the same.
+// Descriptors are budgeted before they are opened: clients over the budget get an error, and connections to members
+// still succeed.
 func Example_descriptorBudget() {
-	w := startGateway(100, newMember("m", "read-write", slices.Repeat([]string{"silent"}, 100)...))
-	defer w.stop()
-	seen := map[string]int{}
+	env := startGateway(100, newMember("m", "read-write", slices.Repeat([]string{"silent"}, 100)...))
+	defer env.stop()
+	outcomes := map[string]int{}
 	var open []net.Conn
-	ask := func() string { // a txn that stays open
-		c, err := net.Dial("tcp4", w.address)
+	openTxn := func() string { // sends a txn that stays open
+		c, err := net.Dial("tcp4", env.address)
 		must(err)
 		open = append(open, c)
 		must(c.SetDeadline(time.Now().Add(eventTimeout)))
@@ -804,78 +806,79 @@
 		return summarizeResponses(bufio.NewReader(c), 8)
 	}
 	for range 50 {
-		seen[ask()]++
+		outcomes[openTxn()]++
 	}
-	served, told := seen["RSSSSSKZ"], seen["E(53300)."]
-	fmt.Println(served+told, told > 0, served > 30) // connections to the member take a few
+	served, rejected := outcomes["RSSSSSKZ"], outcomes["E(53300)."]
+	fmt.Println(served+rejected, rejected > 0, served > 30) // connections to the member use some descriptors
 	must(open[0].Close())
-	pollUntil(func() bool { return ask() == "RSSSSSKZ" })
+	pollUntil(func() bool { return openTxn() == "RSSSSSKZ" })
 	// Output:
 	// 50 true true
 }
 
-// Clients that ask once and stay are closed soon once there is a crowd of them, as their front may hold no more
-// connections than that: sooner than one that has only connected, before them.
+// When many clients stay connected after one query, the gateway soon closes idle ones, because the client pool in front
+// may hold no more connections than that. They are closed sooner than a client that only connected, even if it connected
+// before them.
 func Example_idleClientsOverLimit() {
-	w := startGateway(100, newMember("m", "read-write"))
-	defer w.stop()
+	env := startGateway(100, newMember("m", "read-write"))
+	defer env.stop()
 	closed := make(chan string, 100)
-	stay := func(name string, c net.Conn) {
+	watchClose := func(name string, c net.Conn) {
 		must(c.SetDeadline(time.Now().Add(eventTimeout)))
 		go func() {
 			_, err := c.Read(make([]byte, 1))
 			closed <- fmt.Sprint(name, " ", errors.Is(err, io.EOF))
 		}()
 	}
-	silent, err := net.Dial("tcp4", w.address)
+	silent, err := net.Dial("tcp4", env.address)
 	must(err)
-	stay("silent", silent)
+	watchClose("silent", silent)
 	for range 30 {
-		c := w.connect()
+		c := env.connect()
 		if got := execute(c, txnSQL("any", "")); got != "committed by m" {
 			fmt.Println(got)
 		}
-		stay("asked once", c.Conn())
+		watchClose("asked once", c.Conn())
 	}
 	fmt.Println(await(closed))
 	// Output:
 	// asked once true
 }
 
-// Who connects and says nothing, or begins a message and does not end it, is sent away, and meanwhile makes way
-// for others; so do those that asked once and stay. A word that is still unread does not destroy the error.
+// Clients that connect and send nothing, or never complete a message, are disconnected, and until then give way to
+// others; so do idle clients after one query. Unread input does not keep the error message from arriving.
 func Example_misbehavingClients() {
 	m := newMember("m", "read-write")
-	w := startGateway(100, m)
-	defer w.stop()
+	env := startGateway(100, m)
+	defer env.stop()
 	var silent []net.Conn
 	for range 60 {
-		c, err := net.Dial("tcp4", w.address)
+		c, err := net.Dial("tcp4", env.address)
 		must(err)
 		defer c.Close()
 		must(c.SetDeadline(time.Now().Add(eventTimeout)))
 		silent = append(silent, c)
 	}
 	pollUntil(func() bool {
-		c, err := pgconn.Connect(context.Background(), "postgres://portal@"+w.address+"/crm?sslmode=disable")
+		c, err := pgconn.Connect(context.Background(), "postgres://portal@"+env.address+"/crm?sslmode=disable")
 		return err == nil && execute(c, txnSQL("any", "")) == "committed by m"
 	})
-	for _, c := range silent { // a close, and nothing before
+	for _, c := range silent { // closed without any message
 		if n, err := c.Read(make([]byte, 1)); n > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			fmt.Println(n, err)
 		}
 	}
 	for _, in := range []string{"\x00", startupMessage, startupMessage + "Q\x00\x00\x00\x50/*", startupMessage + message('?', "") + strings.Repeat("x", 1e5),
 		startupMessage + strings.Repeat(queryMessage("x"), 100)} {
-		fmt.Println(strings.Replace(w.exchange(in, len(in)), "RSSSSSKZ", "hello ", 1))
+		fmt.Println(strings.Replace(env.exchange(in, len(in)), "RSSSSSKZ", "hello ", 1))
 	}
-	var once []*pgconn.PgConn // more of them than there is room for, one after the other
+	var idle []*pgconn.PgConn // more than the connection limit, one after the other
 	pollUntil(func() bool {
-		c, err := pgconn.Connect(context.Background(), "postgres://portal@"+w.address+"/crm?sslmode=disable")
+		c, err := pgconn.Connect(context.Background(), "postgres://portal@"+env.address+"/crm?sslmode=disable")
 		if err == nil && execute(c, txnSQL("any", "")) == "committed by m" {
-			once = append(once, c)
+			idle = append(idle, c)
 		}
-		return len(once) == 50
+		return len(idle) == 50
 	})
 	// Output:
 	// E(08P01).
@@ -885,16 +888,16 @@
 	// hello E(42601)ZE(42601)ZE(42601)ZE(42601)ZE(42601)ZE(42601)ZE(42601)ZE(42601).
 }
 
-// until does something again and again until it is done.
+// pollUntil calls done every 10 ms until it returns true.
 func pollUntil(done func() bool) {
 	for end := time.Now().Add(eventTimeout); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			panic("it is not done")
+			panic("timed out waiting for a condition")
 		}
 	}
 }
 
-// What is lacking or wrong at the start ends the program with one line that names it.
+// A missing or invalid setting at startup ends the program with one line that names it.
 func Example_configuration() {
 	for _, text := range []string{"", "{", `{"listen":"x"}`, `{}`, `{"listen":"127.0.0.1:1"}`,
 		`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","limits":{"memory_mb":192,"sockets":256},
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -24,13 +24,13 @@
 	"magpieglade/internal/slots"
 )
 
-// The tests here run a gateway within the test, so that its loop can be held while bytes, ends and timers come to it: what harms
-// comes in the order that harms, each time.
+// These tests run a gateway in the test's process, so that its event loop can be blocked while data, closed connections and
+// timers become pending: each test produces the order of events that causes the failure, on every run.
 
-// soonHeld is how long an event may take before a test is given up; none passes by waiting for it.
+// testTimeout is how long an event may take before the test fails; no test passes by waiting for it.
 const testTimeout = 20 * time.Second
 
-// end is the other side of a connection of the gateway's, or a client's own.
+// testConn is the test's side of a connection of the gateway: a member's, discovery's or a client's.
 type testConn struct {
 	*net.TCPConn
 	r *bufio.Reader
@@ -41,7 +41,7 @@
 	return &testConn{c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
-// script is a listener whose connections the test plays.
+// scriptedServer is a listener whose connections the test serves step by step.
 type scriptedServer struct {
 	listener net.Listener
 	accepted chan *testConn
@@ -66,6 +66,7 @@
 	return s
 }
 
+// accept waits for the next connection.
 func (s *scriptedServer) accept(t *testing.T) *testConn {
 	t.Helper()
 	select {
@@ -85,7 +86,7 @@
 	return httpwire.Host{Host: name, Dial: s.listener.Addr().String(), Site: "a", Class: "m", Health: health, Share: 1}
 }
 
-// message reads one of PostgreSQL's messages; kind 0 is the end of the connection.
+// readMessage reads a PostgreSQL message; kind 0 means that the connection ended.
 func (e *testConn) readMessage() (kind byte, body []byte) {
 	var head [5]byte
 	if _, err := io.ReadFull(e.r, head[:]); err != nil {
@@ -98,7 +99,7 @@
 	return head[0], body
 }
 
-// answer reads up to the end of an answer and words it.
+// readResponse reads a whole response and returns its error code or which member served it.
 func (e *testConn) readResponse() (summary string) {
 	for {
 		kind, body := e.readMessage()
@@ -116,18 +117,19 @@
 	}
 }
 
-// startup takes a gateway's startup message, which has no kind.
+// readStartup reads the gateway's startup message, which has no type byte.
 func (e *testConn) readStartup() {
 	var size [4]byte
 	_, _ = io.ReadFull(e.r, size[:])
 	_, _ = e.r.Discard(int(binary.BigEndian.Uint32(size[:])) - 4)
 }
 
+// sendReady completes the startup: authentication succeeded, ready for queries.
 func (e *testConn) sendReady() {
 	_, _ = e.Write([]byte("R\x00\x00\x00\x08\x00\x00\x00\x00Z\x00\x00\x00\x05I"))
 }
 
-// query reads the next query; false is the end of the connection.
+// readQuery reads the next query; it returns false when the connection ended.
 func (e *testConn) readQuery() (string, bool) {
 	kind, body := e.readMessage()
 	if kind != 'Q' {
@@ -136,9 +138,10 @@
 	return string(body[:len(body)-1]), true
 }
 
-// row answers a query as a member of this name and mode, which has reached the present.
+// sendRow responds to a query as a member of the given name and mode whose position is the present time.
 func (e *testConn) sendRow(name, mode string) { e.sendRowAt(name, mode, time.Now().UnixMilli()) }
 
+// sendRowAt responds as sendRow does, with the given position.
 func (e *testConn) sendRowAt(name, mode string, position int64) {
 	msg := func(kind byte, body string) string {
 		return string(binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(body)+4))) + body
@@ -148,7 +151,7 @@
 		msg('S', "mode\x00"+mode+"\x00")+msg('S', fmt.Sprintf("wal_time\x00%d\x00", position))+msg('Z', "I"))
 }
 
-// serve answers all that comes on all connections from now on, and tells how many txns did.
+// serve responds to every query on all connections from now on, and returns a counter of the txns received.
 func (s *scriptedServer) serve(name, mode string) *atomic.Int64 {
 	count := new(atomic.Int64)
 	go func() {
@@ -168,18 +171,18 @@
 	return count
 }
 
-// list answers one call to discovery.
+// sendList responds to one call to discovery.
 func (e *testConn) sendList(seq int, hosts ...httpwire.Host) {
 	body, _ := json.Marshal(httpwire.List{Seq: int64(seq), Whole: true, Hosts: hosts})
 	_, _ = fmt.Fprintf(e, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// call reads a call to discovery and gives how long it may wait.
+// readCall reads a call to discovery and returns its wait_ms parameter.
 func (e *testConn) readCall(t *testing.T) (wait string) {
 	t.Helper()
 	r, err := http.ReadRequest(e.r)
 	if err != nil {
-		t.Fatal("no call: ", err)
+		t.Fatal("no call to discovery: ", err)
 	}
 	return r.URL.Query().Get("wait_ms")
 }
@@ -195,17 +198,17 @@
  "rules":{"askWithinMs":10000,"coldFrom":0.2,"coldMs":10000,"drainGraceMs":250,"fallMultiple":2,"overloadForMs":1000},
  "machineTypes":["m"],"zones":["a"],"tickMs":5}`
 
-// heldGateway starts a gateway that knows these members and has its list from a discovery that the test plays.
+// startTestGateway starts a gateway that knows these members and takes its list from a discovery that the test scripts.
 func startTestGateway(t *testing.T, discovery *scriptedServer, known ...httpwire.Host) (g *Gateway, ended chan error, stop func()) {
 	return startTestGatewayWithLog(t, nil, discovery, known...)
 }
 
-// heldGatewayThatLogs is one whose log the test reads.
+// startTestGatewayWithLog starts a test gateway that logs to the given logger.
 func startTestGatewayWithLog(t *testing.T, log *slog.Logger, discovery *scriptedServer, known ...httpwire.Host) (g *Gateway, ended chan error, stop func()) {
 	return startTestGatewayWith(t, func(c *Config) { c.Log = log }, discovery, known...)
 }
 
-// heldGatewayWith is one whose configuration the test changes.
+// startTestGatewayWith starts a test gateway whose configuration is adjusted by change.
 func startTestGatewayWith(t *testing.T, change func(*Config), discovery *scriptedServer, known ...httpwire.Host) (g *Gateway, ended chan error, stop func()) {
 	l, err := net.Listen("tcp4", "127.0.0.3:0")
 	if err != nil {
@@ -215,7 +218,7 @@
 		Discovery: discovery.address(), Known: &httpwire.List{Seq: 1, Whole: true, Hosts: known}}
 	c.Limits.MemoryMB, c.Limits.Sockets = 128, 256
 	change(&c)
-	_ = l.Close() // nothing else here uses this address
+	_ = l.Close() // nothing else in these tests uses this address
 	if g, err = New(c); err != nil {
 		t.Fatal(err)
 	}
@@ -226,14 +229,14 @@
 	return g, ended, cancel
 }
 
-// hold runs something while the loop does nothing else, and waits until that is done.
+// runOnLoop runs f on the event loop, which does nothing else meanwhile, and waits until it returns.
 func (g *Gateway) runOnLoop(f func()) {
 	done := make(chan bool)
 	g.post(func() { f(); close(done) })
 	<-done
 }
 
-// timesOut brings a call's time to an end, as if the span of its watch had passed.
+// expireCall makes a call time out now, as if its wait had passed.
 func (g *Gateway) expireCall(kind callKind) {
 	g.runOnLoop(func() {
 		c := &g.discovery.calls[kind]
@@ -243,17 +246,17 @@
 	})
 }
 
-// awaitUnread waits until something has come to a socket that the loop has not read.
+// awaitUnread waits until a socket has data or an end of stream that the loop has not read.
 func awaitUnread(t *testing.T, fd int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !hasUnread(fd); {
 		if time.Now().After(end) {
-			t.Fatal("nothing came")
+			t.Fatal("the socket received nothing")
 		}
 	}
 }
 
-// dialled is a connection to a gateway.
+// dialGateway opens a connection to a gateway.
 func dialGateway(t *testing.T, g *Gateway) net.Conn {
 	c, err := net.Dial("tcp4", g.config.Listen.String())
 	if err != nil {
@@ -263,7 +266,7 @@
 	return c
 }
 
-// heldClient connects as clients do.
+// connectClient opens a client connection and completes the startup.
 func connectClient(t *testing.T, g *Gateway) *testConn {
 	e := newTestConn(dialGateway(t, g))
 	_, _ = e.Write(pgwire.AppendStartup(nil, "portal", "crm"))
@@ -273,13 +276,14 @@
 
 var lastTestID atomic.Uint64
 
+// sendRead sends a read of the given class and timeout.
 func (e *testConn) sendRead(class string, ms int) {
 	text := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=0 */ SELECT data FROM facts WHERE code = '7f3a'", lastTestID.Add(1), class, ms)
 	_, _ = e.Write(pgwire.AppendQuery(nil, text))
 }
 
-// What discovery wrote counts as told: an answer that has come when its call's time is up, unread as the loop was busy, is
-// read and not thrown away with the call.
+// A response that discovery has written counts as delivered: if it has arrived but is unread because the loop was busy when
+// its call times out, it is read and not discarded with the call.
 func TestResponseArrivingWithTimeout(t *testing.T) {
 	t.Parallel()
 	d, m := newScriptedServer(t), newScriptedServer(t)
@@ -290,11 +294,11 @@
 		c := &g.discovery.calls[callWatch]
 		call.sendList(5, m.listEntry("m", "active"))
 		awaitUnread(t, c.conn.Fd())
-		g.deadlines.Remove(c.due) // its time is up now
+		g.deadlines.Remove(c.due) // it times out now
 		c.due = g.deadlines.Add(int64(g.clock.now()), due{kind: dueCall, call: c})
 		g.onTimer()
 	})
-	if wait := call.readCall(t); wait == "" || wait == "0" { // on the same connection, as a watch that goes on
+	if wait := call.readCall(t); wait == "" || wait == "0" { // on the same connection: the watch continues
 		t.Errorf("the next call waits %q", wait)
 	}
 	g.runOnLoop(func() {
@@ -306,8 +310,8 @@
 	<-ended
 }
 
-// An answer that comes after its call was given up counts as told all the same: it is read while the next call is made.
-// Discovery that has many callers answers when its callers give up, and so drains were told and not known.
+// A response that arrives after its call timed out counts as delivered too: it is read while the next call is made. A
+// discovery with many callers responds about when they time out, so drains that it had sent were lost.
 func TestResponseAfterCallTimeout(t *testing.T) {
 	t.Parallel()
 	d, m := newScriptedServer(t), newScriptedServer(t)
@@ -321,14 +325,14 @@
 	}
 	giveUp()
 	first.sendList(5, m.listEntry("m", "active"))
-	if wait := first.readCall(t); wait == "" || wait == "0" || inForce() != 5 { // no other was under way: it goes on as the watch
+	if wait := first.readCall(t); wait == "" || wait == "0" || inForce() != 5 { // no other call was in flight: the connection continues as the watch
 		t.Errorf("the next call waits %q, the list in force is %d", wait, inForce())
 	}
 	giveUp()
 	second := d.accept(t)
-	second.readCall(t) // under way
+	second.readCall(t) // in flight
 	first.sendList(6, m.listEntry("m", "active"))
-	if _, err := first.r.ReadByte(); err == nil || inForce() != 6 { // its end
+	if _, err := first.r.ReadByte(); err == nil || inForce() != 6 { // the connection ended
 		t.Errorf("the list in force is %d", inForce())
 	}
 	second.sendList(5, m.listEntry("m", "active"))
@@ -339,14 +343,14 @@
 	third.sendList(7, m.listEntry("m", "active"))
 	third.readCall(t)
 	second.sendList(6, m.listEntry("m", "active"))
-	if _, err := second.r.ReadByte(); err == nil || inForce() != 7 { // older than what is held
+	if _, err := second.r.ReadByte(); err == nil || inForce() != 7 { // older than the list in force
 		t.Errorf("the list in force is %d", inForce())
 	}
 	stop()
 	<-ended
 }
 
-// A list without a length is whole when its connection ends in order; a reset is no end.
+// A list without a Content-Length is complete when its connection is closed normally, but not when it is reset.
 func TestListWithoutContentLength(t *testing.T) {
 	t.Parallel()
 	d, m := newScriptedServer(t), newScriptedServer(t)
@@ -357,12 +361,12 @@
 		call.readCall(t)
 		g.runOnLoop(func() {
 			if g.discovery.list.seq != 1 {
-				t.Error("half an answer was taken for a list")
+				t.Error("a partial response was taken for a list")
 			}
 		})
 		_, _ = fmt.Fprintf(call, "HTTP/1.1 200 OK\r\n\r\n%s", body)
-		for here := 0; here < len(body); { // it is read; what ends the connection comes after it
-			g.runOnLoop(func() { here = g.discovery.calls[callWatch].conn.InboundBuffered() })
+		for buffered := 0; buffered < len(body); { // the body is read before the connection ends
+			g.runOnLoop(func() { buffered = g.discovery.calls[callWatch].conn.InboundBuffered() })
 		}
 		if reset {
 			_ = call.SetLinger(0)
@@ -370,7 +374,7 @@
 		_ = call.Close()
 	}
 	if wait := d.accept(t).readCall(t); wait == "" || wait == "0" {
-		t.Errorf("after a whole list the next call waits %q", wait)
+		t.Errorf("after a complete list the next call waits %q", wait)
 	}
 	g.runOnLoop(func() {
 		if g.discovery.list.seq != 7 {
@@ -381,7 +385,8 @@
 	<-ended
 }
 
-// A drain that is told while a connection comes up: nothing is sent on it, the txn goes to another.
+// When a member is listed as draining while a connection to it is being set up, nothing is sent on that connection and
+// the txn goes to another member.
 func TestDrainWhileConnecting(t *testing.T) {
 	t.Parallel()
 	d, a, b := newScriptedServer(t), newScriptedServer(t), newScriptedServer(t)
@@ -392,48 +397,49 @@
 	call.readCall(t)
 	c := connectClient(t, g)
 	c.sendRead("any", 9000)
-	up := a.accept(t)
-	up.readStartup()
-	served := b.serve("b", "read-only")
+	conn := a.accept(t)
+	conn.readStartup()
+	servedByB := b.serve("b", "read-only")
 	call.sendList(6, a.listEntry("a", "leaving"), b.listEntry("b", "active"))
-	call.readCall(t) // it has read that
-	up.sendReady()
-	if text, sent := up.readQuery(); sent {
-		t.Errorf("sent to a member that drains: %s", text)
+	call.readCall(t) // so the gateway has read the list
+	conn.sendReady()
+	if text, sent := conn.readQuery(); sent {
+		t.Errorf("sent to a draining member: %s", text)
 	}
-	if got := c.readResponse(); got != "served by b" || served.Load() != 1 {
+	if got := c.readResponse(); got != "served by b" || servedByB.Load() != 1 {
 		t.Error(got)
 	}
 	stop()
 	<-ended
 }
 
-// A submission that is given up is off its connection before another begins: the second would be a copy beside the first.
+// The connection of an abandoned submission is closed before the next submission begins; otherwise two copies of the txn
+// could run at once.
 func TestAbandonedSubmissionClosedBeforeRetry(t *testing.T) {
 	t.Parallel()
 	d, a := newScriptedServer(t), newScriptedServer(t)
 	g, ended, stop := startTestGateway(t, d, a.listEntry("a", "active"))
 	c := connectClient(t, g)
 	c.sendRead("any", 9000)
-	up := a.accept(t)
-	up.readStartup()
-	up.sendReady()
-	up.readQuery()
+	conn := a.accept(t)
+	conn.readStartup()
+	conn.sendReady()
+	conn.readQuery()
 	g.runOnLoop(func() {
 		for _, ref := range g.members.conns.Refs() {
 			if g.members.conns.Get(ref).phase == busy {
 				g.members.giveUp(ref, decide.Cancelled)
 			}
 		}
-		if _, sent := up.readQuery(); sent { // its end, while the loop does nothing else
-			t.Error("a query came on it")
+		if _, sent := conn.readQuery(); sent { // the connection ended, while the loop does nothing else
+			t.Error("a query was sent on the closed connection")
 		}
 	})
-	again := a.accept(t)
-	again.readStartup()
-	again.sendReady()
-	again.readQuery()
-	again.sendRow("a", "read-only")
+	retryConn := a.accept(t)
+	retryConn.readStartup()
+	retryConn.sendReady()
+	retryConn.readQuery()
+	retryConn.sendRow("a", "read-only")
 	if got := c.readResponse(); got != "served by a" {
 		t.Error(got)
 	}
@@ -441,38 +447,39 @@
 	<-ended
 }
 
-// A repeat that may be sent until its group forgets the first is not sent later, though its connection came up late.
+// A retry may be sent only until the group's dedup window for the first attempt ends: it is not sent later, even if its
+// connection was set up too late.
 func TestRetryNotSentAfterDedupWindow(t *testing.T) {
 	t.Parallel()
 	d, a := newScriptedServer(t), newScriptedServer(t)
 	g, ended, stop := startTestGateway(t, d, a.listEntry("a", "active"))
 	c := connectClient(t, g)
 	c.sendRead("any", 9000)
-	up := a.accept(t)
-	up.readStartup()
+	conn := a.accept(t)
+	conn.readStartup()
 	g.runOnLoop(func() {
 		for _, ref := range g.members.conns.Refs() {
 			g.members.conns.Get(ref).job.before = g.clock.now()
 		}
 	})
-	up.sendReady()
-	again := a.accept(t) // the module has it sent anew
-	again.readStartup()
-	again.sendReady()
-	again.readQuery()
-	again.sendRow("a", "read-only")
+	conn.sendReady()
+	retryConn := a.accept(t) // package decide retries it
+	retryConn.readStartup()
+	retryConn.sendReady()
+	retryConn.readQuery()
+	retryConn.sendRow("a", "read-only")
 	if got := c.readResponse(); got != "served by a" {
 		t.Error(got)
 	}
-	_ = up.SetReadDeadline(time.Now())
-	if text, sent := up.readQuery(); sent {
+	_ = conn.SetReadDeadline(time.Now())
+	if text, sent := conn.readQuery(); sent {
 		t.Errorf("sent too late: %s", text)
 	}
 	stop()
 	<-ended
 }
 
-// Members leave the calls to discovery their descriptors, however few are left.
+// Connections to members leave the descriptors reserved for calls to discovery free, however few remain.
 func TestDescriptorsReservedForDiscovery(t *testing.T) {
 	t.Parallel()
 	d, a := newScriptedServer(t), newScriptedServer(t)
@@ -483,7 +490,7 @@
 		free := g.budget.free
 		g.budget.free = 5
 		if g.dial(a.listener.Addr().String(), decide.Millisecond, &owner{kind: ownerMember}) {
-			t.Error("a member took what discovery may need")
+			t.Error("a member connection took a descriptor reserved for discovery")
 		}
 		g.discovery.restartCall(t)
 		g.budget.free += free - 5
@@ -495,18 +502,19 @@
 	<-ended
 }
 
-// restartCall gives the call up that is out and makes another.
+// restartCall hangs up the watch in flight and makes another call.
 func (ds *discovery) restartCall(t *testing.T) {
 	c := &ds.calls[callWatch]
 	ds.hangUpCall(c)
 	ds.call(callWatch)
 	if !c.dialled {
-		t.Error("no descriptor for discovery")
+		t.Error("no descriptor left for discovery")
 	}
 }
 
-// Two answers that are read in one round: the late one of a call that was given up, written last, and that of the call which
-// was made since, written before it. The former is the newer one: what it told of a drain stays known.
+// Two responses are read in one round of the loop: the late response of a call that timed out, which discovery wrote last,
+// and the response of the call made since, which discovery wrote before it. The late response has the newer list, so the
+// drain that it reports must not be forgotten.
 func TestLateResponseNewerThanNext(t *testing.T) {
 	t.Parallel()
 	d, m := newScriptedServer(t), newScriptedServer(t)
@@ -519,32 +527,33 @@
 	second.readCall(t)
 	g.runOnLoop(func() {
 		first.sendList(6, m.listEntry("m", "leaving"))
-		awaitUnread(t, watch.late.Fd()) // what comes first is read first
+		awaitUnread(t, watch.late.Fd()) // what arrives first is read first
 		second.sendList(5, m.listEntry("m", "active"))
 		awaitUnread(t, watch.conn.Fd())
 	})
-	second.readCall(t) // both are read
+	second.readCall(t) // both responses are read
 	g.runOnLoop(func() {
 		if seq, drains := g.discovery.list.seq, len(g.discovery.leave); seq != 6 || drains != 1 {
 			t.Errorf("the list in force is %d, %d members drain", seq, drains)
 		}
 	})
-	second.sendList(2, m.listEntry("m", "active")) // below what was asked for: a service that numbers anew
+	second.sendList(2, m.listEntry("m", "active")) // lower than requested: the service restarted its numbering
 	second.readCall(t)
 	g.runOnLoop(func() {
 		if seq, drains := g.discovery.list.seq, len(g.discovery.leave); seq != 2 || drains != 0 {
-			t.Errorf("of the service that numbers anew the list in force is %d, %d members drain", seq, drains)
+			t.Errorf("after the service restarted its numbering the list in force is %d, %d members drain", seq, drains)
 		}
 	})
 	stop()
 	<-ended
 }
 
-// A query of which part waits in the outbound buffer when its connection ends was never sent: nothing more of it is written,
-// though there is room by then and a member that ended its own sending still reads. It would run a second time.
+// If part of a query is still in the outbound buffer when its connection ends, the query counts as not sent, and the rest
+// is never written, even if there is room by then and a member that closed its sending side still reads. A completed query
+// would run a second time after the retry.
 func TestPartlyWrittenQueryNotCompleted(t *testing.T) {
 	t.Parallel()
-	for _, ends := range []string{"the member", "the gateway"} {
+	for _, closedBy := range []string{"the member", "the gateway"} {
 		d, a, b := newScriptedServer(t), newScriptedServer(t), newScriptedServer(t)
 		g, ended, stop := startTestGateway(t, d, a.listEntry("a", "active"))
 		call := d.accept(t)
@@ -553,63 +562,64 @@
 		text := fmt.Sprintf("/* id=%016x,c=once,d=9000,cluster=0 */ INSERT INTO facts (code, data) VALUES ('7f3a', '\\x%s') RETURNING data",
 			lastTestID.Add(1), strings.Repeat("9f", 64<<10))
 		_, _ = c.Write(pgwire.AppendQuery(nil, text))
-		up := a.accept(t)
-		up.readStartup()
+		conn := a.accept(t)
+		conn.readStartup()
 		var ref slots.Ref
 		var m *memberConn
-		g.runOnLoop(func() { // the kernel takes no more than a part
+		g.runOnLoop(func() { // the kernel accepts only part of the query
 			ref = g.members.conns.Refs()[0]
 			m = g.members.conns.Get(ref)
 			_ = unix.SetsockoptInt(m.conn.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 32<<10)
 		})
-		up.sendReady()
-		for waits := 0; waits == 0; {
-			g.runOnLoop(func() { waits = m.conn.OutboundBuffered() })
+		conn.sendReady()
+		for buffered := 0; buffered == 0; {
+			g.runOnLoop(func() { buffered = m.conn.OutboundBuffered() })
 		}
 		call.sendList(5, a.listEntry("a", "active"), b.listEntry("b", "active"))
 		call.readCall(t)
-		whole := make(chan bool)
+		complete := make(chan bool)
 		g.runOnLoop(func() {
-			left := m.conn.OutboundBuffered()
-			if _, err := io.CopyN(io.Discard, up.r, int64(len(text)+6-left)); err != nil { // all that was written
+			remaining := m.conn.OutboundBuffered()
+			if _, err := io.CopyN(io.Discard, conn.r, int64(len(text)+6-remaining)); err != nil { // everything written so far
 				t.Error(err)
 			}
-			_ = unix.SetsockoptInt(m.conn.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 256<<10) // and there is room for the rest
+			_ = unix.SetsockoptInt(m.conn.Fd(), unix.SOL_SOCKET, unix.SO_SNDBUF, 256<<10) // now there is room for the rest
 			go func() {
-				_, err := io.CopyN(io.Discard, up.r, int64(left))
-				whole <- err == nil
+				_, err := io.CopyN(io.Discard, conn.r, int64(remaining))
+				complete <- err == nil
 			}()
-			if ends == "the member" {
-				_ = up.CloseWrite()
+			if closedBy == "the member" {
+				_ = conn.CloseWrite()
 				awaitUnread(t, m.conn.Fd())
-				_ = g.loop.Close(m.conn) // as the library does when it reads the end
+				_ = g.loop.Close(m.conn) // as the library does when it reads the end of stream
 			} else {
 				g.members.giveUp(ref, decide.Cancelled)
 			}
 		})
-		if <-whole {
-			t.Errorf("%s ended the connection: the query came whole all the same", ends)
+		if <-complete {
+			t.Errorf("%s ended the connection, but the whole query arrived", closedBy)
 		}
-		if ends == "the member" { // it may go to another
-			again := b.accept(t)
-			again.readStartup()
-			again.sendReady()
-			if _, sent := again.readQuery(); !sent {
-				t.Error("it is not sent again")
+		if closedBy == "the member" { // it may go to another member
+			retryConn := b.accept(t)
+			retryConn.readStartup()
+			retryConn.sendReady()
+			if _, sent := retryConn.readQuery(); !sent {
+				t.Error("the query was not retried")
 			}
-			again.sendRow("b", "read-write")
+			retryConn.sendRow("b", "read-write")
 		}
 		got := c.readResponse()
-		if want := map[string]string{"the member": "served by b", "the gateway": "40000"}[ends]; got != want {
-			t.Errorf("%s ended the connection: %s", ends, got)
+		if want := map[string]string{"the member": "served by b", "the gateway": "40000"}[closedBy]; got != want {
+			t.Errorf("%s ended the connection: %s", closedBy, got)
 		}
 		stop()
 		<-ended
 	}
 }
 
-// A read that brings a position ahead of this machine's clock, as a commit's is rounded up: a member that has not reached it is
-// not asked, though it has reached the present. Here the position is seconds ahead, so that no time on the way closes the gap.
+// A read may carry a position ahead of this machine's clock, since a commit's position is rounded up. A member that has not
+// reached the position gets no such read, even if it has reached the present. The position here is seconds ahead, so that
+// no delay in the test closes the gap.
 func TestPositionAheadOfTheClock(t *testing.T) {
 	t.Parallel()
 	d, a := newScriptedServer(t), newScriptedServer(t)
@@ -620,35 +630,35 @@
 	}, d, a.listEntry("a", "active"))
 	d.accept(t).readCall(t)
 	c := connectClient(t, g)
-	ahead := func(by time.Duration) int64 { return time.Now().Add(by).UnixMilli() }
-	asks := func(after int64) {
+	positionAhead := func(by time.Duration) int64 { return time.Now().Add(by).UnixMilli() }
+	sendReadAfter := func(after int64) {
 		text := fmt.Sprintf("/* id=%016x,c=any,d=2000,cluster=0,after=%d */ SELECT data FROM facts WHERE code = '7f3a'", lastTestID.Add(1), after)
 		_, _ = c.Write(pgwire.AppendQuery(nil, text))
 	}
 	c.sendRead("any", 9000)
-	up := a.admit(t)
-	up.readQuery()
-	reached := ahead(20 * time.Second)
-	up.sendRowAt("a", "read-only", reached)
+	conn := a.admit(t)
+	conn.readQuery()
+	reached := positionAhead(20 * time.Second)
+	conn.sendRowAt("a", "read-only", reached)
 	c.readResponse()
 	g.rested()
-	asks(reached)
-	up.readQuery()
-	up.sendRowAt("a", "read-only", reached)
-	if got := c.readResponse(); got != "served by a" { // which has reached it
+	sendReadAfter(reached)
+	conn.readQuery()
+	conn.sendRowAt("a", "read-only", reached)
+	if got := c.readResponse(); got != "served by a" { // it has reached the position
 		t.Error(got)
 	}
 	g.rested()
-	asks(reached + 10_000)
+	sendReadAfter(reached + 10_000)
 	sent := make(chan string, 1)
 	go func() {
-		if text, ok := up.readQuery(); ok {
+		if text, ok := conn.readQuery(); ok {
 			sent <- text
-			up.sendRowAt("a", "read-only", reached)
+			conn.sendRowAt("a", "read-only", reached)
 		}
 	}()
 	if got := c.readResponse(); got != "53300" || len(sent)+len(a.accepted) > 0 {
-		t.Errorf("%s: a member was asked that has not reached what the read must see", got)
+		t.Errorf("%s: the read was sent to a member that has not reached its position", got)
 	}
 	stop()
 	<-ended
