--- a/gateway/ending_test.go
+++ b/gateway/ending_test.go
@@ -18,7 +18,7 @@
 	}, d, m.listEntry("m", "active"))
 	d.accept(t).readCall(t)
 	open := connectClient(t, g)
-	open.sendRead("once", 60_000)
+	open.sendTxn("once", 60_000)
 	up := m.accept(t)
 	defer up.Close()
 	up.readStartup()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// countStatements counts the statements received so far, without probes, which the gateway sends on a busy machine.
+// countStatements counts the statements received so far without probes, which the gateway sends when the machine is busy.
 func (m *member) countStatements() (n int) {
 	for len(m.queries) > 0 {
 		if strings.Contains(<-m.queries, "facts") {
@@ -246,6 +246,7 @@
 	return d
 }
 
+// update sets the replacement response and, if hosts are given, publishes them as a new list.
 func (d *discovery) update(replacement string, hosts ...map[string]any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -286,6 +287,7 @@
 	}
 }
 
+// listEntry returns the member's entry in discovery's list.
 func (m *member) listEntry(health string) map[string]any {
 	return map[string]any{"host": m.name, "dial": m.listener.Addr().String(), "site": "a", "class": "m", "block": 0,
 		"health": health, "share": 1.0, "born_ms": 0}
@@ -342,6 +344,7 @@
 	}()
 }
 
+// writeConfig writes the configuration file with the address of discovery and its current list.
 func (env *environment) writeConfig(d *discovery, sockets int) {
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": env.address, "discovery": d.listener.Addr().String(),
 		"seed": "1", "limits": map[string]any{"memory_mb": 192, "sockets": sockets}, "known": d.list(true),
@@ -384,6 +387,7 @@
 	return c
 }
 
+// execute runs one query and returns which member's row came back, or the error code and message.
 func execute(c *pgconn.PgConn, sql string) string {
 	ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 	defer cancel()
@@ -400,6 +404,7 @@
 	return "committed by " + string(results[0].Rows[0][0])
 }
 
+// budgetAttribute matches a comment's d attribute, the remaining time in milliseconds.
 var budgetAttribute = regexp.MustCompile(`,d=(\d+)`)
 
 // A write reaches the primary, a read that must see it goes to a replica, and the statement is forwarded unchanged
@@ -417,7 +422,7 @@
 	read := txnSQL("session", fmt.Sprintf(",after=%d", time.Now().UnixMilli()))
 	fmt.Println(execute(c, read))
 	forwarded := await(r.queries)
-	for !strings.Contains(forwarded, "c=session") { // a probe
+	for !strings.Contains(forwarded, "c=session") { // a probe came first
 		forwarded = await(r.queries)
 	}
 	var d int
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -276,8 +276,8 @@
 
 var lastTestID atomic.Uint64
 
-// sendRead sends a read of the given class and timeout.
-func (e *testConn) sendRead(class string, ms int) {
+// sendTxn sends a SELECT as a txn of the given class and timeout.
+func (e *testConn) sendTxn(class string, ms int) {
 	text := fmt.Sprintf("/* id=%016x,c=%s,d=%d,cluster=0 */ SELECT data FROM facts WHERE code = '7f3a'", lastTestID.Add(1), class, ms)
 	_, _ = e.Write(pgwire.AppendQuery(nil, text))
 }
@@ -318,33 +318,33 @@
 	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
 	first := d.accept(t)
 	first.readCall(t)
-	giveUp := func() { g.expireCall(callWatch) }
-	inForce := func() (seq int64) {
+	expireWatch := func() { g.expireCall(callWatch) }
+	currentSeq := func() (seq int64) {
 		g.runOnLoop(func() { seq = g.discovery.list.seq })
 		return seq
 	}
-	giveUp()
+	expireWatch()
 	first.sendList(5, m.listEntry("m", "active"))
-	if wait := first.readCall(t); wait == "" || wait == "0" || inForce() != 5 { // no other call was in flight: the connection continues as the watch
-		t.Errorf("the next call waits %q, the list in force is %d", wait, inForce())
+	if wait := first.readCall(t); wait == "" || wait == "0" || currentSeq() != 5 { // no other call was in flight: the connection continues as the watch
+		t.Errorf("the next call waits %q, the list in force is %d", wait, currentSeq())
 	}
-	giveUp()
+	expireWatch()
 	second := d.accept(t)
 	second.readCall(t) // in flight
 	first.sendList(6, m.listEntry("m", "active"))
-	if _, err := first.r.ReadByte(); err == nil || inForce() != 6 { // the connection ended
-		t.Errorf("the list in force is %d", inForce())
+	if _, err := first.r.ReadByte(); err == nil || currentSeq() != 6 { // the connection ended
+		t.Errorf("the list in force is %d", currentSeq())
 	}
 	second.sendList(5, m.listEntry("m", "active"))
 	second.readCall(t)
-	giveUp()
+	expireWatch()
 	third := d.accept(t)
 	third.readCall(t)
 	third.sendList(7, m.listEntry("m", "active"))
 	third.readCall(t)
 	second.sendList(6, m.listEntry("m", "active"))
-	if _, err := second.r.ReadByte(); err == nil || inForce() != 7 { // older than the list in force
-		t.Errorf("the list in force is %d", inForce())
+	if _, err := second.r.ReadByte(); err == nil || currentSeq() != 7 { // older than the list in force
+		t.Errorf("the list in force is %d", currentSeq())
 	}
 	stop()
 	<-ended
@@ -396,7 +396,7 @@
 	call.sendList(5, a.listEntry("a", "active"))
 	call.readCall(t)
 	c := connectClient(t, g)
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	conn := a.accept(t)
 	conn.readStartup()
 	servedByB := b.serve("b", "read-only")
@@ -420,7 +420,7 @@
 	d, a := newScriptedServer(t), newScriptedServer(t)
 	g, ended, stop := startTestGateway(t, d, a.listEntry("a", "active"))
 	c := connectClient(t, g)
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	conn := a.accept(t)
 	conn.readStartup()
 	conn.sendReady()
@@ -454,7 +454,7 @@
 	d, a := newScriptedServer(t), newScriptedServer(t)
 	g, ended, stop := startTestGateway(t, d, a.listEntry("a", "active"))
 	c := connectClient(t, g)
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	conn := a.accept(t)
 	conn.readStartup()
 	g.runOnLoop(func() {
@@ -635,7 +635,7 @@
 		text := fmt.Sprintf("/* id=%016x,c=any,d=2000,cluster=0,after=%d */ SELECT data FROM facts WHERE code = '7f3a'", lastTestID.Add(1), after)
 		_, _ = c.Write(pgwire.AppendQuery(nil, text))
 	}
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	conn := a.admit(t)
 	conn.readQuery()
 	reached := positionAhead(20 * time.Second)
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -63,7 +63,7 @@
 		served := m.serve("m", "read-only")
 		network.dialError.Store(&number)
 		c := connectClient(t, g)
-		c.sendRead("any", 9000)
+		c.sendTxn("any", 9000)
 		answer := make(chan string, 1)
 		go func() { answer <- c.readResponse() }()
 		for end := time.Now().Add(testTimeout); network.failures.Load() < 5 && len(answer) == 0 && time.Now().Before(end); {
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -29,7 +29,7 @@
 	d, m := newScriptedServer(t), newScriptedServer(t)
 	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
 	leaves, terminates, spoils := connectClient(t, g), connectClient(t, g), connectClient(t, g)
-	leaves.sendRead("any", 9000)
+	leaves.sendTxn("any", 9000)
 	up := m.accept(t)
 	defer up.Close()
 	up.readStartup()
--- a/gateway/reentry_test.go
+++ b/gateway/reentry_test.go
@@ -39,7 +39,7 @@
 	}, d, m.listEntry("m", "active"))
 	d.accept(t).readCall(t)
 	c := connectClient(t, g)
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	up := m.accept(t)
 	up.readStartup()
 	up.sendReady()
@@ -64,7 +64,7 @@
 		}
 	})
 	other := connectClient(t, g)
-	other.sendRead("any", 9000)
+	other.sendTxn("any", 9000)
 	served := m.serve("m", "read-only")
 	go func() { // on the connection that served before, if it was kept
 		if _, ok := up.readQuery(); ok {
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -18,7 +18,7 @@
 	var clients, busy []*testConn
 	for range atOnce { // each on a connection of its own, as the others have no answer yet
 		c := connectClient(t, g)
-		c.sendRead("any", 9000)
+		c.sendTxn("any", 9000)
 		up := m.accept(t)
 		up.readStartup()
 		up.sendReady()
--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -114,11 +114,11 @@
 	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
 	d.accept(t).readCall(t)
 	a, b, last := connectClient(t, g), connectClient(t, g), connectClient(t, g)
-	last.sendRead("once", 9000) // which is never sent twice, however long it takes
+	last.sendTxn("once", 9000) // which is never sent twice, however long it takes
 	held := m.admit(t)
 	held.readQuery()
 	r.says("last", "asks for a write; the member does not answer yet")
-	a.sendRead("any", 9000)
+	a.sendTxn("any", 9000)
 	up := m.admit(t)
 	up.readQuery()
 	up.sendRow("m", "read-only")
@@ -133,7 +133,7 @@
 	g.runOnLoop(func() {
 		for _, ref := range g.clients.open.Refs() {
 			if c := g.clients.open.Get(ref); c.asked && c.stage == quiet {
-				a.sendRead("any", 9000)
+				a.sendTxn("any", 9000)
 				awaitUnread(t, c.conn.Fd())
 			}
 		}
@@ -145,7 +145,7 @@
 	r.says("b", "has asked nothing: %s", b.ended())
 	again := connectClient(t, g)
 	g.rested()
-	again.sendRead("any", 9000)
+	again.sendTxn("any", 9000)
 	up.readQuery()
 	up.sendRow("m", "read-only")
 	r.says("a", "asks once more on a new connection what crossed the end of another: %s", again.readResponse())
@@ -170,7 +170,7 @@
 		_, _ = e.Write(binary.BigEndian.AppendUint32(message, key.Secret))
 		r.says("another", "sends a cancel request; %s", e.ended())
 	}
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	up := m.admit(t)
 	text, _ := up.readQuery()
 	r.says("member", "gets %s", text)
@@ -180,7 +180,7 @@
 	cancel(key)
 	r.says("client", "%s", c.readResponse())
 	r.says("member", "%s", up.ended())
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	up = m.admit(t)
 	up.readQuery()
 	up.sendRow("m", "read-only")
@@ -188,7 +188,7 @@
 	r.says("another", "cancels behind the answer")
 	cancel(key)
 	g.rested()
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	up.readQuery()
 	up.sendRow("m", "read-only")
 	r.says("client", "asks the next: %s", c.readResponse())
@@ -214,7 +214,7 @@
 	d, a, b := newScriptedServer(t), newScriptedServer(t), newScriptedServer(t)
 	g, watch, end := r.follows("discovery", d, a)
 	c := connectClient(t, g)
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	idle := a.admit(t)
 	idle.readQuery()
 	idle.sendRow("a", "read-only")
@@ -227,7 +227,7 @@
 	r.says("discovery", "list 6: a is leaving, b is active")
 	r.says("a", "%s", idle.ended())
 	r.says("gateway", "%s", again.told(t))
-	c.sendRead("any", 9000)
+	c.sendTxn("any", 9000)
 	up := b.admit(t)
 	up.readQuery()
 	up.sendRow("b", "read-only")
@@ -259,7 +259,7 @@
 	r.says("next", "list 2, by numbers of its own: a is active, b is leaving")
 	r.says("gateway", "%s", call.told(t))
 	asks := connectClient(t, g)
-	asks.sendRead("any", 9000)
+	asks.sendTxn("any", 9000)
 	up := a.admit(t)
 	up.readQuery()
 	up.sendRow("a", "read-only")
