--- a/gateway/soak/servers_test.go
+++ b/gateway/soak/servers_test.go
@@ -16,43 +16,44 @@
 	"time"
 )
 
-// attempt is a statement that came to a server.
+// attempt is a transaction's statement as a server received it.
 type attempt struct {
-	server   string
-	class    string
-	at       time.Time
-	deadline time.Duration // that the gateway passed on
+	server     string
+	txnType    string
+	receivedAt time.Time
+	timeout    time.Duration // time left to the client, as the gateway passed it on
 }
 
-// records keep what servers saw, by request.
-type records struct {
-	mu       sync.Mutex
-	attempts map[uint64][]attempt
+// attemptLog holds the attempts that the servers received, by request id.
+type attemptLog struct {
+	mu   sync.Mutex
+	byID map[uint64][]attempt
 }
 
-func (r *records) add(id uint64, a attempt) {
+func (r *attemptLog) add(id uint64, a attempt) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.attempts[id] = append(r.attempts[id], a)
+	r.byID[id] = append(r.byID[id], a)
 }
 
-// server is a database server that answers with the request's id, and sometimes not as it should.
+// server is a stand-in for a database server. It returns the request's id as the value, and some statements fail at
+// random.
 type server struct {
 	name, mode string
 	listener   net.Listener
-	records    *records
+	attempts   *attemptLog
 	mu         sync.Mutex
 	random     *rand.Rand
-	hangs      time.Time // until when it answers nothing
+	hangUntil  time.Time // no response is sent before this time
 	conns      map[net.Conn]bool
 }
 
-func newServer(name, mode string, r *records, random *rand.Rand) (*server, error) {
+func newServer(name, mode string, attempts *attemptLog, random *rand.Rand) (*server, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &server{name: name, mode: mode, listener: l, records: r, random: random, conns: map[net.Conn]bool{}}
+	s := &server{name: name, mode: mode, listener: l, attempts: attempts, random: random, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -77,49 +78,50 @@
 	}
 }
 
-// hang answers nothing for a while.
-func (s *server) hang(span time.Duration) {
+// hang delays all responses by the given duration from now on.
+func (s *server) hang(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.hangs = time.Now().Add(span)
+	s.hangUntil = time.Now().Add(duration)
 }
 
-// behaviour is how a server deals with a statement.
+// behaviour is how a server handles a statement.
 type behaviour int
 
 const (
-	answers behaviour = iota
-	fallsSilent
-	resets
-	halfAnswer
-	tellsError
+	respond behaviour = iota
+	staySilent
+	resetConn
+	truncateResponse
+	returnError
 )
 
-func (s *server) next() (b behaviour, wait time.Duration) {
+// nextBehaviour draws how the server handles the next statement and how long it waits before that.
+func (s *server) nextBehaviour() (b behaviour, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait = time.Duration(s.random.ExpFloat64() * float64(5*time.Millisecond))
-	if hang := time.Until(s.hangs); hang > 0 {
-		wait += hang
+	delay = time.Duration(s.random.ExpFloat64() * float64(5*time.Millisecond))
+	if hang := time.Until(s.hangUntil); hang > 0 {
+		delay += hang
 	}
 	switch n := s.random.IntN(100); {
 	case n < 2:
-		return fallsSilent, wait
+		return staySilent, delay
 	case n < 4:
-		return resets, wait
+		return resetConn, delay
 	case n < 6:
-		return halfAnswer, wait
+		return truncateResponse, delay
 	case n < 8:
-		return tellsError, wait
+		return returnError, delay
 	}
-	return answers, wait
+	return respond, delay
 }
 
 func message(kind byte, body string) string {
 	return string(binary.BigEndian.AppendUint32([]byte{kind}, uint32(len(body)+4))) + body
 }
 
-var comment = regexp.MustCompile(`id=([0-9a-f]{16}),c=([a-z]+),d=(\d+)`)
+var txnComment = regexp.MustCompile(`id=([0-9a-f]{16}),c=([a-z]+),d=(\d+)`)
 
 func (s *server) serve(c net.Conn) {
 	defer c.Close()
@@ -138,44 +140,44 @@
 			return
 		}
 		value := "probe"
-		found := comment.FindStringSubmatch(string(body))
-		if found != nil {
-			value = found[1]
-			id, _ := strconv.ParseUint(found[1], 16, 64)
-			left, _ := strconv.Atoi(found[3])
-			s.records.add(id, attempt{s.name, found[2], time.Now(), time.Duration(left) * time.Millisecond})
+		match := txnComment.FindStringSubmatch(string(body))
+		if match != nil {
+			value = match[1]
+			id, _ := strconv.ParseUint(match[1], 16, 64)
+			left, _ := strconv.Atoi(match[3])
+			s.attempts.add(id, attempt{s.name, match[2], time.Now(), time.Duration(left) * time.Millisecond})
 		}
-		b, wait := s.next()
-		if found == nil {
-			b = answers
+		b, delay := s.nextBehaviour()
+		if match == nil { // a probe
+			b = respond
 		}
-		time.Sleep(wait)
+		time.Sleep(delay)
 		if !s.reply(c, r, b, value) {
 			return
 		}
 	}
 }
 
-// reply answers a statement; false is the end of the connection.
+// reply responds to a statement and reports whether the connection stays open.
 func (s *server) reply(c net.Conn, r *bufio.Reader, b behaviour, value string) bool {
-	end := message('S', "mode\x00"+s.mode+"\x00") + message('S', fmt.Sprintf("wal_time\x00%d\x00", time.Now().UnixMilli())) + message('Z', "I")
+	status := message('S', "mode\x00"+s.mode+"\x00") + message('S', fmt.Sprintf("wal_time\x00%d\x00", time.Now().UnixMilli())) + message('Z', "I")
 	row := message('T', "\x00\x01data\x00"+strings.Repeat("\x00", 18)) +
 		message('D', "\x00\x01"+string(binary.BigEndian.AppendUint32(nil, uint32(len(value))))+value)
 	switch b {
-	case fallsSilent:
+	case staySilent:
 		_, _ = r.ReadByte()
 		return false
-	case resets:
+	case resetConn:
 		_ = c.(*net.TCPConn).SetLinger(0)
 		return false
-	case halfAnswer:
+	case truncateResponse:
 		_, _ = io.WriteString(c, row[:len(row)-1])
 		return false
-	case tellsError:
-		_, _ = io.WriteString(c, message('E', "SERROR\x00CXX000\x00Mfault\x00\x00")+end)
+	case returnError:
+		_, _ = io.WriteString(c, message('E', "SERROR\x00CXX000\x00Mfault\x00\x00")+status)
 		return true
 	}
-	_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+end)
+	_, _ = io.WriteString(c, row+message('C', "SELECT 1\x00")+status)
 	return true
 }
 
@@ -189,15 +191,15 @@
 	return head[0], body, err
 }
 
-// discovery is the list service, at two addresses.
+// discovery is a stand-in for the list service, listening on two addresses.
 type discovery struct {
-	listeners [2]net.Listener
-	mu        sync.Mutex
-	version   int
-	hosts     []map[string]any
-	changed   chan struct{}
-	down      bool
-	leftAt    time.Time // when a list with a draining server was first written
+	listeners     [2]net.Listener
+	mu            sync.Mutex
+	version       int
+	hosts         []map[string]any
+	changed       chan struct{}
+	down          bool
+	drainListedAt time.Time // when a list with a draining server was first sent
 }
 
 func newDiscovery() (*discovery, error) {
@@ -219,12 +221,12 @@
 	}
 }
 
-func (s *server) host(health string) map[string]any {
+func (s *server) listEntry(health string) map[string]any {
 	return map[string]any{"host": s.name, "dial": s.listener.Addr().String(), "site": "a", "class": "m", "block": 0,
 		"health": health, "share": 1.0, "born_ms": 0}
 }
 
-func (d *discovery) set(hosts ...map[string]any) {
+func (d *discovery) setHosts(hosts ...map[string]any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
@@ -243,7 +245,7 @@
 	return map[string]any{"seq": d.version, "whole": true, "hosts": d.hosts}
 }
 
-// ServeHTTP answers a call, or a watch once there is something new.
+// ServeHTTP responds to a call at once, and to a watch when the list changes or its wait expires.
 func (d *discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	d.mu.Lock()
@@ -264,8 +266,8 @@
 	}
 	_ = json.NewEncoder(w).Encode(d.list())
 	for _, h := range d.hosts {
-		if h["health"] == "leaving" && d.leftAt.IsZero() {
-			d.leftAt = time.Now()
+		if h["health"] == "leaving" && d.drainListedAt.IsZero() {
+			d.drainListedAt = time.Now()
 		}
 	}
 }
