--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -12,7 +12,7 @@
   # "signed" the same, for tokens that a gateway gave (parameter session_token, brought back as at=). Default "hints".
   tokens = "hints"
 
-  span        = "10s"  # a mark is kept for so long, then its group's floor takes its place
+  span        = "10s"  # a watermark is kept for so long, then its group's floor takes its place
   key_span    = "60s"  # the key of a write that was sent is known for so long
   most_marks  = 100000 # about 100 bytes each
   fence_wait  = "50ms" # a primary that has not told its position is asked again
@@ -30,10 +30,10 @@
   #   key "1" { variable = "MAGPIEGLADE_KEY" } # still valid
   # }
 
-  # Marks over a restart.
+  # Watermarks over a restart.
   # ledger {
   #   folder        = "/var/lib/magpieglade"
-  #   before_answer = "none" # "process": a mark is with the kernel before its write is answered
+  #   before_answer = "none" # "process": an entry is with the kernel before its write is answered
   #   at_most       = "20ms" # but no answer waits longer
   # }
 }
@@ -61,7 +61,7 @@
 #   away        = 1       # of a gateway's members those in other zones
 #   signals     = true    # gateways tell each other what they learn of members
 #   turns       = true    # one probes a member, or asks a list service that is down, for all
-#   wait        = "300ms" # for its word
+#   wait        = "300ms" # for its completion notice
 # }
 
 # What follows can be changed while a gateway runs: docs/configuration.md.
@@ -82,7 +82,7 @@
 #   rate      = 200  # txns a second
 #   burst     = 20
 #   connections = 100 # of its clients
-#   fleet     = true  # in_flight, bytes, rate and connections are of all gateways together, in leased parts: docs/fleet.md
+#   fleet     = true  # in_flight, bytes, rate and connections are of all gateways together, in leased allocations: docs/fleet.md
 #   without_agreement = "serve" # its txns at a gateway that can't renew what the fleet agreed on
 # }
 
