--- a/gateway/accept.go
+++ b/gateway/accept.go
@@ -11,35 +11,35 @@
 // acceptor takes client connections from a listener and hands them to the event loop, one at a time. An error of accept ends
 // neither the loop nor the acceptor: it tries again after a pause, until the listener is closed.
 type acceptor struct {
-	listener net.Listener
-	enroll   func(net.Conn) error
-	noteFail func(err error, first bool)
-	noteGood func(failures int, span time.Duration)
+	listener   net.Listener
+	enroll     func(net.Conn) error
+	onFailure  func(err error, first bool)
+	onRecovery func(failures int, span time.Duration)
 }
 
 // run accepts until the listener is closed.
 func (a *acceptor) run() {
-	var pause neterr.Backoff
-	failures, since := 0, time.Time{}
+	var backoff neterr.Backoff
+	failures, failingSince := 0, time.Time{}
 	for {
-		c, err := a.listener.Accept()
+		conn, err := a.listener.Accept()
 		if err == nil {
-			err = a.enroll(c)
+			err = a.enroll(conn)
 		}
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
 			if failures == 0 {
-				since = time.Now()
+				failingSince = time.Now()
 			}
 			failures++
-			a.noteFail(err, failures == 1)
-			time.Sleep(pause.Next())
+			a.onFailure(err, failures == 1)
+			time.Sleep(backoff.Next())
 		case failures > 0:
-			a.noteGood(failures, time.Since(since))
+			a.onRecovery(failures, time.Since(failingSince))
 			failures = 0
-			pause.Reset()
+			backoff.Reset()
 		}
 	}
 }
@@ -49,13 +49,13 @@
 	a := acceptor{
 		listener: g.listener,
 		enroll:   func(c net.Conn) error { return g.enroll(c, &owner{kind: ownerClient}) },
-		noteFail: func(err error, first bool) {
+		onFailure: func(err error, first bool) {
 			g.post(func() { g.outcomes.acceptErrors[neterr.Label(err)]++ })
 			if first {
 				g.log.Warn("accepting clients fails, trying again", "why", err)
 			}
 		},
-		noteGood: func(failures int, span time.Duration) {
+		onRecovery: func(failures int, span time.Duration) {
 			g.log.Info("accepting clients again", "failures", failures, "span_ms", span.Milliseconds())
 		},
 	}
--- a/gateway/accept_test.go
+++ b/gateway/accept_test.go
@@ -13,25 +13,25 @@
 
 // limitDescriptors bounds the numbers of new descriptors of the gateway's process, so that the kernel refuses every new
 // one with EMFILE. The function that it returns restores the former bound.
-func (w *world) limitDescriptors(t *testing.T, most uint64) (restore func()) {
+func (w *world) limitDescriptors(t *testing.T, limit uint64) (restore func()) {
 	t.Helper()
-	var former unix.Rlimit
+	var previous unix.Rlimit
 	pid := w.process.Process.Pid
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &former); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &previous); err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: former.Max}, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: previous.Max}, nil); err != nil {
 		t.Fatal(err)
 	}
 	return func() {
-		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &former, nil); err != nil && !os.IsNotExist(err) {
+		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &previous, nil); err != nil && !os.IsNotExist(err) {
 			t.Error(err)
 		}
 	}
 }
 
 // dialRaw connects without waiting for the gateway to accept.
-func (w *world) dialRaw(t *testing.T) net.Conn {
+func (w *world) dialUnaccepted(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", w.address)
 	if err != nil {
@@ -52,7 +52,7 @@
 	go func() { asked <- ask(open, sql("once", "")) }()
 	await(m.open)
 	restore := w.limitDescriptors(t, 1)
-	late := w.dialRaw(t)
+	late := w.dialUnaccepted(t)
 	if _, err := io.WriteString(late, hello+query(sql("any", ""))); err != nil {
 		t.Fatal(err)
 	}
--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -46,7 +46,7 @@
 func openAgreed(g *Gateway, seed uint64) (*agreed, error) {
 	a := &agreed{g: g, waits: map[uint64]func(agreement.Outcome){}, known: map[agreement.Digest]*generation{}}
 	var err error
-	a.f, err = fleet.Open(g.config.Agreement, a, g.link, seed)
+	a.f, err = fleet.Open(g.config.Agreement, a, g.peerLink, seed)
 	return a, err
 }
 
@@ -58,7 +58,7 @@
 
 // WakeAfter has a turn come.
 func (a *agreed) WakeAfter(span int64) {
-	a.g.deadlines.Add(a.Now()+span, due{kind: dueWake})
+	a.g.deadlines.Add(a.Now()+span, timerEvent{kind: timerWake})
 }
 
 // Logger is the gateway's.
@@ -279,8 +279,8 @@
 	err := g.inLoop(ctx, func() error {
 		c := &g.counts
 		f = Figures{Taken: c.taken, Declined: c.declined, RolledBack: c.rolledBack, Withdrawn: c.withdrawn, Unagreed: c.unagreed, Outcomes: g.outcomes.snapshot()}
-		if g.agreed != nil {
-			s := g.agreed.f.Status()
+		if g.agreement != nil {
+			s := g.agreement.f.Status()
 			f.Fleet = &s
 		}
 		return nil
@@ -291,23 +291,23 @@
 // ready tells whether clients may come: not before it knows what holds, or has asked for it long enough.
 func (a *agreed) ready() bool {
 	known := a.held && (a.g.sessions == nil || a.g.sessions.Module.AcceptsSessionWrites())
-	return known || a.f.Config().ServeWithoutAgreement || a.g.clock.passed() > time.Duration(a.f.Config().Agreement.StartupWait())
+	return known || a.f.Config().ServeWithoutAgreement || a.g.clock.elapsed() > time.Duration(a.f.Config().Agreement.StartupWait())
 }
 
 // ask has the fleet agree on something and waits for what becomes of it.
 func (g *Gateway) ask(ctx context.Context, f func() (agreement.Proposal, []byte, error)) (o agreement.Outcome, err error) {
 	done := make(chan agreement.Outcome, 1)
 	err = g.inLoop(ctx, func() error {
-		if g.agreed == nil {
+		if g.agreement == nil {
 			return errors.New("this gateway agrees on nothing with others: its operator's file has no block agreement")
 		}
 		w, text, err := f()
 		if err != nil {
 			return err
 		}
-		no, err := g.agreed.f.Propose(w, text, askPatience)
+		no, err := g.agreement.f.Propose(w, text, askPatience)
 		if err == nil {
-			g.agreed.waits[no] = func(o agreement.Outcome) { done <- o }
+			g.agreement.waits[no] = func(o agreement.Outcome) { done <- o }
 		}
 		return err
 	})
@@ -403,10 +403,10 @@
 // FoundFleet begins a fleet with this gateway as its one voter.
 func (g *Gateway) FoundFleet(ctx context.Context) error {
 	return g.inLoop(ctx, func() error {
-		if g.agreed == nil {
+		if g.agreement == nil {
 			return errors.New("its operator's file has no block agreement")
 		}
-		return g.agreed.f.Bootstrap()
+		return g.agreement.f.Bootstrap()
 	})
 }
 
@@ -420,11 +420,11 @@
 // other gateways, which takes some ways there and back.
 func (g *Gateway) Fleet(ctx context.Context, all bool) (s *fleet.Status, err error) {
 	err = g.inLoop(ctx, func() error {
-		if g.agreed != nil {
-			x := g.agreed.f.Status()
+		if g.agreement != nil {
+			x := g.agreement.f.Status()
 			s = &x
 			if all {
-				g.agreed.f.Survey()
+				g.agreement.f.Survey()
 			}
 		}
 		return nil
@@ -432,7 +432,7 @@
 	for over := !all || s == nil; !over && err == nil; {
 		time.Sleep(surveyLook)
 		err = g.inLoop(ctx, func() error {
-			s.Leases, over = g.agreed.f.SurveyResult()
+			s.Leases, over = g.agreement.f.SurveyResult()
 			return nil
 		})
 	}
@@ -443,12 +443,12 @@
 func (g *Gateway) Restore(ctx context.Context, no uint64, who string) (rollout.Generation, error) {
 	var text []byte
 	err := g.inLoop(ctx, func() error {
-		if g.agreed == nil {
+		if g.agreement == nil {
 			return errors.New("this gateway agrees on nothing with others")
 		}
-		for _, s := range g.agreed.f.Status().History {
+		for _, s := range g.agreement.f.Status().History {
 			if v := s.Version(no); s.Name == SubjectRoutes && v != nil {
-				text = g.agreed.f.Text(v.Digest)
+				text = g.agreement.f.Text(v.Digest)
 			}
 		}
 		if text == nil {
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -27,7 +27,7 @@
 	fairShare   = 32 << 10                   // bytes that a client may hold beyond that
 	membersPart = 3                          // part of the descriptors that clients leave to members and discovery
 	sparePart   = 8                          // part of their own that quiet clients make way for, before none is left
-	mostTurned  = reserve / 4                // clients past the budget that are told so, at a time
+	mostTurned  = reservedDescriptors / 4    // clients past the budget that are told so, at a time
 	mostFresh   = 2000 * decide.Millisecond  // from connecting to the first query
 	mostBegun   = 2000 * decide.Millisecond  // from the first byte of a message to its last
 	leastQuiet  = 2000 * decide.Millisecond  // of a client that has asked, before it makes way while there is room
@@ -68,9 +68,9 @@
 type client struct {
 	conn     gnet.Conn
 	stage    stage
-	since    decide.Nanos          // when it came to that
-	due      *deadlines.Entry[due] // when that has to end
-	row      *list.Element         // its place among those that are fresh or quiet
+	since    decide.Nanos                 // when it came to that
+	due      *deadlines.Entry[timerEvent] // when that has to end
+	row      *list.Element                // its place among those that are fresh or quiet
 	openedAt decide.Nanos
 	user     string
 	database string
@@ -136,12 +136,12 @@
 }
 
 func (cs *clients) clientOpened(c gnet.Conn, o *owner) ([]byte, gnet.Action) {
-	others := cs.g.budget.all / membersPart
-	cs.makeRoom(others+(cs.g.budget.all-others)/sparePart, leastQuiet)
+	others := cs.g.budget.total / membersPart
+	cs.makeRoom(others+(cs.g.budget.total-others)/sparePart, leastQuiet)
 	cs.makeRoom(others+1, leastFresh) // one who comes has something to ask
-	counted := cs.g.budget.take(1, others)
+	counted := cs.g.budget.acquire(1, others)
 	for !counted && cs.g.members.closeLongestIdle() {
-		counted = cs.g.budget.take(1, others)
+		counted = cs.g.budget.acquire(1, others)
 	}
 	if !counted {
 		cs.noteFull(true)
@@ -153,7 +153,7 @@
 	}
 	now := cs.g.clock.now()
 	o.ref = cs.open.Add(client{conn: c, counted: counted, openedAt: now})
-	o.counted = counted
+	o.hasDescriptor = counted
 	cs.enter(o.ref, cs.open.Get(o.ref), fresh)
 	return nil, gnet.None
 }
@@ -189,7 +189,7 @@
 	case asking:
 		return
 	}
-	c.due = cs.g.deadlines.Add(int64(end), due{kind: dueClient, ref: ref})
+	c.due = cs.g.deadlines.Add(int64(end), timerEvent{kind: timerClient, ref: ref})
 }
 
 func (cs *clients) leaveStage(c *client) {
@@ -251,7 +251,7 @@
 	if !c.counted {
 		cs.turnedAway--
 	}
-	if cs.g.budget.free > cs.g.budget.all/membersPart+(cs.g.budget.all-cs.g.budget.all/membersPart)/sparePart {
+	if cs.g.budget.free > cs.g.budget.total/membersPart+(cs.g.budget.total-cs.g.budget.total/membersPart)/sparePart {
 		cs.noteFull(false)
 	}
 	cs.withdraw(c)
@@ -259,7 +259,7 @@
 		delete(cs.keys, c.key.Process)
 	}
 	cs.open.Remove(ref)
-	cs.g.emptied()
+	cs.g.scheduleEndIfEmpty()
 }
 
 // withdraw ends what a client has asked for that goes away, or is sent away.
@@ -320,7 +320,7 @@
 	switch {
 	case cs.crowded():
 		return quiet >= leastFresh
-	case cs.open.Len() > cs.g.budget.all/fewPart:
+	case cs.open.Len() > cs.g.budget.total/fewPart:
 		return quiet >= leastQuiet
 	}
 	return quiet >= mostQuiet
@@ -331,13 +331,13 @@
 func (cs *clients) clientOverdue(ref slots.Ref) {
 	switch c := cs.open.Get(ref); {
 	case c == nil:
-	case c.stage == begun && !cs.g.discovery.list.held:
+	case c.stage == begun && !cs.g.discovery.list.received:
 		cs.refuse(ref, "57P03", "no list of members yet")
 	case c.stage == begun:
 		cs.refuse(ref, "08P01", "the message does not end")
 	case c.stage == quiet && !cs.quietTooLong(c):
 		cs.g.deadlines.Remove(c.due)
-		c.due = cs.g.deadlines.Add(int64(cs.g.clock.now()+leastQuiet), due{kind: dueClient, ref: ref})
+		c.due = cs.g.deadlines.Add(int64(cs.g.clock.now()+leastQuiet), timerEvent{kind: timerClient, ref: ref})
 	case c.stage == fresh || c.stage == quiet:
 		cs.sendAway(c, closedIdle)
 	default:
@@ -368,7 +368,7 @@
 func (cs *clients) againIn(ref slots.Ref, c *client, span decide.Nanos) {
 	if !c.polled {
 		c.polled = true
-		cs.g.deadlines.Add(int64(cs.g.clock.now()+span), due{kind: dueReadable, ref: ref})
+		cs.g.deadlines.Add(int64(cs.g.clock.now()+span), timerEvent{kind: timerReadable, ref: ref})
 	}
 }
 
@@ -444,7 +444,7 @@
 			return
 		}
 		// What was read of a query is served; one that is still on its way is sent again elsewhere.
-		if cs.g.closing && waiting == 0 && c.asked { // who comes now asks once more what crossed the end of its last connection
+		if cs.g.closingClients && waiting == 0 && c.asked { // who comes now asks once more what crossed the end of its last connection
 			cs.dismiss(ref)
 			return
 		}
@@ -577,7 +577,7 @@
 		return 0
 	}
 	if len(trimmed(text)) == 0 {
-		if !cs.g.discovery.list.held || cs.g.agreed != nil && !cs.g.agreed.ready() { // not yet able to serve: the answer waits until it is
+		if !cs.g.discovery.list.received || cs.g.agreement != nil && !cs.g.agreement.ready() { // not yet able to serve: the answer waits until it is
 			cs.again(ref, c)
 			return 0
 		}
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -84,7 +84,7 @@
 // readFile reads a whole file, again while that fails for want of something of this machine.
 func readFile(path string) (text []byte, err error) {
 	failed := false
-	err = neterr.Retry(startPatience, func() (err error) {
+	err = neterr.Retry(startTimeout, func() (err error) {
 		text, err = os.ReadFile(path)
 		if err != nil && neterr.IsLocal(err) && !failed {
 			failed = true
@@ -138,7 +138,7 @@
 	if c.Limits.MemoryMB < 32 {
 		return lacking("limits.memory_mb")
 	}
-	if c.Limits.Sockets < 2*reserve {
+	if c.Limits.Sockets < 2*reservedDescriptors {
 		return lacking("limits.sockets")
 	}
 	if len(c.Settings) == 0 {
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -26,7 +26,7 @@
 
 func newCoordinated(g *Gateway) (x *coordinated, err error) {
 	x = &coordinated{g: g, names: map[uint64]string{}, probes: map[uint64]decide.Result{}, primary: map[int]uint64{}}
-	x.c, err = fleet.NewCoordination(g.agreed.f, g.config.Coordination, x, g.seed)
+	x.c, err = fleet.NewCoordination(g.agreement.f, g.config.Coordination, x, g.seed)
 	return x, err
 }
 
@@ -39,7 +39,7 @@
 }
 
 // WakeAfter has a turn come, Now is the gateway's clock, Logger its log.
-func (x *coordinated) WakeAfter(span int64) { x.g.agreed.WakeAfter(span) }
+func (x *coordinated) WakeAfter(span int64) { x.g.agreement.WakeAfter(span) }
 
 // Now is for fleet.CoordinationHost.
 func (x *coordinated) Now() int64 { return int64(x.g.clock.now()) }
@@ -60,15 +60,15 @@
 	clear(x.names)
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
 		h := hosts[name]
-		x.names[h.mark] = name
+		x.names[h.key] = name
 		if x.g.generations.health(&h.entry) != "active" {
 			continue
 		}
-		primary := h.entry.Mode == "read-write" || x.primary[h.entry.Block] == h.mark
+		primary := h.entry.Mode == "read-write" || x.primary[h.entry.Block] == h.key
 		if s, ok := x.g.module.Primary(h.entry.Block); ok && s == h.server {
 			primary = true
 		}
-		all = append(all, subset.Member{Key: h.mark, Group: h.entry.Block, Zone: h.entry.Site, Weight: 1, Primary: primary})
+		all = append(all, subset.Member{Key: h.key, Group: h.entry.Block, Zone: h.entry.Site, Weight: 1, Primary: primary})
 	}
 	x.c.SetMembers(all)
 }
@@ -80,7 +80,7 @@
 	case !ok:
 		return // it left the list, and the module was told
 	case on:
-		x.g.discovery.tellHost(h.entry)
+		x.g.discovery.applyHost(h.entry)
 	default:
 		zone := slices.Index(x.g.names.Zones, h.entry.Site)
 		for _, s := range []decide.Status{decide.Draining, decide.Removed} {
@@ -132,11 +132,11 @@
 	}
 	switch i.Kind {
 	case signals.Primary, signals.Position:
-		in := input{kind: inNews, server: h.server, position: x.g.onClock(session.Position(i.Value))}
+		in := input{kind: inMemberUpdate, server: h.server, position: x.g.onClock(session.Position(i.Value))}
 		if i.Kind == signals.Primary && x.g.config.ClockError == 0 {
 			in.role = decide.RolePrimary
-			if x.primary[h.entry.Block] != h.mark {
-				x.primary[h.entry.Block] = h.mark
+			if x.primary[h.entry.Block] != h.key {
+				x.primary[h.entry.Block] = h.key
 				x.members()
 			}
 		}
@@ -162,7 +162,7 @@
 				if n.Primary {
 					kind = signals.Primary
 				}
-				x.c.Report(kind, h.mark, int64(x.g.position(n.Position)))
+				x.c.Report(kind, h.key, int64(x.g.position(n.Position)))
 			}
 		}
 	}
@@ -174,8 +174,8 @@
 		if h.server != server || x.c.Turns == nil {
 			continue
 		}
-		if x.c.RequestTurn(h.mark) {
-			x.g.inputs = append(x.g.inputs, input{kind: inProbed, server: server, result: x.probes[h.mark]})
+		if x.c.RequestTurn(h.key) {
+			x.g.inputs = append(x.g.inputs, input{kind: inProbed, server: server, result: x.probes[h.key]})
 			return
 		}
 		x.c.ProcessDecisions()
@@ -188,8 +188,8 @@
 func (x *coordinated) probed(server decide.Server, r decide.Result) {
 	for _, h := range x.g.discovery.list.hosts {
 		if h.server == server && x.c.Turns != nil {
-			x.probes[h.mark] = r
-			x.c.CompleteTurn(h.mark, uint32(r))
+			x.probes[h.key] = r
+			x.c.CompleteTurn(h.key, uint32(r))
 		}
 	}
 }
@@ -237,7 +237,7 @@
 	switch {
 	case len(x.waiting) == 0:
 	case r == decide.Committed:
-		x.g.deadlines.Add(x.Now()+x.c.StartDelay(), due{kind: dueList})
+		x.g.deadlines.Add(x.Now()+x.c.StartDelay(), timerEvent{kind: timerList})
 	default:
 		x.waiting = nil
 		x.g.inputs = append(x.g.inputs, input{kind: inListFailed})
@@ -247,8 +247,8 @@
 // asks makes the calls that wait.
 func (x *coordinated) asks() {
 	for _, kind := range x.waiting {
-		if c := &x.g.discovery.calls[kind]; !c.asked && !c.dialled {
-			x.g.discovery.ask(c)
+		if c := &x.g.discovery.calls[kind]; !c.awaitingResponse && !c.dialing {
+			x.g.discovery.sendCall(c)
 		}
 	}
 	x.waiting = nil
@@ -257,13 +257,13 @@
 // Coordination tells of what is chosen together; nil where nothing is. Names are those of members, by their keys.
 func (g *Gateway) Coordination(ctx context.Context) (v *fleet.CoordinationView, names map[uint64]string, err error) {
 	err = g.inLoop(ctx, func() error {
-		if g.coordinated == nil {
+		if g.coordination == nil {
 			return nil
 		}
-		x := g.coordinated.c.View()
+		x := g.coordination.c.View()
 		v, names = &x, map[uint64]string{fleet.ListKey: "the list"}
 		for name, h := range g.discovery.list.hosts {
-			names[h.mark] = name
+			names[h.key] = name
 		}
 		return nil
 	})
--- a/gateway/disk_test.go
+++ b/gateway/disk_test.go
@@ -9,7 +9,7 @@
 )
 
 // full has a process's disk take nothing more, or takes it back: no file may grow.
-func (p *process) full(on bool) {
+func (p *process) setDiskFull(on bool) {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if on {
 		limit.Cur = 1
@@ -20,76 +20,76 @@
 // Disks are full while changes are asked for: of a voter that follows, which holds up nobody; of the one that leads, which
 // makes way; of all but one of those that vote, when no change comes and clients are served as before. Each goes on by
 // itself once there is room. Nobody answers a client wrongly meanwhile.
-func TestAgreedWithFullDisks(t *testing.T) {
+func TestConfigChangesWithFullDisks(t *testing.T) {
 	t.Parallel() // it waits for events nearly all of its time
-	u := newUnion(t, 5, 3)
-	l := u.load()
+	fleet := newUnion(t, 5, 3)
+	load := fleet.load()
 	all := []int{0, 1, 2, 3, 4}
-	agreed := func(gateway, version int) {
+	applyVersion := func(gateway, version int) {
 		t.Helper()
-		u.await(fmt.Sprintf("version %d is agreed on", version), func() bool {
-			said := u.apply(gateway, moves(version))
+		fleet.await(fmt.Sprintf("version %d is agreed on", version), func() bool {
+			said := fleet.apply(gateway, moves(version))
 			return strings.Contains(said, fmt.Sprintf("version %d is agreed on", version))
 		})
 	}
-	agreed(4, 1)
-	u.holds(1, all...)
-	at := u.leader(0, 1, 2)
-	follows := (at + 1) % 3
-	u.gateways[follows].full(true)
-	agreed(3, 2)
+	applyVersion(4, 1)
+	fleet.holds(1, all...)
+	leader := fleet.leader(0, 1, 2)
+	follower := (leader + 1) % 3
+	fleet.gateways[follower].setDiskFull(true)
+	applyVersion(3, 2)
 	others := []int{}
 	for _, i := range all {
-		if i != follows {
+		if i != follower {
 			others = append(others, i)
 		}
 	}
-	u.holds(2, others...)
-	u.gateways[follows].logged("the log is not kept")
-	u.gateways[follows].full(false)
-	u.holds(2, follows)
+	fleet.holds(2, others...)
+	fleet.gateways[follower].logged("the log is not kept")
+	fleet.gateways[follower].setDiskFull(false)
+	fleet.holds(2, follower)
 
-	u.gateways[at].full(true)
-	said := u.apply(4, moves(3)) // by the one that leads it can't be, nor is it known whether another will
-	u.await("another one leads", func() bool { return u.leader(follows, 3-at-follows) != at })
-	if !strings.Contains(said, "version 3 is agreed on") && !strings.Contains(u.said(follows, "config", "history"), "\n3 ") {
-		agreed(4, 3)
+	fleet.gateways[leader].setDiskFull(true)
+	said := fleet.apply(4, moves(3)) // by the one that leads it can't be, nor is it known whether another will
+	fleet.await("another one leads", func() bool { return fleet.leader(follower, 3-leader-follower) != leader })
+	if !strings.Contains(said, "version 3 is agreed on") && !strings.Contains(fleet.said(follower, "config", "history"), "\n3 ") {
+		applyVersion(4, 3)
 	}
 	others = others[:0]
 	for _, i := range all {
-		if i != at {
+		if i != leader {
 			others = append(others, i)
 		}
 	}
-	u.holds(3, others...)
-	u.gateways[at].full(false)
-	u.holds(3, all...)
+	fleet.holds(3, others...)
+	fleet.gateways[leader].setDiskFull(false)
+	fleet.holds(3, all...)
 
 	for i := range 2 {
-		u.gateways[i].full(true)
+		fleet.gateways[i].setDiskFull(true)
 	}
-	if said := u.apply(4, moves(4)); strings.Contains(said, "is agreed on") {
+	if said := fleet.apply(4, moves(4)); strings.Contains(said, "is agreed on") {
 		t.Fatal("two of three that vote keep nothing: ", said)
 	}
 	for i := range 2 {
-		u.gateways[i].full(false)
+		fleet.gateways[i].setDiskFull(false)
 	}
 	// What was asked for may be agreed on now or not, as its operator was told. Who asks again may so be given 5 beside a late 4,
 	// which say the same: what counts is that all come to act on one later version.
-	u.await("all act on one later version", func() bool {
+	fleet.await("all act on one later version", func() bool {
 		held := map[int]int{}
 		for _, i := range all {
 			version := 0
-			said := u.said(i, "fleet", "status")
+			said := fleet.said(i, "fleet", "status")
 			_, after, _ := strings.Cut(said, "routes: version ")
 			if n, _ := fmt.Sscanf(after, "%d", &version); n == 1 && !strings.Contains(said, "next version") && strings.Contains(said, "may act") {
 				held[version]++
 			}
 		}
 		if held[3] == len(all) {
-			u.apply(4, moves(4))
+			fleet.apply(4, moves(4))
 		}
 		return len(held) == 1 && held[3] == 0 && held[0] == 0
 	})
-	l.end(t)
+	load.end(t)
 }
--- a/gateway/eventloop.go
+++ b/gateway/eventloop.go
@@ -14,7 +14,7 @@
 // serve runs the event loop until its end. The loop has no listener of the library's: that would end it with the first error
 // of accept that the library does not know.
 func (g *Gateway) serve() error {
-	err := neterr.Retry(startPatience, func() (err error) {
+	err := neterr.Retry(startTimeout, func() (err error) {
 		g.listener, err = g.network.Listen(g.config.Listen)
 		return err
 	})
@@ -26,15 +26,15 @@
 	if err != nil {
 		return err
 	}
-	if err := neterr.Retry(startPatience, loop.Start); err != nil {
+	if err := neterr.Retry(startTimeout, loop.Start); err != nil {
 		return fmt.Errorf("the event loop does not start: %w", err)
 	}
-	if err := neterr.Retry(startPatience, func() error { return g.openLoop(loop) }); err != nil {
+	if err := neterr.Retry(startTimeout, func() error { return g.openLoop(loop) }); err != nil {
 		return errors.Join(fmt.Errorf("no handle on the event loop: %w", err), loop.Stop())
 	}
 	<-g.loopEnded
 	err = loop.Stop()
-	if err == nil && !g.stopped {
+	if err == nil && !g.loopStopped {
 		err = errors.New("it ended by itself")
 	}
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	o := &owner{kind: ownerStarter}
+	o := &owner{kind: ownerLoopHandle}
 	if _, err := loop.EnrollContext(c, o); err != nil {
 		return err
 	}
--- a/gateway/flood_test.go
+++ b/gateway/flood_test.go
@@ -17,13 +17,13 @@
 // A flood of clients that ask and go, come and go, send much and go, or never end a message: whoever else asks is
 // served, and descriptors and memory keep to their limits. The loop's longest turn is in the log of the test, as the machine's
 // other work is in it.
-func TestFloodOfClients(t *testing.T) {
-	const sockets, each = 256, 300
+func TestClientFlood(t *testing.T) {
+	const sockets, clientsPerFlood = 256, 300
 	w := start(sockets, newMember("m", "read-write"), newMember("r", "read-only"))
 	defer w.stop()
 	steady := w.connect()
 	flood := func(f func(c net.Conn)) {
-		for range each {
+		for range clientsPerFlood {
 			c, err := net.Dial("tcp4", w.address)
 			if err != nil {
 				continue // none is free: it is turned away by the kernel
@@ -32,7 +32,7 @@
 			f(c)
 		}
 	}
-	var all sync.WaitGroup
+	var floods sync.WaitGroup
 	for _, f := range []func(net.Conn){
 		func(c net.Conn) { // asks and resets
 			_, _ = io.WriteString(c, hello+query(sql("any", "")))
@@ -50,11 +50,11 @@
 		},
 	} {
 		for range 4 {
-			all.Go(func() { flood(f) })
+			floods.Go(func() { flood(f) })
 		}
 	}
 	flooded := make(chan bool)
-	go func() { all.Wait(); close(flooded) }()
+	go func() { floods.Wait(); close(flooded) }()
 	served := 0
 	for over := false; !over; {
 		select {
@@ -78,11 +78,11 @@
 	for !strings.Contains(line, "ended") {
 		line = await(w.log)
 	}
-	t.Logf("%d served beside %d clients of the flood; %s", served, 16*each, line)
-	_, most, _ := strings.Cut(line, "most_descriptors=")
-	most, _, _ = strings.Cut(most, " ")
-	if n, err := strconv.Atoi(most); err != nil || n > sockets {
-		t.Errorf("%q descriptors", most)
+	t.Logf("%d served beside %d clients of the flood; %s", served, 16*clientsPerFlood, line)
+	_, peak, _ := strings.Cut(line, "most_descriptors=")
+	peak, _, _ = strings.Cut(peak, " ")
+	if n, err := strconv.Atoi(peak); err != nil || n > sockets {
+		t.Errorf("%q descriptors", peak)
 	}
 	err = await(w.exited)
 	if err != nil {
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -51,7 +51,7 @@
 
 // start applies what the operator's file says at the start. What is wrong with it leaves all as the platform says.
 func (gs *generations) start(c *Change) {
-	if gs.g.agreed != nil {
+	if gs.g.agreement != nil {
 		if c != nil {
 			gs.g.log.Info("routes and limits are what the fleet agrees on: those of the operator's file wait for config apply")
 		}
@@ -103,14 +103,14 @@
 	if err != nil {
 		return 0, findings, err
 	}
-	if g.agreed == nil && c.Document.RequiredFormat() > 1 {
+	if g.agreement == nil && c.Document.RequiredFormat() > 1 {
 		return 0, findings, errors.New("a tenant's bounds are of the fleet (fleet = true), and this gateway agrees on nothing with others: its operator's file has no block agreement")
 	}
-	if g.agreed != nil {
+	if g.agreement != nil {
 		if c.Alone {
 			return 0, findings, errors.New("the gateways of a fleet act on one version: nothing is applied at one alone")
 		}
-		o, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return g.agreed.propose(c) })
+		o, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return g.agreement.propose(c) })
 		return rollout.Generation(o.Version), findings, err
 	}
 	err = g.inLoop(ctx, func() error {
@@ -175,7 +175,7 @@
 // world is what a document is checked against now.
 func (gs *generations) world() *routes.Environment {
 	g := gs.g
-	w := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.all}
+	w := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.total}
 	for i := range g.names.Classes {
 		c := &g.names.Classes[i]
 		w.Types = append(w.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.PromiseMs)), Effect: c.Effect,
@@ -222,8 +222,8 @@
 		}
 		switch d.Kind {
 		case rollout.Undo:
-			if gs.g.agreed != nil { // all undo it, or none
-				gs.g.agreed.undo(gs.inForce)
+			if gs.g.agreement != nil { // all undo it, or none
+				gs.g.agreement.undo(gs.inForce)
 				continue
 			}
 			gs.enter(gs.all[d.Generation])
@@ -232,12 +232,12 @@
 		case rollout.Save:
 			gs.save()
 		case rollout.Keep:
-			if gs.g.agreed != nil {
-				gs.g.agreed.kept(gs.all[d.Generation])
+			if gs.g.agreement != nil {
+				gs.g.agreement.kept(gs.all[d.Generation])
 			}
 			gs.forget()
 		case rollout.Wake:
-			gs.g.deadlines.Add(int64(gs.g.clock.now())+d.After, due{kind: dueWake})
+			gs.g.deadlines.Add(int64(gs.g.clock.now())+d.After, timerEvent{kind: timerWake})
 		case rollout.Log:
 			gs.g.log.Info(d.Text)
 		}
@@ -270,7 +270,7 @@
 	gs.g.clients.recount(x)
 	gs.listed(before)
 	gs.forget()
-	gs.g.least.Set(levelOf(x.document))
+	gs.g.logLevel.Set(levelOf(x.document))
 }
 
 // tell has another generation bind beside the one in force: what it takes away is taken at once, what it gives waits
@@ -329,7 +329,7 @@
 	told, after := false, gs.bars()
 	for _, h := range gs.g.discovery.list.hosts {
 		if before[h.entry.Host] != after[h.entry.Host] {
-			gs.g.discovery.tellHost(h.entry)
+			gs.g.discovery.applyHost(h.entry)
 			told = true
 		}
 	}
@@ -363,8 +363,8 @@
 	if t.generation.table != nil {
 		t.route = t.generation.table.Lookup(x)
 	}
-	if gs.g.agreed != nil {
-		if why, after = gs.g.agreed.may(t, x, t.comment.Group); why != routes.Allowed {
+	if gs.g.agreement != nil {
+		if why, after = gs.g.agreement.may(t, x, t.comment.Group); why != routes.Allowed {
 			return why, after
 		}
 	}
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -233,8 +233,8 @@
 func (g *Gateway) timesOut(kind callKind) {
 	g.hold(func() {
 		c := &g.discovery.calls[kind]
-		g.deadlines.Remove(c.due)
-		c.due = g.deadlines.Add(int64(g.clock.now()), due{kind: dueCall, call: c})
+		g.deadlines.Remove(c.timeout)
+		c.timeout = g.deadlines.Add(int64(g.clock.now()), timerEvent{kind: timerCall, call: c})
 		g.onTimer()
 	})
 }
@@ -286,8 +286,8 @@
 		c := &g.discovery.calls[callWatch]
 		call.list(5, m.host("m", "active"))
 		awaitUnread(t, c.conn.Fd())
-		g.deadlines.Remove(c.due) // its time is up now
-		c.due = g.deadlines.Add(int64(g.clock.now()), due{kind: dueCall, call: c})
+		g.deadlines.Remove(c.timeout) // its time is up now
+		c.timeout = g.deadlines.Add(int64(g.clock.now()), timerEvent{kind: timerCall, call: c})
 		g.onTimer()
 	})
 	if wait := call.call(t); wait == "" || wait == "0" { // on the same connection, as a watch that goes on
@@ -492,11 +492,11 @@
 }
 
 // reloadCall gives the call up that is out and makes another.
-func (ds *discovery) reloadCall(t *testing.T) {
+func (ds *discoveryClient) reloadCall(t *testing.T) {
 	c := &ds.calls[callWatch]
-	ds.hangUpCall(c)
-	ds.call(callWatch)
-	if !c.dialled {
+	ds.closeCall(c)
+	ds.startCall(callWatch)
+	if !c.dialing {
 		t.Error("no descriptor for discovery")
 	}
 }
@@ -515,20 +515,20 @@
 	second.call(t)
 	g.hold(func() {
 		first.list(6, m.host("m", "leaving"))
-		awaitUnread(t, watch.late.Fd()) // what comes first is read first
+		awaitUnread(t, watch.lateConn.Fd()) // what comes first is read first
 		second.list(5, m.host("m", "active"))
 		awaitUnread(t, watch.conn.Fd())
 	})
 	second.call(t) // both are read
 	g.hold(func() {
-		if seq, drains := g.discovery.list.seq, len(g.discovery.leave); seq != 6 || drains != 1 {
+		if seq, drains := g.discovery.list.seq, len(g.discovery.draining); seq != 6 || drains != 1 {
 			t.Errorf("the list in force is %d, %d members drain", seq, drains)
 		}
 	})
 	second.list(2, m.host("m", "active")) // below what was asked for: a service that numbers anew
 	second.call(t)
 	g.hold(func() {
-		if seq, drains := g.discovery.list.seq, len(g.discovery.leave); seq != 2 || drains != 0 {
+		if seq, drains := g.discovery.list.seq, len(g.discovery.draining); seq != 2 || drains != 0 {
 			t.Errorf("of the service that numbers anew the list in force is %d, %d members drain", seq, drains)
 		}
 	})
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -17,96 +17,96 @@
 // clock joins the time of day, which positions are given in, and a monotonic one, once: both count from the
 // same zero, a little before the start, so that nothing that matters stood before it.
 type clock struct {
-	began  time.Time
-	passed func() time.Duration // since then
-	before decide.Nanos
-	zero   int64 // in Unix milliseconds
+	startedAt   time.Time
+	elapsed     func() time.Duration // since then
+	startOffset decide.Nanos
+	zeroUnixMs  int64 // in Unix milliseconds
 }
 
-const clockLead = 60 * 1000 // milliseconds
+const clockLeadMs = 60 * 1000 // milliseconds
 
 func newClock(elapsed func() time.Duration) clock {
 	now := time.Now()
-	zero := now.UnixMilli() - clockLead
-	c := clock{began: now, zero: zero, before: decide.Nanos(now.UnixNano() - zero*1e6)}
-	if c.passed = func() time.Duration { return time.Since(now) }; elapsed != nil {
-		from := elapsed()
-		c.passed = func() time.Duration { return elapsed() - from }
+	zero := now.UnixMilli() - clockLeadMs
+	c := clock{startedAt: now, zeroUnixMs: zero, startOffset: decide.Nanos(now.UnixNano() - zero*1e6)}
+	if c.elapsed = func() time.Duration { return time.Since(now) }; elapsed != nil {
+		start := elapsed()
+		c.elapsed = func() time.Duration { return elapsed() - start }
 	}
 	return c
 }
 
-func (c *clock) now() decide.Nanos { return c.before + decide.Nanos(c.passed()) }
+func (c *clock) now() decide.Nanos { return c.startOffset + decide.Nanos(c.elapsed()) }
 
 // at is a Unix time in milliseconds on this clock; what lies before its zero is zero.
-func (c *clock) at(unixMs float64) decide.Nanos {
-	return max(0, decide.Millis(unixMs-float64(c.zero)))
+func (c *clock) fromUnixMs(unixMs float64) decide.Nanos {
+	return max(0, decide.Millis(unixMs-float64(c.zeroUnixMs)))
 }
 
 // unixMs is a time on this clock as positions are worded, never below it.
 func (c *clock) unixMs(at decide.Nanos) float64 {
 	ms := (at + 999_999) / decide.Millisecond
-	return float64(c.zero + int64(ms))
+	return float64(c.zeroUnixMs + int64(ms))
 }
 
 // owner is what a connection of gnet's belongs to.
 type owner struct {
-	kind    ownerKind
-	ref     slots.Ref // of a client or a member's connection
-	call    *call
-	no      uint64 // of a discovery connection: which of the call's
-	counted bool   // has a descriptor of the budget
-	opened  bool   // the loop has the connection
+	kind          ownerKind
+	ref           slots.Ref // of a client or a member's connection
+	call          *call
+	connNo        uint64 // of a discovery connection: which of the call's
+	hasDescriptor bool   // has a descriptor of the budget
+	opened        bool   // the loop has the connection
 }
 
 type ownerKind int
 
 const (
-	ownerStarter ownerKind = iota // brings the loop's handle, and its close tells that the loop has ended
+	ownerLoopHandle ownerKind = iota // brings the loop's handle, and its close tells that the loop has ended
 	ownerClient
 	ownerMember
 	ownerDiscovery
 )
 
 // due is what a deadline is for.
-type due struct {
-	kind dueKind
+type timerEvent struct {
+	kind timerKind
 	ref  slots.Ref
 	call *call
 }
 
-type dueKind int
+type timerKind int
 
 const (
-	dueWake dueKind = iota
-	dueConnect
-	dueSubmission
-	dueIdle
-	dueCall
-	dueClient
-	dueReadable
-	dueAnswer
-	dueClosing
-	dueFinal
-	dueLast
-	dueList
+	timerWake timerKind = iota
+	timerConnect
+	timerSubmission
+	timerIdle
+	timerCall
+	timerClient
+	timerReadable
+	timerAnswer
+	timerCloseClients
+	timerCloseListener
+	timerEndLoop
+	timerList
 )
 
 // input is one thing for the module to be told. They are told at the beginning of a turn, in the order in
 // which they came: decisions and the writes that they cause may bring more.
 type input struct {
-	kind     inputKind
-	ref      slots.Ref // a client with something to read; a txn
-	no       int
-	server   decide.Server
-	result   decide.Result
-	elapsed  decide.Nanos
-	role     decide.Role
-	position decide.Nanos
-	report   []float64
-	list     *news
-	fence    uint64 // the question that a probe was, 0 for none
-	group    int    // of that
+	kind         inputKind
+	ref          slots.Ref // a client with something to read; a txn
+	no           int
+	server       decide.Server
+	result       decide.Result
+	elapsed      decide.Nanos
+	role         decide.Role
+	position     decide.Nanos
+	report       []float64
+	list         *listUpdate
+	fenceAttempt uint64 // the question that a probe was, 0 for none
+	group        int    // of that
 }
 
 type inputKind int
@@ -115,55 +115,55 @@
 	inReadable inputKind = iota
 	inEnded
 	inProbed
-	inHeard
+	inProgress
 	inWithdrawn
 	inCancelled
-	inRepeated
-	inRefused
+	inRollBack
+	inReject
 	inList
 	inListFailed
-	inNews
+	inMemberUpdate
 )
 
 // handle deals with an event and runs a turn behind it. Other events may come within one, as a write that fails closes
 // its connection: they are noted, and no decision is carried out before the outermost handler is done with its state.
 func (g *Gateway) handle(event func()) {
-	if g.handling {
+	if g.handlingEvent {
 		event()
 		return
 	}
-	g.handling = true
+	g.handlingEvent = true
 	event()
-	g.handling = false
-	g.turn()
+	g.handlingEvent = false
+	g.runTurn()
 }
 
 // turn tells the module what came and carries out its decisions until none is left.
-func (g *Gateway) turn() {
-	if g.turning || g.handling || g.loop == nil || g.stopped {
+func (g *Gateway) runTurn() {
+	if g.inTurn || g.handlingEvent || g.loop == nil || g.loopStopped {
 		return
 	}
-	g.turning = true
-	began := g.clock.now()
+	g.inTurn = true
+	startedAt := g.clock.now()
 	for {
-		g.turnAt = g.clock.now()
-		g.module.BeginRound(g.turnAt)
+		g.turnTime = g.clock.now()
+		g.module.BeginRound(g.turnTime)
 		if g.sessions != nil { // what comes is told at its time: after a quiet spell the former one is long past
 			g.sessions.UpdateClock()
 		}
 		for i := 0; i < len(g.inputs); i++ {
-			g.tell(g.inputs[i])
+			g.applyInput(g.inputs[i])
 			g.inputs[i] = input{}
 		}
 		g.inputs = g.inputs[:0]
 		g.generations.carryOut()
-		if g.agreed != nil {
-			g.agreed.carryOut()
+		if g.agreement != nil {
+			g.agreement.carryOut()
 			g.quotas.ProcessDecisions()
-			g.reserved.carryOut()
+			g.contracts.carryOut()
 		}
-		if g.coordinated != nil {
-			g.coordinated.c.ProcessDecisions()
+		if g.coordination != nil {
+			g.coordination.c.ProcessDecisions()
 		}
 		if g.sessions != nil {
 			g.sessions.ProcessDecisions()
@@ -173,18 +173,18 @@
 			if !ok {
 				break
 			}
-			g.carryOut(d)
+			g.execute(d)
 		}
 		if len(g.inputs) == 0 {
 			break
 		}
 	}
-	g.turning = false
-	g.longest = max(g.longest, g.clock.now()-began)
+	g.inTurn = false
+	g.longestTurn = max(g.longestTurn, g.clock.now()-startedAt)
 	g.setTimer()
 }
 
-func (g *Gateway) tell(in input) {
+func (g *Gateway) applyInput(in input) {
 	switch in.kind {
 	case inReadable:
 		g.clients.readClient(in.ref)
@@ -192,35 +192,35 @@
 		g.tellEnded(in)
 	case inProbed:
 		g.module.ProbeEnded(in.server, in.result, in.elapsed, in.report)
-		if in.fence != 0 {
+		if in.fenceAttempt != 0 {
 			g.fenced(&in)
-		} else if g.coordinated != nil {
-			g.coordinated.probed(in.server, in.result)
+		} else if g.coordination != nil {
+			g.coordination.probed(in.server, in.result)
 		}
-	case inHeard:
+	case inProgress:
 		g.module.ResponseProgress(in.server)
 	case inWithdrawn:
 		g.tellWithdrawn(in.ref)
 	case inCancelled:
 		g.tellCancelled(in.ref)
-	case inRefused:
+	case inReject:
 		if t := g.txns.Get(in.ref); t != nil {
 			g.decline(t.id, in.elapsed)
 		}
-	case inRepeated:
+	case inRollBack:
 		if t := g.txns.Get(in.ref); t != nil {
 			g.rollBack(t.id)
 		}
 	case inList:
-		g.discovery.tellList(in.list)
+		g.discovery.applyList(in.list)
 	case inListFailed:
 		g.module.MemberListFailed()
-	case inNews:
+	case inMemberUpdate:
 		g.module.ReceiveUpdate(decide.MemberUpdate{Server: in.server, Position: in.position, Primary: in.role == decide.RolePrimary})
 	}
 }
 
-func (g *Gateway) carryOut(d decide.Decision) {
+func (g *Gateway) execute(d decide.Decision) {
 	switch d.Kind {
 	case decide.Submit:
 		g.submit(d)
@@ -231,24 +231,24 @@
 	case decide.Cancel:
 		g.cancel(d.Txn, int(d.Attempt))
 	case decide.Probe:
-		if g.coordinated != nil {
-			g.coordinated.probe(d.Server)
+		if g.coordination != nil {
+			g.coordination.probe(d.Server)
 		} else {
 			g.members.probe(d.Server)
 		}
 	case decide.CloseIdle:
 		g.members.closeIdle(d.Server)
 	case decide.SubscribeList:
-		g.discovery.call(callWatch)
+		g.discovery.startCall(callWatch)
 	case decide.FetchList:
-		g.discovery.call(callFetch)
+		g.discovery.startCall(callFetch)
 	case decide.Wake:
-		g.deadlines.Add(int64(g.clock.now()+d.Delay), due{kind: dueWake})
+		g.deadlines.Add(int64(g.clock.now()+d.Delay), timerEvent{kind: timerWake})
 	case decide.SendUpdates:
-		if g.coordinated != nil {
-			g.coordinated.told(d.Updates)
+		if g.coordination != nil {
+			g.coordination.told(d.Updates)
 		} else {
-			g.tellNews(d.Updates)
+			g.sendUpdates(d.Updates)
 		}
 	case decide.Log:
 		g.log.Info(d.Text)
@@ -258,10 +258,10 @@
 // setTimer sets the one timer to the first deadline.
 func (g *Gateway) setTimer() {
 	at, ok := g.deadlines.Next()
-	if !ok || at == g.timerAt {
+	if !ok || at == g.timerSetTo {
 		return
 	}
-	g.timerAt = at
+	g.timerSetTo = at
 	wait := time.Duration(max(0, at-int64(g.clock.now())))
 	if g.timer == nil {
 		g.timer = time.AfterFunc(wait, func() { g.post(g.onTimer) })
@@ -271,38 +271,38 @@
 }
 
 func (g *Gateway) onTimer() {
-	if g.timerAt != 0 {
-		g.latest = max(g.latest, g.clock.now()-decide.Nanos(g.timerAt))
+	if g.timerSetTo != 0 {
+		g.maxTimerDelay = max(g.maxTimerDelay, g.clock.now()-decide.Nanos(g.timerSetTo))
 	}
-	g.timerAt = 0
+	g.timerSetTo = 0
 	for {
 		d, ok := g.deadlines.PopDue(int64(g.clock.now()))
 		if !ok {
 			return
 		}
 		switch d.kind {
-		case dueConnect:
+		case timerConnect:
 			g.members.connectTimedOut(d.ref)
-		case dueSubmission:
+		case timerSubmission:
 			g.members.submissionTimedOut(d.ref)
-		case dueIdle:
+		case timerIdle:
 			g.members.idleTooLong(d.ref)
-		case dueCall:
+		case timerCall:
 			g.discovery.callTimedOut(d.call)
-		case dueClient:
+		case timerClient:
 			g.clients.clientOverdue(d.ref)
-		case dueAnswer:
+		case timerAnswer:
 			g.sessions.AnswerOverdue(d.ref)
-		case dueReadable:
+		case timerReadable:
 			if c := g.clients.open.Get(d.ref); c != nil {
 				c.polled = false
 			}
 			g.inputs = append(g.inputs, input{kind: inReadable, ref: d.ref})
-		case dueList:
-			g.coordinated.asks()
-		case dueClosing:
+		case timerList:
+			g.coordination.asks()
+		case timerCloseClients:
 			g.closeIdleClients()
-		case dueFinal:
+		case timerCloseListener:
 			g.closeListener()
 		}
 	}
@@ -310,26 +310,26 @@
 
 // OnOpen gives a connection to whom it belongs.
 func (g *Gateway) OnOpen(c gnet.Conn) (out []byte, action gnet.Action) {
-	g.handle(func() { out, action = g.opened(c) })
+	g.handle(func() { out, action = g.connOpened(c) })
 	return out, action
 }
 
-func (g *Gateway) opened(c gnet.Conn) (out []byte, action gnet.Action) {
+func (g *Gateway) connOpened(c gnet.Conn) (out []byte, action gnet.Action) {
 	o := c.Context().(*owner)
 	o.opened = true
-	if o.counted && g.dialsFail {
-		g.dialsFail = false
+	if o.hasDescriptor && g.dialsFailing {
+		g.dialsFailing = false
 		g.log.Info("connecting works again")
 	}
 	switch o.kind {
 	case ownerClient:
 		return g.clients.clientOpened(c, o)
-	case ownerStarter:
+	case ownerLoopHandle:
 		g.loop = c.EventLoop()
 		close(g.started)
-		g.discovery.start()
-		if g.link != nil {
-			go g.link.Receive(func() { g.post(g.cameFromOthers) })
+		g.discovery.queueCachedList()
+		if g.peerLink != nil {
+			go g.peerLink.Receive(func() { g.post(g.receiveDatagrams) })
 		}
 		if g.sessions != nil {
 			g.sessions.Started()
@@ -338,11 +338,11 @@
 		go g.acceptClients()
 		return nil, gnet.None
 	case ownerMember:
-		g.budget.give(1)
+		g.budget.release(1)
 		return g.members.memberOpened(c, o.ref)
 	case ownerDiscovery:
-		g.budget.give(1)
-		return g.discovery.discoveryOpened(c, o)
+		g.budget.release(1)
+		return g.discovery.connOpened(c, o)
 	}
 	return nil, gnet.Close
 }
@@ -354,48 +354,48 @@
 	if !ok {
 		return gnet.Close
 	}
-	g.handle(func() { g.read(c, o) })
-	if g.end() != nil {
+	g.handle(func() { g.readConn(c, o) })
+	if g.endIfDone() != nil {
 		return gnet.Shutdown
 	}
 	return gnet.None
 }
 
 // read takes what came on a connection.
-func (g *Gateway) read(c gnet.Conn, o *owner) {
+func (g *Gateway) readConn(c gnet.Conn, o *owner) {
 	switch o.kind {
 	case ownerClient:
 		g.inputs = append(g.inputs, input{kind: inReadable, ref: o.ref})
 	case ownerMember:
 		g.members.readMember(o.ref)
 	case ownerDiscovery:
-		g.discovery.readDiscovery(c, o)
+		g.discovery.readConn(c, o)
 	}
 }
 
 // OnClose comes when a connection has ended, whoever ended it, and may come within a write to it.
-func (g *Gateway) OnClose(c gnet.Conn, why error) gnet.Action {
+func (g *Gateway) OnClose(c gnet.Conn, err error) gnet.Action {
 	o, ok := c.Context().(*owner)
 	if !ok {
 		return gnet.None
 	}
-	g.handle(func() { g.closed(c, o, why) })
-	if g.end() != nil {
+	g.handle(func() { g.connClosed(c, o, err) })
+	if g.endIfDone() != nil {
 		return gnet.Shutdown
 	}
 	return gnet.None
 }
 
 // closed gives back what a connection held.
-func (g *Gateway) closed(c gnet.Conn, o *owner, why error) {
-	if o.counted {
-		g.budget.give(1)
+func (g *Gateway) connClosed(c gnet.Conn, o *owner, err error) {
+	if o.hasDescriptor {
+		g.budget.release(1)
 	}
 	switch o.kind {
-	case ownerStarter: // the loop closes it as its last act
+	case ownerLoopHandle: // the loop closes it as its last act
 		close(g.loopEnded)
 	case ownerClient:
-		g.clients.clientClosed(o.ref, why)
+		g.clients.clientClosed(o.ref, err)
 	case ownerMember:
 		flushed := c.OutboundBuffered() == 0
 		if !flushed { // the library would write the rest before it closes: a query that counts as never run would run
@@ -403,7 +403,7 @@
 		}
 		g.members.memberClosed(o.ref, flushed)
 	case ownerDiscovery:
-		g.discovery.discoveryClosed(o, c, errors.Is(why, io.EOF))
+		g.discovery.connClosed(o, c, errors.Is(err, io.EOF))
 	}
 }
 
@@ -415,9 +415,9 @@
 
 // peek looks at what waits on a socket that the loop has not read: 0 bytes without an error is its end.
 func peek(fd int) (n int, err error) {
-	var one [1]byte
+	var buf [1]byte
 	for {
-		n, _, err = unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		n, _, err = unix.Recvfrom(fd, buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		if err != unix.EINTR {
 			return n, err
 		}
@@ -425,14 +425,14 @@
 }
 
 // gnetLog passes what gnet logs to slog; it is chatty below warnings.
-type gnetLog struct{ to *slog.Logger }
+type gnetLog struct{ logger *slog.Logger }
 
 func (l gnetLog) Debugf(string, ...any)         {}
 func (l gnetLog) Infof(string, ...any)          {}
-func (l gnetLog) Warnf(format string, a ...any) { l.to.Warn("gnet: " + fmt.Sprintf(format, a...)) }
+func (l gnetLog) Warnf(format string, a ...any) { l.logger.Warn("gnet: " + fmt.Sprintf(format, a...)) }
 func (l gnetLog) Errorf(format string, a ...any) {
-	l.to.Error("gnet: " + fmt.Sprintf(format, a...))
+	l.logger.Error("gnet: " + fmt.Sprintf(format, a...))
 }
 func (l gnetLog) Fatalf(format string, a ...any) {
-	l.to.Error("gnet, fatal: " + fmt.Sprintf(format, a...))
+	l.logger.Error("gnet, fatal: " + fmt.Sprintf(format, a...))
 }
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -62,8 +62,8 @@
 	delayed   bool         // its dial met an error of this machine, which says nothing of the member
 	barred    bool         // its member was told to drain or to be gone since it was begun: nothing more is sent on it
 	since     decide.Nanos
-	connect   *deadlines.Entry[due]
-	patience  *deadlines.Entry[due] // of a job, or of an idle connection
+	connect   *deadlines.Entry[timerEvent]
+	patience  *deadlines.Entry[timerEvent] // of a job, or of an idle connection
 	answer    answer
 }
 
@@ -121,7 +121,7 @@
 	}
 	m := ms.conns.Get(ref)
 	ms.assign(ref, m, j)
-	m.connect = ms.g.deadlines.Add(int64(now+wait), due{kind: dueConnect, ref: ref})
+	m.connect = ms.g.deadlines.Add(int64(now+wait), timerEvent{kind: timerConnect, ref: ref})
 	return ref
 }
 
@@ -170,7 +170,7 @@
 
 func (ms *members) assign(ref slots.Ref, m *memberConn, j job) {
 	m.job, m.working, m.sent = j, true, false
-	m.patience = ms.g.deadlines.Add(int64(j.until), due{kind: dueSubmission, ref: ref})
+	m.patience = ms.g.deadlines.Add(int64(j.until), timerEvent{kind: timerSubmission, ref: ref})
 }
 
 // begin writes the query of a connection's job, unless the time that it took to come up has brought what forbids it: its
@@ -359,7 +359,7 @@
 // toIdle puts a connection that is ready for a query back into the pool.
 func (ms *members) toIdle(ref slots.Ref) {
 	m := ms.conns.Get(ref)
-	if m.barred || ms.g.discovery.leave[m.server] { // nothing more goes there: it is given back with its last answer
+	if m.barred || ms.g.discovery.draining[m.server] { // nothing more goes there: it is given back with its last answer
 		ms.release(ref)
 		return
 	}
@@ -368,7 +368,7 @@
 	p.idle = append(p.idle, ref)
 	// Clearly before the member closes it: what is written to it from then on ends as a reset.
 	m.patience = ms.g.deadlines.Add(int64(m.since+decide.Millis(0.8*ms.g.names.Limits.KeepaliveMs)),
-		due{kind: dueIdle, ref: ref})
+		timerEvent{kind: timerIdle, ref: ref})
 }
 
 // finish ends a connection's job for the module, with what the member told of itself, if it did.
@@ -387,7 +387,7 @@
 // noteEnd notes the end of a job for the module.
 func (ms *members) noteEnd(j job, server decide.Server, r decide.Result, a *answer) {
 	in := input{kind: inEnded, ref: j.txn, no: j.no, server: server, result: r, elapsed: ms.g.clock.now() - j.at,
-		fence: j.fence, group: j.group}
+		fenceAttempt: j.fence, group: j.group}
 	if j.probe {
 		in.kind = inProbed
 	}
@@ -401,7 +401,7 @@
 
 // position is a position on the gateway's clock, 0 where it was not told or lies ahead.
 func (ms *members) position(unixMs float64) (at decide.Nanos, ok bool) {
-	at = ms.g.clock.at(unixMs)
+	at = ms.g.clock.fromUnixMs(unixMs)
 	if unixMs <= 0 || at > ms.g.clock.now()+mostEarly+decide.Nanos(ms.g.config.ClockError) {
 		return 0, false
 	}
@@ -510,7 +510,7 @@
 	}
 	first := m.heardAt == 0
 	m.heardAt = ms.g.clock.now()
-	ms.g.inputs = append(ms.g.inputs, input{kind: inHeard, server: m.server})
+	ms.g.inputs = append(ms.g.inputs, input{kind: inProgress, server: m.server})
 	if first {
 		ms.awaitRest(ref, m)
 	}
@@ -519,7 +519,7 @@
 // awaitRest sets until when the next part of an answer has to come.
 func (ms *members) awaitRest(ref slots.Ref, m *memberConn) {
 	ms.g.deadlines.Remove(m.patience)
-	m.patience = ms.g.deadlines.Add(int64(min(m.job.until, m.heardAt+mostStill)), due{kind: dueSubmission, ref: ref})
+	m.patience = ms.g.deadlines.Add(int64(min(m.job.until, m.heardAt+mostStill)), timerEvent{kind: timerSubmission, ref: ref})
 }
 
 // memberRefused ends a connection that brought what it should not have.
--- a/gateway/network.go
+++ b/gateway/network.go
@@ -30,11 +30,11 @@
 }
 
 func reusePort(_, _ string, socket syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := socket.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		optionErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optionErr)
 }
 
 // Dial connects within a time.
@@ -44,4 +44,4 @@
 }
 
 // startPatience is how long a start waits for what the machine lacks for a moment.
-const startPatience = 5 * time.Second
+const startTimeout = 5 * time.Second
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -50,7 +50,7 @@
 
 // TestDialErrorOfThisMachineIsNoWordOnTheMember guards against well members that count as suspect, and requests that are
 // declined, as socket or connect fail on this machine for a moment.
-func TestDialErrorOfThisMachineIsNoWordOnTheMember(t *testing.T) {
+func TestLocalDialErrorKeepsMemberHealthy(t *testing.T) {
 	t.Parallel()
 	for _, number := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 		syscall.ENETUNREACH, syscall.EAGAIN, syscall.EPERM, syscall.EINTR} {
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -50,7 +50,7 @@
 
 // held takes the books of what this gateway holds; a new one is read beside the loop.
 func (r *reserved) held() {
-	m := r.g.agreed.f.Manifest()
+	m := r.g.agreement.f.Manifest()
 	if m.Revision == r.stamp {
 		return
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	r.reading[d] = true
-	text := r.g.agreed.f.Text(d)
+	text := r.g.agreement.f.Text(d)
 	go func() {
 		b, err := contracts.DecodeBook(text)
 		r.g.post(func() {
@@ -138,7 +138,7 @@
 				r.working = false
 				if r.now = x; x.next > 0 {
 					r.at = min(r.at, r.g.clock.now()+max(0, decide.Nanos(x.next-r.unix())))
-					r.g.deadlines.Add(int64(r.at), due{kind: dueWake})
+					r.g.deadlines.Add(int64(r.at), timerEvent{kind: timerWake})
 				}
 				r.apply(r.g.generations.inForce.shares)
 			})
@@ -270,12 +270,12 @@
 		var f contracts.Fleet
 		v := agreement.Version{Subject: SubjectContracts, Author: w.Author, Reason: w.Reason, FormatVersion: 1}
 		if err = g.inLoop(ctx, func() (err error) {
-			if g.reserved == nil {
+			if g.contracts == nil {
 				return errors.New("this gateway agrees on nothing with others")
 			}
-			g.reserved.held()
-			b, err = g.reserved.latest()
-			f, v.Predecessor, w.At = g.reserved.fleet(), g.reserved.last, g.reserved.unix()
+			g.contracts.held()
+			b, err = g.contracts.latest()
+			f, v.Predecessor, w.At = g.contracts.fleet(), g.contracts.last, g.contracts.unix()
 			return err
 		}); err == nil { // beside the loop: a large book takes a while
 			next, wrong := b.Apply(&w, f)
@@ -308,15 +308,15 @@
 // Contracts tells of the book; nil where the gateway agrees on nothing.
 func (g *Gateway) Contracts(ctx context.Context) (v *ContractsView, err error) {
 	err = g.inLoop(ctx, func() error {
-		if g.reserved == nil {
+		if g.contracts == nil {
 			return nil
 		}
-		g.reserved.held()
-		b, err := g.reserved.latest()
+		g.contracts.held()
+		b, err := g.contracts.latest()
 		if err != nil {
 			return err
 		}
-		v = &ContractsView{b, g.reserved.fleet(), int64(g.position(g.clock.now())), g.reserved.holdings, g.reserved.next != nil}
+		v = &ContractsView{b, g.contracts.fleet(), int64(g.position(g.clock.now())), g.contracts.holdings, g.contracts.next != nil}
 		return nil
 	})
 	return v, err
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -20,7 +20,9 @@
 func (x sessionTxns) Now() int64 { return int64(x.g.clock.now()) }
 
 // WakeAfter has a turn come.
-func (x sessionTxns) WakeAfter(span int64) { x.g.deadlines.Add(x.Now()+span, due{kind: dueWake}) }
+func (x sessionTxns) WakeAfter(span int64) {
+	x.g.deadlines.Add(x.Now()+span, timerEvent{kind: timerWake})
+}
 
 // Logger is the gateway's.
 func (x sessionTxns) Logger() *slog.Logger { return x.g.log }
@@ -30,18 +32,18 @@
 
 // position is a position on the gateway's clock as every gateway words it, and onClock takes it back.
 func (g *Gateway) position(at decide.Nanos) session.Position {
-	return session.Position(g.clock.zero*1e6 + int64(at))
+	return session.Position(g.clock.zeroUnixMs*1e6 + int64(at))
 }
 
 func (g *Gateway) onClock(p session.Position) decide.Nanos {
-	return decide.Nanos(int64(p) - g.clock.zero*1e6)
+	return decide.Nanos(int64(p) - g.clock.zeroUnixMs*1e6)
 }
 
 // readOf takes a session read, which waits for its floor.
 func (g *Gateway) readOf(t *txn, budget decide.Nanos) {
 	brought := session.Position(0)
 	if t.comment.After > 0 {
-		brought = g.position(decide.Millis(t.comment.After - float64(g.clock.zero)))
+		brought = g.position(decide.Millis(t.comment.After - float64(g.clock.zeroUnixMs)))
 	}
 	t.held, t.until = true, g.clock.now()+budget
 	g.sessions.AddRead(t.id, t.comment.Group, t.session, brought, t.comment.Token, int64(t.until))
@@ -90,7 +92,7 @@
 	if in.result == decide.Committed && at > 0 {
 		p = g.position(at)
 	}
-	g.sessions.FenceCompleted(in.group, in.fence, p, primary)
+	g.sessions.FenceCompleted(in.group, in.fenceAttempt, p, primary)
 }
 
 // Serve gives a read with its floor to the routing.
@@ -161,7 +163,7 @@
 
 // SetAnswerDeadline has one that waits be given at a time, whatever has become of its mark.
 func (x sessionTxns) SetAnswerDeadline(ref slots.Ref, at int64) {
-	x.g.deadlines.Add(at, due{kind: dueAnswer, ref: ref})
+	x.g.deadlines.Add(at, timerEvent{kind: timerAnswer, ref: ref})
 }
 
 // keyOf is a key's number.
--- a/gateway/signals_test.go
+++ b/gateway/signals_test.go
@@ -44,9 +44,9 @@
 	must(w.process.Start())
 	must(writer.Close())
 	go func() { w.exited <- w.process.Wait() }()
-	asked := await(w.d.asked) // it has logged that it listens
-	for asked.Get("after") == "" {
-		asked = await(w.d.asked)
+	query := await(w.d.asked) // it has logged that it listens
+	for query.Get("after") == "" {
+		query = await(w.d.asked)
 	}
 	if got := ask(w.connect(), sql("any", "")); !strings.HasPrefix(got, "committed") {
 		t.Error(got)
--- a/gateway/told_test.go
+++ b/gateway/told_test.go
@@ -11,12 +11,12 @@
 // From when discovery has a change and can be reached until the gateway has it: six seconds at most, by the module's pauses and
 // the spans of calls here, whatever failed before and however: refused, silent, an answer that drips, a watch that fell silent
 // at any moment. The machine's own lateness has what is left of the six.
-func TestToldWithinSixSeconds(t *testing.T) {
-	const ms, told = decide.Millisecond, 6000 * decide.Millisecond
+func TestListChangeKnownWithinSixSeconds(t *testing.T) {
+	const ms, maxDelay = decide.Millisecond, 6000 * decide.Millisecond
 	var longest decide.Nanos
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 34))
-		upTo := func(span decide.Nanos) decide.Nanos { return decide.Nanos(rng.Int64N(int64(span))) }
+		randomUpTo := func(span decide.Nanos) decide.Nanos { return decide.Nanos(rng.Int64N(int64(span))) }
 		settings := strings.Replace(heldSettings, `"askWithinMs":10000`, `"askWithinMs":`+[]string{"4000", "10000", "60000"}[seed%3], 1)
 		g, err := decide.New(seed, []byte(settings))
 		if err != nil {
@@ -24,7 +24,7 @@
 		}
 		now := 60000 * ms
 		// asks lets time pass until the module asks.
-		asks := func() {
+		awaitRequest := func() {
 			for end := now + 20000*ms; ; now += ms {
 				g.BeginRound(now)
 				for d, ok := g.Next(); ok; d, ok = g.Next() {
@@ -37,33 +37,33 @@
 				}
 			}
 		}
-		fails := func() { g.BeginRound(now); g.MemberListFailed() }
+		failCall := func() { g.BeginRound(now); g.MemberListFailed() }
 		g.BeginRound(now)
 		g.EndMemberList(decide.CachedList)
-		asks()
-		now += upTo(callSpan)
+		awaitRequest()
+		now += randomUpTo(callTimeout)
 		g.BeginRound(now)
 		g.EndMemberList(decide.FullList)
-		var from decide.Nanos // when discovery has the change and can be reached
+		var reachableSince decide.Nanos // when discovery has the change and can be reached
 		if seed%2 == 0 {      // a watch falls silent, the change comes right after
-			from = now + upTo(watchMs*ms)
-			now += watchMs*ms + watchMargin
-			fails()
-			asks()
+			reachableSince = now + randomUpTo(watchWaitMs*ms)
+			now += watchWaitMs*ms + watchMargin
+			failCall()
+			awaitRequest()
 		} else { // discovery is down for a while, and is back in the middle of a call or of a pause
-			from = now + upTo(30000*ms)
-			for fails(); ; fails() {
-				if asks(); now >= from {
+			reachableSince = now + randomUpTo(30000*ms)
+			for failCall(); ; failCall() {
+				if awaitRequest(); now >= reachableSince {
 					break
 				}
-				now += []decide.Nanos{0, ms, upTo(callSpan), callSpan}[rng.IntN(4)]
+				now += []decide.Nanos{0, ms, randomUpTo(callTimeout), callTimeout}[rng.IntN(4)]
 			}
 		}
-		now += upTo(callSpan)
-		longest = max(longest, now-from)
+		now += randomUpTo(callTimeout)
+		longest = max(longest, now-reachableSince)
 	}
 	t.Logf("longest of 2,000: %d ms", longest/ms)
-	if longest > told {
+	if longest > maxDelay {
 		t.Errorf("told after %d ms", longest/ms)
 	}
 }
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -64,7 +64,7 @@
 	if class < 0 {
 		return "c names no known txn type"
 	}
-	if !g.discovery.list.groups[comment.Group] { // the module keeps what it knows of each group that it is told of
+	if !g.discovery.list.knownGroups[comment.Group] { // the module keeps what it knows of each group that it is told of
 		return "cluster is none of the list's"
 	}
 	if _, open := g.byID[comment.ID]; open {
@@ -111,18 +111,18 @@
 	c.txn = g.txns.Add(t)
 	g.byID[comment.ID] = c.txn
 	g.counts.taken++
-	if g.coordinated != nil {
-		g.coordinated.c.AddTxn()
+	if g.coordination != nil {
+		g.coordination.c.AddTxn()
 	}
 	held := g.txns.Get(c.txn)
 	held.ending = endingOf(why)
 	defer g.forgetBuffer(held)
 	switch {
 	case why != routes.Allowed:
-		g.inputs = append(g.inputs, input{kind: inRefused, ref: c.txn, elapsed: decide.Nanos(after)})
+		g.inputs = append(g.inputs, input{kind: inReject, ref: c.txn, elapsed: decide.Nanos(after)})
 		return ""
 	case !repeats: // its group would not drop it as a repeat any more
-		g.inputs = append(g.inputs, input{kind: inRepeated, ref: c.txn})
+		g.inputs = append(g.inputs, input{kind: inRollBack, ref: c.txn})
 		return ""
 	}
 	g.generations.begin(held)
@@ -134,7 +134,7 @@
 	if need == "causal" && comment.After > 0 {
 		// By the module's time, which counts back from it: by a later one the position would come out older than it is. Nor
 		// is one that is ahead of the clock, as commits are rounded up, taken for the present.
-		if age = g.turnAt - g.clock.at(comment.After); age == 0 {
+		if age = g.turnTime - g.clock.fromUnixMs(comment.After); age == 0 {
 			age = -1 // 0 is none
 		}
 	}
@@ -143,8 +143,8 @@
 		return err.Error()
 	}
 	g.generations.bind(held)
-	if g.leaving {
-		g.module.LimitExpiry(t.id, g.kill)
+	if g.shuttingDown {
+		g.module.LimitExpiry(t.id, g.answerDeadline)
 	}
 	return ""
 }
@@ -199,8 +199,8 @@
 	}
 	t.answered = true
 	g.generations.served(t, !t.failed)
-	if g.reserved != nil {
-		g.reserved.count(t, !t.failed)
+	if g.contracts != nil {
+		g.contracts.count(t, !t.failed)
 	}
 	who, size := t.client, t.size
 	c := g.clients.open.Get(who)
@@ -264,8 +264,8 @@
 func (g *Gateway) tellWithdrawn(ref slots.Ref) {
 	if t := g.txns.Get(ref); t != nil {
 		g.counts.withdrawn++
-		if t.ending = endLeft; g.reserved != nil && !t.answered {
-			g.reserved.count(t, false)
+		if t.ending = endLeft; g.contracts != nil && !t.answered {
+			g.contracts.count(t, false)
 		}
 		if t.held {
 			g.sessions.Module.CancelRead(t.id)
@@ -357,8 +357,8 @@
 	}
 	left := max(1, int64((until-g.clock.now())/decide.Millisecond))
 	if t.floor > 0 { // members that check reads are told what this one must see
-		text := t.comment.AppendWithAfter(g.raised[:0], buf[5:], left, g.clock.unixMs(t.floor))
-		g.raised = text
+		text := t.comment.AppendWithAfter(g.raisedStatement[:0], buf[5:], left, g.clock.unixMs(t.floor))
+		g.raisedStatement = text
 		head := pgwire.AppendQueryHeader(g.scratch[:0], len(text)-1)
 		g.scratch = head
 		return append(slices.Grow(g.parts[:0], 2), head, text), true
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -48,7 +48,7 @@
 
 // ReceiveCounts takes what another gateway tells.
 func (a *agreed) ReceiveCounts(from agreement.ID, all []contracts.Count, asks bool) {
-	r := a.g.reserved
+	r := a.g.contracts
 	if r == nil || r.account == nil {
 		return
 	}
@@ -62,11 +62,11 @@
 
 // opens begins the account, with what a former run kept.
 func (r *reserved) opens() error {
-	kept, err := r.g.agreed.f.LoadCounts()
+	kept, err := r.g.agreement.f.LoadCounts()
 	if err != nil {
 		return fmt.Errorf("the account of contracts can't be read, move it away: %w", err)
 	}
-	r.account = contracts.NewAccount(uint64(r.g.agreed.f.Self()), r.g.agreed.f.Epoch(), kept)
+	r.account = contracts.NewAccount(uint64(r.g.agreement.f.Self()), r.g.agreement.f.Epoch(), kept)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 		return
 	}
 	r.reportAt = now + decide.Nanos(contracts.ReportInterval)
-	f := r.g.agreed.f
+	f := r.g.agreement.f
 	others, votes := f.Voters()
 	all := r.account.Report(r.unix(), !votes)
 	// One that votes and has started asks the others: what it kept on its disk may lack the last seconds.
@@ -145,7 +145,7 @@
 	if len(all) == 0 && !asks {
 		return
 	}
-	r.g.agreed.WakeAfter(contracts.ReportInterval)
+	r.g.agreement.WakeAfter(contracts.ReportInterval)
 	if asks {
 		r.asked++
 	}
@@ -170,10 +170,10 @@
 // and so knows what all count.
 func (g *Gateway) Statements(ctx context.Context, name string, from, to int64) (all []contracts.Statement, whole bool, err error) {
 	err = g.inLoop(ctx, func() error {
-		if g.reserved == nil {
+		if g.contracts == nil {
 			return errors.New("this gateway agrees on nothing with others")
 		}
-		b, err := g.reserved.latest()
+		b, err := g.contracts.latest()
 		if err != nil {
 			return err
 		}
@@ -181,8 +181,8 @@
 		if c == nil {
 			return fmt.Errorf("there is no contract %q", name)
 		}
-		_, whole = g.agreed.f.Voters()
-		all = g.reserved.account.Statements(c, from, to, g.reserved.unix())
+		_, whole = g.agreement.f.Voters()
+		all = g.contracts.account.Statements(c, from, to, g.contracts.unix())
 		return nil
 	})
 	return all, whole, err
--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -126,7 +126,7 @@
 	g.rested()
 	stop()
 	for leaves := false; !leaves; {
-		g.hold(func() { leaves = g.leaving })
+		g.hold(func() { leaves = g.shuttingDown })
 	}
 	r.says("operator", "SIGTERM")
 	r.says("a", "asks in the moment in which clients are sent away, and is not read yet")
