--- a/gateway/accept.go
+++ b/gateway/accept.go
@@ -8,16 +8,16 @@
 	"magpieglade/internal/neterr"
 )
 
-// acceptor takes client connections from a listener and hands them to the event loop, one at a time. An error of accept ends
-// neither the loop nor the acceptor: it tries again after a pause, until the listener is closed.
+// acceptor accepts client connections and registers them with the event loop, one at a time. A failed accept ends neither
+// the loop nor the acceptor: it retries with a backoff until the listener is closed.
 type acceptor struct {
 	listener   net.Listener
 	enroll     func(net.Conn) error
 	onFailure  func(err error, first bool)
-	onRecovery func(failures int, span time.Duration)
+	onRecovery func(failures int, duration time.Duration)
 }
 
-// run accepts until the listener is closed.
+// run accepts connections until the listener is closed.
 func (a *acceptor) run() {
 	var backoff neterr.Backoff
 	failures, failingSince := 0, time.Time{}
@@ -44,7 +44,7 @@
 	}
 }
 
-// acceptClients serves the clients of the gateway's listener until it is closed.
+// acceptClients accepts clients on the gateway's listener until it is closed.
 func (g *Gateway) acceptClients() {
 	a := acceptor{
 		listener: g.listener,
@@ -55,8 +55,8 @@
 				g.log.Warn("accepting clients fails, trying again", "why", err)
 			}
 		},
-		onRecovery: func(failures int, span time.Duration) {
-			g.log.Info("accepting clients again", "failures", failures, "span_ms", span.Milliseconds())
+		onRecovery: func(failures int, duration time.Duration) {
+			g.log.Info("accepting clients again", "failures", failures, "span_ms", duration.Milliseconds())
 		},
 	}
 	a.run()
--- a/gateway/accept_test.go
+++ b/gateway/accept_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// limitDescriptors bounds the numbers of new descriptors of the gateway's process, so that the kernel refuses every new
-// one with EMFILE. The function that it returns restores the former bound.
+// limitDescriptors sets the descriptor limit of the gateway's process. A limit below the open descriptors makes every new one
+// fail with EMFILE. The returned function restores the previous limit.
 func (w *world) limitDescriptors(t *testing.T, limit uint64) (restore func()) {
 	t.Helper()
 	var previous unix.Rlimit
@@ -30,7 +30,7 @@
 	}
 }
 
-// dialRaw connects without waiting for the gateway to accept.
+// dialUnaccepted connects without waiting for the gateway to accept the connection.
 func (w *world) dialUnaccepted(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", w.address)
@@ -42,7 +42,7 @@
 	return c
 }
 
-// TestOpenRequestsSurviveFailedAccept guards against a failed accept that ends the process and every open request with it.
+// TestOpenRequestsSurviveFailedAccept guards against a failed accept that ends the process and with it all open requests.
 func TestOpenRequestsSurviveFailedAccept(t *testing.T) {
 	m := newMember("m", "read-write", "silent")
 	w := start(256, m)
@@ -62,9 +62,9 @@
 	}
 	restore()
 	if got := await(asked); got[:5] != "40000" {
-		t.Errorf("the request that was open: %s", got)
+		t.Errorf("the open request: %s", got)
 	}
 	if got := answers(bufio.NewReader(late), 12); got != "RSSSSSKZTD(m)CZ" {
-		t.Errorf("the client that came while accept failed: %s", got)
+		t.Errorf("the client that connected while accept failed: %s", got)
 	}
 }
--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -1,16 +1,16 @@
 package gateway
 
-// reserve is what the process holds beside connections: standard files, the listener, the pollers of gnet and
-// of the runtime, an accepted connection that is turned away, duplicates of a moment.
+// reservedDescriptors are kept free for everything other than connections: the standard files, the listener, the pollers
+// of gnet and of the runtime, an accepted connection that is rejected, and short-lived duplicates.
 const reservedDescriptors = 32
 
-// descriptorBudget counts the descriptors that connections may still take. Who takes some owns them, and gives them
-// back where its slot is given back.
+// descriptorBudget counts the file descriptors that connections may still use. The code that acquires descriptors owns
+// them and releases them where it releases the connection's slot.
 type descriptorBudget struct{ total, free, used, peak int }
 
-// take takes some if so many are left to others then.
-func (b *descriptorBudget) acquire(n, others int) bool {
-	if b.free < n+others {
+// acquire takes n descriptors, if at least reserved ones then remain free for other uses.
+func (b *descriptorBudget) acquire(n, reserved int) bool {
+	if b.free < n+reserved {
 		return false
 	}
 	b.free -= n
--- a/gateway/dial.go
+++ b/gateway/dial.go
@@ -9,12 +9,12 @@
 	"magpieglade/internal/neterr"
 )
 
-// dial connects to an address off the loop and hands the connection, or what went wrong, to the loop. It has
-// two descriptors until then, its own and the loop's, and one afterwards, until OnClose; without them it does
-// nothing. Whoever gives it up before it has ended finds it closed by whom it would have been opened for.
+// dial connects to an address in a goroutine of its own and hands the connection or the error to the event loop. It holds
+// two descriptors until then, its own and the loop's duplicate, and one afterwards, until OnClose. It returns false and does
+// nothing if they are not available. If the dial is abandoned meanwhile, its owner closes the connection once it opens.
 func (g *Gateway) dial(address string, timeout decide.Nanos, o *owner) bool {
 	reserved := 0
-	if o.kind == ownerMember { // members never take what the calls to discovery need
+	if o.kind == ownerMember { // members never use the descriptors that calls to discovery need
 		reserved = 2 * len(g.discovery.calls)
 	}
 	if !g.budget.acquire(2, reserved) {
@@ -29,8 +29,8 @@
 	return true
 }
 
-// connect dials until the loop has the connection or the patience is over. An error of this machine says nothing of the
-// other side, so that it is tried again.
+// connect dials until the loop has the connection or the timeout has passed. An error of the local machine says nothing
+// about the remote side, so it is retried.
 func (g *Gateway) connect(address string, timeout time.Duration, o *owner) error {
 	deadline := time.Now().Add(timeout)
 	var backoff neterr.Backoff
@@ -51,19 +51,19 @@
 	}
 }
 
-// dialDelayed notes an error of this machine behind which a dial is tried again.
+// localDialError records a local error after which a dial is retried.
 func (g *Gateway) localDialError(o *owner, err error) {
 	g.outcomes.dialErrors[neterr.Label(err)]++
 	if !g.dialsFailing {
 		g.dialsFailing = true
-		g.log.Warn("connecting fails for lack of something of this machine, trying again", "why", err)
+		g.log.Warn("connecting fails with a local error, trying again", "why", err)
 	}
 	if m := g.members.conns.Get(o.ref); m != nil && o.kind == ownerMember {
 		m.delayed = true
 	}
 }
 
-// dialFailed ends a dial. One that was accepted and then reset is no refusal: a process runs there.
+// dialFailed ends a dial. A connection that was accepted and then reset is not refused: a process is running there.
 func (g *Gateway) dialFailed(o *owner, err error) {
 	if neterr.IsLocal(err) {
 		g.localDialError(o, err)
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -14,28 +14,35 @@
 	"magpieglade/internal/httpwire"
 )
 
+// Limits of a response.
 const (
-	maxListBytes   = 1 << 20 // bytes of an answer
+	maxListBytes   = 1 << 20
 	maxListEntries = 4096
-	// A change counts as told six seconds after discovery had it and could be reached. So a watch that fell silent, the
-	// pause after it and the call that brings what it missed take less: 2.5 + 1.0 + 0.4 + 1.9 s; and so do a call
-	// that is given up, the longest pause and the next call: 1.9 + 1.9 + 1.9 s. docs/design.md has the sum.
-	watchWaitMs   = 2500                      // how long a watch waits
-	watchMargin   = 1000 * decide.Millisecond // beyond that: calls are handled in turn
-	callTimeout   = 1900 * decide.Millisecond // of a call that need not wait, with its dial
-	unreadGrace   = 20 * decide.Millisecond   // for what has come, unread, when a call's time is up
-	noListVersion = math.MinInt64             // the version of a list that this discovery did not give
 )
 
-// discoveryClient is the list and the calls for it. It belongs to the loop.
+// Timeouts of calls. A gateway must know a change within six seconds of the moment when discovery had it and could be
+// reached. Both worst cases take less: a silent watch, the backoff after it and the call that fetches what it missed
+// (2.5 + 1.0 + 0.4 + 1.9 s), and a call that times out, the longest backoff and the next call (1.9 + 1.9 + 1.9 s).
+// docs/design.md has the calculation.
+const (
+	watchWaitMs = 2500                      // how long a watch waits
+	watchMargin = 1000 * decide.Millisecond // beyond that, as discovery handles calls one after another
+	callTimeout = 1900 * decide.Millisecond // of a call that does not wait, including its dial
+	unreadGrace = 20 * decide.Millisecond   // to read data that had arrived when a call timed out
+)
+
+// noListVersion is the version of a list that does not come from the current discovery service.
+const noListVersion = math.MinInt64
+
+// discoveryClient keeps the member list and the calls that fetch it. It is used from the event loop only.
 type discoveryClient struct {
 	g        *Gateway
 	list     memberList
 	calls    [2]call                // by callKind
-	draining map[decide.Server]bool // that get nothing new
+	draining map[decide.Server]bool // members that get no new submissions
 }
 
-// callKind tells the calls apart; each has a connection of its own, as a watch holds up what is behind it.
+// callKind is the kind of a call. Each has a connection of its own, as a watch blocks the requests behind it.
 type callKind int
 
 const (
@@ -43,44 +50,46 @@
 	callFetch
 )
 
-// call is a connection to discovery and what is asked on it. It is given back in hangUpCall.
+// call is a connection to discovery and its request. closeCall releases it.
 type call struct {
 	kind             callKind
 	conn             gnet.Conn
-	connNo           uint64 // of the connection; late events of a former one have another
+	connNo           uint64 // number of the connection; late events of a previous one carry another
 	dialing          bool
-	awaitingResponse bool  // an answer is awaited
-	afterVersion     int64 // the version that was in force when it was made
-	waitMs           int   // milliseconds that the call may wait
-	graceUsed        bool  // its time is up, and what has come is still read
+	awaitingResponse bool
+	afterVersion     int64 // version of the list when the request was sent
+	waitMs           int   // how long discovery may delay the response
+	graceUsed        bool  // the call has timed out and unread data is still being read
 	timeout          *deadlines.Entry[timerEvent]
-	lastFailure      string    // why the last one failed
-	lateConn         gnet.Conn // of the call before, given up: what still comes on it counts as told
+	lastFailure      string    // reason, to log each only once in a row
+	lateConn         gnet.Conn // of the previous call, which timed out: a response on it is still used
 	lateConnNo       uint64
 }
 
-// roster is what discovery told.
+// memberList is the list as received from discovery.
 type memberList struct {
-	seq           int64 // of discovery where it is now
-	received      bool  // there is one
+	seq           int64 // version by the current discovery service
+	received      bool  // a list is known
 	hosts         map[string]host
-	knownGroups   map[int]bool    // that were ever named
-	loggedUnknown map[string]bool // names that were logged as unknown
+	knownGroups   map[int]bool    // all that were ever in the list
+	loggedUnknown map[string]bool // values that were logged as unknown
 }
 
+// host is an entry of the member list.
 type host struct {
 	server decide.Server
 	entry  httpwire.Host
-	key    uint64 // by which other gateways know it
+	key    uint64 // identifies the member between gateways
 }
 
-// news is a list to tell the module.
+// listUpdate is a received list for the module.
 type listUpdate struct {
 	list  *httpwire.List
 	scope decide.Scope
 }
 
-// call asks discovery for changes, or for the whole list.
+// startCall requests changes or the whole list from discovery, unless a call of the kind is in progress or held back
+// by the coordination between gateways.
 func (ds *discoveryClient) startCall(kind callKind) {
 	c := &ds.calls[kind]
 	if c.awaitingResponse || c.dialing {
@@ -89,7 +98,7 @@
 	if x := ds.g.coordination; x != nil && x.holds(kind, c.lastFailure != "") {
 		return
 	}
-	c.waitMs = 0 // the first answer of a watch comes at once, so that it is known to run
+	c.waitMs = 0 // the first watch is answered immediately, which shows that the watch works
 	ds.sendCall(c)
 }
 
@@ -130,7 +139,7 @@
 	return nil, gnet.None
 }
 
-// hangUpCall is the one place where a connection to discovery is given back.
+// closeCall is the only place that releases the connection of the current call.
 func (ds *discoveryClient) closeCall(c *call) {
 	ds.g.deadlines.Remove(c.timeout)
 	if c.conn != nil {
@@ -140,8 +149,8 @@
 	c.connNo++
 }
 
-// discoveryClosed comes when a connection ended, or could not be had. An answer without a length is whole where it
-// ended in order; a reset is no end.
+// connClosed is called when a connection has ended or could not be opened. A response without a length is complete if the
+// connection ended with an EOF, but not after a reset.
 func (ds *discoveryClient) connClosed(o *owner, conn gnet.Conn, cleanEOF bool) {
 	c := o.call
 	isLate := c.lateConn != nil && c.lateConnNo == o.connNo
@@ -167,22 +176,23 @@
 	ds.closeCall(c)
 }
 
-// callTimedOut gives a call up, unless something has come that the loop has not read yet: what discovery wrote counts
-// as told, so that an answer which comes with the timer must not be thrown away. One that drips goes all the same.
+// callTimedOut abandons a call, unless data has arrived that the loop has not read yet: what discovery has written counts
+// as known to the gateway, so a response that arrives together with the timer must not be discarded. The grace is given
+// once, so a response that trickles in is still abandoned.
 func (ds *discoveryClient) callTimedOut(c *call) {
 	if c.conn != nil && !c.graceUsed && hasUnread(c.conn.Fd()) {
 		c.graceUsed = true
 		c.timeout = ds.g.deadlines.Add(int64(ds.g.clock.now()+unreadGrace), timerEvent{kind: timerCall, call: c})
 		return
 	}
-	if c.conn != nil { // its answer may be on the way: it is read while the next call is made
+	if c.conn != nil { // its response may be in transit: it is read while the next call runs
 		ds.closeLateCall(c)
 		c.lateConn, c.lateConnNo, c.conn = c.conn, c.connNo, nil
 	}
 	ds.callFailed(c, "no answer")
 }
 
-// hangUpLate is the one place where the connection of a call that was given up is given back.
+// closeLateCall is the only place that releases the connection of a call that timed out.
 func (ds *discoveryClient) closeLateCall(c *call) {
 	if c.lateConn != nil {
 		_ = c.lateConn.Close()
@@ -190,13 +200,13 @@
 	c.lateConn, c.lateConnNo = nil, 0
 }
 
-// answeredLate takes an answer to a call that was given up: as the answer to the next one, while that is not under way, else
-// what is new in it.
+// handleLateResponse handles a response to a call that timed out. If the next call has not started, the response counts as
+// that call's; otherwise only a newer list is used.
 func (ds *discoveryClient) handleLateResponse(conn gnet.Conn, c *call, response httpwire.Response) {
 	if !c.awaitingResponse && !c.dialing && response.Status == 200 {
 		ds.closeCall(c)
 		c.conn, c.awaitingResponse = conn, true
-		conn.Context().(*owner).connNo = c.connNo // a dial that was given up may still hold a number in between
+		conn.Context().(*owner).connNo = c.connNo // an abandoned dial may hold a number in between
 		c.lateConn, c.lateConnNo = nil, 0
 		ds.handleCurrentResponse(conn, c, response)
 		return
@@ -207,7 +217,7 @@
 	ds.closeLateCall(c)
 }
 
-// news notes a list for the module.
+// queueList queues a list as input for the module.
 func (ds *discoveryClient) queueList(list *httpwire.List) {
 	scope := decide.Delta
 	if list.Whole {
@@ -217,7 +227,7 @@
 	ds.g.inputs = append(ds.g.inputs, input{kind: inList, list: &listUpdate{list, scope}})
 }
 
-// callFailed tells the module, which decides when to ask again.
+// callFailed reports a failed call to the module, which decides when to retry.
 func (ds *discoveryClient) callFailed(c *call, reason string) {
 	if reason != c.lastFailure {
 		c.lastFailure = reason
@@ -249,7 +259,7 @@
 		return
 	}
 	if !isLate && !c.awaitingResponse {
-		ds.callFailed(c, "an answer that nobody asked for")
+		ds.callFailed(c, "unsolicited response")
 		return
 	}
 	response, ok, err := httpwire.ReadResponse(buf, maxListBytes)
@@ -263,7 +273,7 @@
 	}
 }
 
-// whole takes a whole answer, to the call that is under way or to the one before.
+// handleResponse handles a complete response to the current call or to the previous one.
 func (ds *discoveryClient) handleResponse(conn gnet.Conn, c *call, isLate bool, response httpwire.Response) {
 	if isLate {
 		ds.handleLateResponse(conn, c, response)
@@ -272,7 +282,7 @@
 	}
 }
 
-// answered takes the answer to the call that is under way.
+// handleCurrentResponse handles the response to the current call.
 func (ds *discoveryClient) handleCurrentResponse(conn gnet.Conn, c *call, response httpwire.Response) {
 	if response.Status != 200 {
 		ds.callFailed(c, fmt.Sprintf("status %d", response.Status))
@@ -289,21 +299,21 @@
 	if ds.g.coordination != nil {
 		ds.g.coordination.called(decide.Committed)
 	}
-	// The late answer of the call before may have come first, though this one was written sooner: it tells nothing any more.
-	// A version below the one that was asked for is a service that numbers anew.
+	// A late response to the previous call may have arrived first with a newer list, which makes this one outdated. A version
+	// below the requested one, however, means that the service has restarted its numbering.
 	if outdated := c.afterVersion <= list.Seq && list.Seq < ds.list.seq; !outdated {
 		ds.queueList(list)
 	}
 	if response.Close {
 		ds.closeCall(c)
 	}
-	if c.kind == callWatch { // it goes on if the next call comes soon
+	if c.kind == callWatch { // the watch continues if the next call follows immediately
 		c.waitMs = watchWaitMs
 		ds.sendCall(c)
 	}
 }
 
-// start tells the module the list as last held.
+// queueCachedList queues the list of the last run as input for the module.
 func (ds *discoveryClient) queueCachedList() {
 	list := ds.g.config.Known
 	if list == nil {
@@ -314,17 +324,17 @@
 	ds.g.log.Info("listening", "address", ds.g.config.Listen, "members", len(list.Hosts))
 }
 
-// tellList tells the module a list, gone entries first: their addresses may be in use again.
+// applyList passes a list to the module, removed entries first, as their addresses may be in use again.
 func (ds *discoveryClient) applyList(update *listUpdate) {
 	for _, e := range update.list.Hosts {
 		h, ok := ds.list.hosts[e.Host]
 		if update.scope != decide.CachedList && (!ok && e.Health != "left" || ok && (h.entry.Health != e.Health || h.entry.BornMs != e.BornMs)) {
-			ds.g.generations.module.ReportDisturbance() // no change of ours brought it about
+			ds.g.generations.module.ReportDisturbance() // not caused by a configuration change
 		}
 		if ok && (e.Health == "left" || h.entry.Dial != e.Dial) {
 			ds.removeHost(e.Host, h)
 		}
-		for name, h := range ds.list.hosts { // another machine at its address: nothing is known of that one
+		for name, h := range ds.list.hosts { // a new machine at the same address: the state of the old one does not apply
 			if !ok && e.Health != "left" && h.entry.Dial == e.Dial {
 				ds.removeHost(name, h)
 			}
@@ -346,7 +356,7 @@
 	}
 }
 
-// leaves tells that a host is gone, unless another has its address by now.
+// removeHost reports a removed host to the module, unless another host has its address by now.
 func (ds *discoveryClient) removeHost(name string, h host) {
 	delete(ds.list.hosts, name)
 	delete(ds.draining, h.server)
@@ -360,6 +370,7 @@
 	ds.g.members.bar(h.server)
 }
 
+// applyHost passes an entry to the module, unless it is invalid, removed or assigned to other gateways.
 func (ds *discoveryClient) applyHost(e httpwire.Host) {
 	status := decide.Ready
 	switch ds.g.generations.health(&e) {
@@ -386,7 +397,7 @@
 	ds.list.hosts[e.Host] = host{server, e, fleet.MemberKey(e.Host)}
 	ds.list.knownGroups[e.Block] = true
 	if x := ds.g.coordination; x != nil && !x.c.Has(ds.list.hosts[e.Host].key) {
-		return // others have it
+		return // assigned to other gateways
 	}
 	kind := slices.Index(ds.g.names.MachineTypes, e.Class)
 	ds.g.module.UpdateMember(server, e.Block, e.Mode == "read-write", status, zone, e.Share, kind, ds.g.clock.fromUnixMs(e.BornMs))
@@ -397,13 +408,13 @@
 	}
 }
 
-// leaveAside logs once that the list has a word that is not known.
+// logUnknown logs, once each, a value in the list that is not known, because of which the entry is ignored.
 func (ds *discoveryClient) logUnknown(field, value string) {
 	if ds.list.loggedUnknown == nil {
 		ds.list.loggedUnknown = map[string]bool{}
 	}
 	if len(ds.list.loggedUnknown) < 100 && !ds.list.loggedUnknown[field+value] {
 		ds.list.loggedUnknown[field+value] = true
-		ds.g.log.Warn("list entry left aside", "unknown", field, "word", value)
+		ds.g.log.Warn("list entry ignored", "unknown", field, "word", value)
 	}
 }
--- a/gateway/disk_test.go
+++ b/gateway/disk_test.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// full has a process's disk take nothing more, or takes it back: no file may grow.
+// setDiskFull simulates a full disk for a process, or ends the simulation: no file may grow.
 func (p *process) setDiskFull(on bool) {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if on {
@@ -17,19 +17,19 @@
 	must(unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &limit, nil))
 }
 
-// Disks are full while changes are asked for: of a voter that follows, which holds up nobody; of the one that leads, which
-// makes way; of all but one of those that vote, when no change comes and clients are served as before. Each goes on by
-// itself once there is room. Nobody answers a client wrongly meanwhile.
+// TestConfigChangesWithFullDisks proposes changes while disks are full: the disk of a following voter, which delays nobody; of
+// the leader, which must be replaced; and of all voters but one, when no change is agreed on and clients are served as before.
+// Each gateway recovers by itself once there is space. Clients must get no wrong response meanwhile.
 func TestConfigChangesWithFullDisks(t *testing.T) {
-	t.Parallel() // it waits for events nearly all of its time
+	t.Parallel() // it mostly waits for events
 	fleet := newUnion(t, 5, 3)
 	load := fleet.load()
 	all := []int{0, 1, 2, 3, 4}
 	applyVersion := func(gateway, version int) {
 		t.Helper()
 		fleet.await(fmt.Sprintf("version %d is agreed on", version), func() bool {
-			said := fleet.apply(gateway, moves(version))
-			return strings.Contains(said, fmt.Sprintf("version %d is agreed on", version))
+			output := fleet.apply(gateway, moves(version))
+			return strings.Contains(output, fmt.Sprintf("version %d is agreed on", version))
 		})
 	}
 	applyVersion(4, 1)
@@ -50,9 +50,9 @@
 	fleet.holds(2, follower)
 
 	fleet.gateways[leader].setDiskFull(true)
-	said := fleet.apply(4, moves(3)) // by the one that leads it can't be, nor is it known whether another will
-	fleet.await("another one leads", func() bool { return fleet.leader(follower, 3-leader-follower) != leader })
-	if !strings.Contains(said, "version 3 is agreed on") && !strings.Contains(fleet.said(follower, "config", "history"), "\n3 ") {
+	output := fleet.apply(4, moves(3)) // the full leader cannot commit it, and whether another will is unknown
+	fleet.await("another voter leads", func() bool { return fleet.leader(follower, 3-leader-follower) != leader })
+	if !strings.Contains(output, "version 3 is agreed on") && !strings.Contains(fleet.said(follower, "config", "history"), "\n3 ") {
 		applyVersion(4, 3)
 	}
 	others = others[:0]
@@ -68,21 +68,21 @@
 	for i := range 2 {
 		fleet.gateways[i].setDiskFull(true)
 	}
-	if said := fleet.apply(4, moves(4)); strings.Contains(said, "is agreed on") {
-		t.Fatal("two of three that vote keep nothing: ", said)
+	if output := fleet.apply(4, moves(4)); strings.Contains(output, "is agreed on") {
+		t.Fatal("agreed although two of three voters cannot save: ", output)
 	}
 	for i := range 2 {
 		fleet.gateways[i].setDiskFull(false)
 	}
-	// What was asked for may be agreed on now or not, as its operator was told. Who asks again may so be given 5 beside a late 4,
-	// which say the same: what counts is that all come to act on one later version.
-	fleet.await("all act on one later version", func() bool {
+	// The proposal may be agreed on now or not, as its operator was told. A retry may thus create version 5 beside a late
+	// version 4 of the same content: what counts is that all gateways use one later version.
+	fleet.await("all use one later version", func() bool {
 		held := map[int]int{}
 		for _, i := range all {
 			version := 0
-			said := fleet.said(i, "fleet", "status")
-			_, after, _ := strings.Cut(said, "routes: version ")
-			if n, _ := fmt.Sscanf(after, "%d", &version); n == 1 && !strings.Contains(said, "next version") && strings.Contains(said, "may act") {
+			output := fleet.said(i, "fleet", "status")
+			_, after, _ := strings.Cut(output, "routes: version ")
+			if n, _ := fmt.Sscanf(after, "%d", &version); n == 1 && !strings.Contains(output, "next version") && strings.Contains(output, "may act") {
 				held[version]++
 			}
 		}
--- a/gateway/ending_test.go
+++ b/gateway/ending_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestEndsBeforeThePlatformKills guards against a gateway that is killed over requests which it goes on taking: it has to be
-// gone before the platform may kill it, however long its clients keep their connections.
+// TestShutdownEndsBeforeKill guards against a gateway that keeps accepting requests until the platform kills it. It must end
+// before the platform may kill it, however long its clients keep their connections open.
 func TestShutdownEndsBeforeKill(t *testing.T) {
 	t.Parallel()
 	var clockAdvance atomic.Int64
@@ -27,16 +27,16 @@
 	halfOpen := newEnd(dialled(t, g))
 	_, _ = halfOpen.Write([]byte("\x00\x00"))
 	stop()
-	g.hold(func() { // it has begun to leave
+	g.hold(func() { // the shutdown has begun
 		for !g.shuttingDown {
 			g.beginShutdown()
 		}
 	})
-	// The longest time of a class is 10 s here; the platform waits for 3 s of it at the most.
+	// The greatest hard limit of a class is 10 s here; the platform waits for at most 3 s of it.
 	clockAdvance.Store(int64(acceptPeriod + maxKillDelay - 10_000_000))
 	g.hold(g.onTimer)
 	if got := client.answer(); got != "40000" {
-		t.Errorf("the request that was open: %s", got)
+		t.Errorf("the open request: %s", got)
 	}
 	select {
 	case err := <-ended:
@@ -44,6 +44,6 @@
 			t.Error(err)
 		}
 	case <-time.After(time.Second):
-		t.Error("it is still there when it may be killed")
+		t.Error("the gateway still runs when it may be killed")
 	}
 }
--- a/gateway/eventloop.go
+++ b/gateway/eventloop.go
@@ -11,8 +11,8 @@
 	"magpieglade/internal/neterr"
 )
 
-// serve runs the event loop until its end. The loop has no listener of the library's: that would end it with the first error
-// of accept that the library does not know.
+// serve runs the event loop until it ends. The loop does not use gnet's own listener, which would end the loop on the first
+// accept error that gnet does not know.
 func (g *Gateway) serve() error {
 	err := neterr.Retry(startTimeout, func() (err error) {
 		g.listener, err = g.network.Listen(g.config.Listen)
@@ -27,15 +27,15 @@
 		return err
 	}
 	if err := neterr.Retry(startTimeout, loop.Start); err != nil {
-		return fmt.Errorf("the event loop does not start: %w", err)
+		return fmt.Errorf("starting the event loop: %w", err)
 	}
 	if err := neterr.Retry(startTimeout, func() error { return g.openLoop(loop) }); err != nil {
-		return errors.Join(fmt.Errorf("no handle on the event loop: %w", err), loop.Stop())
+		return errors.Join(fmt.Errorf("getting a handle on the event loop: %w", err), loop.Stop())
 	}
 	<-g.loopEnded
 	err = loop.Stop()
 	if err == nil && !g.loopStopped {
-		err = errors.New("it ended by itself")
+		err = errors.New("ended unexpectedly")
 	}
 	if err != nil {
 		return fmt.Errorf("the event loop: %w", err)
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// openLoop gives the gateway its handle on the loop, which comes with a connection: one that goes nowhere and stays open
-// until the loop ends.
+// openLoop gets the gateway's handle on the loop. gnet provides it only with a connection, so an unused UDP socket is
+// registered, which stays open until the loop ends.
 func (g *Gateway) openLoop(loop *gnet.Client) error {
 	c, err := net.DialUDP("udp4", nil, net.UDPAddrFromAddrPort(g.config.Listen))
 	if err != nil {
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// enroll hands a connection to the loop, which has a descriptor of its own for it, and returns once it is open there. A
-// connection that the loop does not take is closed.
+// enroll registers a connection with the loop, which duplicates its descriptor, and returns once it is open there. A
+// connection that the loop does not accept is closed.
 func (g *Gateway) enroll(c net.Conn, o *owner) error {
 	opened, err := g.loop.Enroll(gnet.NewContext(context.Background(), o), c)
 	if err != nil {
--- a/gateway/flood_test.go
+++ b/gateway/flood_test.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// A flood of clients that ask and go, come and go, send much and go, or never end a message: whoever else asks is
-// served, and descriptors and memory keep to their limits. The loop's longest turn is in the log of the test, as the machine's
-// other work is in it.
+// TestClientFlood floods the gateway with clients that send a request and reset, connect and close, send many requests and
+// close, or never complete a message. Other clients must be served, and descriptors and memory must stay within their limits.
+// The loop's longest turn is only logged, as it includes the other load of the machine.
 func TestClientFlood(t *testing.T) {
 	const sockets, clientsPerFlood = 256, 300
 	w := start(sockets, newMember("m", "read-write"), newMember("r", "read-only"))
@@ -26,7 +26,7 @@
 		for range clientsPerFlood {
 			c, err := net.Dial("tcp4", w.address)
 			if err != nil {
-				continue // none is free: it is turned away by the kernel
+				continue // none is free: the kernel refuses it
 			}
 			_ = c.SetDeadline(time.Now().Add(soon))
 			f(c)
@@ -34,17 +34,17 @@
 	}
 	var floods sync.WaitGroup
 	for _, f := range []func(net.Conn){
-		func(c net.Conn) { // asks and resets
+		func(c net.Conn) { // sends a request and resets
 			_, _ = io.WriteString(c, hello+query(sql("any", "")))
 			_ = c.(*net.TCPConn).SetLinger(0)
 			_ = c.Close()
 		},
 		func(c net.Conn) { _ = c.Close() },
-		func(c net.Conn) { // sends much ahead, reads nothing and goes
+		func(c net.Conn) { // pipelines requests, reads nothing and closes
 			_, _ = io.WriteString(c, hello+strings.Repeat(query(sql("any", "")), 50))
 			_ = c.Close()
 		},
-		func(c net.Conn) { // a message that never ends; it is sent away by and by
+		func(c net.Conn) { // a message that never ends; the gateway disconnects it after a while
 			_, _ = io.WriteString(c, hello+"Q\x00\x01\x00\x00half")
 			t.Cleanup(func() { _ = c.Close() })
 		},
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway is the service on sockets: clients and members speak PostgreSQL's protocol, discovery
-// speaks HTTP, and the module in decide makes every decision.
+// Package gateway runs the service on sockets: clients and members use the PostgreSQL protocol, discovery uses HTTP, and the
+// module in package decide makes all decisions.
 //
-// One event loop owns the module and every table here. Dials, the timer and signals run elsewhere and only
-// post to it. gateway.go starts and ends a gateway, loop.go has the turns, clients.go and txns.go what clients
-// ask, members.go the connections to members, discovery.go the list, budget.go the descriptors.
+// One event loop owns the module and all tables. Dials, the timer and signals run in other goroutines and only post to it.
+// gateway.go starts and stops a gateway, loop.go has the event loop's turns, clients.go and txns.go the clients' requests,
+// members.go the connections to members, discovery.go the member list, and budget.go the file descriptors.
 package gateway
 
 import (
@@ -34,29 +34,29 @@
 	"magpieglade/routes"
 )
 
-// Gateway is one gateway. Its fields belong to the event loop once Run has begun.
+// Gateway is one gateway. Once Run has begun, its fields are used from the event loop only.
 type Gateway struct {
 	gnet.BuiltinEventEngine
 	config    Config
 	names     names
 	log       *slog.Logger
-	logLevel  *slog.LevelVar // that is logged, by the generation in force
+	logLevel  *slog.LevelVar // set by the generation in force
 	module    *decide.Gateway
 	clock     clock
-	started   chan struct{} // closed when there is a loop to post to
+	started   chan struct{} // closed once the loop accepts posts
 	loopEnded chan struct{} // closed when the loop has ended
 	network   Network
 	listener  net.Listener
 	loop      gnet.EventLoop
 
 	inputs        []input
-	dialsFailing  bool // for lack of something of this machine
-	handlingEvent bool // an event, within which others may come
+	dialsFailing  bool // with errors of the local machine
+	handlingEvent bool // an event handler runs; further events may be nested in it
 	inTurn        bool
-	turnTime      decide.Nanos // the module's time
+	turnTime      decide.Nanos // time of the module's current round
 	deadlines     deadlines.Queue[timerEvent]
 	timer         *time.Timer
-	timerSetTo    int64 // what the timer is set to; 0 is nothing
+	timerSetTo    int64 // 0 if the timer is not set
 
 	budget          descriptorBudget
 	clients         clients
@@ -66,31 +66,31 @@
 	discovery       discoveryClient
 	scratch         []byte
 	lookup          routes.Txn
-	raisedStatement []byte // a statement with the floor of its read
+	raisedStatement []byte // buffer for a statement with the minimum position of its read
 	parts           [][]byte
 	counts          txnCounts
 	outcomes        outcomes
 
 	generations   *generations
-	sessions      *fleet.Sessions  // nil where the operator says nothing of them
-	quotas        *fleet.Quotas    // bounds of the fleet, nil where gateways agree on nothing
-	agreement     *agreed          // nil where gateways agree on nothing
-	contracts     *reserved        // nil where gateways agree on nothing
-	coordination  *coordinated     // nil where each gateway chooses for itself
-	peerLink      *fleet.Datagrams // the address for other gateways, nil where there are none
+	sessions      *fleet.Sessions  // nil if not configured
+	quotas        *fleet.Quotas    // limits of the fleet, nil without an agreement
+	agreement     *agreed          // nil without an agreement between gateways
+	contracts     *reserved        // nil without an agreement
+	coordination  *coordinated     // nil if each gateway chooses members and probes on its own
+	peerLink      *fleet.Datagrams // datagrams of other gateways, nil if there are none
 	seed          uint64
-	longestTurn   decide.Nanos // turn so far: nothing else is read or written meanwhile
-	maxTimerDelay decide.Nanos // timer so far, behind its time
+	longestTurn   decide.Nanos // nothing else is read or written during a turn
+	maxTimerDelay decide.Nanos // how late a timer fired at most
 
-	shuttingDown     bool         // told to end
-	loopStopped      bool         // has told the loop to end
-	closingClients   bool         // and sends clients away that have their answers
-	emptySince       decide.Nanos // since when there is none
-	shutdownDeadline decide.Nanos
-	answerDeadline   decide.Nanos // by when all have their answers
+	shuttingDown     bool         // shutdown was requested
+	loopStopped      bool         // the loop was told to end
+	closingClients   bool         // clients without an open request are disconnected
+	emptySince       decide.Nanos // since when no client is connected
+	shutdownDeadline decide.Nanos // when the loop ends at the latest
+	answerDeadline   decide.Nanos // by when all requests are answered
 }
 
-// counts are of this gateway's whole life, for the line at its end.
+// txnCounts counts txns over the whole run, for the log line at its end.
 type txnCounts struct{ taken, declined, rolledBack, withdrawn, unagreed int }
 
 // New checks the configuration and prepares a gateway; Run starts it.
@@ -133,8 +133,8 @@
 	return g, nil
 }
 
-// Run serves until the context ends and what was taken is answered, for a little longer than the longest time
-// that a txn type allows at most.
+// Run serves until the context is done and all accepted requests are answered, which takes a little longer than the
+// greatest hard limit of a txn type at most.
 func (g *Gateway) Run(ctx context.Context) error {
 	if address := g.peerAddress(); address.IsValid() {
 		err := neterr.Retry(startTimeout, func() (err error) {
@@ -169,7 +169,7 @@
 		}
 		defer func() {
 			if err := g.agreement.f.Close(); err != nil {
-				g.log.Info("the log of the agreement is not closed in order", "why", err)
+				g.log.Info("closing the log of the agreement failed", "why", err)
 			}
 		}()
 	}
@@ -183,7 +183,7 @@
 		}
 		defer g.sessions.Close()
 	}
-	// What the loop's buffers and the kernel's share of the limit leave is the collector's.
+	// The garbage collector gets what the loop's buffers and the kernel leave of the memory limit.
 	debug.SetMemoryLimit(int64(g.config.Limits.MemoryMB) << 20 * 6 / 10)
 	stop := context.AfterFunc(ctx, func() {
 		<-g.started
@@ -197,7 +197,7 @@
 	return err
 }
 
-// forOthers is where other gateways reach this one; not valid where there are none.
+// peerAddress is where other gateways reach this one. It is invalid if there are none.
 func (g *Gateway) peerAddress() (address netip.AddrPort) {
 	if p := g.config.Agreement; p != nil {
 		return p.Listen
@@ -208,7 +208,7 @@
 	return address
 }
 
-// cameFromOthers takes what other gateways sent.
+// receiveDatagrams handles datagrams of other gateways.
 func (g *Gateway) receiveDatagrams() {
 	g.peerLink.Consume(func(d fleet.Datagram) {
 		switch {
@@ -222,8 +222,8 @@
 	})
 }
 
-// Reload puts a new configuration in force as far as that goes without a restart: where discovery is. It may
-// be called at any time, and waits until Run has begun. Nothing changes where a value is lacking or wrong.
+// Reload applies what can change without a restart: the address of discovery. It may be called at any time and blocks until
+// Run has begun. If a value is missing or invalid, nothing changes.
 func (g *Gateway) Reload(c Config) error {
 	if _, _, err := c.check(); err != nil {
 		return err
@@ -233,7 +233,7 @@
 	return nil
 }
 
-// reload is a whole new start for the list: the new service may number its versions otherwise.
+// reload restarts the calls for the list without a version, as a new service may number its versions differently.
 func (g *Gateway) reload(c Config) {
 	current := &g.config
 	restart := c.Listen != current.Listen || c.Limits != current.Limits || !bytes.Equal(c.Settings, current.Settings)
@@ -244,13 +244,13 @@
 	current.Discovery = c.Discovery
 	for i := range g.discovery.calls {
 		g.discovery.closeCall(&g.discovery.calls[i])
-		g.discovery.closeLateCall(&g.discovery.calls[i]) // it tells of the former list
+		g.discovery.closeLateCall(&g.discovery.calls[i]) // it would bring the previous list
 	}
 	g.discovery.list.seq = noListVersion
 	g.discovery.startCall(callWatch)
 }
 
-// post runs something on the loop, in a turn of its own.
+// post runs a function on the loop in a turn of its own.
 func (g *Gateway) post(f func()) {
 	_ = g.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		g.handle(f)
@@ -258,18 +258,18 @@
 	}))
 }
 
-// Spans of an orderly end: clients still come for a moment after it was asked for, and what is taken in that
-// moment may take as long as its txn type allows.
+// Durations of a graceful shutdown. Clients may still connect during acceptPeriod, and a request accepted in it may take as
+// long as its txn type allows. The platform kills the process no sooner than the greatest hard limit of a txn type after
+// acceptPeriod, or maxKillDelay after it if that is less.
 const (
-	acceptPeriod = 700 * decide.Millisecond
-	// The platform kills no sooner than the longest time of a txn type after that, or this where it is longer.
+	acceptPeriod   = 700 * decide.Millisecond
 	maxKillDelay   = 3000 * decide.Millisecond
-	killMargin     = 150 * decide.Millisecond // by which all have their answers before it may
-	readMargin     = 80 * decide.Millisecond  // from then on for answers to be read, well before it may
-	reconnectGrace = 100 * decide.Millisecond // for who was sent away while it asked, to connect and ask again
+	killMargin     = 150 * decide.Millisecond // from the last response until the platform may kill
+	readMargin     = 80 * decide.Millisecond  // part of killMargin, for clients to read the last responses
+	reconnectGrace = 100 * decide.Millisecond // for a client that was disconnected while it sent a request to retry it
 )
 
-// leave begins an orderly end: what comes is served as before for a moment.
+// beginShutdown starts a graceful shutdown. During acceptPeriod, new clients and requests are served as before.
 func (g *Gateway) beginShutdown() {
 	if g.shuttingDown {
 		return
@@ -290,8 +290,8 @@
 	g.log.Info("leaving", "clients", g.clients.open.Len(), "txns", g.txns.Len())
 }
 
-// closeIdleClients is the second part of it: clients are sent away once they have their answers. A query may cross
-// that and come once more on a new connection, which is served: to turn it away would lose it.
+// closeIdleClients is the second phase of the shutdown: clients are disconnected once their requests are answered. A query
+// may cross the close of its connection and be retried on a new one; it is served, as rejecting it would lose it.
 func (g *Gateway) closeIdleClients() {
 	g.closingClients = true
 	for _, ref := range g.clients.open.Refs() {
@@ -304,13 +304,13 @@
 	g.scheduleEndIfEmpty()
 }
 
-// closeListener is the third: what comes from now on could be read and not be answered any more.
+// closeListener is the third phase: later requests could still be read but no longer be answered.
 func (g *Gateway) closeListener() {
 	_ = g.listener.Close()
 	g.closeIdleClients()
 }
 
-// emptied sets the end when the last client is gone.
+// scheduleEndIfEmpty schedules the end of the loop if the last client is gone.
 func (g *Gateway) scheduleEndIfEmpty() {
 	if g.closingClients && g.clients.open.Len() == 0 {
 		g.emptySince = g.clock.now()
@@ -318,7 +318,7 @@
 	}
 }
 
-// end tells gnet to end the loop once the last client is gone for a moment, or time is up.
+// endIfDone tells gnet to end the loop once no client has been connected for reconnectGrace, or shutdownDeadline has passed.
 func (g *Gateway) endIfDone() error {
 	now := g.clock.now()
 	if g.closingClients && (g.clients.open.Len() == 0 && now >= g.emptySince+reconnectGrace || now >= g.shutdownDeadline) {
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -14,16 +14,16 @@
 	"magpieglade/internal/slots"
 )
 
-// clock joins the time of day, which positions are given in, and a monotonic one, once: both count from the
-// same zero, a little before the start, so that nothing that matters stood before it.
+// clock aligns the time of day, in which positions are given, with a monotonic clock, once at the start. Both count from the
+// same zero, clockLeadMs before the start, so that no relevant time lies before it.
 type clock struct {
 	startedAt   time.Time
-	elapsed     func() time.Duration // since then
+	elapsed     func() time.Duration // since startedAt
 	startOffset decide.Nanos
-	zeroUnixMs  int64 // in Unix milliseconds
+	zeroUnixMs  int64
 }
 
-const clockLeadMs = 60 * 1000 // milliseconds
+const clockLeadMs = 60 * 1000
 
 func newClock(elapsed func() time.Duration) clock {
 	now := time.Now()
@@ -38,37 +38,37 @@
 
 func (c *clock) now() decide.Nanos { return c.startOffset + decide.Nanos(c.elapsed()) }
 
-// at is a Unix time in milliseconds on this clock; what lies before its zero is zero.
+// fromUnixMs converts a Unix time in milliseconds to this clock; times before its zero become zero.
 func (c *clock) fromUnixMs(unixMs float64) decide.Nanos {
 	return max(0, decide.Millis(unixMs-float64(c.zeroUnixMs)))
 }
 
-// unixMs is a time on this clock as positions are worded, never below it.
+// unixMs converts a time on this clock to Unix milliseconds, as in positions, and rounds up.
 func (c *clock) unixMs(at decide.Nanos) float64 {
 	ms := (at + 999_999) / decide.Millisecond
 	return float64(c.zeroUnixMs + int64(ms))
 }
 
-// owner is what a connection of gnet's belongs to.
+// owner is the context of a gnet connection: what the connection belongs to.
 type owner struct {
 	kind          ownerKind
-	ref           slots.Ref // of a client or a member's connection
+	ref           slots.Ref // of a client or of a connection to a member
 	call          *call
-	connNo        uint64 // of a discovery connection: which of the call's
-	hasDescriptor bool   // has a descriptor of the budget
-	opened        bool   // the loop has the connection
+	connNo        uint64 // of a discovery connection: see call.connNo
+	hasDescriptor bool   // holds a descriptor of the budget
+	opened        bool   // the loop has opened the connection
 }
 
 type ownerKind int
 
 const (
-	ownerLoopHandle ownerKind = iota // brings the loop's handle, and its close tells that the loop has ended
+	ownerLoopHandle ownerKind = iota // provides the handle on the loop; its close reports that the loop has ended
 	ownerClient
 	ownerMember
 	ownerDiscovery
 )
 
-// due is what a deadline is for.
+// timerEvent is the event of a deadline.
 type timerEvent struct {
 	kind timerKind
 	ref  slots.Ref
@@ -92,11 +92,11 @@
 	timerList
 )
 
-// input is one thing for the module to be told. They are told at the beginning of a turn, in the order in
-// which they came: decisions and the writes that they cause may bring more.
+// input is an event for the module. Inputs are applied at the beginning of a turn in the order of their arrival; decisions
+// and the writes that they cause may add more.
 type input struct {
 	kind         inputKind
-	ref          slots.Ref // a client with something to read; a txn
+	ref          slots.Ref // a client with unread data, or a txn
 	no           int
 	server       decide.Server
 	result       decide.Result
@@ -105,8 +105,8 @@
 	position     decide.Nanos
 	report       []float64
 	list         *listUpdate
-	fenceAttempt uint64 // the question that a probe was, 0 for none
-	group        int    // of that
+	fenceAttempt uint64 // the fence attempt that a probe belongs to, 0 for none
+	group        int    // of the fence attempt
 }
 
 type inputKind int
@@ -125,8 +125,8 @@
 	inMemberUpdate
 )
 
-// handle deals with an event and runs a turn behind it. Other events may come within one, as a write that fails closes
-// its connection: they are noted, and no decision is carried out before the outermost handler is done with its state.
+// handle processes an event and runs a turn after it. Events may be nested, as a write that fails closes its connection:
+// nested events are only recorded, and no decision is executed before the outermost handler is done with its state.
 func (g *Gateway) handle(event func()) {
 	if g.handlingEvent {
 		event()
@@ -138,7 +138,7 @@
 	g.runTurn()
 }
 
-// turn tells the module what came and carries out its decisions until none is left.
+// runTurn applies the inputs to the module and executes its decisions until none is left.
 func (g *Gateway) runTurn() {
 	if g.inTurn || g.handlingEvent || g.loop == nil || g.loopStopped {
 		return
@@ -148,7 +148,7 @@
 	for {
 		g.turnTime = g.clock.now()
 		g.module.BeginRound(g.turnTime)
-		if g.sessions != nil { // what comes is told at its time: after a quiet spell the former one is long past
+		if g.sessions != nil { // inputs are applied at the current time: after an idle period the time of the last turn is long past
 			g.sessions.UpdateClock()
 		}
 		for i := 0; i < len(g.inputs); i++ {
@@ -255,7 +255,7 @@
 	}
 }
 
-// setTimer sets the one timer to the first deadline.
+// setTimer sets the only timer to the earliest deadline.
 func (g *Gateway) setTimer() {
 	at, ok := g.deadlines.Next()
 	if !ok || at == g.timerSetTo {
@@ -308,7 +308,7 @@
 	}
 }
 
-// OnOpen gives a connection to whom it belongs.
+// OnOpen hands a connection to its owner.
 func (g *Gateway) OnOpen(c gnet.Conn) (out []byte, action gnet.Action) {
 	g.handle(func() { out, action = g.connOpened(c) })
 	return out, action
@@ -347,8 +347,8 @@
 	return nil, gnet.Close
 }
 
-// OnTraffic notes what came. Connections to members are closed by posting, as more may be told of them
-// in the turn; clients at once, see sendAway. Events that come for a closed one find its object, not its descriptor.
+// OnTraffic handles received data. Connections to members are closed by posting, as the turn may still report on them; clients are
+// closed immediately, see sendAway. Events for a closed connection find its object and not its descriptor, which may be reused.
 func (g *Gateway) OnTraffic(c gnet.Conn) gnet.Action {
 	o, ok := c.Context().(*owner)
 	if !ok {
@@ -361,7 +361,7 @@
 	return gnet.None
 }
 
-// read takes what came on a connection.
+// readConn passes received data to the owner of the connection.
 func (g *Gateway) readConn(c gnet.Conn, o *owner) {
 	switch o.kind {
 	case ownerClient:
@@ -373,7 +373,7 @@
 	}
 }
 
-// OnClose comes when a connection has ended, whoever ended it, and may come within a write to it.
+// OnClose is called when a connection has ended, whichever side closed it, and possibly within a write to it.
 func (g *Gateway) OnClose(c gnet.Conn, err error) gnet.Action {
 	o, ok := c.Context().(*owner)
 	if !ok {
@@ -386,7 +386,7 @@
 	return gnet.None
 }
 
-// closed gives back what a connection held.
+// connClosed releases what a connection held.
 func (g *Gateway) connClosed(c gnet.Conn, o *owner, err error) {
 	if o.hasDescriptor {
 		g.budget.release(1)
@@ -398,7 +398,7 @@
 		g.clients.clientClosed(o.ref, err)
 	case ownerMember:
 		flushed := c.OutboundBuffered() == 0
-		if !flushed { // the library would write the rest before it closes: a query that counts as never run would run
+		if !flushed { // gnet would write the rest before it closes, and a query that counts as never executed would be executed
 			_ = unix.Shutdown(c.Fd(), unix.SHUT_WR)
 		}
 		g.members.memberClosed(o.ref, flushed)
@@ -407,13 +407,13 @@
 	}
 }
 
-// hasUnread tells whether something waits on a socket that the loop has not read, be it its end.
+// hasUnread reports whether a socket has data, an end of stream or an error that the loop has not read.
 func hasUnread(fd int) bool {
 	_, err := peek(fd)
 	return err != unix.EAGAIN
 }
 
-// peek looks at what waits on a socket that the loop has not read: 0 bytes without an error is its end.
+// peek looks at unread data of a socket without consuming it: 0 bytes without an error are the end of the stream.
 func peek(fd int) (n int, err error) {
 	var buf [1]byte
 	for {
@@ -424,7 +424,7 @@
 	}
 }
 
-// gnetLog passes what gnet logs to slog; it is chatty below warnings.
+// gnetLog passes warnings and errors of gnet to slog; its other messages are too many and are dropped.
 type gnetLog struct{ logger *slog.Logger }
 
 func (l gnetLog) Debugf(string, ...any)         {}
--- a/gateway/network.go
+++ b/gateway/network.go
@@ -11,18 +11,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// Network opens a gateway's sockets. Embedders and tests may put another one before the operating system's.
+// Network opens a gateway's sockets. Embedders and tests may wrap or replace the operating system's.
 type Network interface {
-	// Listen takes an address for clients.
+	// Listen opens a listener for clients.
 	Listen(address netip.AddrPort) (net.Listener, error)
-	// Dial connects within a time. The connection has to be a *net.TCPConn.
+	// Dial connects within the timeout. The connection must be a *net.TCPConn.
 	Dial(address string, timeout time.Duration) (net.Conn, error)
 }
 
-// SystemNetwork is the operating system's.
+// SystemNetwork uses the operating system's sockets.
 type SystemNetwork struct{}
 
-// Listen takes an address; another process may listen there as well, as a former run does until it has ended.
+// Listen opens a listener with SO_REUSEPORT, as a previous process of the gateway may still listen until it has ended.
 func (SystemNetwork) Listen(address netip.AddrPort) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: reusePort}
 	config.SetMultipathTCP(false)
@@ -37,11 +37,11 @@
 	return errors.Join(err, optionErr)
 }
 
-// Dial connects within a time.
+// Dial connects within the timeout.
 func (SystemNetwork) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
 	return dialer.Dial("tcp4", address)
 }
 
-// startPatience is how long a start waits for what the machine lacks for a moment.
+// startTimeout is how long a start retries while the machine lacks a resource for a moment.
 const startTimeout = 5 * time.Second
--- a/gateway/network_test.go
+++ b/gateway/network_test.go
@@ -15,7 +15,7 @@
 	"magpieglade/internal/neterr"
 )
 
-// faultyNetwork is the operating system's, whose calls fail with an error while it is set.
+// faultyNetwork is the system's network, whose dials fail with dialError while it is set.
 type faultyNetwork struct {
 	SystemNetwork
 	dialError atomic.Pointer[syscall.Errno]
@@ -30,7 +30,7 @@
 	return n.SystemNetwork.Dial(address, timeout)
 }
 
-// logBuffer keeps what is logged.
+// logBuffer keeps log output. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -48,8 +48,8 @@
 	return b.text.String()
 }
 
-// TestDialErrorOfThisMachineIsNoWordOnTheMember guards against well members that count as suspect, and requests that are
-// declined, as socket or connect fail on this machine for a moment.
+// TestLocalDialErrorKeepsMemberHealthy guards against healthy members that are marked suspect, and requests that are
+// rejected, because socket or connect fails on the local machine for a moment.
 func TestLocalDialErrorKeepsMemberHealthy(t *testing.T) {
 	t.Parallel()
 	for _, number := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
@@ -71,15 +71,15 @@
 		}
 		network.dialError.Store(nil)
 		if got := <-answer; got != "served by m" || served.Load() != 1 {
-			t.Errorf("%v: the request is told %s", number, got)
+			t.Errorf("%v: response to the request: %s", number, got)
 		}
 		if strings.Contains(logged.String(), "suspect") {
-			t.Errorf("%v: the member counts as suspect", number)
+			t.Errorf("%v: the member was marked suspect", number)
 		}
 		var failures uint64
 		g.hold(func() { failures = g.outcomes.snapshot().DialErrors[neterr.Label(number)] })
 		if failures == 0 {
-			t.Errorf("%v: not counted", number)
+			t.Errorf("%v: the dial errors were not counted", number)
 		}
 		stop()
 		<-ended
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -6,14 +6,15 @@
 	"magpieglade/session"
 )
 
-// Positions of members go between gateways beside what sessions need. A member is named by the list's name for it,
-// which is the same everywhere, as its address may not be; its entry's group guards against two with one mark.
+// Gateways exchange positions of members besides those that sessions need. A member is identified by the key of its name in
+// the list, which is the same for all gateways, as its address may not be. The group guards against two members with one key.
 const (
 	replicaPosition = 1
 	primaryPosition = 2
 )
 
-// tellNews tells all other gateways what the module has learned of members. Who the list no longer names has no name.
+// sendUpdates sends to all other gateways what the module has learned about members. Members that are no longer in the list
+// have no key and are left out.
 func (g *Gateway) sendUpdates(updates []decide.MemberUpdate) {
 	var entries []peerwire.Entry
 	for _, update := range updates {
@@ -32,11 +33,11 @@
 	g.sessions.SendPositions(entries)
 }
 
-// heardNews has the module told, in the next turn, what another gateway learned. Where clocks may differ a word on a
-// role cannot be told from a later one and is left out; a position holds whenever it was.
-// ReceivePositions is for fleet.SessionHost.
+// ReceivePositions implements fleet.SessionHost.
 func (x sessionTxns) ReceivePositions(entries []peerwire.Entry) { x.g.receiveUpdates(entries) }
 
+// receiveUpdates queues what another gateway learned as input for the module in the next turn. Where clocks may differ, an
+// old report of a role cannot be distinguished from a later one, so the role is left out. A position remains valid.
 func (g *Gateway) receiveUpdates(entries []peerwire.Entry) {
 	if !g.config.Sessions.SharePositions {
 		return
--- a/gateway/room_test.go
+++ b/gateway/room_test.go
@@ -7,8 +7,8 @@
 	"magpieglade/internal/pgwire"
 )
 
-// TestIdleMemberConnectionsMakeWayForClients guards against clients that are turned away while connections to members that
-// nobody uses hold the clients' part of the descriptors.
+// TestIdleMemberConnectionsClosedForClients guards against clients that are rejected while idle connections to members hold
+// the clients' part of the descriptors.
 func TestIdleMemberConnectionsClosedForClients(t *testing.T) {
 	t.Parallel()
 	const concurrent, additional = 8, 8
@@ -16,7 +16,7 @@
 	g, ended, stop := heldGatewayWith(t, func(c *Config) { c.Limits.Sockets = 64 }, d, m.host("m", "active"))
 	d.next(t).call(t)
 	var clients, upstreams []*end
-	for range concurrent { // each on a connection of its own, as the others have no answer yet
+	for range concurrent { // each uses a member connection of its own, as the others await responses
 		c := heldClient(t, g)
 		c.ask("any", 9000)
 		upstream := m.next(t)
@@ -39,7 +39,7 @@
 		next := newEnd(dialled(t, g))
 		_, _ = next.Write(pgwire.AppendStartup(nil, "portal", "crm"))
 		if got := next.answer(); got != "" {
-			t.Fatalf("client %d is told %s", concurrent+i+1, got)
+			t.Fatalf("client %d got %s", concurrent+i+1, got)
 		}
 	}
 	stop()
--- a/gateway/signals_test.go
+++ b/gateway/signals_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// TestRequestsSurviveSecondSIGTERM guards against an end in order that a second SIGTERM cuts off.
+// TestRequestsSurviveSecondSIGTERM guards against a graceful shutdown that a second SIGTERM cuts short.
 func TestRequestsSurviveSecondSIGTERM(t *testing.T) {
 	m := newMember("m", "read-write", "slow")
 	w := start(256, m)
@@ -20,7 +20,7 @@
 	w.logged("leaving")
 	must(w.process.Process.Signal(syscall.SIGTERM))
 	if answer := await(got); answer != "committed by m" {
-		t.Errorf("the request that was open: %s", answer)
+		t.Errorf("the open request: %s", answer)
 	}
 	err := await(w.exited)
 	if err != nil {
@@ -29,7 +29,7 @@
 	w.exited <- err
 }
 
-// TestRequestsSurviveLostLogReader guards against a process that SIGPIPE ends when nobody reads its log any more.
+// TestRequestsSurviveLostLogReader guards against a process that SIGPIPE ends after the reader of its log is gone.
 func TestRequestsSurviveLostLogReader(t *testing.T) {
 	w := start(256, newMember("m", "read-write"))
 	defer w.stop()
@@ -44,7 +44,7 @@
 	must(w.process.Start())
 	must(writer.Close())
 	go func() { w.exited <- w.process.Wait() }()
-	query := await(w.d.asked) // it has logged that it listens
+	query := await(w.d.asked) // by then it has logged that it listens
 	for query.Get("after") == "" {
 		query = await(w.d.asked)
 	}
@@ -59,7 +59,7 @@
 	w.exited <- err
 }
 
-// TestReloadSurvivesFailedRead guards against a reload that is dropped as the file could not be opened for a moment.
+// TestReloadSurvivesFailedRead guards against a reload that is dropped because the file cannot be opened for a moment.
 func TestReloadSurvivesFailedRead(t *testing.T) {
 	w := start(256, newMember("m", "read-write"))
 	defer w.stop()
--- a/gateway/told_test.go
+++ b/gateway/told_test.go
@@ -8,22 +8,23 @@
 	"magpieglade/decide"
 )
 
-// From when discovery has a change and can be reached until the gateway has it: six seconds at most, by the module's pauses and
-// the spans of calls here, whatever failed before and however: refused, silent, an answer that drips, a watch that fell silent
-// at any moment. The machine's own lateness has what is left of the six.
+// TestListChangeKnownWithinSixSeconds checks that at most six seconds pass from the moment when discovery has a change and can be
+// reached until the gateway has it, by the module's backoffs and the timeouts of calls, after any earlier failure: a refused or
+// silent call, a response that trickles in, or a watch that fell silent at any moment. What is left of the six seconds is for
+// delays of the machine.
 func TestListChangeKnownWithinSixSeconds(t *testing.T) {
 	const ms, maxDelay = decide.Millisecond, 6000 * decide.Millisecond
 	var longest decide.Nanos
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 34))
-		randomUpTo := func(span decide.Nanos) decide.Nanos { return decide.Nanos(rng.Int64N(int64(span))) }
+		randomUpTo := func(duration decide.Nanos) decide.Nanos { return decide.Nanos(rng.Int64N(int64(duration))) }
 		settings := strings.Replace(heldSettings, `"askWithinMs":10000`, `"askWithinMs":`+[]string{"4000", "10000", "60000"}[seed%3], 1)
 		g, err := decide.New(seed, []byte(settings))
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := 60000 * ms
-		// asks lets time pass until the module asks.
+		// awaitRequest advances the time until the module requests the list.
 		awaitRequest := func() {
 			for end := now + 20000*ms; ; now += ms {
 				g.BeginRound(now)
@@ -33,7 +34,7 @@
 					}
 				}
 				if now > end {
-					t.Fatalf("seed %d: it does not ask", seed)
+					t.Fatalf("seed %d: the module does not request the list", seed)
 				}
 			}
 		}
@@ -45,12 +46,12 @@
 		g.BeginRound(now)
 		g.EndMemberList(decide.FullList)
 		var reachableSince decide.Nanos // when discovery has the change and can be reached
-		if seed%2 == 0 {      // a watch falls silent, the change comes right after
+		if seed%2 == 0 {                // a watch falls silent and the change follows immediately
 			reachableSince = now + randomUpTo(watchWaitMs*ms)
 			now += watchWaitMs*ms + watchMargin
 			failCall()
 			awaitRequest()
-		} else { // discovery is down for a while, and is back in the middle of a call or of a pause
+		} else { // discovery is down for a while and returns during a call or a backoff
 			reachableSince = now + randomUpTo(30000*ms)
 			for failCall(); ; failCall() {
 				if awaitRequest(); now >= reachableSince {
@@ -64,6 +65,6 @@
 	}
 	t.Logf("longest of 2,000: %d ms", longest/ms)
 	if longest > maxDelay {
-		t.Errorf("told after %d ms", longest/ms)
+		t.Errorf("known after %d ms", longest/ms)
 	}
 }
