--- a/gateway/budget.go
+++ b/gateway/budget.go
@@ -19,6 +19,7 @@
 	return true
 }
 
+// release returns n descriptors to the budget.
 func (b *descriptorBudget) release(n int) {
 	b.free += n
 	b.used -= n
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -102,6 +102,7 @@
 	ds.sendCall(c)
 }
 
+// sendCall sets the timeout of a call and sends its request, after a dial if there is no connection.
 func (ds *discoveryClient) sendCall(c *call) {
 	timeout := callTimeout
 	if c.waitMs > 0 {
@@ -120,6 +121,7 @@
 	}
 }
 
+// writeRequest writes the request for changes after the current version, or for the whole list.
 func (ds *discoveryClient) writeRequest(c *call) {
 	target := "/api/targets"
 	if c.kind == callWatch && ds.list.seq != noListVersion {
@@ -240,6 +242,7 @@
 	ds.g.inputs = append(ds.g.inputs, input{kind: inListFailed})
 }
 
+// readConn reads a response, which may have arrived in part.
 func (ds *discoveryClient) readConn(conn gnet.Conn, o *owner) {
 	c := o.call
 	isLate := c.lateConn != nil && c.lateConnNo == o.connNo
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -97,7 +97,7 @@
 type input struct {
 	kind         inputKind
 	ref          slots.Ref // a client with unread data, or a txn
-	no           int
+	attempt      int
 	server       decide.Server
 	result       decide.Result
 	elapsed      decide.Nanos
@@ -184,6 +184,7 @@
 	g.setTimer()
 }
 
+// applyInput passes an input to the module or to the part of the gateway that handles it.
 func (g *Gateway) applyInput(in input) {
 	switch in.kind {
 	case inReadable:
@@ -220,6 +221,7 @@
 	}
 }
 
+// execute carries out a decision of the module.
 func (g *Gateway) execute(d decide.Decision) {
 	switch d.Kind {
 	case decide.Submit:
@@ -270,6 +272,7 @@
 	g.timer.Reset(wait)
 }
 
+// onTimer handles all deadlines that have passed.
 func (g *Gateway) onTimer() {
 	if g.timerSetTo != 0 {
 		g.maxTimerDelay = max(g.maxTimerDelay, g.clock.now()-decide.Nanos(g.timerSetTo))
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -386,7 +386,7 @@
 
 // noteEnd notes the end of a job for the module.
 func (ms *members) noteEnd(j job, server decide.Server, r decide.Result, a *answer) {
-	in := input{kind: inEnded, ref: j.txn, no: j.no, server: server, result: r, elapsed: ms.g.clock.now() - j.at,
+	in := input{kind: inEnded, ref: j.txn, attempt: j.no, server: server, result: r, elapsed: ms.g.clock.now() - j.at,
 		fenceAttempt: j.fence, group: j.group}
 	if j.probe {
 		in.kind = inProbed
--- a/gateway/network.go
+++ b/gateway/network.go
@@ -29,6 +29,7 @@
 	return config.Listen(context.Background(), "tcp4", address.String())
 }
 
+// reusePort sets SO_REUSEPORT on a socket.
 func reusePort(_, _ string, socket syscall.RawConn) error {
 	var optionErr error
 	err := socket.Control(func(fd uintptr) {
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -310,7 +310,7 @@
 	}
 	if t.answered {
 		t.subs = append(t.subs, slots.Ref{})
-		g.inputs = append(g.inputs, input{kind: inEnded, ref: ref, no: no, server: server, result: decide.NotSent})
+		g.inputs = append(g.inputs, input{kind: inEnded, ref: ref, attempt: no, server: server, result: decide.NotSent})
 		return
 	}
 	job := job{txn: ref, no: no, at: g.clock.now(), until: d.Expiry, before: d.SendBefore}
@@ -339,7 +339,7 @@
 	}
 	t.out--
 	g.outcomes.attempts[in.result]++
-	g.module.SubmissionEnded(t.id, in.no, in.server, in.result, in.elapsed, in.role, in.position,
+	g.module.SubmissionEnded(t.id, in.attempt, in.server, in.result, in.elapsed, in.role, in.position,
 		t.answered, in.report)
 	g.settled(in.ref, false)
 }
