--- a/gateway/accept_test.go
+++ b/gateway/accept_test.go
@@ -11,27 +11,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// limitDescriptors bounds the numbers of new descriptors of the gateway's process, so that the kernel refuses every new
-// one with EMFILE. The function that it returns restores the former bound.
-func (w *environment) limitDescriptors(t *testing.T, most uint64) (restore func()) {
+// limitDescriptors sets the descriptor limit of the gateway's process. A limit below the open descriptors makes every new one
+// fail with EMFILE. The returned function restores the previous limit.
+func (w *environment) limitDescriptors(t *testing.T, limit uint64) (restore func()) {
 	t.Helper()
-	var former unix.Rlimit
+	var previous unix.Rlimit
 	pid := w.process.Process.Pid
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &former); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &previous); err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: most, Max: former.Max}, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: limit, Max: previous.Max}, nil); err != nil {
 		t.Fatal(err)
 	}
 	return func() {
-		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &former, nil); err != nil && !os.IsNotExist(err) {
+		if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &previous, nil); err != nil && !os.IsNotExist(err) {
 			t.Error(err)
 		}
 	}
 }
 
-// dialRaw connects without waiting for the gateway to accept.
-func (w *environment) dialRaw(t *testing.T) net.Conn {
+// dialUnaccepted connects without waiting for the gateway to accept the connection.
+func (w *environment) dialUnaccepted(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp4", w.address)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return c
 }
 
-// TestOpenRequestsSurviveFailedAccept guards against a failed accept that ends the process and every open request with it.
+// TestOpenRequestsSurviveFailedAccept guards against a failed accept that ends the process and with it all open requests.
 func TestOpenRequestsSurviveFailedAccept(t *testing.T) {
 	m := newMember("m", "read-write", "silent")
 	w := startGateway(256, m)
@@ -52,7 +52,7 @@
 	go func() { asked <- execute(open, txnSQL("once", "")) }()
 	await(m.queries)
 	restore := w.limitDescriptors(t, 1)
-	late := w.dialRaw(t)
+	late := w.dialUnaccepted(t)
 	if _, err := io.WriteString(late, startupMessage+queryMessage(txnSQL("any", ""))); err != nil {
 		t.Fatal(err)
 	}
@@ -62,9 +62,9 @@
 	}
 	restore()
 	if got := await(asked); got[:5] != "40000" {
-		t.Errorf("the request that was open: %s", got)
+		t.Errorf("the open request: %s", got)
 	}
 	if got := summarizeResponses(bufio.NewReader(late), 12); got != "RSSSSSKZTD(m)CZ" {
-		t.Errorf("the client that came while accept failed: %s", got)
+		t.Errorf("the client that connected while accept failed: %s", got)
 	}
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,9 +1,9 @@
-// Package gateway is the service on sockets: clients and members speak PostgreSQL's protocol, discovery
-// speaks HTTP, and the module in decide makes every decision.
+// Package gateway runs the service on sockets: clients and members use the PostgreSQL protocol, discovery uses HTTP, and the
+// module in package decide makes all decisions.
 //
-// One event loop owns the module and every table here. Dials, the timer and signals run elsewhere and only
-// post to it. gateway.go starts and ends a gateway, loop.go has the turns, clients.go and txns.go what clients
-// ask, members.go the connections to members, discovery.go the list, budget.go the descriptors.
+// One event loop owns the module and all tables. Dials, the timer and signals run in other goroutines and only post to it.
+// gateway.go starts and stops a gateway, loop.go has the event loop's turns, clients.go and txns.go the clients' requests,
+// members.go the connections to members, discovery.go the member list, and budget.go the file descriptors.
 package gateway
 
 import (
@@ -34,64 +34,64 @@
 	"magpieglade/routes"
 )
 
-// Gateway is one gateway. Its fields belong to the event loop once Run has begun.
+// Gateway is one gateway. Once Run has begun, its fields are used from the event loop only.
 type Gateway struct {
 	gnet.BuiltinEventEngine
 	config    Config
 	names     names
 	log       *slog.Logger
-	least     *slog.LevelVar // that is logged, by the generation in force
+	logLevel  *slog.LevelVar // set by the generation in force
 	module    *decide.Gateway
 	clock     clock
-	started   chan struct{} // closed when there is a loop to post to
+	started   chan struct{} // closed once the loop accepts posts
 	loopEnded chan struct{} // closed when the loop has ended
 	network   Network
 	listener  net.Listener
 	loop      gnet.EventLoop
 
-	inputs    []input
-	dialsFail bool // for lack of something of this machine
-	handling  bool // an event, within which others may come
-	turning   bool
-	turnAt    decide.Nanos // the module's time
-	deadlines deadlines.Queue[due]
-	timer     *time.Timer
-	timerAt   int64 // what the timer is set to; 0 is nothing
+	inputs        []input
+	dialsFailing  bool // with errors of the local machine
+	handlingEvent bool // an event handler runs; further events may be nested in it
+	inTurn        bool
+	turnTime      decide.Nanos // time of the module's current round
+	deadlines     deadlines.Queue[timerEvent]
+	timer         *time.Timer
+	timerSetTo    int64 // 0 if the timer is not set
 
-	budget    budget
-	clients   clients
-	txns      slots.Table[txn]
-	byID      map[uint64]slots.Ref
-	members   members
-	discovery discovery
-	scratch   []byte
-	lookup    routes.Txn
-	raised    []byte // a statement with the floor of its read
-	parts     [][]byte
-	counts    counts
-	outcomes  outcomes
+	budget          descriptorBudget
+	clients         clients
+	txns            slots.Table[txn]
+	byID            map[uint64]slots.Ref
+	members         members
+	discovery       discoveryClient
+	scratch         []byte
+	lookup          routes.Txn
+	raisedStatement []byte // buffer for a statement with the minimum position of its read
+	parts           [][]byte
+	counts          txnCounts
+	outcomes        outcomes
 
-	generations *generations
-	sessions    *fleet.Sessions  // nil where the operator says nothing of them
-	quotas      *fleet.Quotas    // bounds of the fleet, nil where gateways agree on nothing
-	agreed      *agreed          // nil where gateways agree on nothing
-	reserved    *reserved        // nil where gateways agree on nothing
-	coordinated *coordinated     // nil where each gateway chooses for itself
-	link        *fleet.Datagrams // the address for other gateways, nil where there are none
-	seed        uint64
-	longest     decide.Nanos // turn so far: nothing else is read or written meanwhile
-	latest      decide.Nanos // timer so far, behind its time
+	generations   *generations
+	sessions      *fleet.Sessions  // nil if not configured
+	quotas        *fleet.Quotas    // limits of the fleet, nil without an agreement
+	agreement     *agreed          // nil without an agreement between gateways
+	contracts     *reserved        // nil without an agreement
+	coordination  *coordinated     // nil if each gateway chooses members and probes on its own
+	peerLink      *fleet.Datagrams // datagrams of other gateways, nil if there are none
+	seed          uint64
+	longestTurn   decide.Nanos // nothing else is read or written during a turn
+	maxTimerDelay decide.Nanos // how late a timer fired at most
 
-	leaving bool         // told to end
-	stopped bool         // has told the loop to end
-	closing bool         // and sends clients away that have their answers
-	empty   decide.Nanos // since when there is none
-	last    decide.Nanos
-	kill    decide.Nanos // by when all have their answers
+	shuttingDown     bool         // shutdown was requested
+	loopStopped      bool         // the loop was told to end
+	closingClients   bool         // clients without an open request are disconnected
+	emptySince       decide.Nanos // since when no client is connected
+	shutdownDeadline decide.Nanos // when the loop ends at the latest
+	answerDeadline   decide.Nanos // by when all requests are answered
 }
 
-// counts are of this gateway's whole life, for the line at its end.
-type counts struct{ taken, declined, rolledBack, withdrawn, unagreed int }
+// txnCounts counts txns over the whole run, for the log line at its end.
+type txnCounts struct{ taken, declined, rolledBack, withdrawn, unagreed int }
 
 // New checks the configuration and prepares a gateway; Run starts it.
 func New(c Config) (*Gateway, error) {
@@ -108,113 +108,113 @@
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
 	g := &Gateway{config: c, names: n, module: module, clock: newClock(c.Elapsed), started: make(chan struct{}), loopEnded: make(chan struct{}),
-		byID: map[uint64]slots.Ref{}, least: new(slog.LevelVar), outcomes: newOutcomes()}
-	g.least.Set(everything)
+		byID: map[uint64]slots.Ref{}, logLevel: new(slog.LevelVar), outcomes: newOutcomes()}
+	g.logLevel.Set(everything)
 	g.seed = seed
 	if g.network = c.Network; g.network == nil {
 		g.network = SystemNetwork{}
 	}
-	g.log = slog.New(levelled{cmp.Or(c.Log, slog.Default()).Handler(), g.least}).With("gateway", c.Name)
+	g.log = slog.New(levelled{cmp.Or(c.Log, slog.Default()).Handler(), g.logLevel}).With("gateway", c.Name)
 	g.members = members{g: g, pools: map[decide.Server]*pool{}}
 	g.clients.keys = map[uint32]slots.Ref{}
-	g.clients.g, g.discovery.g, g.discovery.leave = g, g, map[decide.Server]bool{}
-	g.budget.free = c.Limits.Sockets - reserve
-	g.budget.all = g.budget.free
+	g.clients.g, g.discovery.g, g.discovery.draining = g, g, map[decide.Server]bool{}
+	g.budget.free = c.Limits.Sockets - reservedDescriptors
+	g.budget.total = g.budget.free
 	g.generations = newGenerations(g)
 	if c.Sessions != nil {
-		if g.sessions, err = fleet.NewSessions(sessionTxns{g}, c.Sessions, seed, g.clock.began); err != nil {
+		if g.sessions, err = fleet.NewSessions(sessionTxns{g}, c.Sessions, seed, g.clock.startedAt); err != nil {
 			return nil, fmt.Errorf("configuration: %w", err)
 		}
 	}
-	g.discovery.list.hosts, g.discovery.list.groups = map[string]host{}, map[int]bool{}
+	g.discovery.list.hosts, g.discovery.list.knownGroups = map[string]host{}, map[int]bool{}
 	for i := range g.discovery.calls {
 		g.discovery.calls[i].kind = callKind(i)
 	}
 	return g, nil
 }
 
-// Run serves until the context ends and what was taken is answered, for a little longer than the longest time
-// that a txn type allows at most.
+// Run serves until the context is done and all accepted requests are answered, which takes a little longer than the
+// greatest hard limit of a txn type at most.
 func (g *Gateway) Run(ctx context.Context) error {
-	if at := g.forOthers(); at.IsValid() {
-		err := neterr.Retry(startPatience, func() (err error) {
-			g.link, err = fleet.Listen(at)
+	if address := g.peerAddress(); address.IsValid() {
+		err := neterr.Retry(startTimeout, func() (err error) {
+			g.peerLink, err = fleet.Listen(address)
 			return err
 		})
 		if err != nil {
 			return fmt.Errorf("the address for other gateways: %w", err)
 		}
-		defer g.link.Close()
+		defer g.peerLink.Close()
 	}
 	if g.config.Agreement != nil {
 		var err error
-		if g.agreed, err = openAgreed(g, g.seed); err != nil {
+		if g.agreement, err = openAgreed(g, g.seed); err != nil {
 			return err
 		}
-		longest := 0.0
+		maxHardLimit := 0.0
 		for _, c := range g.names.Classes {
-			longest = max(longest, c.HardLimit)
+			maxHardLimit = max(maxHardLimit, c.HardLimit)
 		}
-		if g.quotas, err = fleet.NewQuotas(g.agreed.f, int64(decide.Millis(longest))); err != nil {
-			return errors.Join(err, g.agreed.f.Close())
+		if g.quotas, err = fleet.NewQuotas(g.agreement.f, int64(decide.Millis(maxHardLimit))); err != nil {
+			return errors.Join(err, g.agreement.f.Close())
 		}
-		g.reserved = &reserved{g: g, books: map[agreement.Digest]*contracts.Book{}, reading: map[agreement.Digest]bool{}}
-		if err := g.reserved.opens(); err != nil {
-			return errors.Join(err, g.agreed.f.Close())
+		g.contracts = &reserved{g: g, books: map[agreement.Digest]*contracts.Book{}, reading: map[agreement.Digest]bool{}}
+		if err := g.contracts.opens(); err != nil {
+			return errors.Join(err, g.agreement.f.Close())
 		}
 		if g.config.Coordination != nil {
-			if g.coordinated, err = newCoordinated(g); err != nil {
-				return errors.Join(err, g.agreed.f.Close())
+			if g.coordination, err = newCoordinated(g); err != nil {
+				return errors.Join(err, g.agreement.f.Close())
 			}
 		}
 		defer func() {
-			if err := g.agreed.f.Close(); err != nil {
-				g.log.Info("the log of the agreement is not closed in order", "why", err)
+			if err := g.agreement.f.Close(); err != nil {
+				g.log.Info("closing the log of the agreement failed", "why", err)
 			}
 		}()
 	}
 	if g.sessions != nil {
-		var agreed *fleet.Fleet
-		if g.agreed != nil {
-			agreed = g.agreed.f
+		var agreementFleet *fleet.Fleet
+		if g.agreement != nil {
+			agreementFleet = g.agreement.f
 		}
-		if err := g.sessions.Open(g.link, agreed); err != nil {
+		if err := g.sessions.Open(g.peerLink, agreementFleet); err != nil {
 			return fmt.Errorf("sessions: %w", err)
 		}
 		defer g.sessions.Close()
 	}
-	// What the loop's buffers and the kernel's share of the limit leave is the collector's.
+	// The garbage collector gets what the loop's buffers and the kernel leave of the memory limit.
 	debug.SetMemoryLimit(int64(g.config.Limits.MemoryMB) << 20 * 6 / 10)
 	stop := context.AfterFunc(ctx, func() {
 		<-g.started
-		g.post(g.leave)
+		g.post(g.beginShutdown)
 	})
 	defer stop()
 	err := g.serve()
-	g.log.Info("ended", "asked", g.leaving, "taken", g.counts.taken, "declined", g.counts.declined, "rolled_back", g.counts.rolledBack,
-		"withdrawn", g.counts.withdrawn, "open", g.txns.Len(), "most_descriptors", g.budget.most,
-		"longest_turn_us", int64(g.longest/1000), "latest_timer_us", int64(g.latest/1000))
+	g.log.Info("ended", "asked", g.shuttingDown, "taken", g.counts.taken, "declined", g.counts.declined, "rolled_back", g.counts.rolledBack,
+		"withdrawn", g.counts.withdrawn, "open", g.txns.Len(), "most_descriptors", g.budget.peak,
+		"longest_turn_us", int64(g.longestTurn/1000), "latest_timer_us", int64(g.maxTimerDelay/1000))
 	return err
 }
 
-// forOthers is where other gateways reach this one; not valid where there are none.
-func (g *Gateway) forOthers() (at netip.AddrPort) {
+// peerAddress is where other gateways reach this one. It is invalid if there are none.
+func (g *Gateway) peerAddress() (address netip.AddrPort) {
 	if p := g.config.Agreement; p != nil {
 		return p.Listen
 	}
 	if p := g.config.Sessions; p != nil && len(p.Gateways) > 1 {
 		return p.Listen
 	}
-	return at
+	return address
 }
 
-// cameFromOthers takes what other gateways sent.
-func (g *Gateway) cameFromOthers() {
-	g.link.Consume(func(d fleet.Datagram) {
+// receiveDatagrams handles datagrams of other gateways.
+func (g *Gateway) receiveDatagrams() {
+	g.peerLink.Consume(func(d fleet.Datagram) {
 		switch {
 		case peerwire.IsSealed(d.Data):
-			if g.agreed != nil {
-				g.agreed.f.Receive(d)
+			if g.agreement != nil {
+				g.agreement.f.Receive(d)
 			}
 		case g.sessions != nil && g.sessions.HasPeers():
 			g.sessions.Receive(d.Data)
@@ -222,8 +222,8 @@
 	})
 }
 
-// Reload puts a new configuration in force as far as that goes without a restart: where discovery is. It may
-// be called at any time, and waits until Run has begun. Nothing changes where a value is lacking or wrong.
+// Reload applies what can change without a restart: the address of discovery. It may be called at any time and blocks until
+// Run has begun. If a value is missing or invalid, nothing changes.
 func (g *Gateway) Reload(c Config) error {
 	if _, _, err := c.check(); err != nil {
 		return err
@@ -233,67 +233,67 @@
 	return nil
 }
 
-// reload is a whole new start for the list: the new service may number its versions otherwise.
+// reload restarts the calls for the list without a version, as a new service may number its versions differently.
 func (g *Gateway) reload(c Config) {
-	now := &g.config
-	restart := c.Listen != now.Listen || c.Limits != now.Limits || !bytes.Equal(c.Settings, now.Settings)
+	current := &g.config
+	restart := c.Listen != current.Listen || c.Limits != current.Limits || !bytes.Equal(c.Settings, current.Settings)
 	g.log.Info("reloaded", "discovery", c.Discovery, "rest_needs_restart", restart)
-	if c.Discovery == now.Discovery {
+	if c.Discovery == current.Discovery {
 		return
 	}
-	now.Discovery = c.Discovery
+	current.Discovery = c.Discovery
 	for i := range g.discovery.calls {
-		g.discovery.hangUpCall(&g.discovery.calls[i])
-		g.discovery.hangUpLate(&g.discovery.calls[i]) // it tells of the former list
+		g.discovery.closeCall(&g.discovery.calls[i])
+		g.discovery.closeLateCall(&g.discovery.calls[i]) // it would bring the previous list
 	}
-	g.discovery.list.seq = unnumbered
-	g.discovery.call(callWatch)
+	g.discovery.list.seq = noListVersion
+	g.discovery.startCall(callWatch)
 }
 
-// post runs something on the loop, in a turn of its own.
+// post runs a function on the loop in a turn of its own.
 func (g *Gateway) post(f func()) {
 	_ = g.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		g.handle(f)
-		return g.end()
+		return g.endIfDone()
 	}))
 }
 
-// Spans of an orderly end: clients still come for a moment after it was asked for, and what is taken in that
-// moment may take as long as its txn type allows.
+// Durations of a graceful shutdown. Clients may still connect during acceptPeriod, and a request accepted in it may take as
+// long as its txn type allows. The platform kills the process no sooner than the greatest hard limit of a txn type after
+// acceptPeriod, or maxKillDelay after it if that is less.
 const (
-	lateComers = 700 * decide.Millisecond
-	// The platform kills no sooner than the longest time of a txn type after that, or this where it is longer.
-	longestKill = 3000 * decide.Millisecond
-	killMargin  = 150 * decide.Millisecond // by which all have their answers before it may
-	lastMargin  = 80 * decide.Millisecond  // from then on for answers to be read, well before it may
-	crossing    = 100 * decide.Millisecond // for who was sent away while it asked, to connect and ask again
+	acceptPeriod   = 700 * decide.Millisecond
+	maxKillDelay   = 3000 * decide.Millisecond
+	killMargin     = 150 * decide.Millisecond // from the last response until the platform may kill
+	readMargin     = 80 * decide.Millisecond  // part of killMargin, for clients to read the last responses
+	reconnectGrace = 100 * decide.Millisecond // for a client that was disconnected while it sent a request to retry it
 )
 
-// leave begins an orderly end: what comes is served as before for a moment.
-func (g *Gateway) leave() {
-	if g.leaving {
+// beginShutdown starts a graceful shutdown. During acceptPeriod, new clients and requests are served as before.
+func (g *Gateway) beginShutdown() {
+	if g.shuttingDown {
 		return
 	}
-	g.leaving = true
-	longest := 0.0
+	g.shuttingDown = true
+	maxHardLimit := 0.0
 	for _, c := range g.names.Classes {
-		longest = max(longest, c.HardLimit)
+		maxHardLimit = max(maxHardLimit, c.HardLimit)
 	}
-	g.kill = g.clock.now() + lateComers + min(decide.Millis(longest), longestKill) - killMargin
-	g.last = g.kill + lastMargin
+	g.answerDeadline = g.clock.now() + acceptPeriod + min(decide.Millis(maxHardLimit), maxKillDelay) - killMargin
+	g.shutdownDeadline = g.answerDeadline + readMargin
 	for _, id := range slices.Sorted(maps.Keys(g.byID)) {
-		g.module.LimitExpiry(id, g.kill)
+		g.module.LimitExpiry(id, g.answerDeadline)
 	}
-	g.deadlines.Add(int64(g.clock.now()+lateComers), due{kind: dueClosing})
-	g.deadlines.Add(int64(g.kill), due{kind: dueFinal})
-	g.deadlines.Add(int64(g.last), due{kind: dueLast})
+	g.deadlines.Add(int64(g.clock.now()+acceptPeriod), timerEvent{kind: timerCloseClients})
+	g.deadlines.Add(int64(g.answerDeadline), timerEvent{kind: timerCloseListener})
+	g.deadlines.Add(int64(g.shutdownDeadline), timerEvent{kind: timerEndLoop})
 	g.log.Info("leaving", "clients", g.clients.open.Len(), "txns", g.txns.Len())
 }
 
-// closeIdleClients is the second part of it: clients are sent away once they have their answers. A query may cross
-// that and come once more on a new connection, which is served: to turn it away would lose it.
+// closeIdleClients is the second phase of the shutdown: clients are disconnected once their requests are answered. A query
+// may cross the close of its connection and be retried on a new one; it is served, as rejecting it would lose it.
 func (g *Gateway) closeIdleClients() {
-	g.closing = true
+	g.closingClients = true
 	for _, ref := range g.clients.open.Refs() {
 		if c := g.clients.open.Get(ref); c.stage == fresh {
 			g.clients.sendAway(c, closedByShutdown)
@@ -301,28 +301,28 @@
 		}
 		g.inputs = append(g.inputs, input{kind: inReadable, ref: ref})
 	}
-	g.emptied()
+	g.scheduleEndIfEmpty()
 }
 
-// closeListener is the third: what comes from now on could be read and not be answered any more.
+// closeListener is the third phase: later requests could still be read but no longer be answered.
 func (g *Gateway) closeListener() {
 	_ = g.listener.Close()
 	g.closeIdleClients()
 }
 
-// emptied sets the end when the last client is gone.
-func (g *Gateway) emptied() {
-	if g.closing && g.clients.open.Len() == 0 {
-		g.empty = g.clock.now()
-		g.deadlines.Add(int64(g.empty+crossing), due{kind: dueLast})
+// scheduleEndIfEmpty schedules the end of the loop if the last client is gone.
+func (g *Gateway) scheduleEndIfEmpty() {
+	if g.closingClients && g.clients.open.Len() == 0 {
+		g.emptySince = g.clock.now()
+		g.deadlines.Add(int64(g.emptySince+reconnectGrace), timerEvent{kind: timerEndLoop})
 	}
 }
 
-// end tells gnet to end the loop once the last client is gone for a moment, or time is up.
-func (g *Gateway) end() error {
+// endIfDone tells gnet to end the loop once no client has been connected for reconnectGrace, or shutdownDeadline has passed.
+func (g *Gateway) endIfDone() error {
 	now := g.clock.now()
-	if g.closing && (g.clients.open.Len() == 0 && now >= g.empty+crossing || now >= g.last) {
-		g.stopped = true
+	if g.closingClients && (g.clients.open.Len() == 0 && now >= g.emptySince+reconnectGrace || now >= g.shutdownDeadline) {
+		g.loopStopped = true
 		return gneterrors.ErrEngineShutdown
 	}
 	return nil
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -240,8 +240,8 @@
 func (g *Gateway) expireCall(kind callKind) {
 	g.runOnLoop(func() {
 		c := &g.discovery.calls[kind]
-		g.deadlines.Remove(c.due)
-		c.due = g.deadlines.Add(int64(g.clock.now()), due{kind: dueCall, call: c})
+		g.deadlines.Remove(c.timeout)
+		c.timeout = g.deadlines.Add(int64(g.clock.now()), timerEvent{kind: timerCall, call: c})
 		g.onTimer()
 	})
 }
@@ -294,8 +294,8 @@
 		c := &g.discovery.calls[callWatch]
 		call.sendList(5, m.listEntry("m", "active"))
 		awaitUnread(t, c.conn.Fd())
-		g.deadlines.Remove(c.due) // it times out now
-		c.due = g.deadlines.Add(int64(g.clock.now()), due{kind: dueCall, call: c})
+		g.deadlines.Remove(c.timeout) // it times out now
+		c.timeout = g.deadlines.Add(int64(g.clock.now()), timerEvent{kind: timerCall, call: c})
 		g.onTimer()
 	})
 	if wait := call.readCall(t); wait == "" || wait == "0" { // on the same connection: the watch continues
@@ -503,11 +503,11 @@
 }
 
 // restartCall hangs up the watch in flight and makes another call.
-func (ds *discovery) restartCall(t *testing.T) {
+func (ds *discoveryClient) restartCall(t *testing.T) {
 	c := &ds.calls[callWatch]
-	ds.hangUpCall(c)
-	ds.call(callWatch)
-	if !c.dialled {
+	ds.closeCall(c)
+	ds.startCall(callWatch)
+	if !c.dialing {
 		t.Error("no descriptor left for discovery")
 	}
 }
@@ -527,20 +527,20 @@
 	second.readCall(t)
 	g.runOnLoop(func() {
 		first.sendList(6, m.listEntry("m", "leaving"))
-		awaitUnread(t, watch.late.Fd()) // what arrives first is read first
+		awaitUnread(t, watch.lateConn.Fd()) // what arrives first is read first
 		second.sendList(5, m.listEntry("m", "active"))
 		awaitUnread(t, watch.conn.Fd())
 	})
 	second.readCall(t) // both responses are read
 	g.runOnLoop(func() {
-		if seq, drains := g.discovery.list.seq, len(g.discovery.leave); seq != 6 || drains != 1 {
+		if seq, drains := g.discovery.list.seq, len(g.discovery.draining); seq != 6 || drains != 1 {
 			t.Errorf("the list in force is %d, %d members drain", seq, drains)
 		}
 	})
 	second.sendList(2, m.listEntry("m", "active")) // lower than requested: the service restarted its numbering
 	second.readCall(t)
 	g.runOnLoop(func() {
-		if seq, drains := g.discovery.list.seq, len(g.discovery.leave); seq != 2 || drains != 0 {
+		if seq, drains := g.discovery.list.seq, len(g.discovery.draining); seq != 2 || drains != 0 {
 			t.Errorf("after the service restarted its numbering the list in force is %d, %d members drain", seq, drains)
 		}
 	})
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -6,24 +6,25 @@
 	"magpieglade/session"
 )
 
-// Positions of members go between gateways beside what sessions need. A member is named by the list's name for it,
-// which is the same everywhere, as its address may not be; its entry's group guards against two with one mark.
+// Gateways exchange positions of members besides those that sessions need. A member is identified by the key of its name in
+// the list, which is the same for all gateways, as its address may not be. The group guards against two members with one key.
 const (
-	newsOfReplica = 1
-	newsOfPrimary = 2
+	replicaPosition = 1
+	primaryPosition = 2
 )
 
-// tellNews tells all other gateways what the module has learned of members. Who the list no longer names has no name.
-func (g *Gateway) tellNews(all []decide.MemberUpdate) {
+// sendUpdates sends to all other gateways what the module has learned about members. Members that are no longer in the list
+// have no key and are left out.
+func (g *Gateway) sendUpdates(updates []decide.MemberUpdate) {
 	var entries []peerwire.Entry
-	for _, n := range all {
+	for _, update := range updates {
 		for _, h := range g.discovery.list.hosts {
-			if h.server != n.Server {
+			if h.server != update.Server {
 				continue
 			}
-			e := peerwire.Entry{Kind: newsOfReplica, Group: uint16(h.entry.Block), Key: h.mark, Position: int64(g.position(n.Position))}
-			if n.Primary {
-				e.Kind = newsOfPrimary
+			e := peerwire.Entry{Kind: replicaPosition, Group: uint16(h.entry.Block), Key: h.key, Position: int64(g.position(update.Position))}
+			if update.Primary {
+				e.Kind = primaryPosition
 			}
 			entries = append(entries, e)
 			break
@@ -32,22 +33,22 @@
 	g.sessions.SendPositions(entries)
 }
 
-// heardNews has the module told, in the next turn, what another gateway learned. Where clocks may differ a word on a
-// role cannot be told from a later one and is left out; a position holds whenever it was.
-// ReceivePositions is for fleet.SessionHost.
-func (x sessionTxns) ReceivePositions(entries []peerwire.Entry) { x.g.heardNews(entries) }
+// ReceivePositions implements fleet.SessionHost.
+func (x sessionTxns) ReceivePositions(entries []peerwire.Entry) { x.g.receiveUpdates(entries) }
 
-func (g *Gateway) heardNews(entries []peerwire.Entry) {
+// receiveUpdates queues what another gateway learned as input for the module in the next turn. Where clocks may differ, an
+// old report of a role cannot be distinguished from a later one, so the role is left out. A position remains valid.
+func (g *Gateway) receiveUpdates(entries []peerwire.Entry) {
 	if !g.config.Sessions.SharePositions {
 		return
 	}
 	for _, e := range entries {
 		for _, h := range g.discovery.list.hosts {
-			if h.mark != e.Key || h.entry.Block != int(e.Group) {
+			if h.key != e.Key || h.entry.Block != int(e.Group) {
 				continue
 			}
-			in := input{kind: inNews, server: h.server, position: g.onClock(session.Position(e.Position))}
-			if e.Kind == newsOfPrimary && g.config.ClockError == 0 {
+			in := input{kind: inMemberUpdate, server: h.server, position: g.onClock(session.Position(e.Position))}
+			if e.Kind == primaryPosition && g.config.ClockError == 0 {
 				in.role = decide.RolePrimary
 			}
 			g.inputs = append(g.inputs, in)
