--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -257,7 +257,7 @@
 			y = n.table.Lookup(x)
 		}
 		alike, ruled = routes.SameOutcome(gs.inForce.table, t.route, n.table, y, group), ruled || y.Route >= 0
-		t.alsoTenant = y.Tenant
+		t.nextTenant = y.Tenant
 	}
 	if alike && (!ruled || a.Now() < a.f.LeaseUntil()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, usual) {
 		return routes.Allowed, 0
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -19,116 +19,125 @@
 	"magpieglade/routes"
 )
 
+// Limits on messages and buffers.
 const (
-	mostMessage = 192 << 10                  // bytes of a message: a value of 64 KiB in hexadecimal and its statement
-	aheadPart   = 16                         // part of the memory that one client may fill with what it has sent ahead
-	mostErrors  = 8                          // statements in a row that are none, after which a client is sent away
-	memoryPart  = 4                          // part of the memory that clients' buffers may fill
-	fairShare   = 32 << 10                   // bytes that a client may hold beyond that
-	membersPart = 3                          // part of the descriptors that clients leave to members and discovery
-	sparePart   = 8                          // part of their own that quiet clients make way for, before none is left
-	mostTurned  = reserve / 4                // clients past the budget that are told so, at a time
-	mostFresh   = 2000 * decide.Millisecond  // from connecting to the first query
-	mostBegun   = 2000 * decide.Millisecond  // from the first byte of a message to its last
-	leastQuiet  = 2000 * decide.Millisecond  // of a client that has asked, before it makes way while there is room
-	leastFresh  = 100 * decide.Millisecond   // of one that has said nothing: a startup message follows at once
-	mostQuiet   = 60000 * decide.Millisecond // of one that has asked, while there are few
-	fewPart     = 8                          // part of the descriptors up to which clients are few
-	crowdPart   = 4                          // and from which they are a crowd: a front may hold a third for its requests
-	mostUnread  = 5000 * decide.Millisecond  // for a client to read its answers
-	mostLinger  = 300 * decide.Millisecond   // for one that is sent away to read why
-	mostDropped = 256 << 10                  // bytes that are read from it meanwhile
-	slowReader  = 10 * decide.Millisecond    // between looks at whether an answer is out
+	maxMessageSize           = 192 << 10 // bytes: a value of 64 KiB in hexadecimal and its statement
+	clientInputMemoryDivisor = 16        // one client's unprocessed input may fill 1/16 of the memory limit
+	bufferMemoryDivisor      = 4         // all clients' buffers may fill 1/4 of the memory limit
+	guaranteedBufferSize     = 32 << 10  // bytes that a client may hold even when those buffers are full
+	maxDiscardedBytes        = 256 << 10 // bytes read from a client while it is being closed
+	maxConsecutiveErrors     = 8         // invalid statements in a row, after which a client is disconnected
 )
 
-// stage is what a client is doing; each but asking ends by a deadline.
+// Descriptors: how many are kept free, and from how many connections on idle clients are closed earlier.
+const (
+	memberDescriptorDivisor = 3           // clients leave 1/3 of the descriptors to members and discovery
+	spareDescriptorDivisor  = 8           // idle clients are closed while less than 1/8 of the clients' descriptors is free
+	maxRejectedClients      = reserve / 4 // clients without a descriptor that are sent an error at the same time
+	fewClientsDivisor       = 8           // up to 1/8 of the descriptors, idle clients may stay for maxIdleTime
+	crowdedDivisor          = 4           // from 1/4 of the sockets on, clients are crowded: a client pool may hold 1/3 for its requests
+)
+
+// Timeouts of client connections.
+const (
+	firstQueryTimeout   = 2000 * decide.Millisecond  // from connecting to the first query
+	messageTimeout      = 2000 * decide.Millisecond  // from the first byte of a message to its last
+	minIdleTime         = 2000 * decide.Millisecond  // before a client that has sent a query is closed, unless clients are crowded
+	minSilentTime       = 100 * decide.Millisecond   // before a client that has sent no query is closed: a startup message follows at once
+	maxIdleTime         = 60000 * decide.Millisecond // of a client that has sent a query, while there are few clients
+	responseReadTimeout = 5000 * decide.Millisecond  // for a client to read its responses
+	lingerTimeout       = 300 * decide.Millisecond   // for a client that is being closed to read the error
+	outputPollInterval  = 10 * decide.Millisecond    // between checks whether a response has been written out
+)
+
+// stage is the state of a client connection; each but stageInTxn ends by a deadline.
 type stage int
 
 const (
-	fresh   stage = iota + 1 // has asked nothing and says nothing
-	begun                    // part of a message is here
-	asking                   // a txn is open, which the module ends
-	quiet                    // has asked, and says nothing
-	unread                   // does not read its answers
-	leaving                  // gets nothing more; what it sends is dropped
+	stageConnected      stage = iota + 1 // has sent no query, and nothing is unread
+	stagePartialMessage                  // part of a message has arrived
+	stageInTxn                           // a txn is open, which the decision module ends
+	stageIdle                            // has sent a query before, and nothing is unread
+	stageUnreadOutput                    // has not read its responses yet
+	stageClosing                         // is sent nothing more; what it sends is discarded
 )
 
-// clients are the connections of clients. They belong to the loop.
+// clients holds the client connections. Only the event loop may use it.
 type clients struct {
-	g          *Gateway
-	open       slots.Table[client]
-	silent     [2]list.List         // those that say nothing, longest first: who never asked, and the others
-	held       int                  // bytes in their buffers
-	turnedAway int                  // past the budget that are being told so
-	full       bool                 // some are turned away
-	keys       map[uint32]slots.Ref // those that are admitted, by the process number of their cancel key
+	g             *Gateway
+	conns         slots.Table[client]
+	idleLists     [2]list.List         // silent clients, longest silent first: those that never sent a query, and the others
+	bufferedBytes int                  // bytes in their buffers, as last counted
+	rejecting     int                  // clients without a descriptor that are being sent an error
+	atCapacity    bool                 // new clients are turned away
+	cancelKeys    map[uint32]slots.Ref // admitted clients, by the process number of their cancel key
 }
 
-// client is a connection from a client. It belongs to the loop and is given back in clientClosed.
+// client is a connection from a client. Only the event loop may use it; clientClosed releases it.
 type client struct {
-	conn     gnet.Conn
-	stage    stage
-	since    decide.Nanos          // when it came to that
-	due      *deadlines.Entry[due] // when that has to end
-	row      *list.Element         // its place among those that are fresh or quiet
-	openedAt decide.Nanos
-	user     string
-	database string
-	tenant   int32     // whose connections it counts against, its number in the generation in force plus one
-	admitted bool      // past the startup message
-	asked    bool      // has sent a query that was one
-	counted  bool      // has a descriptor of the budget; who has none is turned away
-	skipping bool      // up to Sync, after an error in the extended protocol
-	errors   int       // statements in a row that were none
-	held     int       // bytes in its buffers when last looked at
-	dropped  int       // bytes read from it since it was sent away
-	polled   bool      // it is looked at again in a moment
-	txn      slots.Ref // the open one; its query is the first in the connection's buffer
-	partAt   int64     // since when it waits for a first part of a bound of the fleet, 0 if it does not
-	partSeen int       // answers of keepers, when it was told to
-	connects uint64    // the bound of the fleet that it counts against, 0 for none
-	key      pgwire.CancelKey
-	consumed int64       // bytes of it that are dealt with
-	came     []arrival   // when the bytes behind those came, first come first
-	reason   closeReason // why the gateway closes the connection, empty while it does not
-}
-
-// arrival is when a client's bytes up to some count had come.
+	conn                   gnet.Conn
+	stage                  stage
+	stageSince             decide.Nanos          // when the stage began
+	deadline               *deadlines.Entry[due] // when the stage times out
+	idleElement            *list.Element         // its element in one of the idle lists
+	openedAt               decide.Nanos
+	user                   string
+	database               string
+	tenant                 int32     // number, in the generation in force, of the tenant whose connections it counts against, plus one
+	admitted               bool      // its startup message was accepted
+	hasQueried             bool      // has sent a valid query
+	hasDescriptor          bool      // has a descriptor of the budget; a client without one is turned away
+	skippingToSync         bool      // ignores messages up to Sync, after an error in the extended protocol
+	consecutiveErrors      int       // invalid statements in a row
+	bufferedBytes          int       // bytes in its buffers, as last counted
+	discardedBytes         int       // bytes read from it since stageClosing began
+	pollScheduled          bool      // a dueReadable deadline is pending for it
+	txn                    slots.Ref // the open txn; its query is the first in the connection's buffer
+	allocationWaitSince    int64     // since when it has been waiting for a first allocation of a fleet-wide limit, 0 if it is not
+	allocatorResponsesSeen int       // allocator responses received when that wait began or was renewed
+	connectionLimit        uint64    // key of the fleet-wide connection limit that it counts against, 0 for none
+	cancelKey              pgwire.CancelKey
+	consumedBytes          int64       // input bytes already processed
+	arrivals               []arrival   // arrival times of the bytes after those, oldest first
+	closeReason            closeReason // why the gateway closes the connection, empty while it stays open
+}
+
+// arrival is the time by which a client's bytes up to an offset had arrived.
 type arrival struct {
 	upTo int64
 	at   decide.Nanos
 }
 
-// mostArrivals are kept for a client; past them, bytes count as come with the last of these.
-const mostArrivals = 32
+// maxArrivals is how many arrivals are kept per client; later bytes count as having arrived with the last of them.
+const maxArrivals = 32
 
-// notes notes what has come by now.
-func (c *client) notes(waiting int, now decide.Nanos) {
-	total := c.consumed + int64(waiting)
-	switch n := len(c.came); {
-	case n > 0 && c.came[n-1].upTo >= total:
-	case n == mostArrivals:
-		c.came[n-1].upTo = total
+// recordArrival records the arrival time of the bytes that are new in the buffer, which now holds waiting bytes.
+func (c *client) recordArrival(waiting int, now decide.Nanos) {
+	total := c.consumedBytes + int64(waiting)
+	switch n := len(c.arrivals); {
+	case n > 0 && c.arrivals[n-1].upTo >= total:
+	case n == maxArrivals:
+		c.arrivals[n-1].upTo = total
 	default:
-		c.came = append(c.came, arrival{total, now})
+		c.arrivals = append(c.arrivals, arrival{total, now})
 	}
 }
 
-// takes drops the first bytes of the buffer, which are dealt with.
-func (c *client) takes(size int) {
+// consume discards the first size bytes of the buffer, which have been processed.
+func (c *client) consume(size int) {
 	_, _ = c.conn.Discard(size)
-	c.consumed += int64(size)
-	gone := 0
-	for gone < len(c.came) && c.came[gone].upTo <= c.consumed {
-		gone++
+	c.consumedBytes += int64(size)
+	consumed := 0
+	for consumed < len(c.arrivals) && c.arrivals[consumed].upTo <= c.consumedBytes {
+		consumed++
 	}
-	c.came = slices.Delete(c.came, 0, gone)
+	c.arrivals = slices.Delete(c.arrivals, 0, consumed)
 }
 
-// waited is for how long the first bytes of the buffer have been here: behind another query, or behind its answer.
-func (c *client) waited(size int, now decide.Nanos) decide.Nanos {
-	for _, a := range c.came {
-		if a.upTo >= c.consumed+int64(size) {
+// queuedFor returns how long the first size bytes of the buffer have been waiting behind another query or its response.
+func (c *client) queuedFor(size int, now decide.Nanos) decide.Nanos {
+	for _, a := range c.arrivals {
+		if a.upTo >= c.consumedBytes+int64(size) {
 			return now - a.at
 		}
 	}
@@ -136,92 +145,92 @@
 }
 
 func (cs *clients) clientOpened(c gnet.Conn, o *owner) ([]byte, gnet.Action) {
-	others := cs.g.budget.all / membersPart
-	cs.makeRoom(others+(cs.g.budget.all-others)/sparePart, leastQuiet)
-	cs.makeRoom(others+1, leastFresh) // one who comes has something to ask
-	counted := cs.g.budget.take(1, others)
+	reserved := cs.g.budget.all / memberDescriptorDivisor
+	cs.freeDescriptors(reserved+(cs.g.budget.all-reserved)/spareDescriptorDivisor, minIdleTime)
+	cs.freeDescriptors(reserved+1, minSilentTime) // a new client has a query to send
+	counted := cs.g.budget.take(1, reserved)
 	for !counted && cs.g.members.closeLongestIdle() {
-		counted = cs.g.budget.take(1, others)
+		counted = cs.g.budget.take(1, reserved)
 	}
 	if !counted {
-		cs.noteFull(true)
-		if cs.turnedAway >= mostTurned { // an error that is cut off by a reset would be worse than none
-			cs.g.outcomes.clientsClosed[closedTooMany]++
+		cs.setAtCapacity(true)
+		if cs.rejecting >= maxRejectedClients { // an error that a reset cuts off would be worse than none
+			cs.g.outcomes.clientsClosed[closedNoDescriptor]++
 			return nil, gnet.Close
 		}
-		cs.turnedAway++
+		cs.rejecting++
 	}
 	now := cs.g.clock.now()
-	o.ref = cs.open.Add(client{conn: c, counted: counted, openedAt: now})
+	o.ref = cs.conns.Add(client{conn: c, hasDescriptor: counted, openedAt: now})
 	o.counted = counted
-	cs.enter(o.ref, cs.open.Get(o.ref), fresh)
+	cs.enterStage(o.ref, cs.conns.Get(o.ref), stageConnected)
 	return nil, gnet.None
 }
 
-// enter brings a client to a stage, with its deadline and its place among those that can make way.
-func (cs *clients) enter(ref slots.Ref, c *client, to stage) {
+// enterStage moves a client to a stage, sets its deadline and puts it on the idle list that applies.
+func (cs *clients) enterStage(ref slots.Ref, c *client, to stage) {
 	if c.stage == to {
 		return
 	}
 	cs.leaveStage(c)
-	c.stage, c.since = to, cs.g.clock.now()
-	end := c.since
+	c.stage, c.stageSince = to, cs.g.clock.now()
+	end := c.stageSince
 	switch to {
-	case fresh:
-		c.since = c.openedAt
-		end = c.since + mostFresh
-		c.row = cs.silent[0].PushBack(ref)
-	case quiet:
-		end += leastQuiet
-		if cs.crowded() { // and it is likely that they ask once and stay: the longest quiet goes as well
-			end = c.since + leastFresh
-			if e := cs.silent[1].Front(); e != nil {
-				cs.clientOverdue(e.Value.(slots.Ref))
+	case stageConnected:
+		c.stageSince = c.openedAt
+		end = c.stageSince + firstQueryTimeout
+		c.idleElement = cs.idleLists[0].PushBack(ref)
+	case stageIdle:
+		end += minIdleTime
+		if cs.crowded() { // such clients are likely to send one query and stay: close the longest idle one as well
+			end = c.stageSince + minSilentTime
+			if e := cs.idleLists[1].Front(); e != nil {
+				cs.clientTimedOut(e.Value.(slots.Ref))
 			}
 		}
-		c.row = cs.silent[1].PushBack(ref)
-	case begun:
-		end += mostBegun
-	case unread:
-		end += mostUnread
-	case leaving:
-		end += mostLinger
-	case asking:
+		c.idleElement = cs.idleLists[1].PushBack(ref)
+	case stagePartialMessage:
+		end += messageTimeout
+	case stageUnreadOutput:
+		end += responseReadTimeout
+	case stageClosing:
+		end += lingerTimeout
+	case stageInTxn:
 		return
 	}
-	c.due = cs.g.deadlines.Add(int64(end), due{kind: dueClient, ref: ref})
+	c.deadline = cs.g.deadlines.Add(int64(end), due{kind: dueClient, ref: ref})
 }
 
 func (cs *clients) leaveStage(c *client) {
-	cs.g.deadlines.Remove(c.due)
-	c.due = nil
-	if c.row != nil {
-		cs.silent[0].Remove(c.row) // it is in one of them
-		cs.silent[1].Remove(c.row)
-		c.row = nil
+	cs.g.deadlines.Remove(c.deadline)
+	c.deadline = nil
+	if c.idleElement != nil {
+		cs.idleLists[0].Remove(c.idleElement) // it is in one of the two lists
+		cs.idleLists[1].Remove(c.idleElement)
+		c.idleElement = nil
 	}
 }
 
-// makeRoom sends clients away that say nothing until so many descriptors are free: first those that never
-// said anything, then those whose last answer is long enough ago, the longest silent first.
-func (cs *clients) makeRoom(wanted int, leastQuiet decide.Nanos) {
+// freeDescriptors closes silent clients until the needed number of descriptors is free: first those that never
+// sent a query, then those idle for at least minIdle, the longest silent first.
+func (cs *clients) freeDescriptors(needed int, minIdle decide.Nanos) {
 	now := cs.g.clock.now()
-	for i, least := range [...]decide.Nanos{leastFresh, leastQuiet} {
-		for e := cs.silent[i].Front(); e != nil && cs.g.budget.free < wanted; {
-			c := cs.open.Get(e.Value.(slots.Ref))
-			if now-c.since < least {
+	for i, minSilence := range [...]decide.Nanos{minSilentTime, minIdle} {
+		for e := cs.idleLists[i].Front(); e != nil && cs.g.budget.free < needed; {
+			c := cs.conns.Get(e.Value.(slots.Ref))
+			if now-c.stageSince < minSilence {
 				break
 			}
 			e = e.Next()
-			cs.sendAway(c, closedForRoom)
+			cs.closeUnlessUnread(c, closedForDescriptor)
 		}
 	}
 }
 
-// sendAway closes a connection between its client's requests, unless one has come that is not read yet: it is
-// served first. It closes at once: what the loop would still read before a close that is only posted would
-// look taken to the client, and never be answered.
-func (cs *clients) sendAway(c *client, reason closeReason) {
+// closeUnlessUnread closes a connection between its client's requests, unless a request has arrived that is not read
+// yet: it is served first. It closes immediately: a request that the loop reads before a merely scheduled close
+// would look accepted to the client and never be answered.
+func (cs *clients) closeUnlessUnread(c *client, reason closeReason) {
 	n, err := peek(c.conn.Fd())
 	if err == nil && n > 0 || c.conn.InboundBuffered() > 0 {
 		return
@@ -229,177 +238,178 @@
 	cs.close(c, reason)
 }
 
-// close closes a connection at once; of several reasons the first counts.
+// close closes a connection immediately; the first reason given is kept.
 func (cs *clients) close(c *client, reason closeReason) {
-	c.reason = cmp.Or(c.reason, reason)
+	c.closeReason = cmp.Or(c.closeReason, reason)
 	_ = cs.g.loop.Close(c.conn)
 }
 
-// clientClosed is the one place where a client is given back. What it had asked for is withdrawn.
-func (cs *clients) clientClosed(ref slots.Ref, why error) {
-	c := cs.open.Get(ref)
+// clientClosed is the one place where a client is released. Its open txn is withdrawn.
+func (cs *clients) clientClosed(ref slots.Ref, err error) {
+	c := cs.conns.Get(ref)
 	if c == nil {
 		return
 	}
-	if c.reason == "" {
-		c.reason = reasonOf(why)
+	if c.closeReason == "" {
+		c.closeReason = closeReasonFor(err)
 	}
-	cs.g.outcomes.clientsClosed[c.reason]++
-	cs.held -= c.held
+	cs.g.outcomes.clientsClosed[c.closeReason]++
+	cs.bufferedBytes -= c.bufferedBytes
 	cs.leaves(c)
 	cs.leaveStage(c)
-	if !c.counted {
-		cs.turnedAway--
+	if !c.hasDescriptor {
+		cs.rejecting--
 	}
-	if cs.g.budget.free > cs.g.budget.all/membersPart+(cs.g.budget.all-cs.g.budget.all/membersPart)/sparePart {
-		cs.noteFull(false)
+	if cs.g.budget.free > cs.g.budget.all/memberDescriptorDivisor+(cs.g.budget.all-cs.g.budget.all/memberDescriptorDivisor)/spareDescriptorDivisor {
+		cs.setAtCapacity(false)
 	}
-	cs.withdraw(c)
-	if cs.keys[c.key.Process] == ref {
-		delete(cs.keys, c.key.Process)
+	cs.withdrawTxn(c)
+	if cs.cancelKeys[c.cancelKey.Process] == ref {
+		delete(cs.cancelKeys, c.cancelKey.Process)
 	}
-	cs.open.Remove(ref)
+	cs.conns.Remove(ref)
 	cs.g.emptied()
 }
 
-// withdraw ends what a client has asked for that goes away, or is sent away.
-func (cs *clients) withdraw(c *client) {
+// withdrawTxn withdraws the open txn of a client that disconnects or is being closed.
+func (cs *clients) withdrawTxn(c *client) {
 	if t := cs.g.txns.Get(c.txn); t != nil && !t.answered {
 		t.answered = true
-		if !c.reason.answered() {
-			cs.g.noteUnanswered(t, c.reason)
+		if !c.closeReason.errorSent() {
+			cs.g.recordUnanswered(t, c.closeReason)
 		}
 		cs.g.inputs = append(cs.g.inputs, input{kind: inWithdrawn, ref: c.txn})
 	}
 	c.txn = slots.Ref{}
 }
 
-// giveKey gives a client a key that no other connection has and nobody can guess.
-func (cs *clients) giveKey(ref slots.Ref, c *client) {
+// assignCancelKey gives a client an unguessable cancel key that no other connection has.
+func (cs *clients) assignCancelKey(ref slots.Ref, c *client) {
 	var random [8]byte
-	for taken := true; taken; _, taken = cs.keys[c.key.Process] {
-		_, _ = rand.Read(random[:]) // it never fails
-		c.key = pgwire.CancelKey{Process: binary.BigEndian.Uint32(random[:]), Secret: binary.BigEndian.Uint32(random[4:])}
+	for taken := true; taken; _, taken = cs.cancelKeys[c.cancelKey.Process] {
+		_, _ = rand.Read(random[:]) // rand.Read never returns an error
+		c.cancelKey = pgwire.CancelKey{Process: binary.BigEndian.Uint32(random[:]), Secret: binary.BigEndian.Uint32(random[4:])}
 	}
-	cs.keys[c.key.Process] = ref
+	cs.cancelKeys[c.cancelKey.Process] = ref
 }
 
-// cancel ends the open query of the client that has a key, which answers at once; no further submission begins. A key that
-// fits none is passed over without a word, and one that comes behind the answer cancels nothing.
-func (cs *clients) cancel(key pgwire.CancelKey) {
-	c := cs.open.Get(cs.keys[key.Process])
-	if c == nil || subtle.ConstantTimeEq(int32(c.key.Secret), int32(key.Secret)) == 0 {
+// cancelQuery cancels the open query of the client that holds the key: the client gets an error immediately, and no further
+// submission starts. An unknown key is ignored silently, and a cancel that arrives after the response has no effect.
+func (cs *clients) cancelQuery(key pgwire.CancelKey) {
+	c := cs.conns.Get(cs.cancelKeys[key.Process])
+	if c == nil || subtle.ConstantTimeEq(int32(c.cancelKey.Secret), int32(key.Secret)) == 0 {
 		return
 	}
-	if t := cs.g.txns.Get(c.txn); t != nil && !t.answered && t.waiting == nil {
+	if t := cs.g.txns.Get(c.txn); t != nil && !t.answered && t.delayedResponse == nil {
 		cs.g.inputs = append(cs.g.inputs, input{kind: inCancelled, ref: c.txn})
 	}
 }
 
-// noteFull logs when clients are turned away for lack of descriptors, and when there is room for more again.
-func (cs *clients) noteFull(full bool) {
-	if full != cs.full {
-		cs.full = full
-		var n [leaving + 1]int
-		for _, ref := range cs.open.Refs() {
-			n[cs.open.Get(ref).stage]++
+// setAtCapacity logs when new clients start being turned away for lack of descriptors, and when they are accepted again.
+func (cs *clients) setAtCapacity(full bool) {
+	if full != cs.atCapacity {
+		cs.atCapacity = full
+		var clientsByStage [stageClosing + 1]int
+		for _, ref := range cs.conns.Refs() {
+			clientsByStage[cs.conns.Get(ref).stage]++
 		}
-		cs.g.log.Info("clients turned away", "now", full, "descriptors", cs.g.budget.used, "fresh", n[fresh], "begun", n[begun],
-			"asking", n[asking], "quiet", n[quiet], "unread", n[unread], "leaving", n[leaving])
+		cs.g.log.Info("clients turned away", "now", full, "descriptors", cs.g.budget.used, "fresh", clientsByStage[stageConnected], "begun", clientsByStage[stagePartialMessage],
+			"asking", clientsByStage[stageInTxn], "quiet", clientsByStage[stageIdle], "unread", clientsByStage[stageUnreadOutput], "leaving", clientsByStage[stageClosing])
 	}
 }
 
-// crowded tells that clients that have asked are so many that their front may find no connection for a request.
+// crowded reports whether so many clients have sent a query that their pool may have no connection left for a request.
 func (cs *clients) crowded() bool {
-	return cs.open.Len()-cs.silent[0].Len() > cs.g.config.Limits.Sockets/crowdPart
+	return cs.conns.Len()-cs.idleLists[0].Len() > cs.g.config.Limits.Sockets/crowdedDivisor
 }
 
-// quietTooLong tells whether a client that has asked and says nothing is to go: the sooner the more there are.
-func (cs *clients) quietTooLong(c *client) bool {
-	quiet := cs.g.clock.now() - c.since
+// idleTimedOut reports whether an idle client that has sent a query is to be closed: the more clients, the sooner.
+func (cs *clients) idleTimedOut(c *client) bool {
+	idleTime := cs.g.clock.now() - c.stageSince
 	switch {
 	case cs.crowded():
-		return quiet >= leastFresh
-	case cs.open.Len() > cs.g.budget.all/fewPart:
-		return quiet >= leastQuiet
+		return idleTime >= minSilentTime
+	case cs.conns.Len() > cs.g.budget.all/fewClientsDivisor:
+		return idleTime >= minIdleTime
 	}
-	return quiet >= mostQuiet
+	return idleTime >= maxIdleTime
 }
 
-// clientOverdue ends a connection whose stage has lasted too long. Half a message is worth a word. Those that
-// are quiet may stay while there are few: they count against what their front may hold here as well.
-func (cs *clients) clientOverdue(ref slots.Ref) {
-	switch c := cs.open.Get(ref); {
+// clientTimedOut closes a connection whose stage has timed out. A client with a partial message is sent an error.
+// Idle clients may stay while there are few: they also count against the connections that their pool may hold here.
+func (cs *clients) clientTimedOut(ref slots.Ref) {
+	switch c := cs.conns.Get(ref); {
 	case c == nil:
-	case c.stage == begun && !cs.g.discovery.list.held:
-		cs.refuse(ref, "57P03", "no list of members yet")
-	case c.stage == begun:
-		cs.refuse(ref, "08P01", "the message does not end")
-	case c.stage == quiet && !cs.quietTooLong(c):
-		cs.g.deadlines.Remove(c.due)
-		c.due = cs.g.deadlines.Add(int64(cs.g.clock.now()+leastQuiet), due{kind: dueClient, ref: ref})
-	case c.stage == fresh || c.stage == quiet:
-		cs.sendAway(c, closedIdle)
+	case c.stage == stagePartialMessage && !cs.g.discovery.list.held:
+		cs.closeWithError(ref, "57P03", "no list of members yet")
+	case c.stage == stagePartialMessage:
+		cs.closeWithError(ref, "08P01", "the message does not end")
+	case c.stage == stageIdle && !cs.idleTimedOut(c):
+		cs.g.deadlines.Remove(c.deadline)
+		c.deadline = cs.g.deadlines.Add(int64(cs.g.clock.now()+minIdleTime), due{kind: dueClient, ref: ref})
+	case c.stage == stageConnected || c.stage == stageIdle:
+		cs.closeUnlessUnread(c, closedIdle)
 	default:
 		cs.close(c, closedSlowReader)
 	}
 }
 
-// dismiss ends a client's connection that has all its answers, once they are on their way.
-func (cs *clients) dismiss(ref slots.Ref) {
-	c := cs.open.Get(ref)
+// closeAfterResponses closes the connection of a client that has all its responses, once they are written out.
+func (cs *clients) closeAfterResponses(ref slots.Ref) {
+	c := cs.conns.Get(ref)
 	if c == nil {
 		return
 	}
 	if c.conn.OutboundBuffered() > 0 {
-		cs.enter(ref, c, unread)
-		cs.again(ref, c)
+		cs.enterStage(ref, c, stageUnreadOutput)
+		cs.pollLater(ref, c)
 		return
 	}
-	cs.sendAway(c, closedByShutdown)
+	cs.closeUnlessUnread(c, closedByShutdown)
 }
 
-// again looks at a client again in a moment, for which no event will come.
-func (cs *clients) again(ref slots.Ref, c *client) { cs.againIn(ref, c, slowReader) }
+// pollLater reads a client again after outputPollInterval, as no event will trigger it.
+func (cs *clients) pollLater(ref slots.Ref, c *client) { cs.pollIn(ref, c, outputPollInterval) }
 
-// partLook is how often it is looked whether a first part has come.
-const partLook = 2 * decide.Millisecond
+// allocationPollInterval is how often to check whether a first allocation of a fleet-wide limit has arrived.
+const allocationPollInterval = 2 * decide.Millisecond
 
-func (cs *clients) againIn(ref slots.Ref, c *client, span decide.Nanos) {
-	if !c.polled {
-		c.polled = true
-		cs.g.deadlines.Add(int64(cs.g.clock.now()+span), due{kind: dueReadable, ref: ref})
+// pollIn reads a client again after a delay, unless that is already scheduled.
+func (cs *clients) pollIn(ref slots.Ref, c *client, delay decide.Nanos) {
+	if !c.pollScheduled {
+		c.pollScheduled = true
+		cs.g.deadlines.Add(int64(cs.g.clock.now()+delay), due{kind: dueReadable, ref: ref})
 	}
 }
 
-// refuse ends a connection that does not keep to the protocol. Its word is the answer to a query that is open.
-// The client is given a moment to read it: a close with something unread resets a connection, and what was
-// just written may be lost with it.
-func (cs *clients) refuse(ref slots.Ref, code, message string) {
-	c := cs.open.Get(ref)
-	c.reason = closedWithErrorCode + closeReason(code)
-	cs.withdraw(c)
-	cs.enter(ref, c, leaving)
+// closeWithError sends a fatal error, which also answers an open query, and closes the connection. The client is given
+// lingerTimeout to read the error: a close with unread input resets the connection, and the error just written may be
+// lost with it.
+func (cs *clients) closeWithError(ref slots.Ref, code, message string) {
+	c := cs.conns.Get(ref)
+	c.closeReason = closedWithErrorCode + closeReason(code)
+	cs.withdrawTxn(c)
+	cs.enterStage(ref, c, stageClosing)
 	cs.writeClient(c, pgwire.AppendError(cs.g.scratch[:0], "FATAL", code, message, ""))
-	if c = cs.open.Get(ref); c == nil {
+	if c = cs.conns.Get(ref); c == nil {
 		return
 	}
-	if c.conn.OutboundBuffered() == 0 { // else the deadline ends it, with nothing more said
+	if c.conn.OutboundBuffered() == 0 { // otherwise the deadline closes it, without sending anything more
 		_ = unix.Shutdown(c.conn.Fd(), unix.SHUT_WR)
 	}
-	cs.drop(c)
+	cs.discardInput(c)
 }
 
-// drop reads and forgets what a client sends that is sent away; one that sends too much is closed.
-func (cs *clients) drop(c *client) {
+// discardInput reads and discards what a client in stageClosing sends; one that sends too much is closed.
+func (cs *clients) discardInput(c *client) {
 	n, _ := c.conn.Discard(-1)
-	if c.dropped += n; c.dropped > mostDropped && c.due != nil {
+	if c.discardedBytes += n; c.discardedBytes > maxDiscardedBytes && c.deadline != nil {
 		cs.leaveStage(c)
 		_ = c.conn.Close()
 	}
 }
 
-// writeClient writes to a client; a write that fails ends the connection within it.
+// writeClient writes to a client; a failed write closes the connection before it returns.
 func (cs *clients) writeClient(c *client, out []byte) {
 	cs.g.scratch = out[:0]
 	if len(out) > 0 {
@@ -407,54 +417,54 @@
 	}
 }
 
-// readClient reads what a client sent, up to its next txn: further queries stay in the buffer.
+// readClient processes what a client sent, up to its next txn: further queries stay in the buffer.
 func (cs *clients) readClient(ref slots.Ref) {
 	for {
-		c := cs.open.Get(ref)
+		c := cs.conns.Get(ref)
 		if c == nil {
 			return
 		}
-		if c.stage == leaving {
-			cs.held -= c.held
-			c.held = 0
-			cs.drop(c)
+		if c.stage == stageClosing {
+			cs.bufferedBytes -= c.bufferedBytes
+			c.bufferedBytes = 0
+			cs.discardInput(c)
 			return
 		}
 		waiting, out := c.conn.InboundBuffered(), c.conn.OutboundBuffered()
-		c.notes(waiting, cs.g.clock.now())
-		cs.held += waiting + out - c.held
-		c.held = waiting + out
-		// What is read of a client's requests is taken: to end its connection loses them all. So only memory bounds them.
+		c.recordArrival(waiting, cs.g.clock.now())
+		cs.bufferedBytes += waiting + out - c.bufferedBytes
+		c.bufferedBytes = waiting + out
+		// Requests that were read are accepted: closing the connection would lose them all. So only memory limits them.
 		memory := cs.g.config.Limits.MemoryMB << 20
-		if waiting > max(memory/aheadPart, mostMessage) {
-			cs.refuse(ref, "08P01", "too much sent ahead")
+		if waiting > max(memory/clientInputMemoryDivisor, maxMessageSize) {
+			cs.closeWithError(ref, "08P01", "too much sent ahead")
 			return
 		}
-		if cs.held > memory/memoryPart && c.held > fairShare {
-			cs.refuse(ref, "53300", "no memory for more")
+		if cs.bufferedBytes > memory/bufferMemoryDivisor && c.bufferedBytes > guaranteedBufferSize {
+			cs.closeWithError(ref, "53300", "no memory for more")
 			return
 		}
 		if cs.g.txns.Get(c.txn) != nil {
-			cs.enter(ref, c, asking)
+			cs.enterStage(ref, c, stageInTxn)
 			return
 		}
-		if out > 0 { // a slow reader gets no further answers until it has read these
-			cs.enter(ref, c, unread)
-			cs.again(ref, c)
+		if out > 0 { // a slow reader gets no further responses until it has read these
+			cs.enterStage(ref, c, stageUnreadOutput)
+			cs.pollLater(ref, c)
 			return
 		}
-		// What was read of a query is served; one that is still on its way is sent again elsewhere.
-		if cs.g.closing && waiting == 0 && c.asked { // who comes now asks once more what crossed the end of its last connection
-			cs.dismiss(ref)
+		// A query that was read, even in part, is served; one still in transit is sent again elsewhere.
+		if cs.g.closing && waiting == 0 && c.hasQueried { // a new connection resends the query that crossed the end of the last one
+			cs.closeAfterResponses(ref)
 			return
 		}
 		if waiting == 0 {
-			cs.enter(ref, c, c.silence())
+			cs.enterStage(ref, c, c.silentStage())
 			return
 		}
 		buf, err := c.conn.Peek(min(waiting, pgwire.HeaderSize))
 		if err == nil && c.admitted && waiting > pgwire.HeaderSize {
-			// No more than one message: a ring that wraps is copied.
+			// Peek at no more than one message: a ring buffer that wraps is copied.
 			buf, err = c.conn.Peek(min(waiting, pgwire.MessageSize(buf)))
 		} else if err == nil && !c.admitted {
 			buf, err = c.conn.Peek(min(waiting, pgwire.MaxStartupPacketSize))
@@ -466,79 +476,79 @@
 		if c.admitted {
 			size = cs.readMessage(ref, c, buf)
 		} else {
-			size = cs.readOpening(ref, c, buf)
+			size = cs.readStartup(ref, c, buf)
 		}
 		if size == 0 {
-			// Part of a message, or a txn's query, which stays; a write may have ended it, or sent it away.
-			if c = cs.open.Get(ref); c != nil && c.stage != leaving && c.stage != unread {
-				cs.enter(ref, c, c.holding())
+			// Part of a message, or a txn's query, which stays in the buffer. A write may have closed the client or moved its stage.
+			if c = cs.conns.Get(ref); c != nil && c.stage != stageClosing && c.stage != stageUnreadOutput {
+				cs.enterStage(ref, c, c.pendingStage())
 			}
 			return
 		}
-		if c = cs.open.Get(ref); c != nil && c.stage != leaving {
-			c.takes(size)
+		if c = cs.conns.Get(ref); c != nil && c.stage != stageClosing {
+			c.consume(size)
 		}
 	}
 }
 
-// silence is the stage of a client of which nothing is unread.
-func (c *client) silence() stage {
-	if c.asked {
-		return quiet
+// silentStage is the stage of a client whose input buffer is empty.
+func (c *client) silentStage() stage {
+	if c.hasQueried {
+		return stageIdle
 	}
-	return fresh
+	return stageConnected
 }
 
-// holding is the stage of a client whose first message stays in its buffer.
-func (c *client) holding() stage {
+// pendingStage is the stage of a client whose first message stays in the buffer.
+func (c *client) pendingStage() stage {
 	if c.txn != (slots.Ref{}) {
-		return asking
+		return stageInTxn
 	}
-	return begun
+	return stagePartialMessage
 }
 
-// readOpening takes one message before a session; 0 is none.
-func (cs *clients) readOpening(ref slots.Ref, c *client, buf []byte) int {
+// readStartup processes one startup-phase message and returns its size; 0 if there is none or it stays in the buffer.
+func (cs *clients) readStartup(ref slots.Ref, c *client, buf []byte) int {
 	kind, size, err := pgwire.ReadStartupPacket(buf)
 	switch {
 	case err != nil:
-		cs.refuse(ref, "08P01", "no startup message of protocol version 3")
+		cs.closeWithError(ref, "08P01", "no startup message of protocol version 3")
 		return 0
 	case kind == pgwire.EncryptionRequest:
 		cs.writeClient(c, append(cs.g.scratch[:0], 'N'))
 	case kind == pgwire.CancelRequest:
 		if key, ok := pgwire.ReadCancelKey(buf[:size]); ok {
-			cs.cancel(key)
+			cs.cancelQuery(key)
 		}
 		cs.close(c, closedByCancel)
 		return 0
-	case kind == pgwire.Startup && !c.counted:
-		cs.refuse(ref, "53300", "too many connections")
+	case kind == pgwire.Startup && !c.hasDescriptor:
+		cs.closeWithError(ref, "53300", "too many connections")
 		return 0
 	case kind == pgwire.Startup:
 		c.user, c.database = pgwire.StartupNames(buf[:size])
-		ok, first := cs.admit(c)
-		if first && cs.waitsForPart(c) {
-			cs.againIn(ref, c, partLook)
+		ok, awaitsAllocation := cs.admit(c)
+		if awaitsAllocation && cs.waitsForPart(c) {
+			cs.pollIn(ref, c, allocationPollInterval)
 			return 0
 		}
-		c.partAt = 0
+		c.allocationWaitSince = 0
 		if !ok {
-			cs.refuse(ref, "53300", routes.TenantConnections.String())
+			cs.closeWithError(ref, "53300", routes.TenantConnections.String())
 			return 0
 		}
 		c.admitted = true
-		cs.giveKey(ref, c)
-		cs.writeClient(c, pgwire.AppendAuthenticationOK(cs.g.scratch[:0], c.key))
+		cs.assignCancelKey(ref, c)
+		cs.writeClient(c, pgwire.AppendAuthenticationOK(cs.g.scratch[:0], c.cancelKey))
 	}
 	return size
 }
 
-// readMessage takes one message of a session; 0 is none, or one that stays in the buffer.
+// readMessage processes one message of a session and returns its size; 0 if there is none or it stays in the buffer.
 func (cs *clients) readMessage(ref slots.Ref, c *client, buf []byte) int {
-	kind, body, size, err := pgwire.ReadMessage(buf, mostMessage)
+	kind, body, size, err := pgwire.ReadMessage(buf, maxMessageSize)
 	if err != nil {
-		cs.refuse(ref, "08P01", "malformed message")
+		cs.closeWithError(ref, "08P01", "malformed message")
 		return 0
 	}
 	if size == 0 {
@@ -551,11 +561,11 @@
 		cs.close(c, closedTerminated)
 		return 0
 	case 'S': // Sync
-		c.skipping = false
+		c.skippingToSync = false
 		cs.writeClient(c, pgwire.AppendReadyForQuery(cs.g.scratch[:0]))
 	case 'P', 'B', 'D', 'E', 'C', 'H', 'F': // the extended protocol and function calls
-		if !c.skipping {
-			c.skipping = kind != 'F'
+		if !c.skippingToSync {
+			c.skippingToSync = kind != 'F'
 			out := pgwire.AppendError(cs.g.scratch[:0], "ERROR", "0A000", "only simple queries are served", "")
 			if kind == 'F' {
 				out = pgwire.AppendReadyForQuery(out)
@@ -563,44 +573,45 @@
 			cs.writeClient(c, out)
 		}
 	default:
-		cs.refuse(ref, "08P01", "unknown message "+strconv.QuoteRune(rune(kind)))
+		cs.closeWithError(ref, "08P01", "unknown message "+strconv.QuoteRune(rune(kind)))
 		return 0
 	}
 	return size
 }
 
-// readQuery takes a query. That of a txn stays in the buffer, where each submission reads it, until answered.
+// readQuery processes a query and returns its size, or 0 if it stays in the buffer. A txn's query stays there, where each
+// submission reads it, until it is answered.
 func (cs *clients) readQuery(ref slots.Ref, c *client, body []byte, size int) int {
 	text, ok := pgwire.ReadString(body)
 	if !ok {
-		cs.refuse(ref, "08P01", "malformed query")
+		cs.closeWithError(ref, "08P01", "malformed query")
 		return 0
 	}
-	if len(trimmed(text)) == 0 {
-		if !cs.g.discovery.list.held || cs.g.agreed != nil && !cs.g.agreed.ready() { // not yet able to serve: the answer waits until it is
-			cs.again(ref, c)
+	if len(trimStatement(text)) == 0 {
+		if !cs.g.discovery.list.held || cs.g.agreed != nil && !cs.g.agreed.ready() { // not able to serve yet: the response waits until it is
+			cs.pollLater(ref, c)
 			return 0
 		}
 		cs.writeClient(c, pgwire.AppendReadyForQuery(pgwire.AppendEmptyQueryResponse(cs.g.scratch[:0])))
 		return size
 	}
 	if cs.stillWaits(c) {
-		cs.againIn(ref, c, partLook)
+		cs.pollIn(ref, c, allocationPollInterval)
 		return 0
 	}
-	problem := cs.g.arrived(ref, c, text, size)
-	if problem == waitForPart {
-		cs.againIn(ref, c, partLook)
+	problem := cs.g.receiveTxn(ref, c, text, size)
+	if problem == awaitingAllocation {
+		cs.pollIn(ref, c, allocationPollInterval)
 		return 0
 	}
-	c.partAt = 0
+	c.allocationWaitSince = 0
 	if problem == "" {
-		c.asked, c.errors = true, 0
+		c.hasQueried, c.consecutiveErrors = true, 0
 		return 0
 	}
-	// One that sends nothing else would be answered at its full speed.
-	if c.errors++; c.errors == mostErrors {
-		cs.refuse(ref, "42601", problem)
+	// A client that sends only invalid statements would otherwise be answered as fast as it sends.
+	if c.consecutiveErrors++; c.consecutiveErrors == maxConsecutiveErrors {
+		cs.closeWithError(ref, "42601", problem)
 		return 0
 	}
 	out := pgwire.AppendError(cs.g.scratch[:0], "ERROR", "42601", problem, "")
@@ -608,7 +619,8 @@
 	return size
 }
 
-func trimmed(text []byte) []byte {
+// trimStatement removes leading white space and semicolons.
+func trimStatement(text []byte) []byte {
 	for len(text) > 0 && (text[0] <= ' ' || text[0] == ';') {
 		text = text[1:]
 	}
--- a/gateway/dial.go
+++ b/gateway/dial.go
@@ -59,7 +59,7 @@
 		g.log.Warn("connecting fails for lack of something of this machine, trying again", "why", err)
 	}
 	if m := g.members.conns.Get(o.ref); m != nil && o.kind == ownerMember {
-		m.delayed = true
+		m.localDialError = true
 	}
 }
 
@@ -73,7 +73,7 @@
 	g.budget.give(2)
 	if o.kind == ownerMember {
 		if m := g.members.conns.Get(o.ref); m != nil && neterr.IsRemote(err) {
-			m.delayed = false
+			m.localDialError = false
 			if errors.Is(err, syscall.ECONNRESET) {
 				m.phase = starting
 			}
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -357,7 +357,7 @@
 	}
 	zone := slices.Index(ds.g.names.Zones, h.entry.Site)
 	ds.g.module.UpdateMember(h.server, h.entry.Block, false, decide.Removed, zone, h.entry.Share, -1, 0)
-	ds.g.members.bar(h.server)
+	ds.g.members.drainMember(h.server)
 }
 
 func (ds *discovery) tellHost(e httpwire.Host) {
@@ -393,7 +393,7 @@
 	delete(ds.leave, server)
 	if status != decide.Ready {
 		ds.leave[server] = true
-		ds.g.members.bar(server)
+		ds.g.members.drainMember(server)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -116,7 +116,7 @@
 	}
 	g.log = slog.New(levelled{cmp.Or(c.Log, slog.Default()).Handler(), g.least}).With("gateway", c.Name)
 	g.members = members{g: g, pools: map[decide.Server]*pool{}}
-	g.clients.keys = map[uint32]slots.Ref{}
+	g.clients.cancelKeys = map[uint32]slots.Ref{}
 	g.clients.g, g.discovery.g, g.discovery.leave = g, g, map[decide.Server]bool{}
 	g.budget.free = c.Limits.Sockets - reserve
 	g.budget.all = g.budget.free
@@ -287,16 +287,16 @@
 	g.deadlines.Add(int64(g.clock.now()+lateComers), due{kind: dueClosing})
 	g.deadlines.Add(int64(g.kill), due{kind: dueFinal})
 	g.deadlines.Add(int64(g.last), due{kind: dueLast})
-	g.log.Info("leaving", "clients", g.clients.open.Len(), "txns", g.txns.Len())
+	g.log.Info("leaving", "clients", g.clients.conns.Len(), "txns", g.txns.Len())
 }
 
 // closeIdleClients is the second part of it: clients are sent away once they have their answers. A query may cross
 // that and come once more on a new connection, which is served: to turn it away would lose it.
 func (g *Gateway) closeIdleClients() {
 	g.closing = true
-	for _, ref := range g.clients.open.Refs() {
-		if c := g.clients.open.Get(ref); c.stage == fresh {
-			g.clients.sendAway(c, closedByShutdown)
+	for _, ref := range g.clients.conns.Refs() {
+		if c := g.clients.conns.Get(ref); c.stage == stageConnected {
+			g.clients.closeUnlessUnread(c, closedByShutdown)
 			continue
 		}
 		g.inputs = append(g.inputs, input{kind: inReadable, ref: ref})
@@ -312,7 +312,7 @@
 
 // emptied sets the end when the last client is gone.
 func (g *Gateway) emptied() {
-	if g.closing && g.clients.open.Len() == 0 {
+	if g.closing && g.clients.conns.Len() == 0 {
 		g.empty = g.clock.now()
 		g.deadlines.Add(int64(g.empty+crossing), due{kind: dueLast})
 	}
@@ -321,7 +321,7 @@
 // end tells gnet to end the loop once the last client is gone for a moment, or time is up.
 func (g *Gateway) end() error {
 	now := g.clock.now()
-	if g.closing && (g.clients.open.Len() == 0 && now >= g.empty+crossing || now >= g.last) {
+	if g.closing && (g.clients.conns.Len() == 0 && now >= g.empty+crossing || now >= g.last) {
 		g.stopped = true
 		return gneterrors.ErrEngineShutdown
 	}
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -256,9 +256,9 @@
 		}
 		x.retries = routes.NewRetryBudgets(x.table)
 		for _, ref := range gs.g.txns.Refs() {
-			if t := gs.g.txns.Get(ref); t.counted && x == gs.told {
-				t.shares, t.tenant, t.also = t.also, t.alsoTenant, nil
-			} else if t.counted {
+			if t := gs.g.txns.Get(ref); t.countedInFlight && x == gs.told {
+				t.shares, t.tenant, t.nextShares = t.nextShares, t.nextTenant, nil
+			} else if t.countedInFlight {
 				gs.carry(x, t)
 			}
 		}
@@ -286,10 +286,10 @@
 	}
 	for _, ref := range gs.g.txns.Refs() {
 		t := gs.g.txns.Get(ref)
-		t.also = nil
-		if t.counted && x != nil && x.table != nil {
-			t.also, t.alsoTenant = x.shares, gs.tenantIn(x, t)
-			t.also.CarryOver(t.alsoTenant, int64(t.size))
+		t.nextShares = nil
+		if t.countedInFlight && x != nil && x.table != nil {
+			t.nextShares, t.nextTenant = x.shares, gs.tenantIn(x, t)
+			t.nextShares.CarryOver(t.nextTenant, int64(t.querySize))
 		}
 	}
 	gs.rebound()
@@ -308,7 +308,7 @@
 // carry counts a txn of another generation against the tenant of its name, if there is one.
 func (gs *generations) carry(x *generation, t *txn) {
 	t.shares, t.tenant = x.shares, gs.tenantIn(x, t)
-	x.shares.CarryOver(t.tenant, int64(t.size))
+	x.shares.CarryOver(t.tenant, int64(t.querySize))
 }
 
 // bars are the members that get nothing new by what is in force, or by what comes next.
@@ -370,10 +370,10 @@
 	}
 	now := int64(gs.g.clock.now())
 	if gs.told != nil && gs.told.table != nil {
-		if why, after = gs.told.shares.CanBegin(t.alsoTenant, int64(t.size), now); why != routes.Allowed {
+		if why, after = gs.told.shares.CanBegin(t.nextTenant, int64(t.querySize), now); why != routes.Allowed {
 			return why, after
 		}
-		t.also = gs.told.shares
+		t.nextShares = gs.told.shares
 	}
 	if t.generation.table == nil {
 		return routes.Allowed, 0
@@ -381,7 +381,7 @@
 	if !t.generation.table.AllowsGroup(t.route.Route, t.comment.Group) {
 		return routes.WrongGroup, 0
 	}
-	if why, after = t.generation.shares.CanBegin(t.route.Tenant, int64(t.size), now); why != routes.Allowed {
+	if why, after = t.generation.shares.CanBegin(t.route.Tenant, int64(t.querySize), now); why != routes.Allowed {
 		return why, after
 	}
 	t.shares, t.tenant = t.generation.shares, t.route.Tenant
@@ -391,26 +391,26 @@
 // begin counts a txn that arrive allowed; end takes it back, once.
 func (gs *generations) begin(t *txn) {
 	t.generation.txns++
-	t.counted = true
+	t.countedInFlight = true
 	if t.shares != nil {
-		t.shares.Begin(t.tenant, int64(t.size), int64(gs.g.clock.now()))
+		t.shares.Begin(t.tenant, int64(t.querySize), int64(gs.g.clock.now()))
 	}
-	if t.also != nil {
-		t.also.Begin(t.alsoTenant, int64(t.size), int64(gs.g.clock.now()))
+	if t.nextShares != nil {
+		t.nextShares.Begin(t.nextTenant, int64(t.querySize), int64(gs.g.clock.now()))
 	}
 	gs.beginOfFleet(t)
 }
 
 func (gs *generations) end(t *txn) {
-	if !t.counted {
+	if !t.countedInFlight {
 		return
 	}
-	t.counted = false
+	t.countedInFlight = false
 	if t.shares != nil {
-		t.shares.End(t.tenant, int64(t.size))
+		t.shares.End(t.tenant, int64(t.querySize))
 	}
-	if t.also != nil {
-		t.also.End(t.alsoTenant, int64(t.size))
+	if t.nextShares != nil {
+		t.nextShares.End(t.nextTenant, int64(t.querySize))
 	}
 	gs.endOfFleet(t)
 	if t.generation.txns--; t.generation.txns == 0 && t.generation != gs.inForce {
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -418,7 +418,7 @@
 	g.hold(func() {
 		for _, ref := range g.members.conns.Refs() {
 			if g.members.conns.Get(ref).phase == busy {
-				g.members.giveUp(ref, decide.Cancelled)
+				g.members.cancelJob(ref, decide.Cancelled)
 			}
 		}
 		if _, sent := up.query(); sent { // its end, while the loop does nothing else
@@ -448,7 +448,7 @@
 	up.startup()
 	g.hold(func() {
 		for _, ref := range g.members.conns.Refs() {
-			g.members.conns.Get(ref).job.before = g.clock.now()
+			g.members.conns.Get(ref).job.sendBefore = g.clock.now()
 		}
 	})
 	up.ready()
@@ -580,7 +580,7 @@
 				awaitUnread(t, m.conn.Fd())
 				_ = g.loop.Close(m.conn) // as the library does when it reads the end
 			} else {
-				g.members.giveUp(ref, decide.Cancelled)
+				g.members.cancelJob(ref, decide.Cancelled)
 			}
 		})
 		if <-whole {
@@ -622,19 +622,19 @@
 		_, _ = c.Write(pgwire.AppendQuery(nil, text))
 	}
 	c.ask("any", 9000)
-	up := a.admit(t)
+	up := a.acceptConnection(t)
 	up.query()
 	reached := ahead(20 * time.Second)
 	up.rowAt("a", "read-only", reached)
 	c.answer()
-	g.rested()
+	g.awaitReusable()
 	asks(reached)
 	up.query()
 	up.rowAt("a", "read-only", reached)
 	if got := c.answer(); got != "served by a" { // which has reached it
 		t.Error(got)
 	}
-	g.rested()
+	g.awaitReusable()
 	asks(reached + 10_000)
 	sent := make(chan string, 1)
 	go func() {
--- a/gateway/listed_test.go
+++ b/gateway/listed_test.go
@@ -11,17 +11,17 @@
 )
 
 // wanderers are clients that write at some gateways and read at others, until they are ended, and tell what was stale.
-type wanderers struct {
-	stop   chan struct{}
-	wg     sync.WaitGroup
-	mu     sync.Mutex
-	served int
-	stale  []string
-	other  map[string]int
+type roamingClients struct {
+	stop         chan struct{}
+	wg           sync.WaitGroup
+	mu           sync.Mutex
+	served       int
+	stale        []string
+	otherResults map[string]int
 }
 
-func (u *union) wander(clients int) *wanderers {
-	w := &wanderers{stop: make(chan struct{}), other: map[string]int{}}
+func (u *union) startRoaming(clients int) *roamingClients {
+	w := &roamingClients{stop: make(chan struct{}), otherResults: map[string]int{}}
 	for i := range clients {
 		w.wg.Add(1)
 		go func() {
@@ -43,7 +43,7 @@
 				w.mu.Lock()
 				switch {
 				case a.Err != nil || a.Code != "":
-					w.other[a.String()]++
+					w.otherResults[a.String()]++
 				default:
 					if w.served++; a.Value < written {
 						w.stale = append(w.stale, fmt.Sprintf("written at n%d, read at n%d: %s after %s", from, to, a.Value, written))
@@ -56,11 +56,11 @@
 	return w
 }
 
-func (w *wanderers) end(t *testing.T) {
+func (w *roamingClients) stopAndCheck(t *testing.T) {
 	t.Helper()
 	close(w.stop)
 	w.wg.Wait()
-	t.Logf("%d served, %d stale, %v", w.served, len(w.stale), w.other)
+	t.Logf("%d served, %d stale, %v", w.served, len(w.stale), w.otherResults)
 	if w.served == 0 || len(w.stale) > 0 {
 		t.Fatalf("%d served, stale: %v", w.served, w.stale)
 	}
@@ -74,7 +74,7 @@
 	for _, m := range u.members[1:] {
 		m.SetLag(200 * time.Millisecond)
 	}
-	w := u.wander(6)
+	w := u.startRoaming(6)
 	status := func(gateway int, part string, there bool) {
 		t.Helper()
 		u.await(fmt.Sprintf("gateway %d says %q: %v", gateway, part, there), func() bool {
@@ -147,5 +147,5 @@
 	status(3, "careful", false)
 	once(0, "ab06", "again", "v")
 	reads(3, "ab06", "again")
-	w.end(t)
+	w.stopAndCheck(t)
 }
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -189,7 +189,7 @@
 	case inReadable:
 		g.clients.readClient(in.ref)
 	case inEnded:
-		g.tellEnded(in)
+		g.submissionEnded(in)
 	case inProbed:
 		g.module.ProbeEnded(in.server, in.result, in.elapsed, in.report)
 		if in.fence != 0 {
@@ -200,12 +200,12 @@
 	case inHeard:
 		g.module.ResponseProgress(in.server)
 	case inWithdrawn:
-		g.tellWithdrawn(in.ref)
+		g.withdrawTxn(in.ref)
 	case inCancelled:
-		g.tellCancelled(in.ref)
+		g.cancelTxn(in.ref)
 	case inRefused:
 		if t := g.txns.Get(in.ref); t != nil {
-			g.decline(t.id, in.elapsed)
+			g.reject(t.id, in.elapsed)
 		}
 	case inRepeated:
 		if t := g.txns.Get(in.ref); t != nil {
@@ -225,11 +225,11 @@
 	case decide.Submit:
 		g.submit(d)
 	case decide.Reject:
-		g.decline(d.Txn, d.Delay)
+		g.reject(d.Txn, d.Delay)
 	case decide.RollBack:
 		g.rollBack(d.Txn)
 	case decide.Cancel:
-		g.cancel(d.Txn, int(d.Attempt))
+		g.cancelSubmission(d.Txn, int(d.Attempt))
 	case decide.Probe:
 		if g.coordinated != nil {
 			g.coordinated.probe(d.Server)
@@ -286,16 +286,16 @@
 		case dueSubmission:
 			g.members.submissionTimedOut(d.ref)
 		case dueIdle:
-			g.members.idleTooLong(d.ref)
+			g.members.idleTimedOut(d.ref)
 		case dueCall:
 			g.discovery.callTimedOut(d.call)
 		case dueClient:
-			g.clients.clientOverdue(d.ref)
+			g.clients.clientTimedOut(d.ref)
 		case dueAnswer:
 			g.sessions.AnswerOverdue(d.ref)
 		case dueReadable:
-			if c := g.clients.open.Get(d.ref); c != nil {
-				c.polled = false
+			if c := g.clients.conns.Get(d.ref); c != nil {
+				c.pollScheduled = false
 			}
 			g.inputs = append(g.inputs, input{kind: inReadable, ref: d.ref})
 		case dueList:
@@ -348,7 +348,7 @@
 }
 
 // OnTraffic notes what came. Connections to members are closed by posting, as more may be told of them
-// in the turn; clients at once, see sendAway. Events that come for a closed one find its object, not its descriptor.
+// in the turn; clients at once, see closeUnlessUnread. Events that come for a closed one find its object, not its descriptor.
 func (g *Gateway) OnTraffic(c gnet.Conn) gnet.Action {
 	o, ok := c.Context().(*owner)
 	if !ok {
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// Bytes of an answer. Values are to be of 64 KiB at most, yet members were seen to answer with 350 KB in hexadecimal, rightly.
-	mostAnswer = 1 << 20
-	// An answer that has begun goes on coming: one that stands still for so long is one whose lengths lie.
-	mostStill = 100 * decide.Millisecond
-	// What belongs to no query comes right behind an answer: a connection that has just brought one rests for
-	// longer than that takes, else it would be read as the answer of the next.
-	leastRest = 2 * decide.Millisecond
-	// All machines read one clock; a commit's position is rounded up. What is further ahead proves nothing.
-	mostEarly = 5 * decide.Millisecond
+	// Bytes. Values are at most 64 KiB by contract, yet members have sent correct responses of 350 KB in hexadecimal.
+	maxResponseSize = 1 << 20
+	// A response that has begun keeps arriving: one that stalls for this long has wrong length fields.
+	responseStallTimeout = 100 * decide.Millisecond
+	// Messages that belong to no query follow right after a response: a connection is not reused before they have had
+	// time to arrive, or they would be read as the response to the next query.
+	minIdleBeforeReuse = 2 * decide.Millisecond
+	// All machines have the same clock, and a commit's position is rounded up. A position further ahead is ignored.
+	maxPositionLead = 5 * decide.Millisecond
 )
 
-// phase is what a member's connection is doing.
+// phase is the state of a member connection.
 type phase int
 
 const (
@@ -35,60 +35,60 @@
 	busy
 )
 
-// job is what a member's connection does or waits to do: a submission, or a probe, which has no txn.
+// job is a submission, or a probe, which has no txn, that a member connection runs or is about to run.
 type job struct {
-	txn       slots.Ref
-	no        int
-	probe     bool
-	fence     uint64 // a probe that asks for the position of a group's primary: as which question
-	group     int
-	at, until decide.Nanos
-	before    decide.Nanos // it may be sent before that alone; 0 is at any time
+	txn                 slots.Ref
+	submissionNo        int
+	probe               bool
+	fenceRequestNo      uint64 // number of the fence request for the position of a group's primary that this probe serves, 0 for none
+	group               int
+	startedAt, deadline decide.Nanos
+	sendBefore          decide.Nanos // the query must be sent before this time; 0 for no limit
 }
 
-// memberConn is a connection to a member. It is given back in release.
+// memberConn is a connection to a member; release removes it.
 type memberConn struct {
-	server    decide.Server
-	conn      gnet.Conn // nil while it is dialled
-	phase     phase
-	job       job
-	working   bool         // has a job
-	broken    bool         // brought what it should not have: nothing that it said is believed
-	heardAt   decide.Nanos // when the latest part of an answer came that is not whole yet; 0 is none
-	needs     int          // bytes that the buffer must hold for the message in hand to be whole
-	held      int          // bytes in the buffer, of an answer that is not whole
-	sent      bool         // the query was written, though some of it may wait in the outbound buffer
-	abandoned bool         // given up while it was dialled: closed as soon as it comes up
-	delayed   bool         // its dial met an error of this machine, which says nothing of the member
-	barred    bool         // its member was told to drain or to be gone since it was begun: nothing more is sent on it
-	since     decide.Nanos
-	connect   *deadlines.Entry[due]
-	patience  *deadlines.Entry[due] // of a job, or of an idle connection
-	answer    answer
-}
-
-// answer is what has been read of an answer; parts are offsets in the connection's buffer.
-type answer struct {
-	read             int
-	parts            [][2]int
-	rows, columns    int
-	complete         bool
-	problem          pgwire.ErrorResponse // an ErrorResponse
-	role             decide.Role
-	position         float64
-	report           []float64
-	valueFrom, value int
-}
-
-// members are the connections to members and their pools. They belong to the loop.
+	server          decide.Server
+	conn            gnet.Conn // nil while dialling
+	phase           phase
+	job             job
+	hasJob          bool
+	protocolError   bool         // sent something invalid: nothing that it sent is trusted
+	lastPartAt      decide.Nanos // when the latest part of an incomplete response arrived, 0 for none
+	bytesNeeded     int          // bytes that the buffer must hold for the current message to be complete
+	bufferedBytes   int          // bytes of an incomplete response in the buffer
+	sent            bool         // the query was written, though some of it may wait in the outbound buffer
+	abandoned       bool         // given up while dialling: closed as soon as it is established
+	localDialError  bool         // its dial failed with an error of this machine, which says nothing about the member
+	draining        bool         // its member began to drain or left the list after the dial: no further query is sent on it
+	since           decide.Nanos // when the dial began, then when the connection last became idle
+	connectDeadline *deadlines.Entry[due]
+	deadline        *deadlines.Entry[due] // of its job, or of the idle connection
+	response        response
+}
+
+// response is what has been read of a member's response; ranges holds start and end offsets in the connection's buffer.
+type response struct {
+	readBytes              int
+	ranges                 [][2]int
+	rows, columns          int
+	complete               bool
+	errorResponse          pgwire.ErrorResponse // from an ErrorResponse; its Code is empty without one
+	role                   decide.Role
+	position               float64
+	loadReport             []float64
+	valueOffset, valueSize int
+}
+
+// members holds the connections to members and their pools. Only the event loop may use it.
 type members struct {
-	g         *Gateway
-	conns     slots.Table[memberConn]
-	pools     map[decide.Server]*pool
-	answering int // bytes of answers that are not whole
+	g             *Gateway
+	conns         slots.Table[memberConn]
+	pools         map[decide.Server]*pool
+	bufferedBytes int // bytes of incomplete responses on all connections
 }
 
-// pool holds a member's idle connections, the latest used last.
+// pool holds a member's idle connections, the most recently used last.
 type pool struct{ idle []slots.Ref }
 
 func (ms *members) poolOf(server decide.Server) *pool {
@@ -100,13 +100,13 @@
 	return p
 }
 
-// connect gives a job to the latest used idle connection, or dials one.
-func (ms *members) connect(server decide.Server, j job) slots.Ref {
-	if ref, ok := ms.rested(server); ok {
+// startJob gives a job to the most recently used idle connection, or dials a new one.
+func (ms *members) startJob(server decide.Server, j job) slots.Ref {
+	if ref, ok := ms.takeIdle(server); ok {
 		m := ms.conns.Get(ref)
-		ms.g.deadlines.Remove(m.patience)
+		ms.g.deadlines.Remove(m.deadline)
 		ms.assign(ref, m, j)
-		ms.begin(ref)
+		ms.sendQuery(ref)
 		return ref
 	}
 	now := ms.g.clock.now()
@@ -115,19 +115,19 @@
 	for !ms.g.dial(server.String(), wait, &owner{kind: ownerMember, ref: ref}) {
 		if !ms.closeLongestIdle() {
 			ms.conns.Remove(ref)
-			ms.noteEnd(j, server, decide.NotSent, nil)
+			ms.reportJobEnd(j, server, decide.NotSent, nil)
 			return slots.Ref{}
 		}
 	}
 	m := ms.conns.Get(ref)
 	ms.assign(ref, m, j)
-	m.connect = ms.g.deadlines.Add(int64(now+wait), due{kind: dueConnect, ref: ref})
+	m.connectDeadline = ms.g.deadlines.Add(int64(now+wait), due{kind: dueConnect, ref: ref})
 	return ref
 }
 
-// rested takes the latest used idle connection out of the pool that can be used again. One on which something
-// waits unread, be it its end, is no longer of use; the loop may not have come to read it yet.
-func (ms *members) rested(server decide.Server) (ref slots.Ref, ok bool) {
+// takeIdle removes the most recently used idle connection that can be reused from the pool. One with unread input, even if
+// that is only its end, is closed instead: the loop may not have read it yet.
+func (ms *members) takeIdle(server decide.Server) (ref slots.Ref, ok bool) {
 	p := ms.pools[server]
 	if p == nil {
 		return ref, false
@@ -136,7 +136,7 @@
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		ref = p.idle[i]
 		m := ms.conns.Get(ref)
-		if now-m.since < leastRest {
+		if now-m.since < minIdleBeforeReuse {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, i, i+1)
@@ -148,7 +148,7 @@
 	return ref, false
 }
 
-// closeLongestIdle closes the idle connection that was used longest ago.
+// closeLongestIdle closes the least recently used idle connection.
 func (ms *members) closeLongestIdle() bool {
 	var oldest slots.Ref
 	var since decide.Nanos
@@ -164,47 +164,47 @@
 	}
 	conn := ms.conns.Get(oldest).conn
 	ms.release(oldest)
-	_ = ms.g.loop.Close(conn) // now, as its descriptor is wanted
+	_ = ms.g.loop.Close(conn) // immediately, as its descriptor is needed
 	return true
 }
 
 func (ms *members) assign(ref slots.Ref, m *memberConn, j job) {
-	m.job, m.working, m.sent = j, true, false
-	m.patience = ms.g.deadlines.Add(int64(j.until), due{kind: dueSubmission, ref: ref})
+	m.job, m.hasJob, m.sent = j, true, false
+	m.deadline = ms.g.deadlines.Add(int64(j.deadline), due{kind: dueSubmission, ref: ref})
 }
 
-// begin writes the query of a connection's job, unless the time that it took to come up has brought what forbids it: its
-// member drains by now, or its group may have forgotten the txn's first submission.
-func (ms *members) begin(ref slots.Ref) {
+// sendQuery writes the query of a connection's job, unless something forbids it that happened while the connection was
+// being established: its member drains, or its group may have forgotten the txn's first submission.
+func (ms *members) sendQuery(ref slots.Ref) {
 	m := ms.conns.Get(ref)
-	late := m.job.before > 0 && ms.g.clock.now() >= m.job.before
-	if m.barred || late {
-		ms.finish(ref, decide.NotSent, false)
-		ms.toIdle(ref)
+	expired := m.job.sendBefore > 0 && ms.g.clock.now() >= m.job.sendBefore
+	if m.draining || expired {
+		ms.finishJob(ref, decide.NotSent, false)
+		ms.returnToPool(ref)
 		return
 	}
-	m.phase, m.heardAt, m.needs = busy, 0, 0
-	m.answer = answer{parts: m.answer.parts[:0]}
+	m.phase, m.lastPartAt, m.bytesNeeded = busy, 0, 0
+	m.response = response{ranges: m.response.ranges[:0]}
 	var parts [][]byte
 	if m.job.probe {
-		ms.g.scratch = pgwire.AppendQuery(ms.g.scratch[:0], ms.probeText())
+		ms.g.scratch = pgwire.AppendQuery(ms.g.scratch[:0], ms.probeQuery())
 		parts = append(ms.g.parts[:0], ms.g.scratch)
 	} else {
 		var ok bool
-		if parts, ok = ms.g.statement(m.job.txn, m.job.until); !ok {
-			ms.finish(ref, decide.NotSent, false)
-			ms.toIdle(ref)
+		if parts, ok = ms.g.buildQuery(m.job.txn, m.job.deadline); !ok {
+			ms.finishJob(ref, decide.NotSent, false)
+			ms.returnToPool(ref)
 			return
 		}
 	}
-	_, err := m.conn.Writev(parts) // one that fails ends the connection within it, as never written
+	_, err := m.conn.Writev(parts) // a failed write closes the connection before it returns, with the query counted as never written
 	if m = ms.conns.Get(ref); err == nil && m != nil {
 		m.sent = true
 	}
 }
 
-// probeText is the probe that tells most where the settings allow it.
-func (ms *members) probeText() string {
+// probeQuery asks for the load report, unless the settings say that members give none.
+func (ms *members) probeQuery() string {
 	if ms.g.names.LoadReport.How == "none" {
 		return "SELECT 1"
 	}
@@ -213,7 +213,7 @@
 
 func (ms *members) probe(server decide.Server) {
 	now := ms.g.clock.now()
-	ms.connect(server, job{probe: true, at: now, until: now + decide.Millis(ms.g.names.Limits.ConnectTimeoutMs)})
+	ms.startJob(server, job{probe: true, startedAt: now, deadline: now + decide.Millis(ms.g.names.Limits.ConnectTimeoutMs)})
 }
 
 func serverOf(a netip.AddrPort) (s decide.Server) {
@@ -233,15 +233,15 @@
 	return pgwire.AppendStartup(nil, "portal", "crm"), gnet.None
 }
 
-// release is the one place where a member's connection is given back.
+// release is the one place where a member connection is removed.
 func (ms *members) release(ref slots.Ref) {
 	m := ms.conns.Get(ref)
 	if m == nil {
 		return
 	}
-	ms.g.deadlines.Remove(m.connect)
-	ms.g.deadlines.Remove(m.patience)
-	ms.answering -= m.held
+	ms.g.deadlines.Remove(m.connectDeadline)
+	ms.g.deadlines.Remove(m.deadline)
+	ms.bufferedBytes -= m.bufferedBytes
 	p := ms.poolOf(m.server)
 	if m.phase == idle {
 		p.idle = slices.DeleteFunc(p.idle, func(r slots.Ref) bool { return r == ref })
@@ -255,42 +255,42 @@
 	ms.conns.Remove(ref)
 }
 
-// memberClosed comes when a connection broke or could not be had. flushed says that nothing is left that was
-// to be written.
+// memberClosed handles a connection that broke or could not be established. flushed means that all output was
+// written.
 func (ms *members) memberClosed(ref slots.Ref, flushed bool) {
 	m := ms.conns.Get(ref)
 	if m == nil {
 		return
 	}
-	if m.working {
+	if m.hasJob {
 		switch {
-		case m.phase == busy && m.answer.problem.Fatal && !m.broken && m.conn.InboundBuffered() == m.answer.read:
-			ms.finish(ref, resultOf(m.answer.problem.Code), true) // after which no ReadyForQuery is due
+		case m.phase == busy && m.response.errorResponse.Fatal && !m.protocolError && m.conn.InboundBuffered() == m.response.readBytes:
+			ms.finishJob(ref, resultForCode(m.response.errorResponse.Code), true) // no ReadyForQuery follows a fatal error
 		case m.sent && flushed:
-			ms.finish(ref, decide.Broken, false)
+			ms.finishJob(ref, decide.Broken, false)
 		case m.phase == dialling:
-			ms.finish(ref, m.notConnected(), false)
-		case m.answer.problem.Code == "53300": // it has no connection to give
-			ms.finish(ref, decide.Unreachable, false)
+			ms.finishJob(ref, m.connectFailure(), false)
+		case m.response.errorResponse.Code == "53300": // its connection limit is reached
+			ms.finishJob(ref, decide.Unreachable, false)
 		default:
-			ms.finish(ref, decide.ResetBeforeSend, false)
+			ms.finishJob(ref, decide.ResetBeforeSend, false)
 		}
 	}
 	ms.release(ref)
 }
 
-// giveUp ends a connection's job. A query that was begun is given up by closing the connection; one that was
-// not leaves the connection to come up and be of use to another.
-func (ms *members) giveUp(ref slots.Ref, r decide.Result) {
+// cancelJob ends a connection's job. If the query was sent, the connection is closed; if not, the connection is left to be
+// established and used by another job.
+func (ms *members) cancelJob(ref slots.Ref, r decide.Result) {
 	m := ms.conns.Get(ref)
 	if m.phase != busy {
-		r = decide.NotSent // it was never written: the member is not silent, and nothing ran
+		r = decide.NotSent // it was never written: the member did not time out, and nothing ran
 	}
-	ms.finish(ref, r, false)
+	ms.finishJob(ref, r, false)
 	if m.phase != busy {
 		return
 	}
-	// At once, before a turn: what is sent elsewhere instead would be a second copy beside an open one.
+	// Immediately, before the next turn: a submission sent elsewhere instead would be a second copy beside an open one.
 	conn := m.conn
 	ms.release(ref)
 	_ = ms.g.loop.Close(conn)
@@ -298,33 +298,33 @@
 
 func (ms *members) submissionTimedOut(ref slots.Ref) {
 	switch m := ms.conns.Get(ref); {
-	case m == nil || !m.working:
-	case m.heardAt > 0 && ms.g.clock.now() < min(m.job.until, m.heardAt+mostStill):
-		ms.awaitRest(ref, m)
-	case m.heardAt > 0 && ms.g.clock.now() < m.job.until:
-		ms.memberRefused(ref)
+	case m == nil || !m.hasJob:
+	case m.lastPartAt > 0 && ms.g.clock.now() < min(m.job.deadline, m.lastPartAt+responseStallTimeout):
+		ms.setStallDeadline(ref, m)
+	case m.lastPartAt > 0 && ms.g.clock.now() < m.job.deadline:
+		ms.rejectResponse(ref)
 	default:
-		ms.giveUp(ref, decide.TimedOut)
+		ms.cancelJob(ref, decide.TimedOut)
 	}
 }
 
-// notConnected is the result of a job whose connection did not come up.
-func (m *memberConn) notConnected() decide.Result {
-	if m.phase == dialling && m.delayed {
+// connectFailure is the result of a job whose connection could not be established.
+func (m *memberConn) connectFailure() decide.Result {
+	if m.phase == dialling && m.localDialError {
 		return decide.NotSent
 	}
 	return decide.Unreachable
 }
 
-// connectTimedOut ends a connection that did not come up. A dial is left to end by itself, as it holds its
-// descriptors until then.
+// connectTimedOut ends a connection that was not established in time. A pending dial is left to end by itself, as it holds
+// its descriptors until then.
 func (ms *members) connectTimedOut(ref slots.Ref) {
 	m := ms.conns.Get(ref)
 	if m == nil || m.phase > starting {
 		return
 	}
-	if m.working {
-		ms.finish(ref, m.notConnected(), false)
+	if m.hasJob {
+		ms.finishJob(ref, m.connectFailure(), false)
 	}
 	if m.phase == dialling {
 		m.abandoned = true
@@ -333,18 +333,18 @@
 	ms.release(ref)
 }
 
-func (ms *members) idleTooLong(ref slots.Ref) {
+func (ms *members) idleTimedOut(ref slots.Ref) {
 	if m := ms.conns.Get(ref); m != nil && m.phase == idle {
 		ms.release(ref)
 	}
 }
 
-// bar closes the idle connections to a member and has all others end with what they are doing.
-func (ms *members) bar(server decide.Server) {
+// drainMember closes the idle connections to a member and lets all others finish their current job only.
+func (ms *members) drainMember(server decide.Server) {
 	ms.closeIdle(server)
 	for _, ref := range ms.conns.Refs() {
 		if m := ms.conns.Get(ref); m.server == server {
-			m.barred = true
+			m.draining = true
 		}
 	}
 }
@@ -356,60 +356,60 @@
 	}
 }
 
-// toIdle puts a connection that is ready for a query back into the pool.
-func (ms *members) toIdle(ref slots.Ref) {
+// returnToPool returns a connection that is ready for a query to the pool.
+func (ms *members) returnToPool(ref slots.Ref) {
 	m := ms.conns.Get(ref)
-	if m.barred || ms.g.discovery.leave[m.server] { // nothing more goes there: it is given back with its last answer
+	if m.draining || ms.g.discovery.leave[m.server] { // no further query goes there: close it after its last response
 		ms.release(ref)
 		return
 	}
 	m.phase, m.since = idle, ms.g.clock.now()
 	p := ms.poolOf(m.server)
 	p.idle = append(p.idle, ref)
-	// Clearly before the member closes it: what is written to it from then on ends as a reset.
-	m.patience = ms.g.deadlines.Add(int64(m.since+decide.Millis(0.8*ms.g.names.Limits.KeepaliveMs)),
+	// Well before the member closes it: a query written after that fails with a reset.
+	m.deadline = ms.g.deadlines.Add(int64(m.since+decide.Millis(0.8*ms.g.names.Limits.KeepaliveMs)),
 		due{kind: dueIdle, ref: ref})
 }
 
-// finish ends a connection's job for the module, with what the member told of itself, if it did.
-func (ms *members) finish(ref slots.Ref, r decide.Result, told bool) {
+// finishJob ends a connection's job and reports it, with the member's status if hasResponse is set.
+func (ms *members) finishJob(ref slots.Ref, r decide.Result, hasResponse bool) {
 	m := ms.conns.Get(ref)
-	m.working = false
-	ms.g.deadlines.Remove(m.patience)
-	m.patience = nil
-	var a *answer
-	if told {
-		a = &m.answer
+	m.hasJob = false
+	ms.g.deadlines.Remove(m.deadline)
+	m.deadline = nil
+	var a *response
+	if hasResponse {
+		a = &m.response
 	}
-	ms.noteEnd(m.job, m.server, r, a)
+	ms.reportJobEnd(m.job, m.server, r, a)
 }
 
-// noteEnd notes the end of a job for the module.
-func (ms *members) noteEnd(j job, server decide.Server, r decide.Result, a *answer) {
-	in := input{kind: inEnded, ref: j.txn, no: j.no, server: server, result: r, elapsed: ms.g.clock.now() - j.at,
-		fence: j.fence, group: j.group}
+// reportJobEnd queues the end of a job as an input of the decision module.
+func (ms *members) reportJobEnd(j job, server decide.Server, r decide.Result, a *response) {
+	in := input{kind: inEnded, ref: j.txn, no: j.submissionNo, server: server, result: r, elapsed: ms.g.clock.now() - j.startedAt,
+		fence: j.fenceRequestNo, group: j.group}
 	if j.probe {
 		in.kind = inProbed
 	}
 	if a != nil {
-		in.report = a.report
+		in.report = a.loadReport
 		in.role = a.role
-		in.position, _ = ms.position(a.position)
+		in.position, _ = ms.localPosition(a.position)
 	}
 	ms.g.inputs = append(ms.g.inputs, in)
 }
 
-// position is a position on the gateway's clock, 0 where it was not told or lies ahead.
-func (ms *members) position(unixMs float64) (at decide.Nanos, ok bool) {
+// localPosition converts a position to the gateway's clock; ok is false if it is missing or too far ahead.
+func (ms *members) localPosition(unixMs float64) (at decide.Nanos, ok bool) {
 	at = ms.g.clock.at(unixMs)
-	if unixMs <= 0 || at > ms.g.clock.now()+mostEarly+decide.Nanos(ms.g.config.ClockError) {
+	if unixMs <= 0 || at > ms.g.clock.now()+maxPositionLead+decide.Nanos(ms.g.config.ClockError) {
 		return 0, false
 	}
 	return at, true
 }
 
-// resultOf is what an error of a member means.
-func resultOf(code string) decide.Result {
+// resultForCode maps the SQLSTATE of a member's error to a result.
+func resultForCode(code string) decide.Result {
 	switch code {
 	case "25006", "72000":
 		return decide.NotEligible
@@ -419,133 +419,134 @@
 	return decide.Failed
 }
 
-// readMember reads what a member sent.
+// readMember processes what a member sent.
 func (ms *members) readMember(ref slots.Ref) {
 	for {
 		m := ms.conns.Get(ref)
 		if m == nil {
 			return
 		}
-		// Until a message is whole its buffer is not looked at: to join what a ring holds in two parts costs a copy.
-		here := m.conn.InboundBuffered()
-		if here < m.needs {
-			ms.part(ref, m, here)
+		// The buffer is not read until a message is complete: joining the two halves of a wrapped ring buffer costs a copy.
+		buffered := m.conn.InboundBuffered()
+		if buffered < m.bytesNeeded {
+			ms.receivePartial(ref, m, buffered)
 			return
 		}
 		buf, err := m.conn.Peek(-1)
 		if err != nil {
 			return
 		}
-		a := &m.answer
-		kind, body, size, err := pgwire.ReadMessage(buf[a.read:], mostAnswer)
-		if err != nil || len(buf) > mostAnswer || !pgwire.MayBeResponse(buf[a.read:], mostAnswer) {
-			ms.memberRefused(ref)
+		a := &m.response
+		kind, body, size, err := pgwire.ReadMessage(buf[a.readBytes:], maxResponseSize)
+		if err != nil || len(buf) > maxResponseSize || !pgwire.MayBeResponse(buf[a.readBytes:], maxResponseSize) {
+			ms.rejectResponse(ref)
 			return
 		}
-		m.needs = 0
+		m.bytesNeeded = 0
 		if size == 0 {
-			if rest := buf[a.read:]; len(rest) >= pgwire.HeaderSize+pgwire.ColumnHeaderSize {
-				m.needs = a.read + pgwire.MessageSize(rest)
+			if rest := buf[a.readBytes:]; len(rest) >= pgwire.HeaderSize+pgwire.ColumnHeaderSize {
+				m.bytesNeeded = a.readBytes + pgwire.MessageSize(rest)
 			}
-			ms.part(ref, m, here)
+			ms.receivePartial(ref, m, buffered)
 			return
 		}
-		from := a.read
-		a.read += size
+		from := a.readBytes
+		a.readBytes += size
 		ok := true
-		// Messages come in the protocol's order: row description, row, completion, or at any point before that an
-		// error; then the end. What a member tells of itself comes anywhere.
-		answering := m.phase == busy && !a.complete && a.problem.Code == ""
+		// Messages follow the protocol's order: row description, row, completion, or an error at any point before that;
+		// then ReadyForQuery. Parameter statuses and notices may come anywhere.
+		answering := m.phase == busy && !a.complete && a.errorResponse.Code == ""
 		switch {
 		case m.phase == idle && (kind == 'S' || kind == 'N'):
 			_, _ = m.conn.Discard(size)
-			a.read = 0
+			a.readBytes = 0
 		case kind == 'S':
-			ok = ms.parameter(a, body)
+			ok = ms.readParameter(a, body)
 		case kind == 'N':
 		case kind == 'Z':
-			ok = bytes.Equal(body, []byte{'I'}) && ms.ready(ref, m, buf)
+			ok = bytes.Equal(body, []byte{'I'}) && ms.handleReady(ref, m, buf)
 		case m.phase == starting && kind == 'R':
 			ok = bytes.Equal(body, []byte{0, 0, 0, 0})
 		case m.phase == starting && kind == 'K':
 		case kind == 'E' && (answering || m.phase == starting):
-			a.problem = pgwire.ReadErrorResponse(body)
-			// Before its first query a member that is full has no connection to give.
-			ok = m.phase == busy && a.problem.Code != ""
+			a.errorResponse = pgwire.ReadErrorResponse(body)
+			// Before the first query an error, such as a reached connection limit, ends the connection.
+			ok = m.phase == busy && a.errorResponse.Code != ""
 		case answering && kind == 'T' && a.columns == 0:
 			a.columns = pgwire.CountColumns(body)
-			a.take(from, size)
+			a.addRange(from, size)
 			ok = a.columns == 1
 		case answering && kind == 'D' && a.columns == 1 && a.rows == 0:
 			var value []byte
 			value, ok = pgwire.ReadColumn(body)
 			a.rows++
-			a.value = len(value)
-			a.valueFrom = from + size - len(value)
-			a.take(from, size)
+			a.valueSize = len(value)
+			a.valueOffset = from + size - len(value)
+			a.addRange(from, size)
 		case answering && kind == 'C' && a.rows == 1:
 			_, ok = pgwire.ReadString(body)
 			a.complete = true
-			a.take(from, size)
+			a.addRange(from, size)
 		default:
 			ok = false
 		}
 		if !ok {
-			ms.memberRefused(ref)
+			ms.rejectResponse(ref)
 			return
 		}
 	}
 }
 
-// part notes that an answer is not whole yet. All of them together are held to a part of the memory.
-func (ms *members) part(ref slots.Ref, m *memberConn, here int) {
-	ms.answering += here - m.held
-	m.held = here
-	if here == 0 || m.phase != busy || !m.working {
+// receivePartial handles an incomplete response. All of them together may fill only a fraction of the memory limit.
+func (ms *members) receivePartial(ref slots.Ref, m *memberConn, buffered int) {
+	ms.bufferedBytes += buffered - m.bufferedBytes
+	m.bufferedBytes = buffered
+	if buffered == 0 || m.phase != busy || !m.hasJob {
 		return
 	}
-	if ms.answering > ms.g.config.Limits.MemoryMB<<20/memoryPart {
-		ms.memberRefused(ref)
+	if ms.bufferedBytes > ms.g.config.Limits.MemoryMB<<20/bufferMemoryDivisor {
+		ms.rejectResponse(ref)
 		return
 	}
-	first := m.heardAt == 0
-	m.heardAt = ms.g.clock.now()
+	first := m.lastPartAt == 0
+	m.lastPartAt = ms.g.clock.now()
 	ms.g.inputs = append(ms.g.inputs, input{kind: inHeard, server: m.server})
 	if first {
-		ms.awaitRest(ref, m)
+		ms.setStallDeadline(ref, m)
 	}
 }
 
-// awaitRest sets until when the next part of an answer has to come.
-func (ms *members) awaitRest(ref slots.Ref, m *memberConn) {
-	ms.g.deadlines.Remove(m.patience)
-	m.patience = ms.g.deadlines.Add(int64(min(m.job.until, m.heardAt+mostStill)), due{kind: dueSubmission, ref: ref})
+// setStallDeadline sets the time by which the next part of a response must arrive.
+func (ms *members) setStallDeadline(ref slots.Ref, m *memberConn) {
+	ms.g.deadlines.Remove(m.deadline)
+	m.deadline = ms.g.deadlines.Add(int64(min(m.job.deadline, m.lastPartAt+responseStallTimeout)), due{kind: dueSubmission, ref: ref})
 }
 
-// memberRefused ends a connection that brought what it should not have.
-func (ms *members) memberRefused(ref slots.Ref) {
+// rejectResponse closes a connection on which the member sent something invalid.
+func (ms *members) rejectResponse(ref slots.Ref) {
 	m := ms.conns.Get(ref)
 	if m == nil {
 		return
 	}
-	if m.working && m.phase == starting && m.answer.problem.Code == "53300" && m.job.probe {
-		// It has no connection to give, yet it answered: that is what a probe asks.
-		ms.finish(ref, decide.Committed, false)
+	if m.hasJob && m.phase == starting && m.response.errorResponse.Code == "53300" && m.job.probe {
+		// Its connection limit is reached, yet it responded: that is all a probe needs.
+		ms.finishJob(ref, decide.Committed, false)
 	}
-	m.broken = true
+	m.protocolError = true
 	ms.memberClosed(ref, true)
 }
 
-func (a *answer) take(from, size int) {
-	if n := len(a.parts); n > 0 && a.parts[n-1][1] == from {
-		a.parts[n-1][1] += size
+// addRange adds a message to the ranges to forward, merging it with the last one if adjacent.
+func (a *response) addRange(from, size int) {
+	if n := len(a.ranges); n > 0 && a.ranges[n-1][1] == from {
+		a.ranges[n-1][1] += size
 		return
 	}
-	a.parts = append(a.parts, [2]int{from, from + size})
+	a.ranges = append(a.ranges, [2]int{from, from + size})
 }
 
-// parameter takes what a member tells of itself.
-func (ms *members) parameter(a *answer, body []byte) bool {
+// readParameter records the role, position or load report in a ParameterStatus message.
+func (ms *members) readParameter(a *response, body []byte) bool {
 	name, value, ok := pgwire.ReadParameterStatus(body)
 	if !ok {
 		return false
@@ -561,14 +562,14 @@
 	case "wal_time":
 		a.position, _ = pgwire.ParseNumber(value)
 	case "stats":
-		a.report = ms.reportOf(value)
+		a.loadReport = ms.parseLoadReport(value)
 	}
 	return true
 }
 
-// reportOf gives a report's values in the order in which the settings name them. One that cannot be read, or
-// lacks a value, tells nothing: a value that is not there is not zero.
-func (ms *members) reportOf(text []byte) []float64 {
+// parseLoadReport returns a report's values in the order in which the settings name them. It returns nil for a report that
+// is malformed or lacks a value: a missing value is not zero.
+func (ms *members) parseLoadReport(text []byte) []float64 {
 	report := make([]float64, len(ms.g.names.LoadReport.Fields))
 	for i := range report {
 		report[i] = -1
@@ -586,7 +587,7 @@
 			continue
 		}
 		if string(name) == "x0" {
-			at, ok := ms.position(x)
+			at, ok := ms.localPosition(x)
 			if !ok {
 				return nil
 			}
@@ -600,23 +601,23 @@
 	return report
 }
 
-// ready takes ReadyForQuery: a connection has come up, or an answer is whole.
-func (ms *members) ready(ref slots.Ref, m *memberConn, buf []byte) bool {
-	a := &m.answer
+// handleReady handles ReadyForQuery: a connection is established, or a response is complete.
+func (ms *members) handleReady(ref slots.Ref, m *memberConn, buf []byte) bool {
+	a := &m.response
 	switch m.phase {
 	case starting:
-		ms.g.deadlines.Remove(m.connect)
-		m.connect = nil
-		_, _ = m.conn.Discard(a.read)
-		a.read = 0
+		ms.g.deadlines.Remove(m.connectDeadline)
+		m.connectDeadline = nil
+		_, _ = m.conn.Discard(a.readBytes)
+		a.readBytes = 0
 		if m.conn.InboundBuffered() > 0 {
 			return false
 		}
-		if m.working {
-			ms.begin(ref)
+		if m.hasJob {
+			ms.sendQuery(ref)
 		} else {
-			m.answer = answer{}
-			ms.toIdle(ref)
+			m.response = response{}
+			ms.returnToPool(ref)
 		}
 		return true
 	case busy:
@@ -625,18 +626,18 @@
 	}
 	r := decide.Committed
 	switch {
-	case a.problem.Code != "":
-		r = resultOf(a.problem.Code)
+	case a.errorResponse.Code != "":
+		r = resultForCode(a.errorResponse.Code)
 	case a.columns != 1 || a.rows != 1 || !a.complete:
 		return false
 	}
 	if m.job.probe {
-		if a.problem.Code == "" && ms.g.names.LoadReport.How != "none" {
-			a.report = ms.reportOf(buf[a.valueFrom : a.valueFrom+a.value])
+		if a.errorResponse.Code == "" && ms.g.names.LoadReport.How != "none" {
+			a.loadReport = ms.parseLoadReport(buf[a.valueOffset : a.valueOffset+a.valueSize])
 		}
 	} else if r == decide.Committed {
 		parts := ms.g.parts[:0]
-		for _, p := range a.parts {
+		for _, p := range a.ranges {
 			parts = append(parts, buf[p[0]:p[1]])
 		}
 		ms.g.parts = parts
@@ -647,21 +648,21 @@
 		}
 		parts = append(parts, pgwire.AppendReadyForQuery(nil))
 		if ms.g.waitsForMark(m.job.txn) {
-			ms.g.answerLater(m.job.txn, parts...)
+			ms.g.delayResponse(m.job.txn, parts...)
 			ms.g.sessions.SaveChanges(m.job.txn)
 		} else {
-			ms.g.answer(m.job.txn, parts...)
+			ms.g.respond(m.job.txn, parts...)
 		}
 	}
-	ms.finish(ref, r, true)
-	ms.answering -= m.held
-	m.held = 0
-	_, _ = m.conn.Discard(a.read)
-	*a = answer{parts: a.parts[:0]}
+	ms.finishJob(ref, r, true)
+	ms.bufferedBytes -= m.bufferedBytes
+	m.bufferedBytes = 0
+	_, _ = m.conn.Discard(a.readBytes)
+	*a = response{ranges: a.ranges[:0]}
 	if m.conn.InboundBuffered() > 0 {
-		ms.release(ref) // nobody asked for more
+		ms.release(ref) // unexpected input after the response
 		return true
 	}
-	ms.toIdle(ref)
+	ms.returnToPool(ref)
 	return true
 }
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -13,7 +13,7 @@
 )
 
 // zoned starts a gateway before a primary in zone a and a replica in each of a and b.
-func zoned(t *testing.T, log *slog.Logger) (front *standin.ClientPool, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
+func startZoned(t *testing.T, log *slog.Logger) (front *standin.ClientPool, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
 	g0, members := group(0, 2)
 	for _, m := range members {
 		hosts = append(hosts, m.ListEntry("active"))
@@ -31,7 +31,7 @@
 // Reads of a route with a pool of zones go there, also where members elsewhere are nearer; once none there may get
 // anything, they go where they can. A route that does not go to a group turns away what names it.
 func TestPools(t *testing.T) {
-	front, g0, g, list, hosts := zoned(t, slog.New(slog.DiscardHandler))
+	front, g0, g, list, hosts := startZoned(t, slog.New(slog.DiscardHandler))
 	c := front.NewClient("d001", standin.TxnTypes{Read: "any", Write: "keyed"})
 	defer c.Close()
 	reads := func(n int) (at map[string]int) {
@@ -76,7 +76,7 @@
 // there stays, and one that goes makes room. What is logged follows the generation.
 func TestConnectionsAndLog(t *testing.T) {
 	log, lines := logLines()
-	front, _, g, _, _ := zoned(t, log)
+	front, _, g, _, _ := startZoned(t, log)
 	bound := func(n int, level string) *routes.Document {
 		return &routes.Document{LogLevel: level, Tenants: []routes.Tenant{{Name: "t", Weight: 1, MaxConnections: n}},
 			Routes: []routes.Route{{Name: "all", Users: []string{"portal"}, Tenant: "t", RetryRatio: -1}}}
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -71,12 +71,12 @@
 	}
 	for _, ref := range gs.g.txns.Refs() { // what is under way counts, whatever it was begun under
 		t := gs.g.txns.Get(ref)
-		if t.counted && len(t.bounds) == 0 {
-			t.bounds = gs.boundsOf(t)
-			for _, b := range t.bounds {
+		if t.countedInFlight && len(t.fleetLimits) == 0 {
+			t.fleetLimits = gs.boundsOf(t)
+			for _, b := range t.fleetLimits {
 				gs.g.quotas.Module.AddExisting(b.flight, 1)
-				t.bytes = gs.g.quotas.Module.ClampToLimit(b.bytes, int64(t.size))
-				gs.g.quotas.Module.AddExisting(b.bytes, t.bytes)
+				t.fleetLimitBytes = gs.g.quotas.Module.ClampToLimit(b.bytes, int64(t.querySize))
+				gs.g.quotas.Module.AddExisting(b.bytes, t.fleetLimitBytes)
 			}
 		}
 	}
@@ -87,8 +87,8 @@
 	if n := t.route.Tenant; n >= 0 && int(n) < len(gs.inForce.fleet) && gs.inForce.fleet[n] != nil && t.generation == gs.inForce {
 		all = append(all, gs.inForce.fleet[n])
 	}
-	if gs.told != nil && t.alsoTenant >= 0 && int(t.alsoTenant) < len(gs.told.fleet) {
-		if b := gs.told.fleet[t.alsoTenant]; b != nil && (len(all) == 0 || all[0].tenant != b.tenant) {
+	if gs.told != nil && t.nextTenant >= 0 && int(t.nextTenant) < len(gs.told.fleet) {
+		if b := gs.told.fleet[t.nextTenant]; b != nil && (len(all) == 0 || all[0].tenant != b.tenant) {
 			all = append(all, b)
 		}
 	}
@@ -101,20 +101,20 @@
 	if q == nil || len(gs.inForce.fleet) == 0 && gs.told == nil {
 		return routes.Allowed, 0, false
 	}
-	t.bounds = gs.boundsOf(t)
-	if len(t.bounds) == 0 {
+	t.fleetLimits = gs.boundsOf(t)
+	if len(t.fleetLimits) == 0 {
 		return routes.Allowed, 0, false
 	}
 	q.UpdateClock()
 	q.RequestRound()
-	t.bytes = int64(t.size)
-	for _, b := range t.bounds {
-		t.bytes = min(t.bytes, q.Module.ClampToLimit(b.bytes, t.bytes))
+	t.fleetLimitBytes = int64(t.querySize)
+	for _, b := range t.fleetLimits {
+		t.fleetLimitBytes = min(t.fleetLimitBytes, q.Module.ClampToLimit(b.bytes, t.fleetLimitBytes))
 		for _, x := range [...]struct {
 			key   uint64
 			units int64
 			why   routes.RejectReason
-		}{{b.rate, quota.UnitsPerTxn, routes.TenantRate}, {b.flight, 1, routes.TenantInFlight}, {b.bytes, t.bytes, routes.TenantBytes}} {
+		}{{b.rate, quota.UnitsPerTxn, routes.TenantRate}, {b.flight, 1, routes.TenantInFlight}, {b.bytes, t.fleetLimitBytes, routes.TenantBytes}} {
 			if x.key == 0 {
 				continue
 			}
@@ -124,26 +124,26 @@
 		}
 	}
 	if why != routes.Allowed {
-		t.bounds = nil
+		t.fleetLimits = nil
 	}
 	return why, after, first
 }
 
 // beginOfFleet counts a txn that mayOfFleet allowed, endOfFleet takes it back.
 func (gs *generations) beginOfFleet(t *txn) {
-	for _, b := range t.bounds {
+	for _, b := range t.fleetLimits {
 		gs.g.quotas.Module.Begin(b.rate, quota.UnitsPerTxn)
 		gs.g.quotas.Module.Begin(b.flight, 1)
-		gs.g.quotas.Module.Begin(b.bytes, t.bytes)
+		gs.g.quotas.Module.Begin(b.bytes, t.fleetLimitBytes)
 	}
 }
 
 func (gs *generations) endOfFleet(t *txn) {
-	for _, b := range t.bounds {
+	for _, b := range t.fleetLimits {
 		gs.g.quotas.Module.End(b.flight, 1)
-		gs.g.quotas.Module.End(b.bytes, t.bytes)
+		gs.g.quotas.Module.End(b.bytes, t.fleetLimitBytes)
 	}
-	t.bounds = nil
+	t.fleetLimits = nil
 }
 
 // mayConnect tells whether a client of a tenant may be let in by the fleet's bound, and counts it; first is as above.
@@ -156,7 +156,7 @@
 	q.RequestRound()
 	if ok, _, first = q.Module.CanBegin(key, 1); ok {
 		q.Module.Begin(key, 1)
-		c.connects = key
+		c.connectionLimit = key
 	}
 	return ok, first
 }
@@ -164,13 +164,13 @@
 // waitsForPart tells whether a client's query, or its coming, is to wait a moment for a first part of a bound of the fleet.
 func (cs *clients) waitsForPart(c *client) bool {
 	now := int64(cs.g.clock.now())
-	c.partAt, c.partSeen = cmp.Or(c.partAt, now), cs.g.quotas.Module.ResponseCount()
-	return now-c.partAt < quota.MaxFirstWait
+	c.allocationWaitSince, c.allocatorResponsesSeen = cmp.Or(c.allocationWaitSince, now), cs.g.quotas.Module.ResponseCount()
+	return now-c.allocationWaitSince < quota.MaxFirstWait
 }
 
 // stillWaits tells, without asking for more, whether one that waits goes on to: nothing has come since it was told so.
 func (cs *clients) stillWaits(c *client) bool {
-	return c.partAt != 0 && c.partSeen == cs.g.quotas.Module.ResponseCount() && int64(cs.g.clock.now())-c.partAt < quota.MaxFirstWait
+	return c.allocationWaitSince != 0 && c.allocatorResponsesSeen == cs.g.quotas.Module.ResponseCount() && int64(cs.g.clock.now())-c.allocationWaitSince < quota.MaxFirstWait
 }
 
 // Shares tells of the bounds of the fleet as this gateway has them; nil where it agrees on nothing with others.
--- a/gateway/races_test.go
+++ b/gateway/races_test.go
@@ -18,7 +18,7 @@
 // What comes between two steps of an end, a hand-over or a wait, on real connections, each time in the order that harms.
 
 // speak opens a connection without a library, past the startup messages.
-func (w *world) speak() (net.Conn, *bufio.Reader) {
+func (w *world) dialSession() (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp4", w.address)
 	must(err)
 	must(c.SetDeadline(time.Now().Add(soon)))
@@ -30,7 +30,7 @@
 }
 
 // large words a write of a value of 64 KiB.
-func large(class string) string {
+func largeWrite(class string) string {
 	return strings.Replace(sql(class, ""), `\x9f03`, `\x`+strings.Repeat("9f", 64<<10), 1)
 }
 
@@ -39,11 +39,11 @@
 func Example_pipelineOfLargeWrites() {
 	w := start(256, newMember("m", "read-write"))
 	defer w.stop()
-	c, r := w.speak()
+	c, r := w.dialSession()
 	defer c.Close()
 	all := ""
 	for range 6 {
-		all += query(large("once"))
+		all += query(largeWrite("once"))
 	}
 	go func() { _, _ = io.WriteString(c, all) }()
 	for range 6 {
@@ -94,12 +94,12 @@
 
 // At an end that was asked for, what is taken has its answer before a kill may come, however long its client would wait: the
 // platform waits no longer than the longest time of a txn type, and its clients send as long as a connection is open.
-func Example_answeredBeforeTheKill() {
+func Example_answeredBeforeKill() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"silent"}, 9)...)
 	w := start(256, m)
 	defer w.stop()
 	long := func() string { return query(strings.Replace(sql("once", ""), "d=900", "d=30000", 1)) }
-	c, r := w.speak()
+	c, r := w.dialSession()
 	defer c.Close()
 	_, err := io.WriteString(c, long())
 	must(err)
@@ -119,11 +119,11 @@
 
 // A client that always has a command ahead of its answers is served for as long as it likes: each command's time runs from when
 // it came, not from when the first of all came. Commands past the first second were declined unsent.
-func Example_alwaysOneAhead() {
+func Example_pipelineOneAhead() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"slow"}, 100)...)
 	w := start(256, m)
 	defer w.stop()
-	c, r := w.speak()
+	c, r := w.dialSession()
 	defer c.Close()
 	_, err := io.WriteString(c, query(sql("once", ""))+query(sql("once", "")))
 	must(err)
--- a/gateway/reentry_test.go
+++ b/gateway/reentry_test.go
@@ -11,7 +11,7 @@
 )
 
 // awaitHangUp waits until the other side of a connection has reset it, and leaves that unread.
-func awaitHangUp(t *testing.T, fd int) {
+func awaitReset(t *testing.T, fd int) {
 	t.Helper()
 	for end := time.Now().Add(soonHeld); time.Now().Before(end); {
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -56,11 +56,11 @@
 		}
 		late.Store(&answered)
 		up.row("m", "read-only")
-		awaitUnread(t, g.members.conns.Get(g.txns.Get(request).subs[0]).conn.Fd())
+		awaitUnread(t, g.members.conns.Get(g.txns.Get(request).submissions[0]).conn.Fd())
 		_ = c.SetLinger(0)
 		_ = c.Close()
-		for _, ref := range g.clients.open.Refs() {
-			awaitHangUp(t, g.clients.open.Get(ref).conn.Fd())
+		for _, ref := range g.clients.conns.Refs() {
+			awaitReset(t, g.clients.conns.Get(ref).conn.Fd())
 		}
 	})
 	other := heldClient(t, g)
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -43,14 +43,14 @@
 	if t.comment.After > 0 {
 		brought = g.position(decide.Millis(t.comment.After - float64(g.clock.zero)))
 	}
-	t.held, t.until = true, g.clock.now()+budget
-	g.sessions.AddRead(t.id, t.comment.Group, t.session, brought, t.comment.Token, int64(t.until))
+	t.awaitingFloor, t.heldUntil = true, g.clock.now()+budget
+	g.sessions.AddRead(t.id, t.comment.Group, t.session, brought, t.comment.Token, int64(t.heldUntil))
 }
 
 // committed notes a session's write before it is answered, and gives what its client is to carry.
 func (g *Gateway) committed(t *txn, unixMs float64) (parameter []byte) {
 	p := session.Position(0)
-	if at, ok := g.members.position(unixMs); ok {
+	if at, ok := g.members.localPosition(unixMs); ok {
 		p = g.position(at)
 	}
 	if token := g.sessions.RecordCommit(t.comment.Group, t.session, p); token != nil {
@@ -97,10 +97,10 @@
 func (x sessionTxns) Serve(read uint64, floor session.Position) {
 	g := x.g
 	t := g.txns.Get(g.byID[read])
-	if t == nil || !t.held {
+	if t == nil || !t.awaitingFloor {
 		return
 	}
-	t.held = false
+	t.awaitingFloor = false
 	now := g.clock.now()
 	var age decide.Nanos
 	if floor > 0 {
@@ -110,7 +110,7 @@
 			age = -1
 		}
 	}
-	if err := g.module.AddTxn(t.id, t.class, 0, t.session, max(1, t.until-now), 0, t.comment.Group, age); err != nil {
+	if err := g.module.AddTxn(t.id, t.class, 0, t.session, max(1, t.heldUntil-now), 0, t.comment.Group, age); err != nil {
 		g.rollBack(t.id)
 		return
 	}
@@ -120,8 +120,8 @@
 // Refuse declines a read.
 func (x sessionTxns) Refuse(read uint64, after int64) {
 	if t := x.g.txns.Get(x.g.byID[read]); t != nil {
-		t.held = false
-		x.g.decline(read, decide.Nanos(after))
+		t.awaitingFloor = false
+		x.g.reject(read, decide.Nanos(after))
 	}
 }
 
@@ -132,30 +132,30 @@
 		return false
 	}
 	now := x.g.clock.now()
-	x.g.members.connect(server, job{probe: true, fence: no, group: group, at: now, until: now + decide.Nanos(wait)})
+	x.g.members.startJob(server, job{probe: true, fenceRequestNo: no, group: group, startedAt: now, deadline: now + decide.Nanos(wait)})
 	return true
 }
 
 // IsWaiting tells whether an answer waits for its mark.
 func (x sessionTxns) IsWaiting(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
-	return t != nil && t.waiting != nil
+	return t != nil && t.delayedResponse != nil
 }
 
 // ReleaseAnswer gives it.
 func (x sessionTxns) ReleaseAnswer(ref slots.Ref, early bool) {
-	x.g.txns.Get(ref).early = early
-	x.g.answerWaiting(ref)
+	x.g.txns.Get(ref).awaitingLedger = early
+	x.g.sendDelayedResponse(ref)
 }
 
 // EarlyAnswerWritten frees the place of one that went out early.
 func (x sessionTxns) EarlyAnswerWritten(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
-	if t == nil || !t.early {
+	if t == nil || !t.awaitingLedger {
 		return false
 	}
-	t.early = false
-	x.g.settled(ref, false)
+	t.awaitingLedger = false
+	x.g.releaseIfDone(ref, false)
 	return true
 }
 
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -44,9 +44,9 @@
 
 // leaves takes it back.
 func (cs *clients) leaves(c *client) {
-	if c.connects != 0 {
-		cs.g.quotas.Module.End(c.connects, 1)
-		c.connects = 0
+	if c.connectionLimit != 0 {
+		cs.g.quotas.Module.End(c.connectionLimit, 1)
+		c.connectionLimit = 0
 	}
 	if c.tenant > 0 {
 		cs.g.generations.inForce.shares.AddConnections(c.tenant-1, -1)
@@ -57,11 +57,11 @@
 // recount counts all clients against the tenants of a generation that comes in force. Who is there stays, also past a
 // new bound.
 func (cs *clients) recount(x *generation) {
-	for _, ref := range cs.open.Refs() {
-		c := cs.open.Get(ref)
-		if c.connects != 0 {
-			cs.g.quotas.Module.End(c.connects, 1)
-			c.connects = 0
+	for _, ref := range cs.conns.Refs() {
+		c := cs.conns.Get(ref)
+		if c.connectionLimit != 0 {
+			cs.g.quotas.Module.End(c.connectionLimit, 1)
+			c.connectionLimit = 0
 		}
 		if c.tenant = 0; !c.admitted {
 			continue
@@ -70,8 +70,8 @@
 			x.shares.AddConnections(n, 1)
 			c.tenant = n + 1
 			if int(n) < len(x.fleet) && x.fleet[n] != nil && x.fleet[n].connects != 0 {
-				c.connects = x.fleet[n].connects
-				cs.g.quotas.Module.AddExisting(c.connects, 1)
+				c.connectionLimit = x.fleet[n].connects
+				cs.g.quotas.Module.AddExisting(c.connectionLimit, 1)
 			}
 		}
 	}
--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -26,7 +26,7 @@
 	mu        sync.Mutex // of the log, which the loop writes
 }
 
-var alikeOnWires = []struct {
+var wireNormalizers = []struct {
 	at *regexp.Regexp
 	to string
 }{
@@ -34,12 +34,12 @@
 	{regexp.MustCompile(`(longest_turn_us|latest_timer_us|most_descriptors)=\d+`), "$1=N"},
 }
 
-func (r *recorder) says(who, format string, a ...any) {
-	fmt.Fprintf(&r.text, "%-10s %s\n", who+":", alikeOnWire(fmt.Sprintf(format, a...)))
+func (r *recorder) record(source, format string, a ...any) {
+	fmt.Fprintf(&r.text, "%-10s %s\n", source+":", normalizeWire(fmt.Sprintf(format, a...)))
 }
 
-func alikeOnWire(said string) string {
-	for _, x := range alikeOnWires {
+func normalizeWire(said string) string {
+	for _, x := range wireNormalizers {
 		said = x.at.ReplaceAllString(said, x.to)
 	}
 	return said
@@ -54,7 +54,7 @@
 	l.Attrs(func(a slog.Attr) bool { line += fmt.Sprintf(" %s=%v", a.Key, a.Value); return true })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fmt.Fprintf(&r.log, "log: %s\n", alikeOnWire(line))
+	fmt.Fprintf(&r.log, "log: %s\n", normalizeWire(line))
 	return nil
 }
 
@@ -65,20 +65,20 @@
 }
 
 // rested waits until members' idle connections have rested, so that the next query goes on one of them.
-func (g *Gateway) rested() {
+func (g *Gateway) awaitReusable() {
 	for all := false; !all; {
 		g.hold(func() {
 			all = true
 			for _, ref := range g.members.conns.Refs() {
 				m := g.members.conns.Get(ref)
-				all = all && (m.phase != idle || g.clock.now()-m.since >= leastRest)
+				all = all && (m.phase != idle || g.clock.now()-m.since >= minIdleBeforeReuse)
 			}
 		})
 	}
 }
 
 // admit takes a connection of the gateway's up to its first query.
-func (s *script) admit(t *testing.T) *end {
+func (s *script) acceptConnection(t *testing.T) *end {
 	up := s.next(t)
 	up.startup()
 	up.ready()
@@ -86,7 +86,7 @@
 }
 
 // told words the next call to discovery.
-func (e *end) told(t *testing.T) string {
+func (e *end) readCall(t *testing.T) string {
 	line, err := e.r.ReadString('\n')
 	if err != nil {
 		t.Fatal("no call: ", err)
@@ -100,14 +100,14 @@
 }
 
 // ended waits for the end of a connection.
-func (e *end) ended() string {
+func (e *end) awaitEnd() string {
 	if _, err := io.Copy(io.Discard, e.r); err != nil {
 		return "the connection broke"
 	}
 	return "the connection ended"
 }
 
-func TestTranscriptOfAnEndThatQueriesCross(t *testing.T) {
+func TestTranscriptOfAShutdownCrossedByQueries(t *testing.T) {
 	t.Parallel()
 	r := &recorder{t: t}
 	d, m := newScript(t), newScript(t)
@@ -115,24 +115,24 @@
 	d.next(t).call(t)
 	a, b, last := heldClient(t, g), heldClient(t, g), heldClient(t, g)
 	last.ask("once", 9000) // which is never sent twice, however long it takes
-	held := m.admit(t)
+	held := m.acceptConnection(t)
 	held.query()
-	r.says("last", "asks for a write; the member does not answer yet")
+	r.record("last", "asks for a write; the member does not answer yet")
 	a.ask("any", 9000)
-	up := m.admit(t)
+	up := m.acceptConnection(t)
 	up.query()
 	up.row("m", "read-only")
-	r.says("a", "%s", a.answer())
-	g.rested()
+	r.record("a", "%s", a.answer())
+	g.awaitReusable()
 	stop()
 	for leaves := false; !leaves; {
 		g.hold(func() { leaves = g.leaving })
 	}
-	r.says("operator", "SIGTERM")
-	r.says("a", "asks in the moment in which clients are sent away, and is not read yet")
+	r.record("operator", "SIGTERM")
+	r.record("a", "asks in the moment in which clients are sent away, and is not read yet")
 	g.hold(func() {
-		for _, ref := range g.clients.open.Refs() {
-			if c := g.clients.open.Get(ref); c.asked && c.stage == quiet {
+		for _, ref := range g.clients.conns.Refs() {
+			if c := g.clients.conns.Get(ref); c.hasQueried && c.stage == stageIdle {
 				a.ask("any", 9000)
 				awaitUnread(t, c.conn.Fd())
 			}
@@ -141,18 +141,18 @@
 	})
 	up.query()
 	up.row("m", "read-only")
-	r.says("a", "%s, then %s", a.answer(), a.ended())
-	r.says("b", "has asked nothing: %s", b.ended())
+	r.record("a", "%s, then %s", a.answer(), a.awaitEnd())
+	r.record("b", "has asked nothing: %s", b.awaitEnd())
 	again := heldClient(t, g)
-	g.rested()
+	g.awaitReusable()
 	again.ask("any", 9000)
 	up.query()
 	up.row("m", "read-only")
-	r.says("a", "asks once more on a new connection what crossed the end of another: %s", again.answer())
+	r.record("a", "asks once more on a new connection what crossed the end of another: %s", again.answer())
 	held.row("m", "read-only")
-	r.says("last", "%s, then %s", last.answer(), last.ended())
+	r.record("last", "%s, then %s", last.answer(), last.awaitEnd())
 	_ = again.Close()
-	r.says("gateway", "ends: %v", <-ended)
+	r.record("gateway", "ends: %v", <-ended)
 	r.approve("end-crossed")
 }
 
@@ -163,48 +163,48 @@
 	g, ended, stop := heldGateway(t, d, m.host("m", "active"))
 	c := heldClient(t, g)
 	var key pgwire.CancelKey
-	g.hold(func() { key = g.clients.open.Get(g.clients.open.Refs()[0]).key })
+	g.hold(func() { key = g.clients.conns.Get(g.clients.conns.Refs()[0]).cancelKey })
 	cancel := func(key pgwire.CancelKey) {
 		e := newEnd(dialled(t, g))
 		message := binary.BigEndian.AppendUint32([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key.Process)
 		_, _ = e.Write(binary.BigEndian.AppendUint32(message, key.Secret))
-		r.says("another", "sends a cancel request; %s", e.ended())
+		r.record("another", "sends a cancel request; %s", e.awaitEnd())
 	}
 	c.ask("any", 9000)
-	up := m.admit(t)
+	up := m.acceptConnection(t)
 	text, _ := up.query()
-	r.says("member", "gets %s", text)
-	r.says("another", "has a key that does not fit")
+	r.record("member", "gets %s", text)
+	r.record("another", "has a key that does not fit")
 	cancel(pgwire.CancelKey{Process: key.Process, Secret: key.Secret + 1})
-	r.says("another", "has the key")
+	r.record("another", "has the key")
 	cancel(key)
-	r.says("client", "%s", c.answer())
-	r.says("member", "%s", up.ended())
+	r.record("client", "%s", c.answer())
+	r.record("member", "%s", up.awaitEnd())
 	c.ask("any", 9000)
-	up = m.admit(t)
+	up = m.acceptConnection(t)
 	up.query()
 	up.row("m", "read-only")
-	r.says("client", "asks the next: %s", c.answer())
-	r.says("another", "cancels behind the answer")
+	r.record("client", "asks the next: %s", c.answer())
+	r.record("another", "cancels behind the answer")
 	cancel(key)
-	g.rested()
+	g.awaitReusable()
 	c.ask("any", 9000)
 	up.query()
 	up.row("m", "read-only")
-	r.says("client", "asks the next: %s", c.answer())
+	r.record("client", "asks the next: %s", c.answer())
 	stop()
 	<-ended
 	r.approve("cancelled")
 }
 
 // follows starts a gateway that follows the list of a discovery, which is called so, with one member.
-func (r *recorder) follows(called string, d, a *script) (g *Gateway, watch *end, stop func()) {
+func (r *recorder) startFollowing(discoveryName string, d, a *script) (g *Gateway, watch *end, stop func()) {
 	g, ended, leave := heldGatewayThatLogs(r.t, slog.New(r), d, a.host("a", "active"))
 	watch = d.next(r.t)
-	r.says("gateway", "%s", watch.told(r.t))
+	r.record("gateway", "%s", watch.readCall(r.t))
 	watch.list(5, a.host("a", "active"))
-	r.says(called, "list 5: a is active")
-	r.says("gateway", "%s", watch.told(r.t))
+	r.record(discoveryName, "list 5: a is active")
+	r.record("gateway", "%s", watch.readCall(r.t))
 	return g, watch, func() { leave(); <-ended }
 }
 
@@ -212,29 +212,29 @@
 	t.Parallel()
 	r := &recorder{t: t}
 	d, a, b := newScript(t), newScript(t), newScript(t)
-	g, watch, end := r.follows("discovery", d, a)
+	g, watch, end := r.startFollowing("discovery", d, a)
 	c := heldClient(t, g)
 	c.ask("any", 9000)
-	idle := a.admit(t)
+	idle := a.acceptConnection(t)
 	idle.query()
 	idle.row("a", "read-only")
-	r.says("client", "%s", c.answer())
-	r.says("discovery", "falls silent, and a begins to drain")
+	r.record("client", "%s", c.answer())
+	r.record("discovery", "falls silent, and a begins to drain")
 	g.timesOut(callWatch)
 	again := d.next(t)
-	r.says("gateway", "%s", again.told(t))
+	r.record("gateway", "%s", again.readCall(t))
 	again.list(6, a.host("a", "leaving"), b.host("b", "active"))
-	r.says("discovery", "list 6: a is leaving, b is active")
-	r.says("a", "%s", idle.ended())
-	r.says("gateway", "%s", again.told(t))
+	r.record("discovery", "list 6: a is leaving, b is active")
+	r.record("a", "%s", idle.awaitEnd())
+	r.record("gateway", "%s", again.readCall(t))
 	c.ask("any", 9000)
-	up := b.admit(t)
+	up := b.acceptConnection(t)
 	up.query()
 	up.row("b", "read-only")
-	r.says("client", "%s", c.answer())
-	r.says("discovery", "the watch that was silent brings what it missed")
+	r.record("client", "%s", c.answer())
+	r.record("discovery", "the watch that was silent brings what it missed")
 	watch.list(6, a.host("a", "leaving"), b.host("b", "active"))
-	r.says("gateway", "%s of the silent watch", watch.ended())
+	r.record("gateway", "%s of the silent watch", watch.awaitEnd())
 	r.approve("silent-watch")
 	end()
 }
@@ -243,27 +243,27 @@
 	t.Parallel()
 	r := &recorder{t: t}
 	former, next, a, b := newScript(t), newScript(t), newScript(t), newScript(t)
-	g, watch, end := r.follows("former", former, a)
+	g, watch, end := r.startFollowing("former", former, a)
 	c := g.config
 	c.Discovery = next.at()
-	r.says("operator", "SIGHUP, with another discovery; an answer of the former one is in the socket then")
+	r.record("operator", "SIGHUP, with another discovery; an answer of the former one is in the socket then")
 	g.hold(func() {
 		watch.list(6, a.host("a", "leaving"))
 		awaitUnread(t, g.discovery.calls[callWatch].conn.Fd())
 		g.reload(c)
 	})
-	r.says("former", "%s", watch.ended())
+	r.record("former", "%s", watch.awaitEnd())
 	call := next.next(t)
-	r.says("gateway", "%s", call.told(t))
+	r.record("gateway", "%s", call.readCall(t))
 	call.list(2, a.host("a", "active"), b.host("b", "leaving"))
-	r.says("next", "list 2, by numbers of its own: a is active, b is leaving")
-	r.says("gateway", "%s", call.told(t))
+	r.record("next", "list 2, by numbers of its own: a is active, b is leaving")
+	r.record("gateway", "%s", call.readCall(t))
 	asks := heldClient(t, g)
 	asks.ask("any", 9000)
-	up := a.admit(t)
+	up := a.acceptConnection(t)
 	up.query()
 	up.row("a", "read-only")
-	r.says("client", "%s", asks.answer())
+	r.record("client", "%s", asks.answer())
 	r.approve("reload")
 	end()
 }
