--- a/gateway/listed_test.go
+++ b/gateway/listed_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// wanderers are clients that write at some gateways and read at others, until they are ended, and tell what was stale.
+// roamingClients are clients that write at some gateways and read at others until they are stopped, and record stale reads.
 type roamingClients struct {
 	stop         chan struct{}
 	wg           sync.WaitGroup
@@ -66,86 +66,87 @@
 	}
 }
 
-// Sessions roam over a fleet whose list is agreed on while it changes: one leaves for good and another comes in its
-// place, while one is cut off from all that vote and knows of neither; one is taken out that is cut off and serves on; it
-// hears, says that it has ended, and comes back by a start. What clients read is never staler than what they were answered.
+// TestSessionsOnAnAgreedList checks that roaming sessions never read data staler than their acknowledged writes while the
+// agreed list of gateways changes. One gateway leaves permanently and another takes its place, while a third is cut off from
+// all voters and learns of neither. The third is evicted while it is cut off and keeps serving; once reconnected it reports
+// that it has ended, and it rejoins after a restart.
 func TestSessionsOnAnAgreedList(t *testing.T) {
 	u := newUnionOf(t, 5, 3, agreeing+"sessions {\n  tokens = \"hints\"\n}\n")
 	for _, m := range u.members[1:] {
 		m.SetLag(200 * time.Millisecond)
 	}
-	w := u.startRoaming(6)
-	status := func(gateway int, part string, there bool) {
+	clients := u.startRoaming(6)
+	awaitStatus := func(gateway int, text string, present bool) {
 		t.Helper()
-		u.await(fmt.Sprintf("gateway %d says %q: %v", gateway, part, there), func() bool {
-			return strings.Contains(u.said(gateway, "fleet", "status"), part) == there
+		u.await(fmt.Sprintf("status of gateway %d contains %q: %v", gateway, text, present), func() bool {
+			return strings.Contains(u.said(gateway, "fleet", "status"), text) == present
 		})
 	}
-	once := func(gateway int, code, value, key string) {
+	awaitWrite := func(gateway int, code, value, key string) {
 		t.Helper()
 		c := u.front.NewClient(code, classes)
 		defer c.Close()
-		u.await(fmt.Sprintf("gateway %d takes writes of sessions", gateway), func() bool {
+		u.await(fmt.Sprintf("gateway %d accepts session writes", gateway), func() bool {
 			a := c.Write(gateway, key+fmt.Sprint(time.Now().UnixNano()), value)
 			return a.Err == nil && a.Code == ""
 		})
 	}
-	reads := func(gateway int, code, value string) {
+	checkRead := func(gateway int, code, value string) {
 		t.Helper()
 		c := u.front.NewClient(code, classes)
 		defer c.Close()
 		if a := persist(c, gateway); a.Value != value {
-			t.Fatalf("read at n%d: %v, %s was answered", gateway, a, value)
+			t.Fatalf("read at n%d: %v, but %s was acknowledged", gateway, a, value)
 		}
 	}
 
-	// n3 is cut off from the others, not from its clients. n4 goes for good, and another one comes in its place.
+	// n3 is cut off from the other gateways, but not from its clients. n4 leaves permanently, and another takes its place.
 	u.wire.Isolate(3, true)
 	u.gateways[4].kill()
 	u.said(0, "fleet", "evict", "n4")
-	status(0, "n4 at", true) // a ghost: it may serve somebody yet, as far as the others know
+	awaitStatus(0, "n4 at", true) // departed: as far as the others know, it may still be serving clients
 	u.said(0, "fleet", "evict", "n4", "--ended")
-	status(0, "n4 at", false)
+	awaitStatus(0, "n4 at", false)
 	must(os.RemoveAll(filepath.Join(u.dir, "ledger4")))
 	u.gateways[4].start()
-	once(4, "ab01", "new", "x")
+	awaitWrite(4, "ab01", "new", "x")
 	for i := range u.gateways {
-		reads(i, "ab01", "new") // n3, which knows of no such gateway, asks the primary
+		checkRead(i, "ab01", "new") // n3, which does not know that gateway, fences at the primary
 	}
 
-	// n3 is taken out, and does not know it: it answers writes, and the others ask it in vain and then the primary.
+	// n3 is evicted without knowing it: it acknowledges writes; the others query it in vain and then fence at the primary.
 	u.said(0, "fleet", "evict", "n3")
-	status(1, "n3 at", true)
-	once(3, "ab02", "cut off", "y")
+	awaitStatus(1, "n3 at", true)
+	awaitWrite(3, "ab02", "cut off", "y")
 	for i := range u.gateways {
-		reads(i, "ab02", "cut off")
+		checkRead(i, "ab02", "cut off")
 	}
-	// It hears, answers no session's write any more, and says that it has ended.
+	// Reconnected, it learns of the eviction, acknowledges no session's write any more, and reports that it has ended.
 	u.wire.Isolate(3, false)
-	status(1, "n3 at", false)
+	awaitStatus(1, "n3 at", false)
 	c := u.front.NewClient("ab03", classes)
 	defer c.Close()
 	if a := c.Write(3, "late", "late"); a.Code != "53300" || a.RetryAfter == "" {
-		t.Fatalf("a session's write at a gateway that nobody asks: %v", a)
+		t.Fatalf("a session's write at a gateway that no other queries: %v", a)
 	}
-	reads(0, "ab02", "cut off")
+	checkRead(0, "ab02", "cut off")
 	u.gateways[3].kill()
 	u.gateways[3].start()
-	once(3, "ab04", "back", "z")
-	reads(2, "ab04", "back")
+	awaitWrite(3, "ab04", "back", "z")
+	checkRead(2, "ab04", "back")
 
-	// All that vote are killed: the others go on, and fence.
+	// All voters are killed: the others continue, and fence.
 	for i := range 3 {
 		u.gateways[i].kill()
 	}
-	status(3, "careful", true)
-	once(4, "ab05", "no voter", "v")
-	reads(3, "ab05", "no voter")
+	awaitStatus(3, "careful", true)
+	awaitWrite(4, "ab05", "no voter", "v")
+	checkRead(3, "ab05", "no voter")
 	for i := range 3 {
 		u.gateways[i].start()
 	}
-	status(3, "careful", false)
-	once(0, "ab06", "again", "v")
-	reads(3, "ab06", "again")
-	w.stopAndCheck(t)
+	awaitStatus(3, "careful", false)
+	awaitWrite(0, "ab06", "again", "v")
+	checkRead(3, "ab06", "again")
+	clients.stopAndCheck(t)
 }
--- a/gateway/outcomes_test.go
+++ b/gateway/outcomes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// awaitOutcome waits until a count by cause has come to what is wanted.
+// awaitOutcome waits until a counter of the outcomes has the wanted value.
 func awaitOutcome(t *testing.T, g *Gateway, count func(*Outcomes) uint64, want uint64) {
 	t.Helper()
 	for end := time.Now().Add(soonHeld); ; {
@@ -23,26 +23,27 @@
 	}
 }
 
-// Each close of a client's connection and each end of an attempt is counted under its cause.
+// TestOutcomesAreCountedByCause checks that each close of a client connection and each end of an attempt is counted under
+// its cause.
 func TestOutcomesAreCountedByCause(t *testing.T) {
 	t.Parallel()
 	d, m := newScript(t), newScript(t)
 	g, ended, stop := heldGateway(t, d, m.host("m", "active"))
-	leaves, terminates, spoils := heldClient(t, g), heldClient(t, g), heldClient(t, g)
-	leaves.ask("any", 9000)
+	disconnects, terminates, violatesProtocol := heldClient(t, g), heldClient(t, g), heldClient(t, g)
+	disconnects.ask("any", 9000)
 	up := m.next(t)
 	defer up.Close()
 	up.startup()
 	up.ready()
 	up.query()
-	_ = leaves.Close()
+	_ = disconnects.Close()
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.Unanswered[string(closedByClient)] }, 1)
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.Attempts["cancelled"] }, 1)
 	_, _ = terminates.Write([]byte("X\x00\x00\x00\x04"))
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.ClientsClosed[string(closedTerminated)] }, 1)
-	_, _ = spoils.Write([]byte("?\x00\x00\x00\x04"))
-	spoils.answer()
-	_ = spoils.Close()
+	_, _ = violatesProtocol.Write([]byte("?\x00\x00\x00\x04"))
+	violatesProtocol.answer()
+	_ = violatesProtocol.Close()
 	awaitOutcome(t, g, func(o *Outcomes) uint64 { return o.ClientsClosed["refused 08P01"] }, 1)
 	stop()
 	<-ended
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -12,8 +12,8 @@
 	"magpieglade/standin"
 )
 
-// zoned starts a gateway before a primary in zone a and a replica in each of a and b.
-func startZoned(t *testing.T, log *slog.Logger) (front *standin.ClientPool, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
+// startZoned starts a gateway for a primary in zone a and one replica in each of the zones a and b.
+func startZoned(t *testing.T, log *slog.Logger) (pool *standin.ClientPool, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
 	g0, members := group(0, 2)
 	for _, m := range members {
 		hosts = append(hosts, m.ListEntry("active"))
@@ -28,11 +28,11 @@
 	return standin.NewClientPool(address), g0, g, list, hosts
 }
 
-// Reads of a route with a pool of zones go there, also where members elsewhere are nearer; once none there may get
-// anything, they go where they can. A route that does not go to a group turns away what names it.
+// TestPools checks that reads of a route with a pool of zones go there, even if members elsewhere are nearer, and that they
+// go to other members once none in the pool may be used. A route that does not include a group rejects requests for it.
 func TestPools(t *testing.T) {
-	front, g0, g, list, hosts := startZoned(t, slog.New(slog.DiscardHandler))
-	c := front.NewClient("d001", standin.TxnTypes{Read: "any", Write: "keyed"})
+	pool, g0, g, list, hosts := startZoned(t, slog.New(slog.DiscardHandler))
+	c := pool.NewClient("d001", standin.TxnTypes{Read: "any", Write: "keyed"})
 	defer c.Close()
 	reads := func(n int) (at map[string]int) {
 		at = map[string]int{}
@@ -50,7 +50,7 @@
 		return at
 	}
 	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
-	until(func() bool { return reads(1)["r2"] == 1 }) // the list has been told; nothing tells when the gateway has read it
+	until(func() bool { return reads(1)["r2"] == 1 }) // the list was delivered, but nothing signals when the gateway has applied it
 	if at := reads(30); at["r2"] != 30 {
 		t.Fatal("reads leave their pool", at)
 	}
@@ -64,46 +64,47 @@
 	list.AwaitDelivered()
 	until(func() bool { return reads(1)["r2"] == 0 })
 	if at := reads(30); at["r2"] != 0 {
-		t.Fatal("a pool goes before a drain", at)
+		t.Fatal("reads go to a draining member of their pool", at)
 	}
 	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "other", Groups: []int{5}, RetryRatio: -1}}}, 0)
 	if a := c.Read(0); a.Code == "" {
-		t.Fatal("a route goes to a group that is not of its pool")
+		t.Fatal("a route serves a group that is not in its pool")
 	}
 }
 
-// A tenant's connections are counted by what clients say of themselves, over changes too: one too many is refused, who is
-// there stays, and one that goes makes room. What is logged follows the generation.
+// TestConnectionsAndLog checks that a tenant's connections are counted by the names that clients send at startup, also over
+// configuration changes: one above the limit is refused, existing ones stay, and one that closes frees a slot. The log level
+// follows the generation.
 func TestConnectionsAndLog(t *testing.T) {
 	log, lines := logLines()
-	front, _, g, _, _ := startZoned(t, log)
-	bound := func(n int, level string) *routes.Document {
+	pool, _, g, _, _ := startZoned(t, log)
+	withLimit := func(n int, level string) *routes.Document {
 		return &routes.Document{LogLevel: level, Tenants: []routes.Tenant{{Name: "t", Weight: 1, MaxConnections: n}},
 			Routes: []routes.Route{{Name: "all", Users: []string{"portal"}, Tenant: "t", RetryRatio: -1}}}
 	}
-	var all []*standin.Client
-	ask := func() string {
-		c := front.NewClient(fmt.Sprintf("%08x", 0xe00+len(all)), standin.TxnTypes{Read: "any", Write: "keyed"})
-		all = append(all, c)
+	var clients []*standin.Client
+	connectAndRead := func() string {
+		c := pool.NewClient(fmt.Sprintf("%08x", 0xe00+len(clients)), standin.TxnTypes{Read: "any", Write: "keyed"})
+		clients = append(clients, c)
 		t.Cleanup(c.Close)
 		if a := c.Read(0); a.Err != nil {
 			return "refused"
 		}
 		return "served"
 	}
-	got := []string{ask(), ask()}
-	changed(t, g, bound(3, "warn"), 0)
-	got = append(got, ask(), ask())
-	changed(t, g, bound(2, "warn"), 0)
-	got = append(got, all[0].Read(0).String(), ask())
-	all[0].Close()
-	all[1].Close()
-	until(func() bool { return ask() == "served" })
-	changed(t, g, bound(100, ""), time.Hour)
-	if s := fmt.Sprint(got); s != "[served served served refused served  refused]" {
+	results := []string{connectAndRead(), connectAndRead()}
+	changed(t, g, withLimit(3, "warn"), 0)
+	results = append(results, connectAndRead(), connectAndRead())
+	changed(t, g, withLimit(2, "warn"), 0)
+	results = append(results, clients[0].Read(0).String(), connectAndRead())
+	clients[0].Close()
+	clients[1].Close()
+	until(func() bool { return connectAndRead() == "served" })
+	changed(t, g, withLimit(100, ""), time.Hour)
+	if s := fmt.Sprint(results); s != "[served served served refused served  refused]" {
 		t.Fatal(s)
 	}
-	for { // two changes are kept without a word, the third is told
+	for { // the first two generations log only warnings; the third one is logged
 		select {
 		case l := <-lines:
 			if bytes.Contains([]byte(l), []byte("generation 3: applied")) {
--- a/gateway/races_test.go
+++ b/gateway/races_test.go
@@ -15,9 +15,9 @@
 	"time"
 )
 
-// What comes between two steps of an end, a hand-over or a wait, on real connections, each time in the order that harms.
+// Events between two steps of a shutdown, a takeover or a wait, on real connections, each in the order that can do harm.
 
-// speak opens a connection without a library, past the startup messages.
+// dialSession opens a connection without a client library and completes the startup.
 func (w *world) dialSession() (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp4", w.address)
 	must(err)
@@ -29,13 +29,13 @@
 	return c, r
 }
 
-// large words a write of a value of 64 KiB.
+// largeWrite returns a write statement with a value of 64 KiB.
 func largeWrite(class string) string {
 	return strings.Replace(sql(class, ""), `\x9f03`, `\x`+strings.Repeat("9f", 64<<10), 1)
 }
 
-// Many commands that are sent at once are served one after the other, though together they are larger than any bound for one
-// message. The gateway ended the connection with the ninth part of a megabyte, and all of them were lost.
+// Many pipelined commands are served one after the other, even if together they exceed the limit of one message. The gateway
+// used to close the connection at a ninth of a megabyte of input, and all of them were lost.
 func Example_pipelineOfLargeWrites() {
 	w := start(256, newMember("m", "read-write"))
 	defer w.stop()
@@ -58,8 +58,8 @@
 	// TD(m)CZ
 }
 
-// A client that cancels its query has gone from it: it has its answer at once, nothing more is sent for it, and the connection
-// goes on. The gateway gave all the same key of zeros and passed every cancel over. A key that fits nobody cancels nothing.
+// A cancelled query is answered at once, nothing more is sent to members for it, and the connection stays usable. The gateway
+// used to give every client the same all-zero key and to ignore cancel requests. A key that matches no client has no effect.
 func Example_cancel() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"silent"}, 2)...)
 	w := start(256, m)
@@ -68,7 +68,7 @@
 	got := make(chan string)
 	go func() { got <- ask(c, sql("any", "")) }()
 	await(m.open)
-	must(other.CancelRequest(context.Background())) // it has asked nothing
+	must(other.CancelRequest(context.Background())) // this client has no open query
 	for _, wrong := range []uint32{0, c.SecretKey() + 1} {
 		key := binary.BigEndian.AppendUint32([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), c.PID())
 		key = binary.BigEndian.AppendUint32(key, wrong)
@@ -81,7 +81,7 @@
 	}
 	must(c.CancelRequest(context.Background()))
 	fmt.Println(await(got))
-	fmt.Println(await(m.shut) != "", m.statements()) // called off at its member too, and sent nowhere else
+	fmt.Println(await(m.shut) != "", m.statements()) // cancelled at its member too, and sent to no other
 	m.plan.next(false)
 	fmt.Println(ask(c, sql("any", "")))
 	// Output:
@@ -92,8 +92,8 @@
 	// committed by m
 }
 
-// At an end that was asked for, what is taken has its answer before a kill may come, however long its client would wait: the
-// platform waits no longer than the longest time of a txn type, and its clients send as long as a connection is open.
+// After SIGTERM, accepted requests are answered before the platform may kill the process, however long the client would
+// wait: the platform waits no longer than the longest budget of a txn type, and clients send as long as a connection is open.
 func Example_answeredBeforeKill() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"silent"}, 9)...)
 	w := start(256, m)
@@ -106,7 +106,7 @@
 	await(m.open)
 	must(w.process.Process.Signal(syscall.SIGTERM))
 	w.logged("leaving")
-	_, err = io.WriteString(c, long()) // behind the first: taken while the gateway ends
+	_, err = io.WriteString(c, long()) // queued behind the first: accepted while the gateway shuts down
 	must(err)
 	fmt.Println(answers(r, 2), answers(r, 2))
 	err = await(w.exited)
@@ -117,8 +117,8 @@
 	// <nil>
 }
 
-// A client that always has a command ahead of its answers is served for as long as it likes: each command's time runs from when
-// it came, not from when the first of all came. Commands past the first second were declined unsent.
+// A client that always pipelines one command ahead is served indefinitely: each command's budget runs from its own arrival,
+// not from that of the first. Commands after the first second used to be rejected without being sent.
 func Example_pipelineOneAhead() {
 	m := newMember("m", "read-write", slices.Repeat([]string{"slow"}, 100)...)
 	w := start(256, m)
@@ -140,8 +140,8 @@
 	// 9
 }
 
-// A signal to reload that comes before the program can handle it neither ends it nor is lost with what it was about: the file is
-// read once the program has its handler, and its discovery goes before that of the time when the process was started.
+// A reload signal that arrives before the program has installed its handler neither kills the process nor is lost: the file
+// is read once the handler is installed, and its discovery takes precedence over the one given when the process started.
 func Example_signalBeforeItsHandler() {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	must(err)
@@ -154,7 +154,7 @@
 	next := newDiscovery()
 	defer next.l.Close()
 	w.configure(next, 256)
-	// The shell sends it itself, at the last moment before the program is there.
+	// The shell sends the signal itself, immediately before it executes the program.
 	w.process = exec.Command("sh", "-c", strings.Replace(run, "exec bin/magpieglade", "kill -HUP $$; exec "+program, 1))
 	w.process.Env = append(os.Environ(), "EDGE_CONFIG="+w.config, "EDGE_DISCOVERY="+w.d.l.Addr().String())
 	w.run()
@@ -163,8 +163,8 @@
 	// after=0
 }
 
-// Signals at once, in whatever order the kernel hands them over: a reload that is asked for twice with a broken file, an end, and
-// a reload behind it. What was taken is answered, new queries are served for a moment, and the program ends with status 0.
+// Simultaneous signals, in whatever order the kernel delivers them: two reloads with a broken file, a termination, and a
+// reload after it. Accepted requests are answered, new queries are served for a moment, and the program exits with status 0.
 func Example_signalsTogether() {
 	for _, signals := range [][]syscall.Signal{
 		{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM},
@@ -178,7 +178,7 @@
 		go func() { got <- ask(busy, sql("once", "")) }()
 		await(m.open)
 		must(os.WriteFile(w.config, []byte("{"), 0o600))
-		must(w.process.Process.Signal(syscall.SIGSTOP)) // they come while it stands still
+		must(w.process.Process.Signal(syscall.SIGSTOP)) // the signals arrive while the process is stopped
 		for _, s := range signals {
 			must(w.process.Process.Signal(s))
 		}
--- a/gateway/reentry_test.go
+++ b/gateway/reentry_test.go
@@ -10,7 +10,7 @@
 	"magpieglade/internal/slots"
 )
 
-// awaitHangUp waits until the other side of a connection has reset it, and leaves that unread.
+// awaitReset waits until the peer has reset a connection, without reading from it.
 func awaitReset(t *testing.T, fd int) {
 	t.Helper()
 	for end := time.Now().Add(soonHeld); time.Now().Before(end); {
@@ -22,16 +22,17 @@
 	t.Fatal("the reset did not come")
 }
 
-// TestAnswerToClientThatReset guards against a decision that is carried out within the write of an answer, when the client
-// turns out to be gone and the request's time is up: it gave back the connection that the answer was being read from.
+// TestAnswerToClientThatReset guards against decisions being carried out while a response is being written. The write finds
+// that the client has reset its connection, and the request expires at that moment: the decision released the member
+// connection from whose buffer the response was being read.
 func TestAnswerToClientThatReset(t *testing.T) {
 	t.Parallel()
-	var late atomic.Pointer[func() bool]
+	var expired atomic.Pointer[func() bool]
 	d, m := newScript(t), newScript(t)
 	began := time.Now()
 	g, ended, stop := heldGatewayWith(t, func(c *Config) {
 		c.Elapsed = func() time.Duration {
-			if f := late.Load(); f != nil && (*f)() {
+			if f := expired.Load(); f != nil && (*f)() {
 				return time.Since(began) + time.Minute
 			}
 			return time.Since(began)
@@ -49,12 +50,12 @@
 		for _, ref := range g.txns.Refs() {
 			request = ref
 		}
-		// From the moment of its answer on the request's time is up.
+		// The request expires at the moment it is answered.
 		answered := func() bool {
 			x := g.txns.Get(request)
 			return x == nil || x.answered
 		}
-		late.Store(&answered)
+		expired.Store(&answered)
 		up.row("m", "read-only")
 		awaitUnread(t, g.members.conns.Get(g.txns.Get(request).submissions[0]).conn.Fd())
 		_ = c.SetLinger(0)
@@ -66,7 +67,7 @@
 	other := heldClient(t, g)
 	other.ask("any", 9000)
 	served := m.serve("m", "read-only")
-	go func() { // on the connection that served before, if it was kept
+	go func() { // on the connection that served the first query, if it was kept
 		if _, ok := up.query(); ok {
 			served.Add(1)
 			up.row("m", "read-only")
--- a/gateway/transcript_test.go
+++ b/gateway/transcript_test.go
@@ -11,51 +11,52 @@
 	"magpieglade/standin"
 )
 
-// What an operator says to a fleet of processes and is told, and what a client gets: read and approved by a person, under
-// testdata. Times, addresses, names of machines and what is left of a lease are made alike. `-update` writes it anew.
+// TestTranscriptOfProcesses compares an operator's commands to a fleet of processes, their output and the responses to a
+// client with the reviewed transcript under testdata. Times, addresses, machine names and remaining lease times are
+// normalized. `-update` rewrites it.
 func TestTranscriptOfProcesses(t *testing.T) {
 	u := newUnion(t, 3, 1)
 	var out strings.Builder
-	alike := []struct {
-		at *regexp.Regexp
-		to string
+	normalizers := []struct {
+		pattern     *regexp.Regexp
+		replacement string
 	}{
 		{regexp.MustCompile(`127\.0\.0\.5:\d+`), "ADDRESS"}, {regexp.MustCompile(`\d{4}-\d\d-\d\d \d\d:\d\d:\d\d`), "TIME"},
 		{regexp.MustCompile(`\S+@\S+`), "SOMEBODY"}, {regexp.MustCompile(`may act for \S+;`), "may act for LEFT;"}, {regexp.MustCompile(`term \d+`), "term T"},
 		{regexp.MustCompile(`/\S*/fleet\d+/`), ""}, {regexp.MustCompile(`  +`), "  "}, {regexp.MustCompile(`(ADDRESS  -  )\S+`), "${1}BUILD"},
 		{regexp.MustCompile(`  \d\.\ds`), "  LEFT"},
 	}
-	tell := func(who, what, said string) {
-		for _, x := range alike {
-			said = x.at.ReplaceAllString(said, x.to)
+	record := func(source, what, output string) {
+		for _, x := range normalizers {
+			output = x.pattern.ReplaceAllString(output, x.replacement)
 		}
-		fmt.Fprintf(&out, "%s> %s\n%s\n\n", who, what, strings.TrimSpace(said))
+		fmt.Fprintf(&out, "%s> %s\n%s\n\n", source, what, strings.TrimSpace(output))
 	}
-	say := func(gateway int, args ...string) {
-		tell(fmt.Sprint("n", gateway), strings.Join(args, " "), u.said(gateway, args...))
+	run := func(gateway int, args ...string) {
+		record(fmt.Sprint("n", gateway), strings.Join(args, " "), u.said(gateway, args...))
 	}
 	apply := func(gateway int, text string) {
-		tell(fmt.Sprint("n", gateway), "config apply:\n"+strings.TrimSpace(text), u.apply(gateway, text))
+		record(fmt.Sprint("n", gateway), "config apply:\n"+strings.TrimSpace(text), u.apply(gateway, text))
 	}
 	c := u.front.NewClient("cb01", standin.TxnTypes{Read: "any", Write: "keyed"})
 	defer c.Close()
 	read := func(gateway int) {
 		a := c.Read(gateway)
-		tell(fmt.Sprint("a client at n", gateway), "a read of type any", strings.TrimSpace(a.String()))
+		record(fmt.Sprint("a client at n", gateway), "a read of type any", strings.TrimSpace(a.String()))
 	}
-	whole := func(n int) {
-		u.await("all are seen", func() bool { return strings.Count(u.said(0, "fleet", "status"), " all") == n })
+	awaitAllConnected := func(n int) {
+		u.await("every gateway is listed as known to all", func() bool { return strings.Count(u.said(0, "fleet", "status"), " all") == n })
 	}
-	whole(3)
-	say(0, "fleet", "status")
+	awaitAllConnected(3)
+	run(0, "fleet", "status")
 	apply(1, moves(1))
 	u.holds(1, 0, 1, 2)
-	say(2, "config", "history")
+	run(2, "config", "history")
 	read(2)
 	apply(2, "route \"moved\" {\n  types = [\"none\"]\n}\n")
 	u.wire.Isolate(2, true)
 	u.await("n2 is careful", func() bool { return strings.Contains(u.said(2, "fleet", "status"), "careful") })
-	say(2, "fleet", "status")
+	run(2, "fleet", "status")
 	read(2)
 	apply(0, moves(2))
 	u.holds(2, 0, 1)
@@ -63,14 +64,14 @@
 	u.wire.Isolate(2, false)
 	u.holds(2, 2)
 	read(2)
-	say(0, "config", "restore", "1")
+	run(0, "config", "restore", "1")
 	u.holds(3, 0, 1, 2)
-	say(0, "config", "history")
-	say(0, "fleet", "evict", "n9")
-	say(0, "fleet", "evict", "n2")
+	run(0, "config", "history")
+	run(0, "fleet", "evict", "n9")
+	run(0, "fleet", "evict", "n2")
 	u.await("n2 is careful", func() bool { return strings.Contains(u.said(2, "fleet", "status"), "careful") })
-	say(0, "fleet", "leave")
-	whole(2)
-	say(0, "fleet", "status")
+	run(0, "fleet", "leave")
+	awaitAllConnected(2)
+	run(0, "fleet", "status")
 	goldie.New(t, goldie.WithNameSuffix(".txt")).Assert(t, "agreed", []byte(out.String()))
 }
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -38,8 +38,8 @@
 
 	class           int
 	session, key    uint64
-	writes          bool         // it is a write of its session
-	awaitingFloor   bool         // it waits until its required position is known, and is not in the decision module yet
+	writes          bool         // it changes data that its session reads
+	awaitingFloor   bool         // it waits for its floor, and is not in the decision module yet
 	heldUntil       decide.Nanos // when it expires, if it was held for its floor
 	delayedResponse []byte       // its response, which waits for the ledger to be saved
 	awaitingLedger  bool         // it was answered before the ledger saved its change, which is still pending
@@ -233,7 +233,7 @@
 	g.releaseIfDone(ref, true)
 }
 
-// reject answers a txn with the error that it was not executed and may be retried.
+// reject carries out a decision to decline a txn: its client may safely send it again.
 func (g *Gateway) reject(id uint64, retryAfter decide.Nanos) {
 	detail := ""
 	if g.names.Limits.RetryAfter && retryAfter > 0 {
@@ -243,7 +243,7 @@
 	g.counts.declined++
 }
 
-// rollBack answers a txn with the error that its outcome is unknown.
+// rollBack carries out a decision to roll a txn back: it may nevertheless have taken effect.
 func (g *Gateway) rollBack(id uint64) {
 	if t := g.txns.Get(g.byID[id]); t != nil {
 		t.ending = endRolledBack
@@ -319,9 +319,9 @@
 		return
 	}
 	job := job{txn: ref, submissionNo: submissionNo, startedAt: g.clock.now(), deadline: d.Expiry, sendBefore: d.SendBefore}
-	on := g.members.startJob(server, job)
+	conn := g.members.startJob(server, job)
 	if t = g.txns.Get(ref); t != nil {
-		t.submissions = append(t.submissions, on)
+		t.submissions = append(t.submissions, conn)
 	}
 }
 
@@ -329,9 +329,9 @@
 func (g *Gateway) cancelSubmission(id uint64, submissionNo int) {
 	ref := g.byID[id]
 	if t := g.txns.Get(ref); t != nil && submissionNo < len(t.submissions) {
-		on := t.submissions[submissionNo]
-		if m := g.members.conns.Get(on); m != nil && m.job.txn == ref && m.job.submissionNo == submissionNo {
-			g.members.cancelJob(on, decide.Cancelled)
+		conn := t.submissions[submissionNo]
+		if m := g.members.conns.Get(conn); m != nil && m.job.txn == ref && m.job.submissionNo == submissionNo {
+			g.members.cancelJob(conn, decide.Cancelled)
 		}
 	}
 }
--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -16,19 +16,20 @@
 	"magpieglade/internal/pgwire"
 )
 
-// What all sides say on their connections in four moments that an end, a cancel, a silent watch or a reload may meet: read and
-// approved by a person, under testdata. Numbers and addresses are made alike. `-update` writes them anew.
+// Transcripts of the traffic on all connections in four situations: queries that cross a shutdown, a cancelled query, a
+// silent watch and a reload. They are compared with the reviewed files under testdata. Numbers and addresses are normalized.
+// `-update` rewrites the files.
 
-// recorder takes down who said what, and what the gateway logs.
+// recorder records the traffic of each side, and what the gateway logs.
 type recorder struct {
 	t         *testing.T
 	text, log strings.Builder
-	mu        sync.Mutex // of the log, which the loop writes
+	mu        sync.Mutex // guards log, which the event loop writes
 }
 
 var wireNormalizers = []struct {
-	at *regexp.Regexp
-	to string
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`127\.0\.0\.\d+:\d+`), "ADDRESS"}, {regexp.MustCompile(`id=[0-9a-f]+`), "id=ID"}, {regexp.MustCompile(`d=\d+`), "d=LEFT"},
 	{regexp.MustCompile(`(longest_turn_us|latest_timer_us|most_descriptors)=\d+`), "$1=N"},
@@ -38,14 +39,14 @@
 	fmt.Fprintf(&r.text, "%-10s %s\n", source+":", normalizeWire(fmt.Sprintf(format, a...)))
 }
 
-func normalizeWire(said string) string {
+func normalizeWire(text string) string {
 	for _, x := range wireNormalizers {
-		said = x.at.ReplaceAllString(said, x.to)
+		text = x.pattern.ReplaceAllString(text, x.replacement)
 	}
-	return said
+	return text
 }
 
-// recorder is a handler of the log as well, which stands behind the rest: a line of it and what is read elsewhere have no order.
+// recorder is also a slog.Handler. The log comes after the traffic in a transcript, as the two have no defined order.
 func (r *recorder) Enabled(context.Context, slog.Level) bool { return true }
 func (r *recorder) WithAttrs([]slog.Attr) slog.Handler       { return r }
 func (r *recorder) WithGroup(string) slog.Handler            { return r }
@@ -64,7 +65,7 @@
 	goldie.New(r.t, goldie.WithNameSuffix(".txt")).Assert(r.t, name, []byte(r.text.String()+r.log.String()))
 }
 
-// rested waits until members' idle connections have rested, so that the next query goes on one of them.
+// awaitReusable waits until all idle member connections may be reused, so that the next query goes to one of them.
 func (g *Gateway) awaitReusable() {
 	for all := false; !all; {
 		g.hold(func() {
@@ -77,7 +78,7 @@
 	}
 }
 
-// admit takes a connection of the gateway's up to its first query.
+// acceptConnection accepts a connection from the gateway and completes its startup.
 func (s *script) acceptConnection(t *testing.T) *end {
 	up := s.next(t)
 	up.startup()
@@ -85,7 +86,7 @@
 	return up
 }
 
-// told words the next call to discovery.
+// readCall reads the next call to discovery and returns its request line without the protocol version.
 func (e *end) readCall(t *testing.T) string {
 	line, err := e.r.ReadString('\n')
 	if err != nil {
@@ -99,7 +100,7 @@
 	return strings.TrimSuffix(strings.TrimSpace(line), " HTTP/1.1")
 }
 
-// ended waits for the end of a connection.
+// awaitEnd waits until the other side closes a connection.
 func (e *end) awaitEnd() string {
 	if _, err := io.Copy(io.Discard, e.r); err != nil {
 		return "the connection broke"
@@ -114,9 +115,9 @@
 	g, ended, stop := heldGateway(t, d, m.host("m", "active"))
 	d.next(t).call(t)
 	a, b, last := heldClient(t, g), heldClient(t, g), heldClient(t, g)
-	last.ask("once", 9000) // which is never sent twice, however long it takes
-	held := m.acceptConnection(t)
-	held.query()
+	last.ask("once", 9000) // a once query is never sent twice, however long it takes
+	pendingWrite := m.acceptConnection(t)
+	pendingWrite.query()
 	r.record("last", "asks for a write; the member does not answer yet")
 	a.ask("any", 9000)
 	up := m.acceptConnection(t)
@@ -149,7 +150,7 @@
 	up.query()
 	up.row("m", "read-only")
 	r.record("a", "asks once more on a new connection what crossed the end of another: %s", again.answer())
-	held.row("m", "read-only")
+	pendingWrite.row("m", "read-only")
 	r.record("last", "%s, then %s", last.answer(), last.awaitEnd())
 	_ = again.Close()
 	r.record("gateway", "ends: %v", <-ended)
@@ -172,8 +173,8 @@
 	}
 	c.ask("any", 9000)
 	up := m.acceptConnection(t)
-	text, _ := up.query()
-	r.record("member", "gets %s", text)
+	query, _ := up.query()
+	r.record("member", "gets %s", query)
 	r.record("another", "has a key that does not fit")
 	cancel(pgwire.CancelKey{Process: key.Process, Secret: key.Secret + 1})
 	r.record("another", "has the key")
@@ -197,7 +198,8 @@
 	r.approve("cancelled")
 }
 
-// follows starts a gateway that follows the list of a discovery, which is called so, with one member.
+// startFollowing starts a gateway that follows the list of a discovery, which the transcript calls discoveryName, with one
+// member.
 func (r *recorder) startFollowing(discoveryName string, d, a *script) (g *Gateway, watch *end, stop func()) {
 	g, ended, leave := heldGatewayThatLogs(r.t, slog.New(r), d, a.host("a", "active"))
 	watch = d.next(r.t)
@@ -258,12 +260,12 @@
 	call.list(2, a.host("a", "active"), b.host("b", "leaving"))
 	r.record("next", "list 2, by numbers of its own: a is active, b is leaving")
 	r.record("gateway", "%s", call.readCall(t))
-	asks := heldClient(t, g)
-	asks.ask("any", 9000)
+	client := heldClient(t, g)
+	client.ask("any", 9000)
 	up := a.acceptConnection(t)
 	up.query()
 	up.row("a", "read-only")
-	r.record("client", "%s", asks.answer())
+	r.record("client", "%s", client.answer())
 	r.approve("reload")
 	end()
 }
