--- a/gateway/members.go
+++ b/gateway/members.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// Bytes. Values are at most 64 KiB by contract, yet members have sent correct responses of 350 KB in hexadecimal.
+	// Bytes. Values should be at most 64 KiB, yet members have sent correct responses of 350 KB in hexadecimal.
 	maxResponseSize = 1 << 20
 	// A response that has begun keeps arriving: one that stalls for this long has wrong length fields.
 	responseStallTimeout = 100 * decide.Millisecond
 	// Messages that belong to no query follow right after a response: a connection is not reused before they have had
 	// time to arrive, or they would be read as the response to the next query.
 	minIdleBeforeReuse = 2 * decide.Millisecond
-	// All machines have the same clock, and a commit's position is rounded up. A position further ahead is ignored.
+	// All machines read the same clock, and a commit's position is rounded up. A position further ahead is ignored.
 	maxPositionLead = 5 * decide.Millisecond
 )
 
