--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -370,7 +370,7 @@
 	}
 	zone := slices.Index(ds.g.names.Zones, h.entry.Site)
 	ds.g.module.UpdateMember(h.server, h.entry.Block, false, decide.Removed, zone, h.entry.Share, -1, 0)
-	ds.g.members.bar(h.server)
+	ds.g.members.drainMember(h.server)
 }
 
 // applyHost passes an entry to the module, unless it is invalid, removed or assigned to other gateways.
@@ -407,7 +407,7 @@
 	delete(ds.draining, server)
 	if status != decide.Ready {
 		ds.draining[server] = true
-		ds.g.members.bar(server)
+		ds.g.members.drainMember(server)
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -116,7 +116,7 @@
 	}
 	g.log = slog.New(levelled{cmp.Or(c.Log, slog.Default()).Handler(), g.logLevel}).With("gateway", c.Name)
 	g.members = members{g: g, pools: map[decide.Server]*pool{}}
-	g.clients.keys = map[uint32]slots.Ref{}
+	g.clients.cancelKeys = map[uint32]slots.Ref{}
 	g.clients.g, g.discovery.g, g.discovery.draining = g, g, map[decide.Server]bool{}
 	g.budget.free = c.Limits.Sockets - reservedDescriptors
 	g.budget.total = g.budget.free
@@ -287,16 +287,16 @@
 	g.deadlines.Add(int64(g.clock.now()+acceptPeriod), timerEvent{kind: timerCloseClients})
 	g.deadlines.Add(int64(g.answerDeadline), timerEvent{kind: timerCloseListener})
 	g.deadlines.Add(int64(g.shutdownDeadline), timerEvent{kind: timerEndLoop})
-	g.log.Info("leaving", "clients", g.clients.open.Len(), "txns", g.txns.Len())
+	g.log.Info("leaving", "clients", g.clients.conns.Len(), "txns", g.txns.Len())
 }
 
 // closeIdleClients is the second phase of the shutdown: clients are disconnected once their requests are answered. A query
 // may cross the close of its connection and be retried on a new one; it is served, as rejecting it would lose it.
 func (g *Gateway) closeIdleClients() {
 	g.closingClients = true
-	for _, ref := range g.clients.open.Refs() {
-		if c := g.clients.open.Get(ref); c.stage == fresh {
-			g.clients.sendAway(c, closedByShutdown)
+	for _, ref := range g.clients.conns.Refs() {
+		if c := g.clients.conns.Get(ref); c.stage == stageConnected {
+			g.clients.closeUnlessUnread(c, closedByShutdown)
 			continue
 		}
 		g.inputs = append(g.inputs, input{kind: inReadable, ref: ref})
@@ -312,7 +312,7 @@
 
 // scheduleEndIfEmpty schedules the end of the loop if the last client is gone.
 func (g *Gateway) scheduleEndIfEmpty() {
-	if g.closingClients && g.clients.open.Len() == 0 {
+	if g.closingClients && g.clients.conns.Len() == 0 {
 		g.emptySince = g.clock.now()
 		g.deadlines.Add(int64(g.emptySince+reconnectGrace), timerEvent{kind: timerEndLoop})
 	}
@@ -321,7 +321,7 @@
 // endIfDone tells gnet to end the loop once no client has been connected for reconnectGrace, or shutdownDeadline has passed.
 func (g *Gateway) endIfDone() error {
 	now := g.clock.now()
-	if g.closingClients && (g.clients.open.Len() == 0 && now >= g.emptySince+reconnectGrace || now >= g.shutdownDeadline) {
+	if g.closingClients && (g.clients.conns.Len() == 0 && now >= g.emptySince+reconnectGrace || now >= g.shutdownDeadline) {
 		g.loopStopped = true
 		return gneterrors.ErrEngineShutdown
 	}
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -428,7 +428,7 @@
 	g.runOnLoop(func() {
 		for _, ref := range g.members.conns.Refs() {
 			if g.members.conns.Get(ref).phase == busy {
-				g.members.giveUp(ref, decide.Cancelled)
+				g.members.cancelJob(ref, decide.Cancelled)
 			}
 		}
 		if _, sent := conn.readQuery(); sent { // the connection ended, while the loop does nothing else
@@ -459,7 +459,7 @@
 	conn.readStartup()
 	g.runOnLoop(func() {
 		for _, ref := range g.members.conns.Refs() {
-			g.members.conns.Get(ref).job.before = g.clock.now()
+			g.members.conns.Get(ref).job.sendBefore = g.clock.now()
 		}
 	})
 	conn.sendReady()
@@ -593,7 +593,7 @@
 				awaitUnread(t, m.conn.Fd())
 				_ = g.loop.Close(m.conn) // as the library does when it reads the end of stream
 			} else {
-				g.members.giveUp(ref, decide.Cancelled)
+				g.members.cancelJob(ref, decide.Cancelled)
 			}
 		})
 		if <-complete {
@@ -636,19 +636,19 @@
 		_, _ = c.Write(pgwire.AppendQuery(nil, text))
 	}
 	c.sendTxn("any", 9000)
-	conn := a.admit(t)
+	conn := a.acceptConnection(t)
 	conn.readQuery()
 	reached := positionAhead(20 * time.Second)
 	conn.sendRowAt("a", "read-only", reached)
 	c.readResponse()
-	g.rested()
+	g.awaitReusable()
 	sendReadAfter(reached)
 	conn.readQuery()
 	conn.sendRowAt("a", "read-only", reached)
 	if got := c.readResponse(); got != "served by a" { // it has reached the position
 		t.Error(got)
 	}
-	g.rested()
+	g.awaitReusable()
 	sendReadAfter(reached + 10_000)
 	sent := make(chan string, 1)
 	go func() {
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -190,7 +190,7 @@
 	case inReadable:
 		g.clients.readClient(in.ref)
 	case inEnded:
-		g.tellEnded(in)
+		g.submissionEnded(in)
 	case inProbed:
 		g.module.ProbeEnded(in.server, in.result, in.elapsed, in.report)
 		if in.fenceAttempt != 0 {
@@ -201,12 +201,12 @@
 	case inProgress:
 		g.module.ResponseProgress(in.server)
 	case inWithdrawn:
-		g.tellWithdrawn(in.ref)
+		g.withdrawTxn(in.ref)
 	case inCancelled:
-		g.tellCancelled(in.ref)
+		g.cancelTxn(in.ref)
 	case inReject:
 		if t := g.txns.Get(in.ref); t != nil {
-			g.decline(t.id, in.elapsed)
+			g.reject(t.id, in.elapsed)
 		}
 	case inRollBack:
 		if t := g.txns.Get(in.ref); t != nil {
@@ -227,11 +227,11 @@
 	case decide.Submit:
 		g.submit(d)
 	case decide.Reject:
-		g.decline(d.Txn, d.Delay)
+		g.reject(d.Txn, d.Delay)
 	case decide.RollBack:
 		g.rollBack(d.Txn)
 	case decide.Cancel:
-		g.cancel(d.Txn, int(d.Attempt))
+		g.cancelSubmission(d.Txn, int(d.Attempt))
 	case decide.Probe:
 		if g.coordination != nil {
 			g.coordination.probe(d.Server)
@@ -289,16 +289,16 @@
 		case timerSubmission:
 			g.members.submissionTimedOut(d.ref)
 		case timerIdle:
-			g.members.idleTooLong(d.ref)
+			g.members.idleTimedOut(d.ref)
 		case timerCall:
 			g.discovery.callTimedOut(d.call)
 		case timerClient:
-			g.clients.clientOverdue(d.ref)
+			g.clients.clientTimedOut(d.ref)
 		case timerAnswer:
 			g.sessions.AnswerOverdue(d.ref)
 		case timerReadable:
-			if c := g.clients.open.Get(d.ref); c != nil {
-				c.polled = false
+			if c := g.clients.conns.Get(d.ref); c != nil {
+				c.pollScheduled = false
 			}
 			g.inputs = append(g.inputs, input{kind: inReadable, ref: d.ref})
 		case timerList:
@@ -351,7 +351,7 @@
 }
 
 // OnTraffic handles received data. Connections to members are closed by posting, as the turn may still report on them; clients are
-// closed immediately, see sendAway. Events for a closed connection find its object and not its descriptor, which may be reused.
+// closed immediately, see closeUnlessUnread. Events for a closed connection find its object and not its descriptor, which may be reused.
 func (g *Gateway) OnTraffic(c gnet.Conn) gnet.Action {
 	o, ok := c.Context().(*owner)
 	if !ok {
--- a/gateway/reentry_test.go
+++ b/gateway/reentry_test.go
@@ -10,8 +10,8 @@
 	"magpieglade/internal/slots"
 )
 
-// awaitHangUp waits until the other side of a connection has reset it, and leaves that unread.
-func awaitHangUp(t *testing.T, fd int) {
+// awaitReset waits until the peer has reset a connection, without reading from it.
+func awaitReset(t *testing.T, fd int) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		state := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -22,16 +22,17 @@
 	t.Fatal("the reset did not come")
 }
 
-// TestAnswerToClientThatReset guards against a decision that is carried out within the write of an answer, when the client
-// turns out to be gone and the request's time is up: it gave back the connection that the answer was being read from.
+// TestAnswerToClientThatReset guards against decisions being carried out while a response is being written. The write finds
+// that the client has reset its connection, and the request expires at that moment: the decision released the member
+// connection from whose buffer the response was being read.
 func TestAnswerToClientThatReset(t *testing.T) {
 	t.Parallel()
-	var late atomic.Pointer[func() bool]
+	var expired atomic.Pointer[func() bool]
 	d, m := newScriptedServer(t), newScriptedServer(t)
 	began := time.Now()
 	g, ended, stop := startTestGatewayWith(t, func(c *Config) {
 		c.Elapsed = func() time.Duration {
-			if f := late.Load(); f != nil && (*f)() {
+			if f := expired.Load(); f != nil && (*f)() {
 				return time.Since(began) + time.Minute
 			}
 			return time.Since(began)
@@ -49,24 +50,24 @@
 		for _, ref := range g.txns.Refs() {
 			request = ref
 		}
-		// From the moment of its answer on the request's time is up.
+		// The request expires at the moment it is answered.
 		answered := func() bool {
 			x := g.txns.Get(request)
 			return x == nil || x.answered
 		}
-		late.Store(&answered)
+		expired.Store(&answered)
 		up.sendRow("m", "read-only")
-		awaitUnread(t, g.members.conns.Get(g.txns.Get(request).subs[0]).conn.Fd())
+		awaitUnread(t, g.members.conns.Get(g.txns.Get(request).submissions[0]).conn.Fd())
 		_ = c.SetLinger(0)
 		_ = c.Close()
-		for _, ref := range g.clients.open.Refs() {
-			awaitHangUp(t, g.clients.open.Get(ref).conn.Fd())
+		for _, ref := range g.clients.conns.Refs() {
+			awaitReset(t, g.clients.conns.Get(ref).conn.Fd())
 		}
 	})
 	other := connectClient(t, g)
 	other.sendTxn("any", 9000)
 	served := m.serve("m", "read-only")
-	go func() { // on the connection that served before, if it was kept
+	go func() { // on the connection that served the first query, if it was kept
 		if _, ok := up.readQuery(); ok {
 			served.Add(1)
 			up.sendRow("m", "read-only")
--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -16,36 +16,37 @@
 	"magpieglade/internal/pgwire"
 )
 
-// What all sides say on their connections in four moments that an end, a cancel, a silent watch or a reload may meet: read and
-// approved by a person, under testdata. Numbers and addresses are made alike. `-update` writes them anew.
+// Transcripts of the traffic on all connections in four situations: queries that cross a shutdown, a cancelled query, a
+// silent watch and a reload. They are compared with the reviewed files under testdata. Numbers and addresses are normalized.
+// `-update` rewrites the files.
 
-// recorder takes down who said what, and what the gateway logs.
+// recorder records the traffic of each side, and what the gateway logs.
 type recorder struct {
 	t         *testing.T
 	text, log strings.Builder
-	mu        sync.Mutex // of the log, which the loop writes
+	mu        sync.Mutex // guards log, which the event loop writes
 }
 
-var alikeOnWires = []struct {
-	at *regexp.Regexp
-	to string
+var wireNormalizers = []struct {
+	pattern     *regexp.Regexp
+	replacement string
 }{
 	{regexp.MustCompile(`127\.0\.0\.\d+:\d+`), "ADDRESS"}, {regexp.MustCompile(`id=[0-9a-f]+`), "id=ID"}, {regexp.MustCompile(`d=\d+`), "d=LEFT"},
 	{regexp.MustCompile(`(longest_turn_us|latest_timer_us|most_descriptors)=\d+`), "$1=N"},
 }
 
-func (r *recorder) says(who, format string, a ...any) {
-	fmt.Fprintf(&r.text, "%-10s %s\n", who+":", alikeOnWire(fmt.Sprintf(format, a...)))
+func (r *recorder) record(source, format string, a ...any) {
+	fmt.Fprintf(&r.text, "%-10s %s\n", source+":", normalizeWire(fmt.Sprintf(format, a...)))
 }
 
-func alikeOnWire(said string) string {
-	for _, x := range alikeOnWires {
-		said = x.at.ReplaceAllString(said, x.to)
+func normalizeWire(text string) string {
+	for _, x := range wireNormalizers {
+		text = x.pattern.ReplaceAllString(text, x.replacement)
 	}
-	return said
+	return text
 }
 
-// recorder is a handler of the log as well, which stands behind the rest: a line of it and what is read elsewhere have no order.
+// recorder is also a slog.Handler. The log comes after the traffic in a transcript, as the two have no defined order.
 func (r *recorder) Enabled(context.Context, slog.Level) bool { return true }
 func (r *recorder) WithAttrs([]slog.Attr) slog.Handler       { return r }
 func (r *recorder) WithGroup(string) slog.Handler            { return r }
@@ -54,7 +55,7 @@
 	l.Attrs(func(a slog.Attr) bool { line += fmt.Sprintf(" %s=%v", a.Key, a.Value); return true })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	fmt.Fprintf(&r.log, "log: %s\n", alikeOnWire(line))
+	fmt.Fprintf(&r.log, "log: %s\n", normalizeWire(line))
 	return nil
 }
 
@@ -64,29 +65,29 @@
 	goldie.New(r.t, goldie.WithNameSuffix(".txt")).Assert(r.t, name, []byte(r.text.String()+r.log.String()))
 }
 
-// rested waits until members' idle connections have rested, so that the next query goes on one of them.
-func (g *Gateway) rested() {
+// awaitReusable waits until all idle member connections may be reused, so that the next query goes to one of them.
+func (g *Gateway) awaitReusable() {
 	for all := false; !all; {
 		g.runOnLoop(func() {
 			all = true
 			for _, ref := range g.members.conns.Refs() {
 				m := g.members.conns.Get(ref)
-				all = all && (m.phase != idle || g.clock.now()-m.since >= leastRest)
+				all = all && (m.phase != idle || g.clock.now()-m.since >= minIdleBeforeReuse)
 			}
 		})
 	}
 }
 
-// admit takes a connection of the gateway's up to its first query.
-func (s *scriptedServer) admit(t *testing.T) *testConn {
+// acceptConnection accepts a connection from the gateway and completes its startup.
+func (s *scriptedServer) acceptConnection(t *testing.T) *testConn {
 	up := s.accept(t)
 	up.readStartup()
 	up.sendReady()
 	return up
 }
 
-// told words the next call to discovery.
-func (e *testConn) told(t *testing.T) string {
+// readCall reads the next call to discovery and returns its request line without the protocol version.
+func (e *testConn) readCall(t *testing.T) string {
 	line, err := e.r.ReadString('\n')
 	if err != nil {
 		t.Fatal("no call: ", err)
@@ -99,40 +100,40 @@
 	return strings.TrimSuffix(strings.TrimSpace(line), " HTTP/1.1")
 }
 
-// ended waits for the end of a connection.
-func (e *testConn) ended() string {
+// awaitEnd waits until the other side closes a connection.
+func (e *testConn) awaitEnd() string {
 	if _, err := io.Copy(io.Discard, e.r); err != nil {
 		return "the connection broke"
 	}
 	return "the connection ended"
 }
 
-func TestTranscriptOfAnEndThatQueriesCross(t *testing.T) {
+func TestTranscriptOfAShutdownCrossedByQueries(t *testing.T) {
 	t.Parallel()
 	r := &recorder{t: t}
 	d, m := newScriptedServer(t), newScriptedServer(t)
 	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
 	d.accept(t).readCall(t)
 	a, b, last := connectClient(t, g), connectClient(t, g), connectClient(t, g)
-	last.sendTxn("once", 9000) // which is never sent twice, however long it takes
-	held := m.admit(t)
-	held.readQuery()
-	r.says("last", "asks for a write; the member does not answer yet")
+	last.sendTxn("once", 9000) // a once query is never sent twice, however long it takes
+	pendingWrite := m.acceptConnection(t)
+	pendingWrite.readQuery()
+	r.record("last", "asks for a write; the member does not answer yet")
 	a.sendTxn("any", 9000)
-	up := m.admit(t)
+	up := m.acceptConnection(t)
 	up.readQuery()
 	up.sendRow("m", "read-only")
-	r.says("a", "%s", a.readResponse())
-	g.rested()
+	r.record("a", "%s", a.readResponse())
+	g.awaitReusable()
 	stop()
 	for leaves := false; !leaves; {
 		g.runOnLoop(func() { leaves = g.shuttingDown })
 	}
-	r.says("operator", "SIGTERM")
-	r.says("a", "asks in the moment in which clients are sent away, and is not read yet")
+	r.record("operator", "SIGTERM")
+	r.record("a", "asks in the moment in which clients are sent away, and is not read yet")
 	g.runOnLoop(func() {
-		for _, ref := range g.clients.open.Refs() {
-			if c := g.clients.open.Get(ref); c.asked && c.stage == quiet {
+		for _, ref := range g.clients.conns.Refs() {
+			if c := g.clients.conns.Get(ref); c.hasQueried && c.stage == stageIdle {
 				a.sendTxn("any", 9000)
 				awaitUnread(t, c.conn.Fd())
 			}
@@ -141,18 +142,18 @@
 	})
 	up.readQuery()
 	up.sendRow("m", "read-only")
-	r.says("a", "%s, then %s", a.readResponse(), a.ended())
-	r.says("b", "has asked nothing: %s", b.ended())
+	r.record("a", "%s, then %s", a.readResponse(), a.awaitEnd())
+	r.record("b", "has asked nothing: %s", b.awaitEnd())
 	again := connectClient(t, g)
-	g.rested()
+	g.awaitReusable()
 	again.sendTxn("any", 9000)
 	up.readQuery()
 	up.sendRow("m", "read-only")
-	r.says("a", "asks once more on a new connection what crossed the end of another: %s", again.readResponse())
-	held.sendRow("m", "read-only")
-	r.says("last", "%s, then %s", last.readResponse(), last.ended())
+	r.record("a", "asks once more on a new connection what crossed the end of another: %s", again.readResponse())
+	pendingWrite.sendRow("m", "read-only")
+	r.record("last", "%s, then %s", last.readResponse(), last.awaitEnd())
 	_ = again.Close()
-	r.says("gateway", "ends: %v", <-ended)
+	r.record("gateway", "ends: %v", <-ended)
 	r.approve("end-crossed")
 }
 
@@ -163,48 +164,49 @@
 	g, ended, stop := startTestGateway(t, d, m.listEntry("m", "active"))
 	c := connectClient(t, g)
 	var key pgwire.CancelKey
-	g.runOnLoop(func() { key = g.clients.open.Get(g.clients.open.Refs()[0]).key })
+	g.runOnLoop(func() { key = g.clients.conns.Get(g.clients.conns.Refs()[0]).cancelKey })
 	cancel := func(key pgwire.CancelKey) {
 		e := newTestConn(dialGateway(t, g))
 		message := binary.BigEndian.AppendUint32([]byte("\x00\x00\x00\x10\x04\xd2\x16\x2e"), key.Process)
 		_, _ = e.Write(binary.BigEndian.AppendUint32(message, key.Secret))
-		r.says("another", "sends a cancel request; %s", e.ended())
+		r.record("another", "sends a cancel request; %s", e.awaitEnd())
 	}
 	c.sendTxn("any", 9000)
-	up := m.admit(t)
-	text, _ := up.readQuery()
-	r.says("member", "gets %s", text)
-	r.says("another", "has a key that does not fit")
+	up := m.acceptConnection(t)
+	query, _ := up.readQuery()
+	r.record("member", "gets %s", query)
+	r.record("another", "has a key that does not fit")
 	cancel(pgwire.CancelKey{Process: key.Process, Secret: key.Secret + 1})
-	r.says("another", "has the key")
+	r.record("another", "has the key")
 	cancel(key)
-	r.says("client", "%s", c.readResponse())
-	r.says("member", "%s", up.ended())
+	r.record("client", "%s", c.readResponse())
+	r.record("member", "%s", up.awaitEnd())
 	c.sendTxn("any", 9000)
-	up = m.admit(t)
+	up = m.acceptConnection(t)
 	up.readQuery()
 	up.sendRow("m", "read-only")
-	r.says("client", "asks the next: %s", c.readResponse())
-	r.says("another", "cancels behind the answer")
+	r.record("client", "asks the next: %s", c.readResponse())
+	r.record("another", "cancels behind the answer")
 	cancel(key)
-	g.rested()
+	g.awaitReusable()
 	c.sendTxn("any", 9000)
 	up.readQuery()
 	up.sendRow("m", "read-only")
-	r.says("client", "asks the next: %s", c.readResponse())
+	r.record("client", "asks the next: %s", c.readResponse())
 	stop()
 	<-ended
 	r.approve("cancelled")
 }
 
-// follows starts a gateway that follows the list of a discovery, which is called so, with one member.
-func (r *recorder) follows(called string, d, a *scriptedServer) (g *Gateway, watch *testConn, stop func()) {
+// startFollowing starts a gateway that follows the list of a discovery, which the transcript calls discoveryName, with one
+// member.
+func (r *recorder) startFollowing(discoveryName string, d, a *scriptedServer) (g *Gateway, watch *testConn, stop func()) {
 	g, ended, leave := startTestGatewayWithLog(r.t, slog.New(r), d, a.listEntry("a", "active"))
 	watch = d.accept(r.t)
-	r.says("gateway", "%s", watch.told(r.t))
+	r.record("gateway", "%s", watch.readCall(r.t))
 	watch.sendList(5, a.listEntry("a", "active"))
-	r.says(called, "list 5: a is active")
-	r.says("gateway", "%s", watch.told(r.t))
+	r.record(discoveryName, "list 5: a is active")
+	r.record("gateway", "%s", watch.readCall(r.t))
 	return g, watch, func() { leave(); <-ended }
 }
 
@@ -212,29 +214,29 @@
 	t.Parallel()
 	r := &recorder{t: t}
 	d, a, b := newScriptedServer(t), newScriptedServer(t), newScriptedServer(t)
-	g, watch, end := r.follows("discovery", d, a)
+	g, watch, end := r.startFollowing("discovery", d, a)
 	c := connectClient(t, g)
 	c.sendTxn("any", 9000)
-	idle := a.admit(t)
+	idle := a.acceptConnection(t)
 	idle.readQuery()
 	idle.sendRow("a", "read-only")
-	r.says("client", "%s", c.readResponse())
-	r.says("discovery", "falls silent, and a begins to drain")
+	r.record("client", "%s", c.readResponse())
+	r.record("discovery", "falls silent, and a begins to drain")
 	g.expireCall(callWatch)
 	again := d.accept(t)
-	r.says("gateway", "%s", again.told(t))
+	r.record("gateway", "%s", again.readCall(t))
 	again.sendList(6, a.listEntry("a", "leaving"), b.listEntry("b", "active"))
-	r.says("discovery", "list 6: a is leaving, b is active")
-	r.says("a", "%s", idle.ended())
-	r.says("gateway", "%s", again.told(t))
+	r.record("discovery", "list 6: a is leaving, b is active")
+	r.record("a", "%s", idle.awaitEnd())
+	r.record("gateway", "%s", again.readCall(t))
 	c.sendTxn("any", 9000)
-	up := b.admit(t)
+	up := b.acceptConnection(t)
 	up.readQuery()
 	up.sendRow("b", "read-only")
-	r.says("client", "%s", c.readResponse())
-	r.says("discovery", "the watch that was silent brings what it missed")
+	r.record("client", "%s", c.readResponse())
+	r.record("discovery", "the watch that was silent brings what it missed")
 	watch.sendList(6, a.listEntry("a", "leaving"), b.listEntry("b", "active"))
-	r.says("gateway", "%s of the silent watch", watch.ended())
+	r.record("gateway", "%s of the silent watch", watch.awaitEnd())
 	r.approve("silent-watch")
 	end()
 }
@@ -243,27 +245,27 @@
 	t.Parallel()
 	r := &recorder{t: t}
 	former, next, a, b := newScriptedServer(t), newScriptedServer(t), newScriptedServer(t), newScriptedServer(t)
-	g, watch, end := r.follows("former", former, a)
+	g, watch, end := r.startFollowing("former", former, a)
 	c := g.config
 	c.Discovery = next.address()
-	r.says("operator", "SIGHUP, with another discovery; an answer of the former one is in the socket then")
+	r.record("operator", "SIGHUP, with another discovery; an answer of the former one is in the socket then")
 	g.runOnLoop(func() {
 		watch.sendList(6, a.listEntry("a", "leaving"))
 		awaitUnread(t, g.discovery.calls[callWatch].conn.Fd())
 		g.reload(c)
 	})
-	r.says("former", "%s", watch.ended())
+	r.record("former", "%s", watch.awaitEnd())
 	call := next.accept(t)
-	r.says("gateway", "%s", call.told(t))
+	r.record("gateway", "%s", call.readCall(t))
 	call.sendList(2, a.listEntry("a", "active"), b.listEntry("b", "leaving"))
-	r.says("next", "list 2, by numbers of its own: a is active, b is leaving")
-	r.says("gateway", "%s", call.told(t))
-	asks := connectClient(t, g)
-	asks.sendTxn("any", 9000)
-	up := a.admit(t)
+	r.record("next", "list 2, by numbers of its own: a is active, b is leaving")
+	r.record("gateway", "%s", call.readCall(t))
+	client := connectClient(t, g)
+	client.sendTxn("any", 9000)
+	up := a.acceptConnection(t)
 	up.readQuery()
 	up.sendRow("a", "read-only")
-	r.says("client", "%s", asks.readResponse())
+	r.record("client", "%s", client.readResponse())
 	r.approve("reload")
 	end()
 }
