--- a/gateway/wire_test.go
+++ b/gateway/wire_test.go
@@ -86,8 +86,8 @@
 	return up
 }
 
-// readCall reads the next call to discovery and returns its request line without the protocol version.
-func (e *testConn) readCall(t *testing.T) string {
+// readRequestLine reads the next call to discovery and returns its request line without the protocol version.
+func (e *testConn) readRequestLine(t *testing.T) string {
 	line, err := e.r.ReadString('\n')
 	if err != nil {
 		t.Fatal("no call: ", err)
@@ -203,10 +203,10 @@
 func (r *recorder) startFollowing(discoveryName string, d, a *scriptedServer) (g *Gateway, watch *testConn, stop func()) {
 	g, ended, leave := startTestGatewayWithLog(r.t, slog.New(r), d, a.listEntry("a", "active"))
 	watch = d.accept(r.t)
-	r.record("gateway", "%s", watch.readCall(r.t))
+	r.record("gateway", "%s", watch.readRequestLine(r.t))
 	watch.sendList(5, a.listEntry("a", "active"))
 	r.record(discoveryName, "list 5: a is active")
-	r.record("gateway", "%s", watch.readCall(r.t))
+	r.record("gateway", "%s", watch.readRequestLine(r.t))
 	return g, watch, func() { leave(); <-ended }
 }
 
@@ -224,11 +224,11 @@
 	r.record("discovery", "falls silent, and a begins to drain")
 	g.expireCall(callWatch)
 	again := d.accept(t)
-	r.record("gateway", "%s", again.readCall(t))
+	r.record("gateway", "%s", again.readRequestLine(t))
 	again.sendList(6, a.listEntry("a", "leaving"), b.listEntry("b", "active"))
 	r.record("discovery", "list 6: a is leaving, b is active")
 	r.record("a", "%s", idle.awaitEnd())
-	r.record("gateway", "%s", again.readCall(t))
+	r.record("gateway", "%s", again.readRequestLine(t))
 	c.sendTxn("any", 9000)
 	up := b.acceptConnection(t)
 	up.readQuery()
@@ -256,10 +256,10 @@
 	})
 	r.record("former", "%s", watch.awaitEnd())
 	call := next.accept(t)
-	r.record("gateway", "%s", call.readCall(t))
+	r.record("gateway", "%s", call.readRequestLine(t))
 	call.sendList(2, a.listEntry("a", "active"), b.listEntry("b", "leaving"))
 	r.record("next", "list 2, by numbers of its own: a is active, b is leaving")
-	r.record("gateway", "%s", call.readCall(t))
+	r.record("gateway", "%s", call.readRequestLine(t))
 	client := connectClient(t, g)
 	client.sendTxn("any", 9000)
 	up := a.acceptConnection(t)
