--- a/cli/contracts.go
+++ b/cli/contracts.go
@@ -193,7 +193,7 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, h := range v.Holdings {
+	for _, h := range v.Reservations {
 		fmt.Fprintf(out, "held here now: %d in flight for %s (%s)\n", h.InFlight, h.Tenant, strings.Join(h.Names, ", "))
 	}
 	for _, r := range v.Book.UnmetContracts(v.Fleet, v.Now) {
--- a/gateway/agreed_test.go
+++ b/gateway/agreed_test.go
@@ -43,20 +43,20 @@
 }
 
 func newUnlikeUnion(t testing.TB, n, voters int, operator string, skews func(*process)) *union {
-	g, members := group(0, 2)
+	g, members := newGroup(0, 2)
 	return newUnionBefore(t, n, voters, operator, skews, g, members)
 }
 
 func newUnionBefore(t testing.TB, n, voters int, operator string, skews func(*process), g *standin.Group, members []*standin.Member) *union {
 	u := &union{wire: standin.NewNetwork(1), voters: voters, t: t, members: members, group: g}
 	u.fleet = newFleet(0, operator, members...)
-	u.fleet.skews = skews
+	u.fleet.customize = skews
 	u.addresses = map[int]string{}
-	u.fleet.via = func(p *process) string {
-		if u.addresses[p.no] == "" {
-			u.addresses[p.no] = u.wire.Join(p.peer)
+	u.fleet.advertised = func(p *process) string {
+		if u.addresses[p.index] == "" {
+			u.addresses[p.index] = u.wire.Join(p.peer)
 		}
-		return u.addresses[p.no]
+		return u.addresses[p.index]
 	}
 	u.fleet.add(n)
 	t.Cleanup(func() {
@@ -72,8 +72,8 @@
 		u.wire.Close()
 		if t.Failed() {
 			for _, p := range u.gateways {
-				p.drain()
-				t.Logf("gateway %d:\n%s", p.no, strings.Join(p.all, "\n"))
+				p.readLog()
+				t.Logf("gateway %d:\n%s", p.index, strings.Join(p.lines, "\n"))
 			}
 		}
 	})
@@ -397,7 +397,7 @@
 		b.Run(name, func(b *testing.B) {
 			var f *fleet
 			if name == "off" {
-				_, members := group(0, 2)
+				_, members := newGroup(0, 2)
 				f = newFleet(1, "", members...)
 				defer f.stop()
 			} else {
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -78,9 +78,9 @@
 	t.Parallel() // it waits for events nearly all of its time
 	rates := []float64{1.008, 0.992, 1, 1.004, 0.992}
 	u := newUnlikeUnion(t, 5, 3, agreeing, func(p *process) {
-		p.rate = rates[p.no]
-		if p.no < 3 {
-			p.slow = 300 * time.Millisecond
+		p.clockRate = rates[p.index]
+		if p.index < 3 {
+			p.maxDiskDelay = 300 * time.Millisecond
 		}
 	})
 	l := u.load()
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -518,7 +518,7 @@
 	case kind == pgwire.Startup:
 		c.user, c.database = pgwire.StartupNames(buf[:size])
 		ok, first := cs.admit(c)
-		if first && cs.waitsForPart(c) {
+		if first && cs.waitForAllocation(c) {
 			cs.againIn(ref, c, partLook)
 			return 0
 		}
@@ -584,7 +584,7 @@
 		cs.writeClient(c, pgwire.AppendReadyForQuery(pgwire.AppendEmptyQueryResponse(cs.g.scratch[:0])))
 		return size
 	}
-	if cs.stillWaits(c) {
+	if cs.stillAwaitsAllocation(c) {
 		cs.againIn(ref, c, partLook)
 		return 0
 	}
--- a/gateway/control_test.go
+++ b/gateway/control_test.go
@@ -22,7 +22,7 @@
 // An operator changes a running gateway by the command line. It is killed while a change is watched: the last kept one
 // is in force after the restart, and the change is not applied again unless it is asked for.
 func Example_control() {
-	_, members := group(0, 1)
+	_, members := newGroup(0, 1)
 	f := newFleet(1, "control = \"%DIR%.sock\"\nchanges = \"%DIR%\"\n", members...)
 	defer f.stop()
 	p := f.gateways[0]
@@ -53,7 +53,7 @@
 	settled("watched: generation 2 in force, 1 kept")
 	p.kill()
 	p.start()
-	p.logged("generation=1 crashes=0")
+	p.awaitLog("generation=1 crashes=0")
 	settled("settled: generation 1 in force, 1 kept")
 	say("apply", next)
 	say("apply", next, "--again", "--watch", "1h")
@@ -71,7 +71,7 @@
 	p.kill()
 	must(os.WriteFile(filepath.Join(f.dir, "ledger0", "kept.json"), []byte("00000000\n{}"), 0o600))
 	p.start()
-	p.logged("kept changes are not read")
+	p.awaitLog("kept changes are not read")
 	settled("settled: generation 0 in force, 0 kept")
 	// Output:
 	// -rw------- <nil>
@@ -104,7 +104,7 @@
 
 // A gateway is killed at any moment of a stream of changes: it always starts, with a change that was kept.
 func Example_killedWhileChanging() {
-	_, members := group(0, 1)
+	_, members := newGroup(0, 1)
 	f := newFleet(1, "control = \"%DIR%.sock\"\nchanges = \"%DIR%\"\n", members...)
 	defer f.stop()
 	p := f.gateways[0]
@@ -118,12 +118,12 @@
 		p.kill()
 		<-done
 		p.start()
-		line := p.logged("kept changes are read")
+		line := p.awaitLog("kept changes are read")
 		if strings.Contains(line, "crashes=1") {
 			fmt.Println(line)
 		}
 	}
-	c := f.front.NewClient("dc01", classes)
+	c := f.front.NewClient("dc01", txnTypes)
 	fmt.Println(c.Write(0, "z1", "1"))
 	// Output:
 	// served 1
--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -13,7 +13,7 @@
 )
 
 // chosen is what a gateway says of what the fleet chooses together, and of members' names.
-func (u *union) chosen(gateway int) (v hosted.CoordinationView, names map[uint64]string) {
+func (u *union) coordinationView(gateway int) (v hosted.CoordinationView, names map[uint64]string) {
 	var r struct {
 		Chosen *hosted.CoordinationView
 		Names  map[uint64]string
@@ -25,10 +25,10 @@
 }
 
 // holders are the gateways that a member has, by what all gateways say that they have.
-func (u *union) holders(gateways ...int) map[string]int {
+func (u *union) gatewaysByMember(gateways ...int) map[string]int {
 	all := map[string]int{}
 	for _, i := range gateways {
-		v, names := u.chosen(i)
+		v, names := u.coordinationView(i)
 		for _, m := range v.Members {
 			if m.Assigned {
 				all[names[m.Key]]++
@@ -43,7 +43,7 @@
 // hang at once, and while the primary moves to a replica that few have.
 func TestSubsetsOfMembers(t *testing.T) {
 	t.Parallel() // it waits for events nearly all of its time
-	g, members := group(0, 8)
+	g, members := newGroup(0, 8)
 	operator := agreeing + "coordination {\n  subset      = 4\n  connections = 1\n  away        = 0\n}\n"
 	u := newUnionBefore(t, 8, 3, operator, nil, g, members)
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7}
@@ -51,7 +51,7 @@
 	settled := func(gateways ...int) {
 		t.Helper()
 		u.await("each member has its gateways", func() bool {
-			has := u.holders(gateways...)
+			has := u.gatewaysByMember(gateways...)
 			sum, least, most := 0, 1<<30, 0
 			for _, m := range members[1:] {
 				n := has[m.Name]
@@ -72,11 +72,11 @@
 		return all
 	}
 	u.await("connections of what is dropped are given back", func() bool { return counted() <= 8*5*2 })
-	before := u.holders(all...)
+	before := u.gatewaysByMember(all...)
 	u.gateways[6].kill()
 	u.gateways[6].start()
 	settled(all...)
-	u.await("it has what it had", func() bool { return fmt.Sprint(u.holders(all...)) == fmt.Sprint(before) })
+	u.await("it has what it had", func() bool { return fmt.Sprint(u.gatewaysByMember(all...)) == fmt.Sprint(before) })
 
 	// Half of the replicas hang.
 	for _, m := range members[1:5] {
@@ -85,7 +85,7 @@
 	u.await("subsets are wider where their members hang", func() bool {
 		wider := 0
 		for _, i := range all {
-			if v, _ := u.chosen(i); v.WidenedBy[0] > 0 {
+			if v, _ := u.coordinationView(i); v.WidenedBy[0] > 0 {
 				wider++
 			}
 		}
@@ -100,7 +100,7 @@
 	}
 	u.awaitFor(40*time.Second, "they narrow again", func() bool {
 		for _, i := range all {
-			if v, _ := u.chosen(i); v.WidenedBy[0] > 0 {
+			if v, _ := u.coordinationView(i); v.WidenedBy[0] > 0 {
 				return false
 			}
 		}
@@ -110,22 +110,22 @@
 
 	// The primary moves: those that don't have it hear of it, or look for it.
 	g.Promote(members[8], true)
-	u.await("all have the new primary", func() bool { return u.holders(all...)[members[8].Name] == 8 })
+	u.await("all have the new primary", func() bool { return u.gatewaysByMember(all...)[members[8].Name] == 8 })
 	for _, i := range all {
 		u.await("writes are served at every gateway", func() bool { a := c.Write(i, fmt.Sprint("k", i), "v"); return a.Err == nil && a.Code == "" })
 	}
 	c.Close()
-	l.endRough(t)
+	l.stopAllowingErrors(t)
 }
 
 // A member that one gateway of five can't reach is not ill for the others, and that gateway is told of what it does not
 // see; one that none can reach is known as ill by all within a second or so.
-func TestSignalsOfMembers(t *testing.T) {
-	g, members := group(0, 4)
+func TestMemberSignals(t *testing.T) {
+	g, members := newGroup(0, 4)
 	hole := freePort("tcp4", "127.0.0.4") // nobody listens there
 	var own *standin.List
 	u := newUnionBefore(t, 5, 3, agreeing+"coordination {}\n", func(p *process) {
-		if p.no == 3 {
+		if p.index == 3 {
 			var hosts []standin.Host
 			for _, m := range members {
 				hosts = append(hosts, m.ListEntry("active"))
@@ -141,12 +141,12 @@
 		m.SetDelay(5 * time.Millisecond)
 	}
 	for i := range u.gateways {
-		g := u.guests("portal", i, 12)
+		g := u.startUserLoad("portal", i, 12)
 		defer g.end()
 	}
 	others := []int{0, 1, 2, 4}
 	seen := func(i int, member string) (k hosted.MemberView) {
-		v, names := u.chosen(i)
+		v, names := u.coordinationView(i)
 		for _, m := range v.Members {
 			if names[m.Key] == member {
 				return m
@@ -167,7 +167,7 @@
 
 	began := time.Now()
 	members[3].Kill()
-	for _, i := range u.each() {
+	for _, i := range u.allGateways() {
 		u.await("all know that one is ill", func() bool { return seen(i, members[3].Name).Summary.UnhealthyReports >= 1 })
 	}
 	t.Logf("all know of it after %v", time.Since(began).Round(10*time.Millisecond))
@@ -176,30 +176,30 @@
 	}
 	must(members[3].Start())
 	u.await("it is well again", func() bool {
-		return !slices.ContainsFunc(u.each(), func(i int) bool { return seen(i, members[3].Name).Unhealthy })
+		return !slices.ContainsFunc(u.allGateways(), func(i int) bool { return seen(i, members[3].Name).Unhealthy })
 	})
 	was = members[3].Queries()
 	u.await("it is used again", func() bool { return members[3].Queries() > was+50 })
-	l.endRough(t)
+	l.stopAllowingErrors(t)
 }
 
 // While the list service is down one gateway asks it for all, as a rule, and all hear when it is up again.
-func TestTurnsAtTheList(t *testing.T) {
+func TestListRequestTurns(t *testing.T) {
 	t.Parallel() // it waits for events nearly all of its time
 	calls := func(block string) int {
-		g, members := group(0, 2)
+		g, members := newGroup(0, 2)
 		u := newUnionBefore(t, 6, 3, agreeing+block, nil, g, members)
 		u.list.AwaitDeliveredTo(6)
 		u.list.SetDown(true)
 		for _, p := range u.gateways {
-			p.logged("list lost")
+			p.awaitLog("list lost")
 		}
 		was := u.list.Requests()
 		time.Sleep(3 * time.Second) // what is counted is what comes in this time, whatever it is
 		n := u.list.Requests() - was
 		u.list.SetDown(false)
 		for _, p := range u.gateways {
-			p.logged("list followed")
+			p.awaitLog("list followed")
 		}
 		return n
 	}
@@ -211,7 +211,7 @@
 }
 
 // endRough ends it where members fail under txns, which may be rolled back or late then, but never without an answer.
-func (l *load) endRough(t testing.TB) {
+func (l *load) stopAllowingErrors(t testing.TB) {
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
@@ -222,7 +222,7 @@
 }
 
 // each are all gateways.
-func (u *union) each() (all []int) {
+func (u *union) allGateways() (all []int) {
 	for i := range u.gateways {
 		all = append(all, i)
 	}
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -86,7 +86,7 @@
 	if c.asked || c.dialled {
 		return
 	}
-	if x := ds.g.coordinated; x != nil && x.holds(kind, c.failing != "") {
+	if x := ds.g.coordinated; x != nil && x.deferCall(kind, c.failing != "") {
 		return
 	}
 	c.waits = 0 // the first answer of a watch comes at once, so that it is known to run
@@ -225,7 +225,7 @@
 	}
 	ds.hangUpCall(c)
 	if ds.g.coordinated != nil {
-		ds.g.coordinated.called(decide.TimedOut)
+		ds.g.coordinated.listCallEnded(decide.TimedOut)
 	}
 	ds.g.inputs = append(ds.g.inputs, input{kind: inListFailed})
 }
@@ -287,7 +287,7 @@
 	ds.g.deadlines.Remove(c.due)
 	c.asked, c.failing = false, ""
 	if ds.g.coordinated != nil {
-		ds.g.coordinated.called(decide.Committed)
+		ds.g.coordinated.listCallEnded(decide.Committed)
 	}
 	// The late answer of the call before may have come first, though this one was written sooner: it tells nothing any more.
 	// A version below the one that was asked for is a service that numbers anew.
@@ -342,7 +342,7 @@
 	}
 	ds.g.module.EndMemberList(n.scope)
 	if ds.g.coordinated != nil {
-		ds.g.coordinated.members()
+		ds.g.coordinated.updateMembers()
 	}
 }
 
@@ -385,7 +385,7 @@
 	server := serverOf(address)
 	ds.list.hosts[e.Host] = host{server, e, fleet.MemberKey(e.Host)}
 	ds.list.groups[e.Block] = true
-	if x := ds.g.coordinated; x != nil && !x.c.Has(ds.list.hosts[e.Host].mark) {
+	if x := ds.g.coordinated; x != nil && !x.coordination.Has(ds.list.hosts[e.Host].mark) {
 		return // others have it
 	}
 	kind := slices.Index(ds.g.names.MachineTypes, e.Class)
--- a/gateway/disk_test.go
+++ b/gateway/disk_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	u.holds(2, others...)
-	u.gateways[follows].logged("the log is not kept")
+	u.gateways[follows].awaitLog("the log is not kept")
 	u.gateways[follows].full(false)
 	u.holds(2, follows)
 
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -17,33 +17,33 @@
 
 // fleet is some gateways of this build, as processes, with one list and one front before them.
 type fleet struct {
-	list     *standin.List
-	front    *standin.ClientPool
-	gateways []*process
-	dir      string
-	operator string // the operator's file; %LISTEN% and %GATEWAYS% are put in
-	settings string
-	ghosts   int // gateways in the list that never run
-	closers  []func()
-	skews    func(*process)        // sets what is unlike in one, nil where all are alike
-	via      func(*process) string // at which address others reach a gateway, nil at its own
+	list         *standin.List
+	front        *standin.ClientPool
+	gateways     []*process
+	dir          string
+	operator     string // the operator's file; %LISTEN% and %GATEWAYS% are put in
+	settings     string
+	neverStarted int // gateways in the list that never run
+	closers      []func()
+	customize    func(*process)        // sets what is unlike in one, nil where all are alike
+	advertised   func(*process) string // at which address others reach a gateway, nil at its own
 
 	addresses map[int]string
 }
 
 // process is one gateway.
 type process struct {
-	f              *fleet
-	no             int
+	fleet          *fleet
+	index          int
 	listen, peer   string
 	cmd            *exec.Cmd
 	log            chan string
 	exited         chan error
-	all            []string
-	extra          []string      // environment
+	lines          []string
+	env            []string      // environment
 	discovery      string        // of this one alone, if it has another list
-	rate           float64       // of its clock against the others', 0 for the program as it is
-	slow           time.Duration // of its disk, at the most
+	clockRate      float64       // of its clock against the others', 0 for the program as it is
+	maxDiskDelay   time.Duration // of its disk, at the most
 	operatorFile   string
 	readLedger     string // the line that tells what its ledger held
 	configFileName string
@@ -80,9 +80,9 @@
 func (f *fleet) add(n int) {
 	var fronts []string
 	for i := range n {
-		p := &process{f: f, no: i, listen: freePort("tcp4", "127.0.0.2"), peer: freePort("udp4", "127.0.0.3")}
-		if f.gateways = append(f.gateways, p); f.skews != nil {
-			f.skews(p)
+		p := &process{fleet: f, index: i, listen: freePort("tcp4", "127.0.0.2"), peer: freePort("udp4", "127.0.0.3")}
+		if f.gateways = append(f.gateways, p); f.customize != nil {
+			f.customize(p)
 		}
 		fronts = append(fronts, p.listen)
 	}
@@ -108,42 +108,42 @@
 	for _, p := range f.gateways {
 		all = append(all, fmt.Sprintf("%q", p.peer))
 	}
-	for i := range f.ghosts {
+	for i := range f.neverStarted {
 		all = append(all, fmt.Sprintf("\"127.0.0.9:%d\"", 9000+i))
 	}
 	return "[" + strings.Join(all, ", ") + "]"
 }
 
 func (p *process) start() {
-	f := p.f
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", p.no), "listen": p.listen, "discovery": cmp.Or(p.discovery, f.list.Address()),
-		"seed": fmt.Sprint(p.no + 1), "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": f.list.Snapshot(),
+	f := p.fleet
+	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", p.index), "listen": p.listen, "discovery": cmp.Or(p.discovery, f.list.Address()),
+		"seed": fmt.Sprint(p.index + 1), "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": f.list.Snapshot(),
 		"settings": json.RawMessage(f.settings)})
 	must(err)
-	p.configFileName = filepath.Join(f.dir, fmt.Sprintf("config%d.json", p.no))
+	p.configFileName = filepath.Join(f.dir, fmt.Sprintf("config%d.json", p.index))
 	must(os.WriteFile(p.configFileName, text, 0o600))
 	var args []string
 	if f.operator != "" {
-		p.operatorFile = filepath.Join(f.dir, fmt.Sprintf("operator%d.hcl", p.no))
+		p.operatorFile = filepath.Join(f.dir, fmt.Sprintf("operator%d.hcl", p.index))
 		address, voters := p.peer, "[]"
-		if f.via != nil {
+		if f.advertised != nil {
 			var ask []string
 			for _, x := range f.gateways[:min(3, len(f.gateways))] {
-				ask = append(ask, fmt.Sprintf("%q", f.via(x)))
+				ask = append(ask, fmt.Sprintf("%q", f.advertised(x)))
 			}
-			address, voters = f.via(p), "["+strings.Join(ask, ", ")+"]"
+			address, voters = f.advertised(p), "["+strings.Join(ask, ", ")+"]"
 		}
-		words := strings.NewReplacer("%ADDRESS%", address, "%VOTERS%", voters, "%LISTEN%", p.peer, "%GATEWAYS%", f.peerList(), "%DIR%", filepath.Join(f.dir, fmt.Sprint("ledger", p.no)))
+		words := strings.NewReplacer("%ADDRESS%", address, "%VOTERS%", voters, "%LISTEN%", p.peer, "%GATEWAYS%", f.peerList(), "%DIR%", filepath.Join(f.dir, fmt.Sprint("ledger", p.index)))
 		must(os.WriteFile(p.operatorFile, []byte(words.Replace(f.operator)), 0o600))
 		args = []string{"serve", "--operator", p.operatorFile}
 	}
 	p.log, p.exited = make(chan string, 100000), make(chan error, 1)
 	p.cmd = exec.Command(program, args...)
-	if p.rate != 0 {
+	if p.clockRate != 0 {
 		p.cmd = exec.Command(os.Args[0])
-		p.extra = []string{fmt.Sprintf("%s=%g", envRate, p.rate), fmt.Sprintf("%s=%v", envDisk, p.slow), "EDGE_OPERATOR=" + p.operatorFile}
+		p.env = []string{fmt.Sprintf("%s=%g", envRate, p.clockRate), fmt.Sprintf("%s=%v", envDisk, p.maxDiskDelay), "EDGE_OPERATOR=" + p.operatorFile}
 	}
-	p.cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+p.configFileName), p.extra...)
+	p.cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+p.configFileName), p.env...)
 	pipe, err := p.cmd.StderrPipe()
 	must(err)
 	must(p.cmd.Start())
@@ -155,17 +155,17 @@
 		exited <- cmd.Wait()
 	}()
 	if strings.Contains(f.operator, "ledger") {
-		p.readLedger = p.logged("ledger read")
+		p.readLedger = p.awaitLog("ledger read")
 	}
-	p.logged("listening")
+	p.awaitLog("listening")
 }
 
 // drain takes what it has logged so far.
-func (p *process) drain() {
+func (p *process) readLog() {
 	for {
 		select {
 		case line := <-p.log:
-			p.all = append(p.all, line)
+			p.lines = append(p.lines, line)
 		default:
 			return
 		}
@@ -182,25 +182,25 @@
 }
 
 // logged waits for a line and gives it.
-func (p *process) logged(part string) string {
+func (p *process) awaitLog(part string) string {
 	for {
 		select {
 		case line := <-p.log:
-			p.all = append(p.all, line)
+			p.lines = append(p.lines, line)
 			if strings.Contains(line, part) {
 				return line
 			}
 		case err := <-p.exited:
 			p.exited <- err
-			panic(fmt.Sprintf("gateway %d ended before %q: %v\n%s", p.no, part, err, strings.Join(p.all, "\n")))
+			panic(fmt.Sprintf("gateway %d ended before %q: %v\n%s", p.index, part, err, strings.Join(p.lines, "\n")))
 		case <-time.After(soon):
-			panic(fmt.Sprintf("gateway %d did not log %q:\n%s", p.no, part, strings.Join(p.all, "\n")))
+			panic(fmt.Sprintf("gateway %d did not log %q:\n%s", p.index, part, strings.Join(p.lines, "\n")))
 		}
 	}
 }
 
 // covered is an operator's file for gateways that tell one another what they answered.
-const covered = `
+const operatorWithPeers = `
 sessions {
   tokens = "hints"
   peers {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -75,8 +75,8 @@
 	sessions    *fleet.Sessions  // nil where the operator says nothing of them
 	quotas      *fleet.Quotas    // bounds of the fleet, nil where gateways agree on nothing
 	agreed      *agreed          // nil where gateways agree on nothing
-	reserved    *reserved        // nil where gateways agree on nothing
-	coordinated *coordinated     // nil where each gateway chooses for itself
+	reserved    *contractManager // nil where gateways agree on nothing
+	coordinated *coordinator     // nil where each gateway chooses for itself
 	link        *fleet.Datagrams // the address for other gateways, nil where there are none
 	seed        uint64
 	longest     decide.Nanos // turn so far: nothing else is read or written meanwhile
@@ -122,7 +122,7 @@
 	g.budget.all = g.budget.free
 	g.generations = newGenerations(g)
 	if c.Sessions != nil {
-		if g.sessions, err = fleet.NewSessions(sessionTxns{g}, c.Sessions, seed, g.clock.began); err != nil {
+		if g.sessions, err = fleet.NewSessions(sessionHost{g}, c.Sessions, seed, g.clock.began); err != nil {
 			return nil, fmt.Errorf("configuration: %w", err)
 		}
 	}
@@ -158,12 +158,12 @@
 		if g.quotas, err = fleet.NewQuotas(g.agreed.f, int64(decide.Millis(longest))); err != nil {
 			return errors.Join(err, g.agreed.f.Close())
 		}
-		g.reserved = &reserved{g: g, books: map[agreement.Digest]*contracts.Book{}, reading: map[agreement.Digest]bool{}}
-		if err := g.reserved.opens(); err != nil {
+		g.reserved = &contractManager{g: g, books: map[agreement.Digest]*contracts.Book{}, decoding: map[agreement.Digest]bool{}}
+		if err := g.reserved.loadAccount(); err != nil {
 			return errors.Join(err, g.agreed.f.Close())
 		}
 		if g.config.Coordination != nil {
-			if g.coordinated, err = newCoordinated(g); err != nil {
+			if g.coordinated, err = newCoordinator(g); err != nil {
 				return errors.Join(err, g.agreed.f.Close())
 			}
 		}
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -39,7 +39,7 @@
 	txns     int
 	version  uint64          // that the fleet gave it, 0 for none
 	watch    int64           // for which that one is watched
-	fleet    []*fleetBounds  // by tenant; nil for one whose bounds are each gateway's own
+	fleet    []*fleetLimits  // by tenant; nil for one whose bounds are each gateway's own
 	barred   map[string]bool // members that it excludes or drains
 }
 
@@ -266,7 +266,7 @@
 	if x == gs.told {
 		gs.told = nil
 	}
-	gs.rebound()
+	gs.updateFleetLimits()
 	gs.g.clients.recount(x)
 	gs.listed(before)
 	gs.forget()
@@ -292,7 +292,7 @@
 			t.also.CarryOver(t.alsoTenant, int64(t.size))
 		}
 	}
-	gs.rebound()
+	gs.updateFleetLimits()
 	gs.listed(before)
 }
 
@@ -398,7 +398,7 @@
 	if t.also != nil {
 		t.also.Begin(t.alsoTenant, int64(t.size), int64(gs.g.clock.now()))
 	}
-	gs.beginOfFleet(t)
+	gs.acquireFleetLimits(t)
 }
 
 func (gs *generations) end(t *txn) {
@@ -412,7 +412,7 @@
 	if t.also != nil {
 		t.also.End(t.alsoTenant, int64(t.size))
 	}
-	gs.endOfFleet(t)
+	gs.releaseFleetLimits(t)
 	if t.generation.txns--; t.generation.txns == 0 && t.generation != gs.inForce {
 		gs.forget()
 	}
--- a/gateway/generations_test.go
+++ b/gateway/generations_test.go
@@ -42,8 +42,8 @@
 // Hundreds of changes under load: each txn goes by the generation that was in force when it arrived, whole. A txn that
 // was sent after a change was in force never goes by an older one.
 func TestOneInstant(t *testing.T) {
-	g0, members := group(0, 1)
-	address, g, _ := embeddedWith(t, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
+	g0, members := newGroup(0, 1)
+	address, g, _ := runInProcessWith(t, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
 	front := standin.NewClientPool(address)
 	var inForce atomic.Int64 // the least expiry that a txn may still go by, in ms: those in force before and after
 	var wg sync.WaitGroup
@@ -55,7 +55,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := front.NewClient(fmt.Sprintf("%08x", 0xc00+i), classes)
+			c := front.NewClient(fmt.Sprintf("%08x", 0xc00+i), txnTypes)
 			defer c.Close()
 			for k := 0; ; k++ {
 				select {
@@ -76,7 +76,7 @@
 		changed(t, g, expiring(span), 0)
 		inForce.Store(span.Milliseconds())
 		// What this client sends now arrives under the new one.
-		c := front.NewClient("cafe", classes)
+		c := front.NewClient("cafe", txnTypes)
 		c.Timeout = 900 * time.Millisecond
 		c.Read(0)
 		c.Close()
@@ -105,9 +105,9 @@
 // A change takes out a member that has a txn in flight: that one ends there, nothing new goes there, and its
 // connections are given back. Undone, it gets work again; unless the list drains it meanwhile, which goes first.
 func TestRemovalAndUndo(t *testing.T) {
-	g0, members := group(0, 2)
+	g0, members := newGroup(0, 2)
 	out := members[2]
-	address, g, list := embeddedWith(t, func(c *gateway.Config) {
+	address, g, list := runInProcessWith(t, func(c *gateway.Config) {
 		c.Log = slog.New(slog.DiscardHandler) // and reads that are never sent twice, however long their member holds them
 		c.Settings = []byte(strings.NewReplacer(`"name":"once"}]`, `"name":"once"},
 		 {"effect":"once","promiseMs":1000,"hardLimitMs":60000,"worth":1,"name":"single"}]`,
@@ -173,12 +173,12 @@
 
 // A bad table under load is undone by itself, and the former behaviour is back; it is not taken a second time.
 func TestBadTableIsUndone(t *testing.T) {
-	_, members := group(0, 1)
+	_, members := newGroup(0, 1)
 	for _, m := range members {
 		m.SetDelay(5 * time.Millisecond)
 	}
-	log, lines := logLines()
-	address, g, _ := embeddedWith(t, func(c *gateway.Config) { c.Log = log }, members...)
+	log, lines := captureLog()
+	address, g, _ := runInProcessWith(t, func(c *gateway.Config) { c.Log = log }, members...)
 	front := standin.NewClientPool(address)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -186,7 +186,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := front.NewClient(fmt.Sprintf("%08x", 0xe00+i), classes)
+			c := front.NewClient(fmt.Sprintf("%08x", 0xe00+i), txnTypes)
 			defer c.Close()
 			for {
 				select {
@@ -213,7 +213,7 @@
 	if took := time.Since(from); took > 5*time.Second {
 		t.Errorf("undone after %v", took)
 	}
-	c := front.NewClient("e999", classes)
+	c := front.NewClient("e999", txnTypes)
 	defer c.Close()
 	if a := c.Read(0); a.Code != "" || a.Err != nil {
 		t.Error(a)
@@ -229,18 +229,18 @@
 
 // One tenant floods; the other is served as without it, and the flood is told when to come back.
 func TestFlood(t *testing.T) {
-	_, members := group(0, 1)
+	_, members := newGroup(0, 1)
 	for _, m := range members {
 		m.SetDelay(20 * time.Millisecond)
 	}
 	d := &routes.Document{MaxInFlight: 8,
 		Routes:  []routes.Route{{Name: "calm", Types: []string{"session"}, Tenant: "calm", RetryRatio: -1}, {Name: "flood", Tenant: "flood", RetryRatio: -1}},
 		Tenants: []routes.Tenant{{Name: "calm", Weight: 1}, {Name: "flood", Weight: 1}}}
-	address, _, _ := embeddedWith(t, func(c *gateway.Config) {
+	address, _, _ := runInProcessWith(t, func(c *gateway.Config) {
 		c.Log, c.Change = slog.New(slog.DiscardHandler), &gateway.Change{Document: d}
 	}, members...)
 	front := standin.NewClientPool(address)
-	calm := front.NewClient("f999", classes)
+	calm := front.NewClient("f999", txnTypes)
 	defer calm.Close()
 	ask := func() (ok int, took []time.Duration) {
 		for range 50 {
@@ -292,8 +292,8 @@
 // How long it takes from asking for a change until it is in force, and until it is undone by hand, with eight clients
 // at work.
 func BenchmarkApply(b *testing.B) {
-	_, members := group(0, 1)
-	address, g, _ := embeddedWith(b, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
+	_, members := newGroup(0, 1)
+	address, g, _ := runInProcessWith(b, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
 	front := standin.NewClientPool(address)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
@@ -302,7 +302,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := front.NewClient(fmt.Sprintf("%08x", 0xa00+i), classes)
+			c := front.NewClient(fmt.Sprintf("%08x", 0xa00+i), txnTypes)
 			defer c.Close()
 			for {
 				select {
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -24,26 +24,26 @@
 )
 
 // heldDisk is the operating system's, but its writes wait while it is held, or fail.
-type heldDisk struct {
+type blockingDisk struct {
 	store.FileSystem
-	mu   sync.Mutex
-	held chan struct{}
-	full bool
+	mu      sync.Mutex
+	blocked chan struct{}
+	full    bool
 }
 
-type heldFile struct {
+type blockingFile struct {
 	store.File
-	d *heldDisk
+	d *blockingDisk
 }
 
-func (d *heldDisk) Create(path string) (store.File, error) {
+func (d *blockingDisk) Create(path string) (store.File, error) {
 	f, err := d.FileSystem.Create(path)
-	return heldFile{f, d}, err
+	return blockingFile{f, d}, err
 }
 
-func (f heldFile) Write(p []byte) (int, error) {
+func (f blockingFile) Write(p []byte) (int, error) {
 	f.d.mu.Lock()
-	held, full := f.d.held, f.d.full
+	held, full := f.d.blocked, f.d.full
 	f.d.mu.Unlock()
 	if held != nil {
 		<-held
@@ -54,14 +54,14 @@
 	return f.File.Write(p)
 }
 
-func (d *heldDisk) set(f func()) {
+func (d *blockingDisk) update(f func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	f()
 }
 
 // logLines is a log and what comes to it.
-func logLines() (*slog.Logger, <-chan string) {
+func captureLog() (*slog.Logger, <-chan string) {
 	r, w := io.Pipe()
 	lines := make(chan string, 10000)
 	go func() {
@@ -87,12 +87,12 @@
 }
 
 // embedded runs a gateway in this process.
-func embedded(t *testing.T, log *slog.Logger, plan *hosted.SessionConfig, members ...*standin.Member) (address string) {
-	address, _, _ = embeddedWith(t, func(c *gateway.Config) { c.Sessions, c.Log = plan, log }, members...)
+func runInProcess(t *testing.T, log *slog.Logger, plan *hosted.SessionConfig, members ...*standin.Member) (address string) {
+	address, _, _ = runInProcessWith(t, func(c *gateway.Config) { c.Sessions, c.Log = plan, log }, members...)
 	return address
 }
 
-func embeddedWith(t testing.TB, change func(*gateway.Config), members ...*standin.Member) (address string, g *gateway.Gateway, list *standin.List) {
+func runInProcessWith(t testing.TB, change func(*gateway.Config), members ...*standin.Member) (address string, g *gateway.Gateway, list *standin.List) {
 	var hosts []standin.Host
 	for _, m := range members {
 		hosts = append(hosts, m.ListEntry("active"))
@@ -118,7 +118,7 @@
 	return c.Listen.String(), g, list
 }
 
-func complete(t *testing.T, folder string) bool {
+func ledgerComplete(t *testing.T, folder string) bool {
 	t.Helper()
 	for { // a former segment may go while it is copied
 		after := t.TempDir() + "/after"
@@ -136,46 +136,46 @@
 // A disk that is slow delays an answer for the stated span and no longer; from then on the ledger says of itself that
 // it lacks something, without the disk, until it has caught up. A full disk is no different, and is told.
 func TestSlowAndFullDisk(t *testing.T) {
-	log, lines := logLines()
-	_, members := group(0, 1)
-	d := &heldDisk{FileSystem: store.System()}
+	log, lines := captureLog()
+	_, members := newGroup(0, 1)
+	d := &blockingDisk{FileSystem: store.System()}
 	plan := &hosted.SessionConfig{Session: session.DefaultConfig(), Ledger: hosted.LedgerConfig{Folder: t.TempDir(),
 		BeforeAnswer: hosted.DurableProcess, MaxWait: int64(50 * time.Millisecond)}}
 	plan.Ledger.FileSystem = d
-	address := embedded(t, log, plan, members...)
+	address := runInProcess(t, log, plan, members...)
 	awaitLine(t, lines, "listening")
-	c := standin.NewClientPool(address).NewClient("fe01", classes)
+	c := standin.NewClientPool(address).NewClient("fe01", txnTypes)
 	defer c.Close()
-	if a := c.Write(0, "s1", "1"); a.String() != "served 1" || !complete(t, plan.Ledger.Folder) {
+	if a := c.Write(0, "s1", "1"); a.String() != "served 1" || !ledgerComplete(t, plan.Ledger.Folder) {
 		t.Fatal(a)
 	}
 	held := make(chan struct{})
-	d.set(func() { d.held = held })
+	d.update(func() { d.blocked = held })
 	a := c.Write(0, "s2", "2")
 	if a.String() != "served 2" || a.Latency < 50*time.Millisecond || a.Latency > time.Second {
 		t.Fatal(a, a.Latency)
 	}
 	awaitLine(t, lines, "now=true span_ms")
-	if complete(t, plan.Ledger.Folder) {
+	if ledgerComplete(t, plan.Ledger.Folder) {
 		t.Fatal("complete, though an answer went out that is not written")
 	}
-	d.set(func() { d.held = nil })
+	d.update(func() { d.blocked = nil })
 	close(held)
 	awaitLine(t, lines, "now=false span_ms")
-	if !complete(t, plan.Ledger.Folder) {
+	if !ledgerComplete(t, plan.Ledger.Folder) {
 		t.Fatal("not complete, though all is written")
 	}
-	d.set(func() { d.full = true })
+	d.update(func() { d.full = true })
 	if a := c.Write(0, "s3", "3"); a.String() != "served 3" {
 		t.Fatal(a)
 	}
 	awaitLine(t, lines, "records are not kept")
-	if complete(t, plan.Ledger.Folder) {
+	if ledgerComplete(t, plan.Ledger.Folder) {
 		t.Fatal("complete with a full disk")
 	}
-	d.set(func() { d.full = false })
+	d.update(func() { d.full = false })
 	awaitLine(t, lines, "records are kept again")
-	if !complete(t, plan.Ledger.Folder) {
+	if !ledgerComplete(t, plan.Ledger.Folder) {
 		t.Fatal("not complete after the snapshot")
 	}
 	if a := c.Read(0); a.String() != "served 3" {
@@ -183,17 +183,17 @@
 	}
 	// An early answer whose record is then refused: the snapshot that has it ends "behind" too, which stayed for good.
 	held = make(chan struct{})
-	d.set(func() { d.held, d.full = held, true })
+	d.update(func() { d.blocked, d.full = held, true })
 	if a := c.Write(0, "s4", "4"); a.String() != "served 4" {
 		t.Fatal(a)
 	}
 	awaitLine(t, lines, "now=true span_ms")
-	d.set(func() { d.held = nil })
+	d.update(func() { d.blocked = nil })
 	close(held)
 	awaitLine(t, lines, "records are not kept")
-	d.set(func() { d.full = false })
+	d.update(func() { d.full = false })
 	awaitLine(t, lines, "now=false span_ms")
-	until(func() bool { return complete(t, plan.Ledger.Folder) })
+	until(func() bool { return ledgerComplete(t, plan.Ledger.Folder) })
 }
 
 // A folder that another process has is refused at the start.
--- a/gateway/listed_test.go
+++ b/gateway/listed_test.go
@@ -26,7 +26,7 @@
 		w.wg.Add(1)
 		go func() {
 			defer w.wg.Done()
-			c := u.front.NewClient(fmt.Sprintf("%08x", 0x5e00+i), classes)
+			c := u.front.NewClient(fmt.Sprintf("%08x", 0x5e00+i), txnTypes)
 			defer c.Close()
 			written := ""
 			for k := 1; ; k++ {
@@ -83,7 +83,7 @@
 	}
 	once := func(gateway int, code, value, key string) {
 		t.Helper()
-		c := u.front.NewClient(code, classes)
+		c := u.front.NewClient(code, txnTypes)
 		defer c.Close()
 		u.await(fmt.Sprintf("gateway %d takes writes of sessions", gateway), func() bool {
 			a := c.Write(gateway, key+fmt.Sprint(time.Now().UnixNano()), value)
@@ -92,9 +92,9 @@
 	}
 	reads := func(gateway int, code, value string) {
 		t.Helper()
-		c := u.front.NewClient(code, classes)
+		c := u.front.NewClient(code, txnTypes)
 		defer c.Close()
-		if a := persist(c, gateway); a.Value != value {
+		if a := readUntilServed(c, gateway); a.Value != value {
 			t.Fatalf("read at n%d: %v, %s was answered", gateway, a, value)
 		}
 	}
@@ -123,7 +123,7 @@
 	// It hears, answers no session's write any more, and says that it has ended.
 	u.wire.Isolate(3, false)
 	status(1, "n3 at", false)
-	c := u.front.NewClient("ab03", classes)
+	c := u.front.NewClient("ab03", txnTypes)
 	defer c.Close()
 	if a := c.Write(3, "late", "late"); a.Code != "53300" || a.RetryAfter == "" {
 		t.Fatalf("a session's write at a gateway that nobody asks: %v", a)
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -160,10 +160,10 @@
 		if g.agreed != nil {
 			g.agreed.carryOut()
 			g.quotas.ProcessDecisions()
-			g.reserved.carryOut()
+			g.reserved.update()
 		}
 		if g.coordinated != nil {
-			g.coordinated.c.ProcessDecisions()
+			g.coordinated.coordination.ProcessDecisions()
 		}
 		if g.sessions != nil {
 			g.sessions.ProcessDecisions()
@@ -193,9 +193,9 @@
 	case inProbed:
 		g.module.ProbeEnded(in.server, in.result, in.elapsed, in.report)
 		if in.fence != 0 {
-			g.fenced(&in)
+			g.fenceCompleted(&in)
 		} else if g.coordinated != nil {
-			g.coordinated.probed(in.server, in.result)
+			g.coordinated.probeEnded(in.server, in.result)
 		}
 	case inHeard:
 		g.module.ResponseProgress(in.server)
@@ -232,7 +232,7 @@
 		g.cancel(d.Txn, int(d.Attempt))
 	case decide.Probe:
 		if g.coordinated != nil {
-			g.coordinated.probe(d.Server)
+			g.coordinated.requestProbe(d.Server)
 		} else {
 			g.members.probe(d.Server)
 		}
@@ -246,7 +246,7 @@
 		g.deadlines.Add(int64(g.clock.now()+d.Delay), due{kind: dueWake})
 	case decide.SendUpdates:
 		if g.coordinated != nil {
-			g.coordinated.told(d.Updates)
+			g.coordinated.reportUpdates(d.Updates)
 		} else {
 			g.tellNews(d.Updates)
 		}
@@ -299,7 +299,7 @@
 			}
 			g.inputs = append(g.inputs, input{kind: inReadable, ref: d.ref})
 		case dueList:
-			g.coordinated.asks()
+			g.coordinated.makeDeferredCalls()
 		case dueClosing:
 			g.closeIdleClients()
 		case dueFinal:
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -641,12 +641,12 @@
 		}
 		ms.g.parts = parts
 		if t := ms.g.txns.Get(m.job.txn); ms.g.sessions != nil && t != nil && !t.answered && t.writes {
-			if token := ms.g.committed(t, a.position); token != nil {
+			if token := ms.g.recordSessionCommit(t, a.position); token != nil {
 				parts = append(parts, token)
 			}
 		}
 		parts = append(parts, pgwire.AppendReadyForQuery(nil))
-		if ms.g.waitsForMark(m.job.txn) {
+		if ms.g.waitsForLedger(m.job.txn) {
 			ms.g.answerLater(m.job.txn, parts...)
 			ms.g.sessions.SaveChanges(m.job.txn)
 		} else {
--- a/gateway/migration_test.go
+++ b/gateway/migration_test.go
@@ -29,7 +29,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := f.front.NewClient(fmt.Sprintf("%s%06d", mark, i), classes)
+			c := f.front.NewClient(fmt.Sprintf("%s%06d", mark, i), txnTypes)
 			defer c.Close()
 			written := ""
 			for k := range rounds {
@@ -74,12 +74,12 @@
 // During a move gateways of both shapes stand before the same servers. Each kind must have nine of ten txns served,
 // neither breaks a rule for the other, and what binds one (a list that calls everybody gone) does not stop the other.
 func TestGatewaysOfBothShapes(t *testing.T) {
-	g, members := group(20*time.Millisecond, 3)
+	g, members := newGroup(20*time.Millisecond, 3)
 	g.ReplicaWait = 20 * time.Millisecond
 	before := newFleet(0, "", members...)
 	before.add(2)
 	defer before.stop()
-	after := newFleet(0, strings.Replace(covered, "key \"1\"", "positions = true\n    key \"1\"", 1), members...)
+	after := newFleet(0, strings.Replace(operatorWithPeers, "key \"1\"", "positions = true\n    key \"1\"", 1), members...)
 	after.settings = newShape.Replace(settings)
 	after.add(2)
 	defer after.stop()
@@ -135,7 +135,7 @@
 		f.list.SetHosts([]standin.Host{}...)
 		f.list.AwaitDeliveredTo(2)
 	}
-	old, fresh := before.front.NewClient("cc000001", classes), after.front.NewClient("cc000002", classes)
+	old, fresh := before.front.NewClient("cc000001", txnTypes), after.front.NewClient("cc000002", txnTypes)
 	defer old.Close()
 	defer fresh.Close()
 	// It was told, and reads what it was told when its loop comes to it.
@@ -169,7 +169,7 @@
 		f.list.SetHosts(hosts("active", "leaving", "active", "active")...)
 		f.list.AwaitDeliveredTo(2)
 	}
-	if a := persist(old, 0); a.Code != "" {
+	if a := readUntilServed(old, 0); a.Code != "" {
 		t.Errorf("old shape, list right again: %v", a)
 	}
 }
@@ -178,11 +178,11 @@
 // probed. Without positions it has to probe.
 func TestPositionsAreTold(t *testing.T) {
 	for _, positions := range []string{"true", "false"} {
-		g, members := group(0, 1)
-		f := newFleet(0, strings.NewReplacer("tokens", "source = \"own\"\n  tokens", "key \"1\"", "positions = "+positions+"\n    key \"1\"").Replace(covered), members...)
+		g, members := newGroup(0, 1)
+		f := newFleet(0, strings.NewReplacer("tokens", "source = \"own\"\n  tokens", "key \"1\"", "positions = "+positions+"\n    key \"1\"").Replace(operatorWithPeers), members...)
 		f.settings = newShape.Replace(settings)
 		f.add(2)
-		c := f.front.NewClient("dd000001", classes)
+		c := f.front.NewClient("dd000001", txnTypes)
 		c.Write(0, "dd", "v")
 		e, _ := g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" })
 		for range 20 { // of no session, so any replica will do, and its answer tells where it stands
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -21,7 +21,7 @@
 			if h.server != n.Server {
 				continue
 			}
-			e := peerwire.Entry{Kind: newsOfReplica, Group: uint16(h.entry.Block), Key: h.mark, Position: int64(g.position(n.Position))}
+			e := peerwire.Entry{Kind: newsOfReplica, Group: uint16(h.entry.Block), Key: h.mark, Position: int64(g.sessionPosition(n.Position))}
 			if n.Primary {
 				e.Kind = newsOfPrimary
 			}
@@ -35,7 +35,7 @@
 // heardNews has the module told, in the next turn, what another gateway learned. Where clocks may differ a word on a
 // role cannot be told from a later one and is left out; a position holds whenever it was.
 // ReceivePositions is for fleet.SessionHost.
-func (x sessionTxns) ReceivePositions(entries []peerwire.Entry) { x.g.heardNews(entries) }
+func (x sessionHost) ReceivePositions(entries []peerwire.Entry) { x.g.heardNews(entries) }
 
 func (g *Gateway) heardNews(entries []peerwire.Entry) {
 	if !g.config.Sessions.SharePositions {
@@ -46,7 +46,7 @@
 			if h.mark != e.Key || h.entry.Block != int(e.Group) {
 				continue
 			}
-			in := input{kind: inNews, server: h.server, position: g.onClock(session.Position(e.Position))}
+			in := input{kind: inNews, server: h.server, position: g.clockTime(session.Position(e.Position))}
 			if e.Kind == newsOfPrimary && g.config.ClockError == 0 {
 				in.role = decide.RolePrimary
 			}
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -14,12 +14,12 @@
 
 // zoned starts a gateway before a primary in zone a and a replica in each of a and b.
 func zoned(t *testing.T, log *slog.Logger) (front *standin.ClientPool, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
-	g0, members := group(0, 2)
+	g0, members := newGroup(0, 2)
 	for _, m := range members {
 		hosts = append(hosts, m.ListEntry("active"))
 	}
 	hosts[2].Site = "b"
-	address, g, list := embeddedWith(t, func(c *gateway.Config) {
+	address, g, list := runInProcessWith(t, func(c *gateway.Config) {
 		c.Log = log
 		c.Settings = bytes.Replace(c.Settings, []byte(`"zones":["a"]`), []byte(`"zones":["a","b"]`), 1)
 	}, members...)
@@ -75,7 +75,7 @@
 // A tenant's connections are counted by what clients say of themselves, over changes too: one too many is refused, who is
 // there stays, and one that goes makes room. What is logged follows the generation.
 func TestConnectionsAndLog(t *testing.T) {
-	log, lines := logLines()
+	log, lines := captureLog()
 	front, _, g, _, _ := zoned(t, log)
 	bound := func(n int, level string) *routes.Document {
 		return &routes.Document{LogLevel: level, Tenants: []routes.Tenant{{Name: "t", Weight: 1, MaxConnections: n}},
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -15,18 +15,18 @@
 )
 
 // flood asks some gateways for reads of one type as fast as they answer, and counts when each was served.
-type flood struct {
-	stop chan struct{}
-	wg   sync.WaitGroup
-	mu   sync.Mutex
-	at   []time.Time
-	on   []*atomic.Bool // by gateway
+type readFlood struct {
+	stop     chan struct{}
+	wg       sync.WaitGroup
+	mu       sync.Mutex
+	servedAt []time.Time
+	active   []*atomic.Bool // by gateway
 }
 
-func (u *union) flood(clients int) *flood {
-	f := &flood{stop: make(chan struct{})}
+func (u *union) startFlood(clients int) *readFlood {
+	f := &readFlood{stop: make(chan struct{})}
 	for i := range u.gateways {
-		f.on = append(f.on, new(atomic.Bool))
+		f.active = append(f.active, new(atomic.Bool))
 		for k := range clients {
 			f.wg.Add(1)
 			go func() {
@@ -39,12 +39,12 @@
 						return
 					case <-time.After(4 * time.Millisecond):
 					}
-					if !f.on[i].Load() {
+					if !f.active[i].Load() {
 						continue
 					}
 					if a := c.Read(i); a.Err == nil && a.Code == "" {
 						f.mu.Lock()
-						f.at = append(f.at, time.Now())
+						f.servedAt = append(f.servedAt, time.Now())
 						f.mu.Unlock()
 					}
 				}
@@ -54,23 +54,23 @@
 	return f
 }
 
-func (f *flood) only(gateways ...int) {
-	for i := range f.on {
-		f.on[i].Store(false)
+func (f *readFlood) setActive(gateways ...int) {
+	for i := range f.active {
+		f.active[i].Store(false)
 	}
 	for _, i := range gateways {
-		f.on[i].Store(true)
+		f.active[i].Store(true)
 	}
 }
 
-func (f *flood) served() int {
+func (f *readFlood) served() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.at)
+	return len(f.servedAt)
 }
 
 // reads are when the stand-ins served reads, in order.
-func (u *union) reads() (at []time.Time) {
+func (u *union) readTimes() (at []time.Time) {
 	for _, e := range u.group.Events() {
 		if e.Kind == "read" {
 			at = append(at, e.At)
@@ -80,9 +80,9 @@
 }
 
 // within holds what the stand-ins served against a bound: over no span between two reads is it passed.
-func (u *union) within(rate, burst float64) {
+func (u *union) checkRate(rate, burst float64) {
 	u.t.Helper()
-	all := u.reads()
+	all := u.readTimes()
 	tokens, worst := burst, -burst
 	for i, at := range all {
 		if i > 0 {
@@ -100,17 +100,17 @@
 // A tenant's hundred txns a second are the fleet's: through one gateway, through all, while one is cut off, while one stands
 // still for twice a lease and wakes under load, while who keeps the book is killed, while all but two are. What the
 // stand-ins did never passes it, and where it is asked for it is used.
-func TestRateOfTheFleet(t *testing.T) {
+func TestFleetRateLimit(t *testing.T) {
 	u := newUnion(t, 5, 3)
 	const rate, burst = 100, 30
 	if said := u.apply(3, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\ntenant \"t\" {\n  fleet = true\n  rate  = %d\n  burst = %d\n}\n", rate, burst)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
 	u.holds(1, 0, 1, 2, 3, 4)
-	f := u.flood(6)
+	f := u.startFlood(6)
 	used := func(what string, least float64, span time.Duration, gateways ...int) {
 		t.Helper()
-		f.only(gateways...)
+		f.setActive(gateways...)
 		u.awaitFor(3*soon, what+": the first is served", func() bool { n := f.served(); time.Sleep(200 * time.Millisecond); return f.served() > n+4 })
 		time.Sleep(time.Second)
 		before, began := f.served(), time.Now()
@@ -169,13 +169,13 @@
 	used("it comes back as another", 0.75, time.Second, k)
 	close(f.stop)
 	f.wg.Wait()
-	u.within(rate, burst)
+	u.checkRate(rate, burst)
 }
 
 // Twelve of a tenant's txns in flight and eight of its connections are the fleet's: of those that come through four gateways
 // at once so many are served at a time at the stand-ins and no more, also while a gateway that holds a part is killed, whose
 // part others have once its lease has run out; so many clients are let in and no more.
-func TestLevelsOfTheFleet(t *testing.T) {
+func TestFleetConcurrencyLimits(t *testing.T) {
 	u := newUnion(t, 4, 3)
 	const inFlight, connections, span = 12, 8, 40 * time.Millisecond
 	for _, m := range u.members {
@@ -186,10 +186,10 @@
 		t.Fatal(said)
 	}
 	u.holds(1, 0, 1, 2, 3)
-	f := u.flood(10)
+	f := u.startFlood(10)
 	rate := func(what string, least float64, gateways ...int) {
 		t.Helper()
-		f.only(gateways...)
+		f.setActive(gateways...)
 		time.Sleep(1500 * time.Millisecond)
 		before, began := f.served(), time.Now()
 		time.Sleep(2 * time.Second)
@@ -200,7 +200,7 @@
 		}
 	}
 	u.await("the books are kept", func() bool {
-		f.only(0, 1, 2, 3)
+		f.setActive(0, 1, 2, 3)
 		n := f.served()
 		time.Sleep(100 * time.Millisecond)
 		return f.served() > n+5
@@ -212,14 +212,14 @@
 	u.gateways[killed].kill()
 	u.awaitFor(3*soon, "others have its part", func() bool {
 		n, began := f.served(), time.Now()
-		f.only(0, 1, 2, 3)
+		f.setActive(0, 1, 2, 3)
 		time.Sleep(time.Second)
 		return float64(f.served()-n)/time.Since(began).Seconds() > 0.6*inFlight/span.Seconds()
 	})
 	u.gateways[killed].start()
 	close(f.stop)
 	f.wg.Wait()
-	most, all := 0, u.reads()
+	most, all := 0, u.readTimes()
 	for i, k := 0, 0; i < len(all); i++ { // each is at a stand-in for the span: how many are at a time
 		for all[i].Sub(all[k]) >= span-time.Millisecond {
 			k++
@@ -263,17 +263,17 @@
 
 // A mass restart: of nine gateways seven are killed at once, among them one that votes, and started again at once. The two that
 // are left have the bound to themselves within some seconds, nine share it again, and it is never passed.
-func TestRateThroughAMassRestart(t *testing.T) {
+func TestFleetRateLimitThroughMassRestart(t *testing.T) {
 	u := newUnion(t, 9, 3)
 	const rate, burst = 120, 40
 	if said := u.apply(5, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\ntenant \"t\" {\n  fleet = true\n  rate  = %d\n  burst = %d\n}\n", rate, burst)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
 	u.holds(1, 0, 1, 2, 3, 4, 5, 6, 7, 8)
-	f := u.flood(3)
+	f := u.startFlood(3)
 	used := func(what string, least float64, gateways ...int) {
 		t.Helper()
-		f.only(gateways...)
+		f.setActive(gateways...)
 		for began := time.Now(); ; { // an election, another keeper and its quiet take longer than most events
 			n, from := f.served(), time.Now()
 			time.Sleep(time.Second)
@@ -299,5 +299,5 @@
 	used("through nine again", 0.75, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	close(f.stop)
 	f.wg.Wait()
-	u.within(rate, burst)
+	u.checkRate(rate, burst)
 }
--- a/gateway/reserved_test.go
+++ b/gateway/reserved_test.go
@@ -14,14 +14,14 @@
 )
 
 // guests are clients of one user at one gateway, each of which asks for reads one after another.
-type guests struct {
-	stop                       chan struct{}
-	wg                         sync.WaitGroup
-	served, declined, anything atomic.Int64
+type userLoad struct {
+	stop                     chan struct{}
+	wg                       sync.WaitGroup
+	served, declined, failed atomic.Int64
 }
 
-func (u *union) guests(user string, gateway, n int) *guests {
-	g := &guests{stop: make(chan struct{})}
+func (u *union) startUserLoad(user string, gateway, n int) *userLoad {
+	g := &userLoad{stop: make(chan struct{})}
 	for i := range n {
 		g.wg.Add(1)
 		go func() {
@@ -42,7 +42,7 @@
 					g.declined.Add(1)
 					time.Sleep(2 * time.Millisecond)
 				default:
-					g.anything.Add(1)
+					g.failed.Add(1)
 					time.Sleep(2 * time.Millisecond)
 				}
 			}
@@ -51,7 +51,7 @@
 	return g
 }
 
-func (g *guests) end() (served, declined int64) {
+func (g *userLoad) end() (served, declined int64) {
 	close(g.stop)
 	g.wg.Wait()
 	return g.served.Load(), g.declined.Load()
@@ -60,7 +60,7 @@
 // A window that is open: what is stated at a gateway that votes adds up to what the clients of all gateways were told, and to
 // what the stand-ins served, also after a gateway that does not vote was killed a moment after its last report and all that
 // vote were killed one after another.
-func TestUsageAddsUp(t *testing.T) {
+func TestUsageCountsAddUp(t *testing.T) {
 	u := newUnion(t, 5, 3)
 	rules := "in_flight = 20\nroute \"tv\" {\n  users  = [\"tv\"]\n  tenant = \"tv\"\n}\ntenant \"tv\" {}\ntenant \"others\" {}\n"
 	if said := u.apply(3, rules); !strings.Contains(said, "version 1 is agreed on") {
@@ -78,23 +78,23 @@
 	for i := range u.gateways {
 		u.await("room is held", func() bool { return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12") })
 	}
-	reads := len(u.reads())
+	reads := len(u.readTimes())
 	asked, served := int64(0), int64(0)
 	for range 2 {
-		var all []*guests
+		var all []*userLoad
 		for i := range u.gateways {
-			all = append(all, u.guests("tv", i, 15)) // three more than there is room for beside others
+			all = append(all, u.startUserLoad("tv", i, 15)) // three more than there is room for beside others
 		}
 		time.Sleep(time.Second)
 		for _, g := range all {
 			n, declined := g.end()
 			served, asked = served+n, asked+n+declined
-			if g.anything.Load() > 0 {
-				t.Fatal("without an answer: ", g.anything.Load())
+			if g.failed.Load() > 0 {
+				t.Fatal("without an answer: ", g.failed.Load())
 			}
 		}
 	}
-	if n := int64(len(u.reads()) - reads); n < served {
+	if n := int64(len(u.readTimes()) - reads); n < served {
 		t.Fatalf("%d were served at the stand-ins, %d were told so", n, served)
 	}
 	stated := func(i int) (got, inTime int64) {
@@ -167,14 +167,14 @@
 		}
 	}
 	// Before: beside a flood the tenant has its weight of 1 in 20.
-	floods := func() (all []*guests) {
+	floods := func() (all []*userLoad) {
 		for i := range u.gateways {
-			all = append(all, u.guests("portal", i, 40))
+			all = append(all, u.startUserLoad("portal", i, 40))
 		}
 		return all
 	}
 	served := func(gateway int, span time.Duration) (float64, int64) {
-		g := u.guests("tv", gateway, 10)
+		g := u.startUserLoad("tv", gateway, 10)
 		time.Sleep(span)
 		n, declined := g.end()
 		return float64(n) / span.Seconds(), declined
@@ -258,7 +258,7 @@
 	}
 	u.list.SetHosts(hosts...)
 	for _, p := range u.gateways {
-		p.logged("contracts: at risk")
+		p.awaitLog("contracts: at risk")
 	}
 	if said := u.said(1, "contracts", "list"); !strings.Contains(said, "at risk from") || !strings.Contains(said, "group 0 lacks 50 reads a second") {
 		t.Fatal(said)
--- a/gateway/sessions_test.go
+++ b/gateway/sessions_test.go
@@ -14,10 +14,10 @@
 	"magpieglade/standin"
 )
 
-var classes = standin.TxnTypes{Write: "keyed", Read: "session"}
+var txnTypes = standin.TxnTypes{Write: "keyed", Read: "session"}
 
 // group is a primary and replicas that apply with a lag.
-func group(lag time.Duration, replicas int) (g *standin.Group, all []*standin.Member) {
+func newGroup(lag time.Duration, replicas int) (g *standin.Group, all []*standin.Member) {
 	g = standin.NewGroup(0)
 	g.DedupWindow = 800 * time.Millisecond
 	all = append(all, g.NewMember("p", true))
@@ -31,7 +31,7 @@
 
 // roam has clients that write at one gateway and read at another, and counts what was served and what was stale: a
 // read that shows less than what its own session had been answered before.
-func roam(f *fleet, clients, rounds, gateways int) (served, stale int, other map[string]int) {
+func runRoamingClients(f *fleet, clients, rounds, gateways int) (served, stale int, other map[string]int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	other = map[string]int{}
@@ -39,7 +39,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := f.front.NewClient(fmt.Sprintf("%08x", 0x100+i), classes)
+			c := f.front.NewClient(fmt.Sprintf("%08x", 0x100+i), txnTypes)
 			defer c.Close()
 			written := 0
 			for k := range rounds {
@@ -68,13 +68,13 @@
 
 // What a session wrote at one gateway is seen at the others, whatever the replicas lag; gateways that know their own
 // writes alone serve stale reads under the same load, so the check can fail.
-func TestSessionsRoam(t *testing.T) {
+func TestSessionsAcrossGateways(t *testing.T) {
 	for _, source := range []string{"covered", "fenced", "own"} {
 		t.Run(source, func(t *testing.T) {
-			_, members := group(300*time.Millisecond, 2)
-			f := newFleet(3, strings.Replace(covered, "tokens", "source = \""+source+"\"\n  tokens", 1), members...)
+			_, members := newGroup(300*time.Millisecond, 2)
+			f := newFleet(3, strings.Replace(operatorWithPeers, "tokens", "source = \""+source+"\"\n  tokens", 1), members...)
 			defer f.stop()
-			served, stale, other := roam(f, 12, 20, 3)
+			served, stale, other := runRoamingClients(f, 12, 20, 3)
 			t.Logf("%s: %d served, %d stale, %v", source, served, stale, other)
 			if (source == "own") != (stale > 0) || served < 200 {
 				t.Fatalf("%d served, %d stale, %v", served, stale, other)
@@ -85,7 +85,7 @@
 
 // persist reads until it is served, coming back when it is told to: a fresh gateway puts few reads on a primary that it
 // has not heard of yet.
-func persist(c *standin.Client, gateway int) standin.Response {
+func readUntilServed(c *standin.Client, gateway int) standin.Response {
 	for began := time.Now(); ; {
 		a := c.Read(gateway)
 		after, err := strconv.Atoi(a.RetryAfter)
@@ -99,10 +99,10 @@
 // The first gateway dies right after it has answered: nobody can be asked for what it noted, so the others fence. It
 // comes back from nothing, and fences as well.
 func Example_firstGatewayDies() {
-	_, members := group(400*time.Millisecond, 2)
-	f := newFleet(2, covered, members...)
+	_, members := newGroup(400*time.Millisecond, 2)
+	f := newFleet(2, operatorWithPeers, members...)
 	defer f.stop()
-	c := f.front.NewClient("aa01", classes)
+	c := f.front.NewClient("aa01", txnTypes)
 	for k := range 3 {
 		value := fmt.Sprint("v", k)
 		fmt.Println(c.Write(0, fmt.Sprint("key", k), value))
@@ -110,7 +110,7 @@
 		fmt.Println(c.Read(1))
 		c.Drop(0)
 		f.gateways[0].start()
-		fmt.Println(persist(c, 0))
+		fmt.Println(readUntilServed(c, 0))
 	}
 	// Output:
 	// served v0
@@ -125,27 +125,27 @@
 }
 
 // A gateway in the list that never runs costs fences, not freshness; so does a peer's message that is lost.
-func Example_ghost() {
-	_, members := group(200*time.Millisecond, 2)
-	f := newFleet(0, covered, members...)
-	f.ghosts = 1
+func Example_gatewayNeverRuns() {
+	_, members := newGroup(200*time.Millisecond, 2)
+	f := newFleet(0, operatorWithPeers, members...)
+	f.neverStarted = 1
 	f.add(2)
 	defer f.stop()
-	served, stale, _ := roam(f, 6, 10, 2)
+	served, stale, _ := runRoamingClients(f, 6, 10, 2)
 	fmt.Println(served, "served,", stale, "stale")
 	// Output:
 	// 60 served, 0 stale
 }
 
 // The group's clock is seconds ahead of the gateways', or behind: positions are compared with one another alone.
-func TestClocksApart(t *testing.T) {
+func TestGroupClockSkew(t *testing.T) {
 	for _, skew := range []time.Duration{2 * time.Second, -2 * time.Second} {
 		t.Run(skew.String(), func(t *testing.T) {
-			g, members := group(100*time.Millisecond, 2)
+			g, members := newGroup(100*time.Millisecond, 2)
 			g.SetClockSkew(skew)
-			f := newFleet(2, "clock_error = \"3s\"\n"+covered, members...)
+			f := newFleet(2, "clock_error = \"3s\"\n"+operatorWithPeers, members...)
 			defer f.stop()
-			served, stale, other := roam(f, 6, 15, 2)
+			served, stale, other := runRoamingClients(f, 6, 15, 2)
 			if stale > 0 || served < 80 {
 				t.Fatalf("%d served, %d stale, %v", served, stale, other)
 			}
@@ -156,16 +156,16 @@
 // A keyed write is committed and its answer lost with the gateway. Asked again elsewhere, within the window it is
 // dropped as a repeat; past it, it is not sent, as it would have its effect twice.
 func Example_repeatElsewhere() {
-	g, members := group(20*time.Millisecond, 1)
-	f := newFleet(2, covered, members...)
+	g, members := newGroup(20*time.Millisecond, 1)
+	f := newFleet(2, operatorWithPeers, members...)
 	defer f.stop()
 	members[0].DropResponses("keyed", 1)
-	c := f.front.NewClient("bb01", classes)
+	c := f.front.NewClient("bb01", txnTypes)
 	lost := make(chan string)
 	go func() { lost <- c.Write(0, "once-1", "x").String() }()
 	g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" })
 	fmt.Println(await(lost)) // the gateway itself sends it again, within the window
-	other := f.front.NewClient("bb01", classes)
+	other := f.front.NewClient("bb01", txnTypes)
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
 	time.Sleep(g.DedupWindow) // what is waited for is the group's forgetting, which no event tells
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
@@ -181,10 +181,10 @@
 // A keyed write that comes past its window to a gateway that was quiet since is rolled back: the window ends by the time
 // of its arrival, not of what the gateway did last. Declined, it would be said to have had no effect.
 func Example_repeatAfterQuiet() {
-	g, members := group(0, 1)
+	g, members := newGroup(0, 1)
 	f := newFleet(1, "sessions {}", members...)
 	defer f.stop()
-	c := f.front.NewClient("be01", classes)
+	c := f.front.NewClient("be01", txnTypes)
 	fmt.Println(c.Write(0, "quiet-1", "x"))
 	time.Sleep(g.DedupWindow) // what is waited for is the group's forgetting, which no event tells
 	fmt.Println(c.Write(0, "quiet-1", "x"), g.Effects("quiet-1"))
@@ -195,14 +195,14 @@
 
 // The only replica that is fresh enough drains: past the grace nothing new goes there, and the read is the primary's.
 func Example_freshReplicaDrains() {
-	g, members := group(0, 2)
+	g, members := newGroup(0, 2)
 	p, near, far := members[0], members[1], members[2]
 	far.SetLag(time.Hour)
 	f := newFleet(1, "sessions {}", members...)
 	defer f.stop()
-	c := f.front.NewClient("cc01", classes)
+	c := f.front.NewClient("cc01", txnTypes)
 	fmt.Println(c.Write(0, "d1", "1"), c.Read(0))
-	f.gateways[0].logged("list followed")
+	f.gateways[0].awaitLog("list followed")
 	f.list.SetHosts(p.ListEntry("active"), near.ListEntry("leaving"), far.ListEntry("active"))
 	f.list.AwaitDelivered()
 	time.Sleep(250 * time.Millisecond) // the grace
@@ -222,13 +222,13 @@
 // What drains is the primary: reads wait for its successor, and are refused with when to come back where none comes
 // in their time.
 func Example_primaryDrains() {
-	g, members := group(0, 2)
+	g, members := newGroup(0, 2)
 	p, next := members[0], members[1]
 	f := newFleet(1, "sessions {}", members...)
 	defer f.stop()
-	c := f.front.NewClient("cc02", classes)
+	c := f.front.NewClient("cc02", txnTypes)
 	fmt.Println(c.Write(0, "e1", "1"))
-	f.gateways[0].logged("list followed")
+	f.gateways[0].awaitLog("list followed")
 	g.Demote()
 	f.list.SetHosts(p.ListEntry("leaving"), next.ListEntry("active"), members[2].ListEntry("active"))
 	c.Timeout = 300 * time.Millisecond
@@ -249,10 +249,10 @@
 // A commit is lost in a switch without sync, and with it the position that its session is to see: the session is
 // served what there is, by the primary, and does not hang.
 func Example_lostCommit() {
-	g, members := group(5*time.Second, 1)
-	f := newFleet(2, covered, members...)
+	g, members := newGroup(5*time.Second, 1)
+	f := newFleet(2, operatorWithPeers, members...)
 	defer f.stop()
-	c := f.front.NewClient("dd01", classes)
+	c := f.front.NewClient("dd01", txnTypes)
 	fmt.Println(c.Write(0, "f1", "1"), g.Promote(members[1], false))
 	c.Timeout = 2 * time.Second
 	r := c.Read(1)
@@ -267,10 +267,10 @@
 // A signed token is believed at any gateway; a forged one, or one that was made for another session, is none: the
 // read is covered as one without.
 func Example_signedTokens() {
-	_, members := group(0, 2)
-	f := newFleet(2, strings.Replace(covered, "hints", "signed", 1), members...)
+	_, members := newGroup(0, 2)
+	f := newFleet(2, strings.Replace(operatorWithPeers, "hints", "signed", 1), members...)
 	defer f.stop()
-	c := f.front.NewClient("ee01", classes)
+	c := f.front.NewClient("ee01", txnTypes)
 	fmt.Println(c.Write(0, "g1", "1"), len(c.Token))
 	fmt.Println(c.Read(1))
 	token := c.Token
@@ -293,8 +293,8 @@
 
 // Two processes never answer for the same gateway: the second does not start while the first holds its address.
 func Example_sameGatewayTwice() {
-	_, members := group(0, 1)
-	f := newFleet(2, covered, members...)
+	_, members := newGroup(0, 1)
+	f := newFleet(2, operatorWithPeers, members...)
 	defer f.stop()
 	second := *f.gateways[0]
 	second.listen = freePort("tcp4", "127.0.0.2")
@@ -307,7 +307,7 @@
 }
 
 // kept is an operator's file with a ledger.
-const kept = `
+const operatorWithLedger = `
 sessions {
   tokens = "hints"
   peers {
@@ -327,9 +327,9 @@
 // no primary to serve what it had answered. Without one it does.
 func Example_ledger() {
 	for _, before := range []string{"process", "none"} {
-		g, members := group(50*time.Millisecond, 1)
-		f := newFleet(1, strings.Replace(kept, "process", before, 1), members...)
-		c := f.front.NewClient("ab01", classes)
+		g, members := newGroup(50*time.Millisecond, 1)
+		f := newFleet(1, strings.Replace(operatorWithLedger, "process", before, 1), members...)
+		c := f.front.NewClient("ab01", txnTypes)
 		fmt.Println(c.Write(0, "h1", "1"), c.Read(0))
 		f.gateways[0].kill()
 		c.Drop(0)
@@ -338,7 +338,7 @@
 		f.gateways[0].start()
 		fmt.Println(strings.Contains(f.gateways[0].readLedger, "complete=true"))
 		if before == "process" { // it may try the primary first, as it does not know yet which of them that is
-			fmt.Println(persist(c, 0))
+			fmt.Println(readUntilServed(c, 0))
 		} else {
 			c.Timeout = 400 * time.Millisecond
 			fmt.Println(c.Read(0))
@@ -358,15 +358,15 @@
 // Gateways are killed and come back under load, with and without ledgers: nothing that was served is stale, and each
 // keyed write has its effect once.
 func TestKilledUnderLoad(t *testing.T) {
-	for name, operator := range map[string]string{"ledger": kept, "none": covered} {
+	for name, operator := range map[string]string{"ledger": operatorWithLedger, "none": operatorWithPeers} {
 		t.Run(name, func(t *testing.T) {
-			g, members := group(150*time.Millisecond, 2)
+			g, members := newGroup(150*time.Millisecond, 2)
 			f := newFleet(2, operator, members...)
 			defer f.stop()
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				served, stale, other := roam(f, 8, 60, 2)
+				served, stale, other := runRoamingClients(f, 8, 60, 2)
 				t.Logf("%d served, %d stale, %v", served, stale, len(other))
 				if stale > 0 || served < 50 {
 					t.Errorf("%d served, %d stale, %v", served, stale, other)
@@ -396,12 +396,12 @@
 // What sessions cost: two gateways, replicas 20 ms behind, clients that write and then read at the other gateway; read
 // latencies and the gateways' processor time a txn. Without an operator's file, and with what clients bring, nothing is
 // covered across gateways.
-func BenchmarkRoam(b *testing.B) {
+func BenchmarkSessionsAcrossGateways(b *testing.B) {
 	for _, c := range []struct{ name, operator string }{
-		{"off", ""}, {"covered", covered}, {"fenced", strings.Replace(covered, "tokens", "source = \"fenced\"\n  tokens", 1)}, {"ledger", kept},
+		{"off", ""}, {"covered", operatorWithPeers}, {"fenced", strings.Replace(operatorWithPeers, "tokens", "source = \"fenced\"\n  tokens", 1)}, {"ledger", operatorWithLedger},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			_, members := group(20*time.Millisecond, 2)
+			_, members := newGroup(20*time.Millisecond, 2)
 			f := newFleet(2, c.operator, members...)
 			var took []time.Duration
 			var mu sync.Mutex
@@ -412,7 +412,7 @@
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						cl := f.front.NewClient(fmt.Sprintf("%08x", 0x100+i), classes)
+						cl := f.front.NewClient(fmt.Sprintf("%08x", 0x100+i), txnTypes)
 						defer cl.Close()
 						for k := range 50 {
 							w := cl.Write(k%2, fmt.Sprint("b", ids.Add(1)), "1")
@@ -446,16 +446,16 @@
 
 // Gateways whose lists or keys differ do not believe one another, say so once, and fence.
 func Example_otherKey() {
-	_, members := group(100*time.Millisecond, 1)
-	f := newFleet(2, covered, members...)
+	_, members := newGroup(100*time.Millisecond, 1)
+	f := newFleet(2, operatorWithPeers, members...)
 	defer f.stop()
 	p := f.gateways[1]
 	p.kill()
 	must(os.WriteFile(filepath.Join(f.dir, "key"), []byte(strings.Repeat("cd", 32)), 0o600))
 	p.start()
-	c := f.front.NewClient("ba01", classes)
-	fmt.Println(c.Write(0, "o1", "1"), persist(c, 1))
-	fmt.Println(strings.Contains(p.logged("refused"), "bad authenticator"))
+	c := f.front.NewClient("ba01", txnTypes)
+	fmt.Println(c.Write(0, "o1", "1"), readUntilServed(c, 1))
+	fmt.Println(strings.Contains(p.awaitLog("refused"), "bad authenticator"))
 	// Output:
 	// served 1 served 1
 	// true
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -34,7 +34,7 @@
 	if !x.shares.CanConnect(n) {
 		return false, false
 	}
-	if ok, first = cs.g.generations.mayConnect(c, n); !ok {
+	if ok, first = cs.g.generations.acquireConnection(c, n); !ok {
 		return false, first
 	}
 	x.shares.AddConnections(n, 1)
@@ -69,8 +69,8 @@
 		if n := cs.tenantOf(x, c); n >= 0 {
 			x.shares.AddConnections(n, 1)
 			c.tenant = n + 1
-			if int(n) < len(x.fleet) && x.fleet[n] != nil && x.fleet[n].connects != 0 {
-				c.connects = x.fleet[n].connects
+			if int(n) < len(x.fleet) && x.fleet[n] != nil && x.fleet[n].connectionsKey != 0 {
+				c.connects = x.fleet[n].connectionsKey
 				cs.g.quotas.Module.AddExisting(c.connects, 1)
 			}
 		}
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -30,10 +30,10 @@
 	also       *routes.Shares // of a version that comes next, nil for none
 	alsoTenant int32          // of those
 	counted    bool           // until it has ended
-	bounds     []*fleetBounds // of the fleet that it counts against
+	bounds     []*fleetLimits // of the fleet that it counts against
 	bytes      int64          // that it counts for there
 	failed     bool           // its answer is an error
-	ending     ending         // why, for who counts
+	ending     txnOutcome     // why, for who counts
 	arrived    decide.Nanos
 
 	class        int
@@ -77,7 +77,7 @@
 	}
 	if why == routes.Allowed {
 		first := false
-		if why, after, first = g.generations.mayOfFleet(&t); first && g.clients.waitsForPart(c) {
+		if why, after, first = g.generations.checkFleetLimits(&t); first && g.clients.waitForAllocation(c) {
 			return waitForPart
 		}
 	}
@@ -99,23 +99,23 @@
 		t.session = sessionOf(comment.Session)
 	}
 	if comment.IdempotencyKey != nil {
-		t.key = keyOf(comment.IdempotencyKey)
+		t.key = hashKey(comment.IdempotencyKey)
 	}
 	if g.sessions != nil && why == routes.Allowed && t.writes && t.session != 0 && !g.sessions.Module.AcceptsSessionWrites() {
 		why, after = routes.AgreementUnavailable, g.sessions.Config.Session.RetryAfter // others do not know that it is to be asked
 	}
 	repeats := true
 	if g.sessions != nil && kind.Effect == "by_key" {
-		budget, repeats = g.mayRepeatKey(&t, decide.Millis(kind.Window), budget)
+		budget, repeats = g.retryBudget(&t, decide.Millis(kind.Window), budget)
 	}
 	c.txn = g.txns.Add(t)
 	g.byID[comment.ID] = c.txn
 	g.counts.taken++
 	if g.coordinated != nil {
-		g.coordinated.c.AddTxn()
+		g.coordinated.coordination.AddTxn()
 	}
 	held := g.txns.Get(c.txn)
-	held.ending = endingOf(why)
+	held.ending = outcomeOfRejection(why)
 	defer g.forgetBuffer(held)
 	switch {
 	case why != routes.Allowed:
@@ -127,7 +127,7 @@
 	}
 	g.generations.begin(held)
 	if g.sessions != nil && need == "causal" {
-		g.readOf(held, budget)
+		g.addSessionRead(held, budget)
 		return ""
 	}
 	var age decide.Nanos
@@ -200,7 +200,7 @@
 	t.answered = true
 	g.generations.served(t, !t.failed)
 	if g.reserved != nil {
-		g.reserved.count(t, !t.failed)
+		g.reserved.countTxn(t, !t.failed)
 	}
 	who, size := t.client, t.size
 	c := g.clients.open.Get(who)
@@ -243,7 +243,7 @@
 
 func (g *Gateway) rollBack(id uint64) {
 	if t := g.txns.Get(g.byID[id]); t != nil {
-		t.ending = endRolledBack
+		t.ending = outcomeRolledBack
 	}
 	g.fail(id, "40000", "rolled back, it may have had its effect", "")
 	g.counts.rolledBack++
@@ -264,8 +264,8 @@
 func (g *Gateway) tellWithdrawn(ref slots.Ref) {
 	if t := g.txns.Get(ref); t != nil {
 		g.counts.withdrawn++
-		if t.ending = endLeft; g.reserved != nil && !t.answered {
-			g.reserved.count(t, false)
+		if t.ending = outcomeAbandoned; g.reserved != nil && !t.answered {
+			g.reserved.countTxn(t, false)
 		}
 		if t.held {
 			g.sessions.Module.CancelRead(t.id)
@@ -282,7 +282,7 @@
 	if t == nil || t.answered {
 		return
 	}
-	t.failed, t.ending = true, endLeft
+	t.failed, t.ending = true, outcomeAbandoned
 	out := pgwire.AppendError(g.scratch[:0], "ERROR", "57014", "cancelled by its client, it may have had its effect", "")
 	g.scratch = pgwire.AppendReadyForQuery(out)
 	g.answer(ref, g.scratch)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -158,7 +158,7 @@
 		answer(w, Reply{Fleet: s}, err)
 	})
 	mux.HandleFunc("GET /shares", func(w http.ResponseWriter, r *http.Request) {
-		all, err := g.Shares(r.Context())
+		all, err := g.FleetLimits(r.Context())
 		answer(w, Reply{Shares: all}, err)
 	})
 	mux.HandleFunc("GET /chosen", func(w http.ResponseWriter, r *http.Request) {
@@ -192,7 +192,7 @@
 			err = errors.New("nothing is asked for")
 		}
 		if err == nil {
-			err = g.Contract(r.Context(), *q.Contract)
+			err = g.ProposeContract(r.Context(), *q.Contract)
 		}
 		answer(w, Reply{}, err)
 	})
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	parts, err := f.g.Shares(ctx)
+	parts, err := f.g.FleetLimits(ctx)
 	if err != nil {
 		return
 	}
