--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -13,15 +13,16 @@
 	"magpieglade/subset"
 )
 
-// coordinated is what this gateway chooses together with others: fleet.Coordination decides, here it is carried out.
+// coordinator carries out the decisions of fleet.Coordination: the choices that this gateway makes together with others.
+// It implements fleet.CoordinationHost.
 type coordinator struct {
 	g             *Gateway
 	coordination  *fleet.Coordination
-	memberNames   map[uint64]string        // of members, by their keys
-	probeResults  map[uint64]decide.Result // what the latest probe of a member came to, here or elsewhere
-	listResult    decide.Result            // and the latest call to the list service
-	deferredCalls []callKind               // calls that wait for a turn
-	primaries     map[int]uint64           // of each group, as another gateway last told
+	memberNames   map[uint64]string        // by member key
+	probeResults  map[uint64]decide.Result // of each member's latest probe, by this gateway or another
+	listResult    decide.Result            // of the latest call to the list service, by this gateway or another
+	deferredCalls []callKind               // calls to the list service that wait for this gateway's turn
+	primaries     map[int]uint64           // key of each group's primary, as last reported by another gateway
 }
 
 func newCoordinator(g *Gateway) (x *coordinator, err error) {
@@ -30,7 +31,7 @@
 	return x, err
 }
 
-// RunAsync runs work beside the loop.
+// RunAsync runs work outside the event loop, then the function that it returns on the loop.
 func (x *coordinator) RunAsync(work func() (then func())) {
 	go func() {
 		then := work()
@@ -38,22 +39,22 @@
 	}()
 }
 
-// WakeAfter has a turn come, Now is the gateway's clock, Logger its log.
+// WakeAfter wakes the event loop after a delay in nanoseconds.
 func (x *coordinator) WakeAfter(delay int64) { x.g.agreed.WakeAfter(delay) }
 
-// Now is for fleet.CoordinationHost.
+// Now returns the time of the gateway's clock in nanoseconds.
 func (x *coordinator) Now() int64 { return int64(x.g.clock.now()) }
 
-// Logger is for fleet.CoordinationHost.
+// Logger returns the gateway's logger.
 func (x *coordinator) Logger() *slog.Logger { return x.g.log }
 
-// hostOf is a member of the list by its key.
+// hostByKey returns the list entry of the member with this key.
 func (x *coordinator) hostByKey(key uint64) (h host, ok bool) {
 	h, ok = x.g.discovery.list.hosts[x.memberNames[key]]
 	return h, ok
 }
 
-// members has the modules know of the list: of those that may get something new, in the order of their names.
+// updateMembers passes the active members of the list to the coordination, ordered by name.
 func (x *coordinator) updateMembers() {
 	var members []subset.Member
 	hosts := x.g.discovery.list.hosts
@@ -73,12 +74,13 @@
 	x.coordination.SetMembers(members)
 }
 
-// SetMember tells the module of a member, or has it forget one: it gets nothing new, and what is out to it ends there.
+// SetMember adds a member to the decision module or removes it. A removed member gets no new submissions; those in flight to
+// it are completed.
 func (x *coordinator) SetMember(key uint64, enabled bool) {
 	member, ok := x.hostByKey(key)
 	switch {
 	case !ok:
-		return // it left the list, and the module was told
+		return // it left the list, which the module has been told
 	case enabled:
 		x.g.discovery.tellHost(member.entry)
 	default:
@@ -91,7 +93,7 @@
 	x.g.module.RefreshMembers()
 }
 
-// ObserveMember tells what this gateway itself sees of a member.
+// ObserveMember returns what this gateway itself has observed of a member.
 func (x *coordinator) ObserveMember(key uint64) (observation fleet.MemberObservation, ok bool) {
 	h, ok := x.hostByKey(key)
 	if !ok {
@@ -105,7 +107,7 @@
 	return observation, s.Known
 }
 
-// GroupState tells what the decisions know of a group.
+// GroupState returns what the decision module knows of a group.
 func (x *coordinator) GroupState(group int) (number int, primaryKnown bool, replicas, unproven int) {
 	_, primaryKnown = x.g.module.Primary(group)
 	for _, h := range x.g.discovery.list.hosts {
@@ -118,7 +120,7 @@
 	return group, primaryKnown, replicas, unproven
 }
 
-// ReceiveReport takes another gateway's word as a hint for the module.
+// ReceiveReport passes another gateway's report to the decision module as a hint.
 func (x *coordinator) ReceiveReport(item signals.Item, unhealthy bool) {
 	if item.Member == fleet.ListKey {
 		if item.Kind == signals.Probe {
@@ -153,22 +155,22 @@
 	}
 }
 
-// told has the others told what the module has learned of positions.
+// reportUpdates reports to the other gateways the positions that the module has learned.
 func (x *coordinator) reportUpdates(updates []decide.MemberUpdate) {
-	for _, n := range updates {
+	for _, update := range updates {
 		for _, h := range x.g.discovery.list.hosts {
-			if h.server == n.Server {
+			if h.server == update.Server {
 				kind := signals.Position
-				if n.Primary {
+				if update.Primary {
 					kind = signals.Primary
 				}
-				x.coordination.Report(kind, h.mark, int64(x.g.sessionPosition(n.Position)))
+				x.coordination.Report(kind, h.mark, int64(x.g.sessionPosition(update.Position)))
 			}
 		}
 	}
 }
 
-// probe has a member probed by this gateway, or by another one whose word counts for this one too.
+// requestProbe has a member probed by this gateway, or by another one whose result then counts for this gateway too.
 func (x *coordinator) requestProbe(server decide.Server) {
 	for _, h := range x.g.discovery.list.hosts {
 		if h.server != server || x.coordination.Turns == nil {
@@ -184,7 +186,7 @@
 	x.g.members.probe(server)
 }
 
-// probed tells the others what a probe came to, if it was done for all.
+// probeEnded reports the result of a probe to the other gateways if it was made for all of them.
 func (x *coordinator) probeEnded(server decide.Server, r decide.Result) {
 	for _, h := range x.g.discovery.list.hosts {
 		if h.server == server && x.coordination.Turns != nil {
@@ -194,7 +196,7 @@
 	}
 }
 
-// PerformTask does what this gateway's turn is for.
+// PerformTask performs the task whose turn came to this gateway: a call to the list service or a probe of a member.
 func (x *coordinator) PerformTask(key uint64) {
 	if key == fleet.ListKey {
 		x.makeDeferredCalls()
@@ -207,7 +209,7 @@
 	x.coordination.CompleteTurn(key, uint32(decide.NotSent))
 }
 
-// holds tells whether a call to a list service that was down waits for another gateway's.
+// deferCall reports whether a call to a list service that was unavailable waits until another gateway's call has ended.
 func (x *coordinator) deferCall(kind callKind, failing bool) bool {
 	if x.coordination.Turns == nil || !failing {
 		return false
@@ -223,7 +225,7 @@
 	return true
 }
 
-// called tells the others what a call came to.
+// listCallEnded reports the result of a call to the list service to the other gateways.
 func (x *coordinator) listCallEnded(r decide.Result) {
 	if x.coordination.Turns != nil {
 		x.listResult = r
@@ -231,7 +233,8 @@
 	}
 }
 
-// listed takes what another gateway's call came to: the service is up again, so that all may call, or it is not.
+// receiveListResult handles the result of another gateway's call: if the list service is available again the deferred calls
+// are made after a delay, else they fail.
 func (x *coordinator) receiveListResult(r decide.Result) {
 	x.listResult = r
 	switch {
@@ -244,7 +247,7 @@
 	}
 }
 
-// asks makes the calls that wait.
+// makeDeferredCalls makes the calls that were deferred.
 func (x *coordinator) makeDeferredCalls() {
 	for _, kind := range x.deferredCalls {
 		if c := &x.g.discovery.calls[kind]; !c.asked && !c.dialled {
@@ -254,18 +257,18 @@
 	x.deferredCalls = nil
 }
 
-// Coordination tells of what is chosen together; nil where nothing is. Names are those of members, by their keys.
-func (g *Gateway) Coordination(ctx context.Context) (v *fleet.CoordinationView, names map[uint64]string, err error) {
+// Coordination returns the state of the coordination, nil if it is not configured, and the names of the members by their keys.
+func (g *Gateway) Coordination(ctx context.Context) (view *fleet.CoordinationView, names map[uint64]string, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.coordinated == nil {
 			return nil
 		}
-		x := g.coordinated.coordination.View()
-		v, names = &x, map[uint64]string{fleet.ListKey: "the list"}
+		state := g.coordinated.coordination.View()
+		view, names = &state, map[uint64]string{fleet.ListKey: "the list"}
 		for name, h := range g.discovery.list.hosts {
 			names[h.mark] = name
 		}
 		return nil
 	})
-	return v, names, err
+	return view, names, err
 }
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -10,13 +10,14 @@
 	"magpieglade/routes"
 )
 
-// fleetBounds are the keys of a tenant's bounds that are the fleet's, 0 where it has no such bound.
+// fleetLimits holds the quota keys of a tenant's fleet-wide limits, 0 for a limit that it does not have.
 type fleetLimits struct {
 	tenant                                         string
 	rateKey, inFlightKey, bytesKey, connectionsKey uint64
 }
 
-// fleetBoundsOf gives them by tenant, nil for one whose bounds are each gateway's own.
+// fleetLimitsOf returns the fleet-wide limits of a table: their keys by tenant, nil for a tenant whose limits apply to each
+// gateway separately, and the limits themselves.
 func fleetLimitsOf(t *routes.Table) (byTenant []*fleetLimits, limits []quota.Limit) {
 	if t == nil {
 		return nil, nil
@@ -45,7 +46,8 @@
 	return byTenant, limits
 }
 
-// rebound tells the module of the fleet's bounds: while another version is on its way the lesser of both.
+// updateFleetLimits passes the fleet-wide limits to the quota module. While another version is pending the lower limit of
+// both versions applies.
 func (gs *generations) updateFleetLimits() {
 	if gs.g.quotas == nil {
 		return
@@ -57,69 +59,71 @@
 		}
 		var added []quota.Limit
 		x.fleet, added = fleetLimitsOf(x.table)
-		for _, b := range added {
-			i := slices.IndexFunc(limits, func(o quota.Limit) bool { return o.Key == b.Key })
+		for _, limit := range added {
+			i := slices.IndexFunc(limits, func(o quota.Limit) bool { return o.Key == limit.Key })
 			if i < 0 {
-				limits = append(limits, b)
+				limits = append(limits, limit)
 				continue
 			}
-			limits[i].Amount, limits[i].Burst = min(limits[i].Amount, b.Amount), min(limits[i].Burst, b.Burst)
+			limits[i].Amount, limits[i].Burst = min(limits[i].Amount, limit.Amount), min(limits[i].Burst, limit.Burst)
 		}
 	}
 	if err := gs.g.quotas.SetLimits(limits); err != nil {
-		gs.g.log.Error("bounds of the fleet are not taken", "why", err)
+		gs.g.log.Error("fleet-wide limits are rejected", "why", err)
 	}
-	for _, ref := range gs.g.txns.Refs() { // what is under way counts, whatever it was begun under
-		t := gs.g.txns.Get(ref)
+	for _, txnRef := range gs.g.txns.Refs() { // txns in flight count, whichever version they began under
+		t := gs.g.txns.Get(txnRef)
 		if t.counted && len(t.bounds) == 0 {
 			t.bounds = gs.fleetLimitsOf(t)
-			for _, b := range t.bounds {
-				gs.g.quotas.Module.AddExisting(b.inFlightKey, 1)
-				t.bytes = gs.g.quotas.Module.ClampToLimit(b.bytesKey, int64(t.size))
-				gs.g.quotas.Module.AddExisting(b.bytesKey, t.bytes)
+			for _, limit := range t.bounds {
+				gs.g.quotas.Module.AddExisting(limit.inFlightKey, 1)
+				t.bytes = gs.g.quotas.Module.ClampToLimit(limit.bytesKey, int64(t.size))
+				gs.g.quotas.Module.AddExisting(limit.bytesKey, t.bytes)
 			}
 		}
 	}
 }
 
-// boundsOf are the fleet's bounds that a txn counts against: its tenant's, and that of a version that comes next.
+// fleetLimitsOf returns the fleet-wide limits that a txn counts against: those of its tenant in the version in force and in
+// the pending one.
 func (gs *generations) fleetLimitsOf(t *txn) (limits []*fleetLimits) {
 	if n := t.route.Tenant; n >= 0 && int(n) < len(gs.inForce.fleet) && gs.inForce.fleet[n] != nil && t.generation == gs.inForce {
 		limits = append(limits, gs.inForce.fleet[n])
 	}
 	if gs.told != nil && t.alsoTenant >= 0 && int(t.alsoTenant) < len(gs.told.fleet) {
-		if b := gs.told.fleet[t.alsoTenant]; b != nil && (len(limits) == 0 || limits[0].tenant != b.tenant) {
-			limits = append(limits, b)
+		if pending := gs.told.fleet[t.alsoTenant]; pending != nil && (len(limits) == 0 || limits[0].tenant != pending.tenant) {
+			limits = append(limits, pending)
 		}
 	}
 	return limits
 }
 
-// mayOfFleet tells whether a txn may begin by the fleet's bounds; first that an answer is on its way which may let it.
+// checkFleetLimits reports whether a txn may begin under the fleet-wide limits. unallocated reports that no allocation is held
+// yet and one has been requested.
 func (gs *generations) checkFleetLimits(t *txn) (reason routes.RejectReason, retryAfter int64, unallocated bool) {
-	q := gs.g.quotas
-	if q == nil || len(gs.inForce.fleet) == 0 && gs.told == nil {
+	quotas := gs.g.quotas
+	if quotas == nil || len(gs.inForce.fleet) == 0 && gs.told == nil {
 		return routes.Allowed, 0, false
 	}
 	t.bounds = gs.fleetLimitsOf(t)
 	if len(t.bounds) == 0 {
 		return routes.Allowed, 0, false
 	}
-	q.UpdateClock()
-	q.RequestRound()
+	quotas.UpdateClock()
+	quotas.RequestRound()
 	t.bytes = int64(t.size)
-	for _, b := range t.bounds {
-		t.bytes = min(t.bytes, q.Module.ClampToLimit(b.bytesKey, t.bytes))
-		for _, x := range [...]struct {
+	for _, limits := range t.bounds {
+		t.bytes = min(t.bytes, quotas.Module.ClampToLimit(limits.bytesKey, t.bytes))
+		for _, check := range [...]struct {
 			key    uint64
 			units  int64
 			reason routes.RejectReason
-		}{{b.rateKey, quota.UnitsPerTxn, routes.TenantRate}, {b.inFlightKey, 1, routes.TenantInFlight}, {b.bytesKey, t.bytes, routes.TenantBytes}} {
-			if x.key == 0 {
+		}{{limits.rateKey, quota.UnitsPerTxn, routes.TenantRate}, {limits.inFlightKey, 1, routes.TenantInFlight}, {limits.bytesKey, t.bytes, routes.TenantBytes}} {
+			if check.key == 0 {
 				continue
 			}
-			if ok, wait, none := q.Module.CanBegin(x.key, x.units); !ok && reason == routes.Allowed {
-				reason, retryAfter, unallocated = x.reason, wait, none
+			if ok, wait, noAllocation := quotas.Module.CanBegin(check.key, check.units); !ok && reason == routes.Allowed {
+				reason, retryAfter, unallocated = check.reason, wait, noAllocation
 			}
 		}
 	}
@@ -129,7 +133,7 @@
 	return reason, retryAfter, unallocated
 }
 
-// beginOfFleet counts a txn that mayOfFleet allowed, endOfFleet takes it back.
+// acquireFleetLimits counts a txn that checkFleetLimits allowed.
 func (gs *generations) acquireFleetLimits(t *txn) {
 	for _, b := range t.bounds {
 		gs.g.quotas.Module.Begin(b.rateKey, quota.UnitsPerTxn)
@@ -138,6 +142,7 @@
 	}
 }
 
+// releaseFleetLimits ends the count of a txn's concurrency limits.
 func (gs *generations) releaseFleetLimits(t *txn) {
 	for _, b := range t.bounds {
 		gs.g.quotas.Module.End(b.inFlightKey, 1)
@@ -146,34 +151,37 @@
 	t.bounds = nil
 }
 
-// mayConnect tells whether a client of a tenant may be let in by the fleet's bound, and counts it; first is as above.
+// acquireConnection reports whether the fleet-wide connection limit of a tenant admits a client, and counts the client if so.
+// unallocated is as for checkFleetLimits.
 func (gs *generations) acquireConnection(c *client, tenant int32) (ok, unallocated bool) {
 	if int(tenant) >= len(gs.inForce.fleet) || gs.inForce.fleet[tenant] == nil || gs.inForce.fleet[tenant].connectionsKey == 0 {
 		return true, false
 	}
-	q, key := gs.g.quotas, gs.inForce.fleet[tenant].connectionsKey
-	q.UpdateClock()
-	q.RequestRound()
-	if ok, _, unallocated = q.Module.CanBegin(key, 1); ok {
-		q.Module.Begin(key, 1)
+	quotas, key := gs.g.quotas, gs.inForce.fleet[tenant].connectionsKey
+	quotas.UpdateClock()
+	quotas.RequestRound()
+	if ok, _, unallocated = quotas.Module.CanBegin(key, 1); ok {
+		quotas.Module.Begin(key, 1)
 		c.connects = key
 	}
 	return ok, unallocated
 }
 
-// waitsForPart tells whether a client's query, or its coming, is to wait a moment for a first part of a bound of the fleet.
+// waitForAllocation reports whether a client's query or connection is to wait for the first allocation of a fleet-wide limit,
+// which takes at most quota.MaxFirstWait.
 func (cs *clients) waitForAllocation(c *client) bool {
 	now := int64(cs.g.clock.now())
 	c.partAt, c.partSeen = cmp.Or(c.partAt, now), cs.g.quotas.Module.ResponseCount()
 	return now-c.partAt < quota.MaxFirstWait
 }
 
-// stillWaits tells, without asking for more, whether one that waits goes on to: nothing has come since it was told so.
+// stillAwaitsAllocation reports, without a new request, whether a waiting client goes on waiting: no response has come since
+// waitForAllocation.
 func (cs *clients) stillAwaitsAllocation(c *client) bool {
 	return c.partAt != 0 && c.partSeen == cs.g.quotas.Module.ResponseCount() && int64(cs.g.clock.now())-c.partAt < quota.MaxFirstWait
 }
 
-// Shares tells of the bounds of the fleet as this gateway has them; nil where it agrees on nothing with others.
+// FleetLimits returns the state of the fleet-wide limits at this gateway, nil if it takes part in no agreement.
 func (g *Gateway) FleetLimits(ctx context.Context) (limits []fleet.LimitStatus, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.quotas != nil {
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -14,41 +14,42 @@
 	"magpieglade/routes"
 )
 
-// SubjectContracts is the subject of the book of contracts.
+// SubjectContracts is the agreement's subject for the book of contracts.
 const SubjectContracts = "contracts"
 
-// reserved holds room for the contracts of the book that the fleet agreed on.
+// contractManager reserves slots for the contracts of the book that the fleet agreed on, and counts their txns.
 type contractManager struct {
 	g                  *Gateway
 	revision           uint64
-	books              map[agreement.Digest]*contracts.Book // those in force and next, read
+	books              map[agreement.Digest]*contracts.Book // decoded books of the versions in force and next
 	decoding           map[agreement.Digest]bool
 	inForce            *contracts.Book
-	next               *contracts.Book // binds beside it until it is in force
-	lastVersion        uint64          // version that the next one follows
+	next               *contracts.Book // applies together with inForce until it is in force itself
+	lastVersion        uint64          // version that the next proposal follows
 	reservations       []contracts.Reservation
-	nextChangeAt       decide.Nanos // when they change next
-	appliedShares      any          // of the generation that they were told
-	loggedReservations string       // as last logged
+	nextChangeAt       decide.Nanos // when reservations change next
+	appliedShares      any          // *routes.Shares of the generation that the reservations were applied to
+	loggedReservations string       // text of the last log line
 	account            *contracts.Account
-	openContracts      []countedContract // contracts whose windows are open, or about to be
-	nextReportAt       decide.Nanos      // when counts are told again
+	openContracts      []countedContract // contracts whose windows are open or about to open
+	nextReportAt       decide.Nanos      // of counts, to the voters
 	nextSaveAt         decide.Nanos
 	saving             bool
 	countRequests      int
 	plan               reservationPlan
-	planning           bool   // the next one is worked out
-	checkedMembers     string // the fleet's members by which risks were looked at
-	checkingRisks      bool   // that look is under way
+	planning           bool   // the next plan is being computed
+	checkedMembers     string // members that the last check of risks was made for
+	checkingRisks      bool   // a check is running
 	risks              []contracts.UnmetContract
 	nextRiskCheckAt    decide.Nanos
-	lastDecodeError    string // why a book can't be read, as last logged
+	lastDecodeError    string // last logged error of decoding a book
 }
 
-// lookSpan is between looks at whether members have come or gone. Ours: told within what a person takes for at once.
+// riskCheckInterval is the time between checks whether members have come or gone: short enough that an operator takes the
+// warning for immediate.
 const riskCheckInterval = 500 * decide.Millisecond
 
-// held takes the books of what this gateway holds; a new one is read beside the loop.
+// refreshBooks takes the books from the manifest that this gateway holds. A new book is decoded outside the event loop.
 func (r *contractManager) refreshBooks() {
 	m := r.g.agreed.f.Manifest()
 	if m.Revision == r.revision {
@@ -56,7 +57,7 @@
 	}
 	r.revision = m.Revision
 	r.inForce, r.next = nil, nil
-	live := map[agreement.Digest]*contracts.Book{}
+	books := map[agreement.Digest]*contracts.Book{}
 	for _, s := range m.Subjects {
 		if s.Name != SubjectContracts {
 			continue
@@ -70,16 +71,17 @@
 				continue
 			}
 			if b := r.books[x.v.Digest]; b != nil {
-				live[x.v.Digest], *x.to = b, b
+				books[x.v.Digest], *x.to = b, b
 			} else {
 				r.decodeBook(x.v.Digest)
 			}
 		}
 	}
-	r.books = live
+	r.books = books
 	r.nextChangeAt = 0
 }
 
+// decodeBook decodes a book in a goroutine, and has refreshBooks run again once it is decoded.
 func (r *contractManager) decodeBook(d agreement.Digest) {
 	if r.decoding[d] {
 		return
@@ -90,10 +92,10 @@
 		b, err := contracts.DecodeBook(text)
 		r.g.post(func() {
 			delete(r.decoding, d)
-			if err != nil { // what was held stays
+			if err != nil { // the former book stays in use
 				if err.Error() != r.lastDecodeError {
 					r.lastDecodeError = err.Error()
-					r.g.log.Error("the book of contracts can't be taken", "why", err)
+					r.g.log.Error("the book of contracts can't be decoded", "why", err)
 				}
 				return
 			}
@@ -104,7 +106,7 @@
 
 var errBookNotRead = errors.New("this gateway does not hold the book of contracts yet")
 
-// latest is the book that the next version follows, nil where it is not read yet.
+// latestBook returns the book that the next version follows, or errBookNotRead.
 func (r *contractManager) latestBook() (*contracts.Book, error) {
 	switch {
 	case r.lastVersion == 0:
@@ -117,8 +119,8 @@
 	return nil, errBookNotRead
 }
 
-// carryOut holds what is to be held now. While another book is on its way the larger of both is: what is taken away from others
-// acts at once.
+// update applies the reservations that are due now. While another book is pending the larger reservation of both books
+// applies, so that slots taken away from other tenants are withheld at once.
 func (r *contractManager) update() {
 	r.refreshBooks()
 	now := r.g.clock.now()
@@ -128,12 +130,12 @@
 		r.checkRisks(r.inForce)
 	}
 	shares := r.g.generations.inForce.shares
-	if now >= r.nextChangeAt && len(r.decoding) == 0 && !r.planning { // beside the loop: a full book takes a while
+	if now >= r.nextChangeAt && len(r.decoding) == 0 && !r.planning { // outside the event loop, as a full book takes long
 		r.planning, r.nextChangeAt = true, 1<<62
-		unix := r.unixNow()
+		unixNow := r.unixNow()
 		books := []*contracts.Book{r.inForce, r.next}
 		go func() {
-			x := planReservations(books, unix)
+			x := planReservations(books, unixNow)
 			r.g.post(func() {
 				r.planning = false
 				if r.plan = x; x.nextChange > 0 {
@@ -149,83 +151,85 @@
 	}
 }
 
-// standing is what is held and counted at a time, by books.
+// reservationPlan holds the reservations and the counted contracts of some books at a moment.
 type reservationPlan struct {
 	byTenant      map[string]contracts.Reservation
 	tenants       []string
-	nextChange    int64 // when it changes, Unix nanoseconds, 0 for never
+	nextChange    int64 // time of the next change in Unix nanoseconds, 0 for never
 	openContracts []countedContract
 }
 
+// planReservations merges the reservations of some books: of two for one tenant the larger counts.
 func planReservations(books []*contracts.Book, unix int64) reservationPlan {
-	x := reservationPlan{byTenant: map[string]contracts.Reservation{}}
+	plan := reservationPlan{byTenant: map[string]contracts.Reservation{}}
 	for _, b := range books {
 		if b == nil {
 			continue
 		}
 		list, next := b.Reservations(unix)
-		if next > 0 && (x.nextChange == 0 || next < x.nextChange) {
-			x.nextChange = next
+		if next > 0 && (plan.nextChange == 0 || next < plan.nextChange) {
+			plan.nextChange = next
 		}
-		for _, h := range list {
-			if before, ok := x.byTenant[h.Tenant]; !ok {
-				x.tenants = append(x.tenants, h.Tenant)
-				x.byTenant[h.Tenant] = h
-			} else if h.InFlight > before.InFlight {
-				x.byTenant[h.Tenant] = h
+		for _, reservation := range list {
+			if former, ok := plan.byTenant[reservation.Tenant]; !ok {
+				plan.tenants = append(plan.tenants, reservation.Tenant)
+				plan.byTenant[reservation.Tenant] = reservation
+			} else if reservation.InFlight > former.InFlight {
+				plan.byTenant[reservation.Tenant] = reservation
 			}
 		}
 	}
-	x.openContracts = openContractsOf(books, unix)
-	return x
+	plan.openContracts = openContractsOf(books, unix)
+	return plan
 }
 
 // apply holds room in the shares in force, and logs a change.
 func (r *contractManager) apply(shares *routes.Shares) {
-	all, order := r.plan.byTenant, r.plan.tenants
+	byTenant, tenants := r.plan.byTenant, r.plan.tenants
 	r.openContracts = r.plan.openContracts
 	r.appliedShares, r.reservations = shares, nil
-	held := map[int32]int{}
-	var words []string
+	slotsByTenant := map[int32]int{}
+	var texts []string
 	table := r.g.generations.inForce.table
-	for _, name := range order {
-		h := all[name]
-		r.reservations = append(r.reservations, h)
-		at := -1
+	for _, name := range tenants {
+		reservation := byTenant[name]
+		r.reservations = append(r.reservations, reservation)
+		tenantIndex := -1
 		if table != nil && table.MaxInFlight > 0 {
 			for i := range table.Tenants {
 				if table.Tenants[i].Name == name {
-					at = i
+					tenantIndex = i
 				}
 			}
 		}
-		if at < 0 { // nothing is bounded here that room could be held of
-			words = append(words, fmt.Sprintf("%s: none, as the settings have no in_flight or no such tenant", name))
+		if tenantIndex < 0 { // without an in-flight limit there are no slots to reserve
+			texts = append(texts, fmt.Sprintf("%s: none, as the settings have no in_flight or no such tenant", name))
 			continue
 		}
-		held[int32(at)] = h.InFlight
-		words = append(words, fmt.Sprintf("%s: %d in flight for %s", name, h.InFlight, strings.Join(h.Names, ", ")))
+		slotsByTenant[int32(tenantIndex)] = reservation.InFlight
+		texts = append(texts, fmt.Sprintf("%s: %d in flight for %s", name, reservation.InFlight, strings.Join(reservation.Names, ", ")))
 	}
 	if shares != nil {
-		shares.HoldSlots(held)
+		shares.HoldSlots(slotsByTenant)
 	}
-	if text := strings.Join(words, "; "); text != r.loggedReservations {
+	if text := strings.Join(texts, "; "); text != r.loggedReservations {
 		r.loggedReservations = text
 		r.g.log.Info("contracts: room held", "for", text)
 	}
 }
 
-// look tells of contracts that the fleet as it is can't keep, once it has changed: worked out beside the loop.
+// checkRisks logs the contracts that the active members cannot fulfil, whenever the members have changed. The check runs
+// outside the event loop.
 func (r *contractManager) checkRisks(book *contracts.Book) {
 	fleet := r.activeMembers()
-	members := fmt.Sprint(fleet, r.revision)
-	if members == r.checkedMembers || r.checkingRisks || book == nil {
+	memberCounts := fmt.Sprint(fleet, r.revision)
+	if memberCounts == r.checkedMembers || r.checkingRisks || book == nil {
 		return
 	}
-	r.checkedMembers, r.checkingRisks = members, true
-	unix := r.unixNow()
+	r.checkedMembers, r.checkingRisks = memberCounts, true
+	now := r.unixNow()
 	go func() {
-		risks := book.UnmetContracts(fleet, unix)
+		risks := book.UnmetContracts(fleet, now)
 		r.g.post(func() {
 			r.checkingRisks = false
 			for _, x := range risks {
@@ -243,26 +247,26 @@
 	}()
 }
 
-// fleet is the members there are, by the list.
+// activeMembers counts the active members of the list by group and zone.
 func (r *contractManager) activeMembers() contracts.Fleet {
-	f := contracts.Fleet{}
+	members := contracts.Fleet{}
 	for _, h := range r.g.discovery.list.hosts {
 		if r.g.generations.health(&h.entry) != "active" {
 			continue
 		}
-		if f[h.entry.Block] == nil {
-			f[h.entry.Block] = map[string]int{}
+		if members[h.entry.Block] == nil {
+			members[h.entry.Block] = map[string]int{}
 		}
-		f[h.entry.Block][h.entry.Site]++
+		members[h.entry.Block][h.entry.Site]++
 	}
-	return f
+	return members
 }
 
-// contractTries is how often a wish is put anew where another one was first.
+// maxContractAttempts is how often a proposal is made when others come before it.
 const maxContractAttempts = 8
 
-// Contract has the fleet agree on the book as it is after a wish. Of two that are asked for at once at two gateways one
-// comes first, and the other is looked at again by the book after that.
+// ProposeContract has the fleet agree on the book as changed by a proposal. Of two concurrent proposals at two gateways one
+// comes first, and the other is checked again against the book that results.
 func (g *Gateway) ProposeContract(ctx context.Context, proposal contracts.Proposal) error {
 	var err error
 	for range maxContractAttempts {
@@ -277,12 +281,12 @@
 			book, err = g.reserved.latestBook()
 			members, version.Predecessor, proposal.At = g.reserved.activeMembers(), g.reserved.lastVersion, g.reserved.unixNow()
 			return err
-		}); err == nil { // beside the loop: a large book takes a while
-			next, applyErr := book.Apply(&proposal, members)
+		}); err == nil { // outside the event loop, as a large book takes long
+			changed, applyErr := book.Apply(&proposal, members)
 			if applyErr != nil {
 				return applyErr
 			}
-			text := next.Encode()
+			text := changed.Encode()
 			if version.ProposedAt = proposal.At; proposal.ChangesReservations(book) {
 				version.Conflicts = []string{"a reserved share"}
 			}
@@ -291,22 +295,22 @@
 		if err == nil || !errors.Is(err, errBookNotRead) && !strings.Contains(err.Error(), "it follows version") {
 			return err
 		}
-		time.Sleep(200 * time.Millisecond) // until this gateway holds what was first
+		time.Sleep(200 * time.Millisecond) // until this gateway holds the version that came first
 	}
 	return err
 }
 
-// ContractsView is the book as a gateway holds it.
+// ContractsView is a gateway's view of the book of contracts.
 type ContractsView struct {
 	Book         *contracts.Book
 	Fleet        contracts.Fleet
 	Now          int64
 	Reservations []contracts.Reservation `json:"Holdings"`
-	Pending      bool                    `json:"Coming"` // another book binds beside it, until all have it
+	Pending      bool                    `json:"Coming"` // another book applies as well until all gateways have it
 }
 
-// Contracts tells of the book; nil where the gateway agrees on nothing.
-func (g *Gateway) Contracts(ctx context.Context) (v *ContractsView, err error) {
+// Contracts returns the gateway's view of the book, nil if it takes part in no agreement.
+func (g *Gateway) Contracts(ctx context.Context) (view *ContractsView, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.reserved == nil {
 			return nil
@@ -316,8 +320,8 @@
 		if err != nil {
 			return err
 		}
-		v = &ContractsView{b, g.reserved.activeMembers(), int64(g.sessionPosition(g.clock.now())), g.reserved.reservations, g.reserved.next != nil}
+		view = &ContractsView{b, g.reserved.activeMembers(), int64(g.sessionPosition(g.clock.now())), g.reserved.reservations, g.reserved.next != nil}
 		return nil
 	})
-	return v, err
+	return view, err
 }
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -10,34 +10,35 @@
 	"magpieglade/session"
 )
 
-// sessionTxns is what package fleet sees of the gateway for sessions: it routes reads, asks primaries and gives answers.
+// sessionHost implements fleet.SessionHost: it routes reads, queries primaries for their positions and releases answers.
 type sessionHost struct{ g *Gateway }
 
-// Post runs something on the loop.
+// Post runs f on the event loop.
 func (x sessionHost) Post(f func()) { x.g.post(f) }
 
-// Now is the gateway's clock.
+// Now returns the time of the gateway's clock in nanoseconds.
 func (x sessionHost) Now() int64 { return int64(x.g.clock.now()) }
 
-// WakeAfter has a turn come.
+// WakeAfter wakes the event loop after a delay in nanoseconds.
 func (x sessionHost) WakeAfter(delay int64) { x.g.deadlines.Add(x.Now()+delay, due{kind: dueWake}) }
 
-// Logger is the gateway's.
+// Logger returns the gateway's logger.
 func (x sessionHost) Logger() *slog.Logger { return x.g.log }
 
-// Started is closed once there is a loop.
+// Started is closed once the event loop runs.
 func (x sessionHost) Started() <-chan struct{} { return x.g.started }
 
-// position is a position on the gateway's clock as every gateway words it, and onClock takes it back.
+// sessionPosition converts a position on the gateway's own clock to one that is comparable between gateways.
 func (g *Gateway) sessionPosition(at decide.Nanos) session.Position {
 	return session.Position(g.clock.zero*1e6 + int64(at))
 }
 
+// clockTime is the inverse of sessionPosition.
 func (g *Gateway) clockTime(p session.Position) decide.Nanos {
 	return decide.Nanos(int64(p) - g.clock.zero*1e6)
 }
 
-// readOf takes a session read, which waits for its floor.
+// addSessionRead adds a session's read, which waits until its minimum position is known.
 func (g *Gateway) addSessionRead(t *txn, budget decide.Nanos) {
 	minPosition := session.Position(0)
 	if t.comment.After > 0 {
@@ -47,53 +48,54 @@
 	g.sessions.AddRead(t.id, t.comment.Group, t.session, minPosition, t.comment.Token, int64(t.until))
 }
 
-// committed notes a session's write before it is answered, and gives what its client is to carry.
+// recordSessionCommit records a session's write before it is answered, and returns the message with the token that its client
+// is to send with later txns, if any.
 func (g *Gateway) recordSessionCommit(t *txn, unixMs float64) (parameter []byte) {
-	p := session.Position(0)
+	position := session.Position(0)
 	if at, ok := g.members.position(unixMs); ok {
-		p = g.sessionPosition(at)
+		position = g.sessionPosition(at)
 	}
-	if token := g.sessions.RecordCommit(t.comment.Group, t.session, p); token != nil {
+	if token := g.sessions.RecordCommit(t.comment.Group, t.session, position); token != nil {
 		return pgwire.AppendParameterStatus(nil, "session_token", string(token))
 	}
 	return nil
 }
 
-// waitsForMark tells whether a write's answer is to wait for the ledger.
+// waitsForLedger reports whether a write's answer waits until the ledger has its record.
 func (g *Gateway) waitsForLedger(ref slots.Ref) bool {
 	t := g.txns.Get(ref)
 	return g.sessions != nil && g.sessions.WaitsForLedger() && t != nil && t.writes && t.session != 0 && !t.answered
 }
 
-// mayRepeatKey tells how long a keyed write may be sent; ok is false where that is over.
+// retryBudget returns how long a write with an idempotency key may still be sent; ok is false if that time is over.
 func (g *Gateway) retryBudget(t *txn, window, budget decide.Nanos) (left decide.Nanos, ok bool) {
-	until, ok := g.sessions.Module.RetryDeadline(t.comment.Group, t.key, int64(window))
-	if until > 0 {
-		budget = min(budget, decide.Nanos(until)-g.clock.now())
+	deadline, ok := g.sessions.Module.RetryDeadline(t.comment.Group, t.key, int64(window))
+	if deadline > 0 {
+		budget = min(budget, decide.Nanos(deadline)-g.clock.now())
 	}
 	return budget, ok
 }
 
-// fenced takes the answer to a fence. Its member must have called itself primary in that very answer.
+// fenceCompleted handles the response to a fence. It counts only if the member reports itself primary in that same response.
 func (g *Gateway) fenceCompleted(in *input) {
-	at, primary := in.position, in.role == decide.RolePrimary
+	reported, primary := in.position, in.role == decide.RolePrimary
 	fields := g.names.LoadReport.Fields
 	for i, x := range in.report {
 		switch fields[i] {
 		case "x0":
-			at = max(at, decide.Millis(x*1000))
+			reported = max(reported, decide.Millis(x*1000))
 		case "x1":
 			primary = primary || in.role == decide.RoleUnknown && x == 1
 		}
 	}
-	p := session.Position(0)
-	if in.result == decide.Committed && at > 0 {
-		p = g.sessionPosition(at)
+	position := session.Position(0)
+	if in.result == decide.Committed && reported > 0 {
+		position = g.sessionPosition(reported)
 	}
-	g.sessions.FenceCompleted(in.group, in.fence, p, primary)
+	g.sessions.FenceCompleted(in.group, in.fence, position, primary)
 }
 
-// Serve gives a read with its floor to the routing.
+// Serve routes a read to a member that has reached minPosition.
 func (x sessionHost) Serve(readID uint64, minPosition session.Position) {
 	g := x.g
 	t := g.txns.Get(g.byID[readID])
@@ -105,7 +107,7 @@
 	var age decide.Nanos
 	if minPosition > 0 {
 		t.floor = g.clockTime(minPosition)
-		// A token of 0 or below would be none.
+		// A minimum position of 0 or below would mean none.
 		if age = now - max(1, t.floor); age == 0 {
 			age = -1
 		}
@@ -117,7 +119,7 @@
 	g.generations.bind(t)
 }
 
-// Refuse declines a read.
+// Refuse rejects a read.
 func (x sessionHost) Refuse(readID uint64, retryAfter int64) {
 	if t := x.g.txns.Get(x.g.byID[readID]); t != nil {
 		t.held = false
@@ -125,7 +127,7 @@
 	}
 }
 
-// Fence asks the primary of a group for its position, or whoever may be it.
+// Fence queries the primary of a group for its position, or a member that may be the primary.
 func (x sessionHost) Fence(group int, requestID uint64, attempt int, timeout int64) bool {
 	server, ok := x.g.module.PositionSource(group, attempt)
 	if !ok {
@@ -136,19 +138,19 @@
 	return true
 }
 
-// IsWaiting tells whether an answer waits for its mark.
+// IsWaiting reports whether an answer waits for its ledger record.
 func (x sessionHost) IsWaiting(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
 	return t != nil && t.waiting != nil
 }
 
-// ReleaseAnswer gives it.
+// ReleaseAnswer sends an answer that waited for its ledger record; early means before the record is written.
 func (x sessionHost) ReleaseAnswer(ref slots.Ref, early bool) {
 	x.g.txns.Get(ref).early = early
 	x.g.answerWaiting(ref)
 }
 
-// EarlyAnswerWritten frees the place of one that went out early.
+// EarlyAnswerWritten frees the slot of a txn whose answer was sent early.
 func (x sessionHost) EarlyAnswerWritten(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
 	if t == nil || !t.early {
@@ -159,12 +161,12 @@
 	return true
 }
 
-// SetAnswerDeadline has one that waits be given at a time, whatever has become of its mark.
+// SetAnswerDeadline has a waiting answer sent at a given time even if its ledger record is not written by then.
 func (x sessionHost) SetAnswerDeadline(ref slots.Ref, at int64) {
 	x.g.deadlines.Add(at, due{kind: dueAnswer, ref: ref})
 }
 
-// keyOf is a key's number.
+// hashKey hashes an idempotency key to a non-zero number.
 func hashKey(key []byte) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(key)
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -13,7 +13,7 @@
 	"magpieglade/routes"
 )
 
-// ending is why a txn was not served, for who counts.
+// txnOutcome is how a txn ended, for the counts of its contract.
 type txnOutcome uint8
 
 const (
@@ -25,7 +25,7 @@
 	outcomeAbandoned
 )
 
-// endingOf is that of a txn that is turned away.
+// outcomeOfRejection returns the outcome of a rejected txn.
 func outcomeOfRejection(reason routes.RejectReason) txnOutcome {
 	switch reason {
 	case routes.AgreementUnavailable:
@@ -36,7 +36,7 @@
 	return outcomeOverloaded
 }
 
-// counted is a contract in one of its windows: its txns are counted.
+// countedContract is a contract with a window in which its txns are counted.
 type countedContract struct {
 	number        uint64
 	tenant        string
@@ -46,7 +46,7 @@
 	targetLatency decide.Nanos
 }
 
-// ReceiveCounts takes what another gateway tells.
+// ReceiveCounts merges the counts of another gateway, and replies with all counts known here if it requests them.
 func (a *agreed) ReceiveCounts(from agreement.ID, counts []contracts.Count, requestsAll bool) {
 	r := a.g.reserved
 	if r == nil || r.account == nil {
@@ -58,9 +58,10 @@
 	}
 }
 
+// unixNow returns the gateway's time in Unix nanoseconds.
 func (r *contractManager) unixNow() int64 { return int64(r.g.sessionPosition(r.g.clock.now())) }
 
-// opens begins the account, with what a former run kept.
+// loadAccount creates the account from the counts that an earlier run saved.
 func (r *contractManager) loadAccount() error {
 	stored, err := r.g.agreed.f.LoadCounts()
 	if err != nil {
@@ -70,23 +71,23 @@
 	return nil
 }
 
-// windows are the contracts whose windows are open, or about to be, by the books that bind.
+// openContractsOf returns the contracts whose windows are open or about to open by the books that apply.
 func openContractsOf(books []*contracts.Book, unix int64) (open []countedContract) {
 	for _, b := range books {
 		if b == nil {
 			continue
 		}
 		for _, c := range b.BookedContracts() {
-			t := &c.Latest().Terms
-			if phase, h := t.PhaseAt(unix); phase != contracts.Ended && phase != contracts.Pending && !slices.ContainsFunc(open, func(x countedContract) bool { return x.number == c.No }) {
-				open = append(open, countedContract{c.No, t.Tenant, t.Types, t.Groups, h, decide.Nanos(t.TargetLatency)})
+			terms := &c.Latest().Terms
+			if phase, window := terms.PhaseAt(unix); phase != contracts.Ended && phase != contracts.Pending && !slices.ContainsFunc(open, func(x countedContract) bool { return x.number == c.No }) {
+				open = append(open, countedContract{c.No, terms.Tenant, terms.Types, terms.Groups, window, decide.Nanos(terms.TargetLatency)})
 			}
 		}
 	}
 	return open
 }
 
-// count counts a txn that has its answer, or has none any more.
+// countTxn counts a txn that has been answered, or that gets no answer any more.
 func (r *contractManager) countTxn(t *txn, committed bool) {
 	if len(r.openContracts) == 0 || t.route.Tenant < 0 || t.generation == nil || t.generation.table == nil {
 		return
@@ -94,53 +95,54 @@
 	tenant := t.generation.table.Tenants[t.route.Tenant].Name
 	now := r.unixNow()
 	for i := range r.openContracts {
-		c := &r.openContracts[i]
-		if c.tenant != tenant || now < c.window.Start || now >= c.window.End || len(c.groups) > 0 && !slices.Contains(c.groups, t.comment.Group) ||
-			len(c.types) > 0 && !slices.Contains(c.types, r.g.names.Classes[t.class].Name) {
+		contract := &r.openContracts[i]
+		if contract.tenant != tenant || now < contract.window.Start || now >= contract.window.End || len(contract.groups) > 0 && !slices.Contains(contract.groups, t.comment.Group) ||
+			len(contract.types) > 0 && !slices.Contains(contract.types, r.g.names.Classes[t.class].Name) {
 			continue
 		}
 		targetLatency := r.g.generations.aimOf(t)
-		if c.targetLatency > 0 {
-			targetLatency = c.targetLatency
+		if contract.targetLatency > 0 {
+			targetLatency = contract.targetLatency
 		}
-		x := contracts.Counts{Requested: 1}
+		counts := contracts.Counts{Requested: 1}
 		switch {
 		case committed && r.g.clock.now()-t.arrived <= targetLatency:
-			x.InTime = 1
+			counts.InTime = 1
 		case committed:
-			x.Late = 1
+			counts.Late = 1
 		case t.ending == outcomeOverloaded:
-			x.Overloaded = 1
+			counts.Overloaded = 1
 		case t.ending == outcomeNoAgreement:
-			x.NoAgreement = 1
+			counts.NoAgreement = 1
 		case t.ending == outcomeRolledBack:
-			x.RolledBack = 1
+			counts.RolledBack = 1
 		case t.ending == outcomeAbandoned:
-			x.Abandoned = 1
+			counts.Abandoned = 1
 		default:
-			x.NoMember = 1
+			counts.NoMember = 1
 		}
-		r.account.Add(c.number, now, x)
-		return // the first that it counts for
+		r.account.Add(contract.number, now, counts)
+		return // a txn counts for the first matching contract only
 	}
 }
 
-// askTimes is how often it asks, as messages may be lost.
+// maxCountRequests is how often a voter requests the counts of the others after its start, as messages may be lost.
 const maxCountRequests = 3
 
-// keepSpan is between writes of an account. Ours: voters have each other's, so this is what is lost if all are killed at once.
+// saveInterval is the time between writes of the account. Voters have each other's counts, so at most this much is lost, and
+// only if all voters are killed at once.
 const saveInterval = time.Second
 
-// reports tells those that vote what has changed, and keeps the account at one that votes.
+// reportCounts sends changed counts to the voters; a voter also saves the account.
 func (r *contractManager) reportCounts(now decide.Nanos) {
 	if now < r.nextReportAt {
 		return
 	}
 	r.nextReportAt = now + decide.Nanos(contracts.ReportInterval)
-	f := r.g.agreed.f
-	others, isVoter := f.Voters()
+	fleet := r.g.agreed.f
+	others, isVoter := fleet.Voters()
 	counts := r.account.Report(r.unixNow(), !isVoter)
-	// One that votes and has started asks the others: what it kept on its disk may lack the last seconds.
+	// A voter that has started requests the counts of the others: its saved account may lack the last seconds.
 	requestsAll := isVoter && r.countRequests < maxCountRequests
 	if len(counts) == 0 && !requestsAll {
 		return
@@ -150,24 +152,24 @@
 		r.countRequests++
 	}
 	for _, id := range others {
-		f.SendCounts(id, counts, requestsAll)
+		fleet.SendCounts(id, counts, requestsAll)
 	}
 	if isVoter && now >= r.nextSaveAt && !r.saving {
 		r.saving, r.nextSaveAt = true, now+decide.Nanos(saveInterval)
 		stored := r.account.All()
 		go func() {
-			err := f.SaveCounts(stored)
+			err := fleet.SaveCounts(stored)
 			r.g.post(func() {
 				if r.saving = false; err != nil {
-					r.g.log.Error("the account of contracts is not kept", "why", err)
+					r.g.log.Error("the account of contracts can't be saved", "why", err)
 				}
 			})
 		}()
 	}
 }
 
-// Statements are those of a contract for its windows that touch a span of Unix nanoseconds; whole tells that this gateway votes,
-// and so knows what all count.
+// Statements returns a contract's statements for its windows that overlap an interval in Unix nanoseconds. complete reports
+// that this gateway is a voter and so knows the counts of all gateways.
 func (g *Gateway) Statements(ctx context.Context, name string, from, to int64) (all []contracts.Statement, complete bool, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.reserved == nil {
