--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -12,7 +12,7 @@
 	"magpieglade/standin"
 )
 
-// chosen is what a gateway says of what the fleet chooses together, and of members' names.
+// coordinationView returns a gateway's view of the coordination, and the names of the members by key.
 func (u *union) coordinationView(gateway int) (v hosted.CoordinationView, names map[uint64]string) {
 	var r struct {
 		Chosen *hosted.CoordinationView
@@ -24,7 +24,7 @@
 	return *r.Chosen, r.Names
 }
 
-// holders are the gateways that a member has, by what all gateways say that they have.
+// gatewaysByMember counts, by member name, the gateways that report the member as assigned to them.
 func (u *union) gatewaysByMember(gateways ...int) map[string]int {
 	all := map[string]int{}
 	for _, i := range gateways {
@@ -38,11 +38,11 @@
 	return all
 }
 
-// Eight gateways before a primary and eight replicas, each of which has the primary and four members. Connections at the
-// members are counted there. Nothing is lost while a gateway is killed and comes back as it was, while half of the replicas
-// hang at once, and while the primary moves to a replica that few have.
+// Eight gateways, a primary and eight replicas: each gateway is assigned the primary and four replicas. Connections are counted
+// at the members. Service goes on while a gateway is killed and restarted with the same subset, while half of the replicas
+// hang at once, and while the primary moves to a replica that few gateways are assigned.
 func TestSubsetsOfMembers(t *testing.T) {
-	t.Parallel() // it waits for events nearly all of its time
+	t.Parallel() // it mostly waits for events
 	g, members := newGroup(0, 8)
 	operator := agreeing + "coordination {\n  subset      = 4\n  connections = 1\n  away        = 0\n}\n"
 	u := newUnionBefore(t, 8, 3, operator, nil, g, members)
@@ -50,7 +50,7 @@
 	l := u.load()
 	settled := func(gateways ...int) {
 		t.Helper()
-		u.await("each member has its gateways", func() bool {
+		u.await("the members are evenly assigned", func() bool {
 			has := u.gatewaysByMember(gateways...)
 			sum, least, most := 0, 1<<30, 0
 			for _, m := range members[1:] {
@@ -60,29 +60,29 @@
 			if has[members[0].Name] != len(gateways) || sum > 4*len(gateways) || most-least > 2 {
 				return false
 			}
-			t.Logf("%d gateways: a replica has %d to %d of them, the primary all", len(gateways), least, most)
+			t.Logf("%d gateways: a replica is assigned to %d to %d of them, the primary to all", len(gateways), least, most)
 			return true
 		})
 	}
 	settled(all...)
-	counted := func() (all int) {
+	connections := func() (all int) {
 		for _, m := range members {
 			all += m.Connections()
 		}
 		return all
 	}
-	u.await("connections of what is dropped are given back", func() bool { return counted() <= 8*5*2 })
+	u.await("connections to unassigned members are closed", func() bool { return connections() <= 8*5*2 })
 	before := u.gatewaysByMember(all...)
 	u.gateways[6].kill()
 	u.gateways[6].start()
 	settled(all...)
-	u.await("it has what it had", func() bool { return fmt.Sprint(u.gatewaysByMember(all...)) == fmt.Sprint(before) })
+	u.await("the restarted gateway has its former subset", func() bool { return fmt.Sprint(u.gatewaysByMember(all...)) == fmt.Sprint(before) })
 
 	// Half of the replicas hang.
 	for _, m := range members[1:5] {
 		m.SetHung(true)
 	}
-	u.await("subsets are wider where their members hang", func() bool {
+	u.await("subsets widen while their members hang", func() bool {
 		wider := 0
 		for _, i := range all {
 			if v, _ := u.coordinationView(i); v.WidenedBy[0] > 0 {
@@ -98,7 +98,7 @@
 	for _, m := range members[1:5] {
 		m.SetHung(false)
 	}
-	u.awaitFor(40*time.Second, "they narrow again", func() bool {
+	u.awaitFor(40*time.Second, "subsets narrow again", func() bool {
 		for _, i := range all {
 			if v, _ := u.coordinationView(i); v.WidenedBy[0] > 0 {
 				return false
@@ -108,9 +108,9 @@
 	})
 	settled(all...)
 
-	// The primary moves: those that don't have it hear of it, or look for it.
+	// The primary moves: gateways that are not assigned it are notified of it, or search for it.
 	g.Promote(members[8], true)
-	u.await("all have the new primary", func() bool { return u.gatewaysByMember(all...)[members[8].Name] == 8 })
+	u.await("all gateways are assigned the new primary", func() bool { return u.gatewaysByMember(all...)[members[8].Name] == 8 })
 	for _, i := range all {
 		u.await("writes are served at every gateway", func() bool { a := c.Write(i, fmt.Sprint("k", i), "v"); return a.Err == nil && a.Code == "" })
 	}
@@ -118,26 +118,26 @@
 	l.stopAllowingErrors(t)
 }
 
-// A member that one gateway of five can't reach is not ill for the others, and that gateway is told of what it does not
-// see; one that none can reach is known as ill by all within a second or so.
+// A member that one gateway of five can't reach is not unhealthy for the others, and that gateway receives their reports of it;
+// a member that no gateway can reach is reported unhealthy at all within a second or so.
 func TestMemberSignals(t *testing.T) {
 	g, members := newGroup(0, 4)
-	hole := freePort("tcp4", "127.0.0.4") // nobody listens there
-	var own *standin.List
+	closedPort := freePort("tcp4", "127.0.0.4") // a port without a listener
+	var ownList *standin.List
 	u := newUnionBefore(t, 5, 3, agreeing+"coordination {}\n", func(p *process) {
 		if p.index == 3 {
 			var hosts []standin.Host
 			for _, m := range members {
 				hosts = append(hosts, m.ListEntry("active"))
 			}
-			hosts[2].Dial = hole
-			own = standin.NewList(hosts...)
-			p.discovery = own.Address()
+			hosts[2].Dial = closedPort
+			ownList = standin.NewList(hosts...)
+			p.discovery = ownList.Address()
 		}
 	}, g, members)
-	defer own.Close()
+	defer ownList.Close()
 	l := u.load()
-	for _, m := range members { // so many at a time that each is used: of idle ones the quickest gets nearly all
+	for _, m := range members { // concurrent reads use every member; if they were idle the fastest would get nearly all reads
 		m.SetDelay(5 * time.Millisecond)
 	}
 	for i := range u.gateways {
@@ -145,7 +145,7 @@
 		defer g.end()
 	}
 	others := []int{0, 1, 2, 4}
-	seen := func(i int, member string) (k hosted.MemberView) {
+	memberView := func(i int, member string) (k hosted.MemberView) {
 		v, names := u.coordinationView(i)
 		for _, m := range v.Members {
 			if names[m.Key] == member {
@@ -156,36 +156,36 @@
 	}
 	name := members[2].Name
 	for _, i := range others {
-		u.await("the word of the one that can't reach it has come", func() bool { return seen(i, name).Summary.UnhealthyReports == 1 })
-		if m := seen(i, name); m.Unhealthy {
-			t.Fatal("one gateway's broken link has a member ill for all", m)
+		u.await("the report of the gateway that can't reach the member has arrived", func() bool { return memberView(i, name).Summary.UnhealthyReports == 1 })
+		if m := memberView(i, name); m.Unhealthy {
+			t.Fatal("one gateway's broken link makes a member unhealthy for all", m)
 		}
 	}
-	u.await("the one hears of others that it is well", func() bool { m := seen(3, name); return !m.Unhealthy && m.Summary.Latency > 0 })
-	was := members[2].Queries()
-	u.await("the others use it", func() bool { return members[2].Queries() > was+50 })
+	u.await("the gateway without a link receives reports that the member is healthy", func() bool { m := memberView(3, name); return !m.Unhealthy && m.Summary.Latency > 0 })
+	queriesBefore := members[2].Queries()
+	u.await("the other gateways use the member", func() bool { return members[2].Queries() > queriesBefore+50 })
 
 	began := time.Now()
 	members[3].Kill()
 	for _, i := range u.allGateways() {
-		u.await("all know that one is ill", func() bool { return seen(i, members[3].Name).Summary.UnhealthyReports >= 1 })
+		u.await("each gateway has a report that the member is unhealthy", func() bool { return memberView(i, members[3].Name).Summary.UnhealthyReports >= 1 })
 	}
-	t.Logf("all know of it after %v", time.Since(began).Round(10*time.Millisecond))
+	t.Logf("all gateways have a report after %v", time.Since(began).Round(10*time.Millisecond))
 	if said := u.said(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
 		t.Fatal(said)
 	}
 	must(members[3].Start())
-	u.await("it is well again", func() bool {
-		return !slices.ContainsFunc(u.allGateways(), func(i int) bool { return seen(i, members[3].Name).Unhealthy })
+	u.await("the member is healthy again", func() bool {
+		return !slices.ContainsFunc(u.allGateways(), func(i int) bool { return memberView(i, members[3].Name).Unhealthy })
 	})
-	was = members[3].Queries()
-	u.await("it is used again", func() bool { return members[3].Queries() > was+50 })
+	queriesBefore = members[3].Queries()
+	u.await("the member is used again", func() bool { return members[3].Queries() > queriesBefore+50 })
 	l.stopAllowingErrors(t)
 }
 
-// While the list service is down one gateway asks it for all, as a rule, and all hear when it is up again.
+// While the list service is down, as a rule one gateway calls it on behalf of all, and all are notified when it is up again.
 func TestListRequestTurns(t *testing.T) {
-	t.Parallel() // it waits for events nearly all of its time
+	t.Parallel() // it mostly waits for events
 	calls := func(block string) int {
 		g, members := newGroup(0, 2)
 		u := newUnionBefore(t, 6, 3, agreeing+block, nil, g, members)
@@ -194,23 +194,24 @@
 		for _, p := range u.gateways {
 			p.awaitLog("list lost")
 		}
-		was := u.list.Requests()
-		time.Sleep(3 * time.Second) // what is counted is what comes in this time, whatever it is
-		n := u.list.Requests() - was
+		requestsBefore := u.list.Requests()
+		time.Sleep(3 * time.Second) // counts the calls in a fixed time, so there is no event to wait for
+		n := u.list.Requests() - requestsBefore
 		u.list.SetDown(false)
 		for _, p := range u.gateways {
 			p.awaitLog("list followed")
 		}
 		return n
 	}
-	each, turns := calls(""), calls("coordination {}\n")
-	t.Logf("%d calls of six gateways in 3 s while each goes for itself, %d by turns", each, turns)
-	if turns*2 > each {
-		t.Fatal(each, turns)
+	uncoordinated, coordinated := calls(""), calls("coordination {}\n")
+	t.Logf("%d calls of six gateways in 3 s without coordination, %d with it", uncoordinated, coordinated)
+	if coordinated*2 > uncoordinated {
+		t.Fatal(uncoordinated, coordinated)
 	}
 }
 
-// endRough ends it where members fail under txns, which may be rolled back or late then, but never without an answer.
+// stopAllowingErrors ends the load of a test whose members fail under txns: these may be rolled back or late, and some txns
+// must have been served.
 func (l *load) stopAllowingErrors(t testing.TB) {
 	t.Helper()
 	close(l.stop)
@@ -221,7 +222,7 @@
 	}
 }
 
-// each are all gateways.
+// allGateways returns the indexes of all gateways.
 func (u *union) allGateways() (all []int) {
 	for i := range u.gateways {
 		all = append(all, i)
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -15,23 +15,23 @@
 	"magpieglade/standin"
 )
 
-// fleet is some gateways of this build, as processes, with one list and one front before them.
+// fleet is a set of gateway processes of this build with one member list and one client pool.
 type fleet struct {
 	list         *standin.List
 	front        *standin.ClientPool
 	gateways     []*process
 	dir          string
-	operator     string // the operator's file; %LISTEN% and %GATEWAYS% are put in
+	operator     string // operator's file with placeholders such as %LISTEN% and %GATEWAYS%
 	settings     string
-	neverStarted int // gateways in the list that never run
+	neverStarted int // listed gateways that never run
 	closers      []func()
-	customize    func(*process)        // sets what is unlike in one, nil where all are alike
-	advertised   func(*process) string // at which address others reach a gateway, nil at its own
+	customize    func(*process)        // changes the settings of single gateways, nil if all are alike
+	advertised   func(*process) string // address at which others reach a gateway, nil for its own
 
 	addresses map[int]string
 }
 
-// process is one gateway.
+// process is one gateway process.
 type process struct {
 	fleet          *fleet
 	index          int
@@ -40,12 +40,12 @@
 	log            chan string
 	exited         chan error
 	lines          []string
-	env            []string      // environment
-	discovery      string        // of this one alone, if it has another list
-	clockRate      float64       // of its clock against the others', 0 for the program as it is
-	maxDiskDelay   time.Duration // of its disk, at the most
+	env            []string      // additional environment variables
+	discovery      string        // its own list service, if it is not the fleet's
+	clockRate      float64       // relative to the other clocks, 0 for the unmodified program
+	maxDiskDelay   time.Duration // of its disk
 	operatorFile   string
-	readLedger     string // the line that tells what its ledger held
+	readLedger     string // log line about the ledger it read
 	configFileName string
 }
 
@@ -62,7 +62,7 @@
 	return l.Addr().String()
 }
 
-// newFleet starts n gateways before some members. Without an operator's file they know nothing of one another.
+// newFleet starts n gateways for some members. Without an operator's file they don't know of each other.
 func newFleet(n int, operator string, members ...*standin.Member) *fleet {
 	var hosts []standin.Host
 	for _, m := range members {
@@ -76,7 +76,7 @@
 	return f
 }
 
-// add starts the gateways of a fleet, which all know of one another.
+// add starts n gateways that all know of each other.
 func (f *fleet) add(n int) {
 	var fronts []string
 	for i := range n {
@@ -102,7 +102,7 @@
 	f.list.Close()
 }
 
-// peerList is the list of gateways as the operator's file has it.
+// peerList returns the list of gateways in the form of the operator's file.
 func (f *fleet) peerList() string {
 	var all []string
 	for _, p := range f.gateways {
@@ -160,7 +160,7 @@
 	p.awaitLog("listening")
 }
 
-// drain takes what it has logged so far.
+// readLog collects the lines logged so far.
 func (p *process) readLog() {
 	for {
 		select {
@@ -172,7 +172,7 @@
 	}
 }
 
-// kill ends it as the kernel would.
+// kill ends the process with SIGKILL.
 func (p *process) kill() {
 	if p.cmd != nil {
 		_ = p.cmd.Process.Kill()
@@ -181,7 +181,7 @@
 	}
 }
 
-// logged waits for a line and gives it.
+// awaitLog waits for a log line that contains part, and returns it.
 func (p *process) awaitLog(part string) string {
 	for {
 		select {
@@ -199,7 +199,7 @@
 	}
 }
 
-// covered is an operator's file for gateways that tell one another what they answered.
+// operatorWithPeers is an operator's file for gateways that report their answered writes to each other.
 const operatorWithPeers = `
 sessions {
   tokens = "hints"
--- a/gateway/ledger_test.go
+++ b/gateway/ledger_test.go
@@ -23,7 +23,7 @@
 	"magpieglade/standin"
 )
 
-// heldDisk is the operating system's, but its writes wait while it is held, or fail.
+// blockingDisk is the operating system's file system with writes that block or fail on demand.
 type blockingDisk struct {
 	store.FileSystem
 	mu      sync.Mutex
@@ -60,7 +60,7 @@
 	f()
 }
 
-// logLines is a log and what comes to it.
+// captureLog returns a logger and the lines that are logged to it.
 func captureLog() (*slog.Logger, <-chan string) {
 	r, w := io.Pipe()
 	lines := make(chan string, 10000)
@@ -72,21 +72,21 @@
 	return slog.New(slog.NewTextHandler(w, nil)), lines
 }
 
-func awaitLine(t *testing.T, lines <-chan string, part string) {
+func awaitLine(t *testing.T, lines <-chan string, text string) {
 	t.Helper()
 	for {
 		select {
 		case l := <-lines:
-			if strings.Contains(l, part) {
+			if strings.Contains(l, text) {
 				return
 			}
 		case <-time.After(soon):
-			t.Fatalf("%q was not logged", part)
+			t.Fatalf("%q was not logged", text)
 		}
 	}
 }
 
-// embedded runs a gateway in this process.
+// runInProcess runs a gateway in the test's process.
 func runInProcess(t *testing.T, log *slog.Logger, plan *hosted.SessionConfig, members ...*standin.Member) (address string) {
 	address, _, _ = runInProcessWith(t, func(c *gateway.Config) { c.Sessions, c.Log = plan, log }, members...)
 	return address
@@ -120,7 +120,7 @@
 
 func ledgerComplete(t *testing.T, folder string) bool {
 	t.Helper()
-	for { // a former segment may go while it is copied
+	for { // an old segment may be deleted while the folder is copied
 		after := t.TempDir() + "/after"
 		if err := os.CopyFS(after, os.DirFS(folder)); errors.Is(err, os.ErrNotExist) {
 			continue
@@ -133,8 +133,8 @@
 	}
 }
 
-// A disk that is slow delays an answer for the stated span and no longer; from then on the ledger says of itself that
-// it lacks something, without the disk, until it has caught up. A full disk is no different, and is told.
+// A slow disk delays an answer for MaxWait and no longer; from then on the ledger is incomplete, which it records without
+// writing to the disk, until it has caught up. A full disk has the same effect, and is logged.
 func TestSlowAndFullDisk(t *testing.T) {
 	log, lines := captureLog()
 	_, members := newGroup(0, 1)
@@ -181,7 +181,8 @@
 	if a := c.Read(0); a.String() != "served 3" {
 		t.Fatal(a)
 	}
-	// An early answer whose record is then refused: the snapshot that has it ends "behind" too, which stayed for good.
+	// The record of an early answer fails to be written: the snapshot that contains it must end the state "behind" as well, which
+	// once stayed forever.
 	held = make(chan struct{})
 	d.update(func() { d.blocked, d.full = held, true })
 	if a := c.Write(0, "s4", "4"); a.String() != "served 4" {
@@ -196,7 +197,7 @@
 	until(func() bool { return ledgerComplete(t, plan.Ledger.Folder) })
 }
 
-// A folder that another process has is refused at the start.
+// A gateway does not start with a ledger folder that another process uses.
 func TestLedgerInUse(t *testing.T) {
 	folder := t.TempDir()
 	l, _, err := ledger.Open(folder, nil, func() {}, func(string, error) {})
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -14,7 +14,7 @@
 	"magpieglade/standin"
 )
 
-// flood asks some gateways for reads of one type as fast as they answer, and counts when each was served.
+// readFlood sends reads of one type to some gateways as fast as they answer, and records when each was served.
 type readFlood struct {
 	stop     chan struct{}
 	wg       sync.WaitGroup
@@ -54,6 +54,7 @@
 	return f
 }
 
+// setActive sends reads to these gateways only.
 func (f *readFlood) setActive(gateways ...int) {
 	for i := range f.active {
 		f.active[i].Store(false)
@@ -69,7 +70,7 @@
 	return len(f.servedAt)
 }
 
-// reads are when the stand-ins served reads, in order.
+// readTimes returns when the stand-ins served reads, in order.
 func (u *union) readTimes() (at []time.Time) {
 	for _, e := range u.group.Events() {
 		if e.Kind == "read" {
@@ -79,7 +80,7 @@
 	return at
 }
 
-// within holds what the stand-ins served against a bound: over no span between two reads is it passed.
+// checkRate checks the reads at the stand-ins against a rate limit: no interval between two reads may exceed it.
 func (u *union) checkRate(rate, burst float64) {
 	u.t.Helper()
 	all := u.readTimes()
@@ -91,15 +92,15 @@
 		tokens--
 		worst = max(worst, -tokens)
 	}
-	u.t.Logf("%d reads at the stand-ins, the bound is passed by %.1f txns at the most", len(all), worst)
+	u.t.Logf("%d reads at the stand-ins, the limit is exceeded by %.1f txns at most", len(all), worst)
 	if worst > 0 {
-		u.t.Fatalf("the bound is passed by %.1f txns", worst)
+		u.t.Fatalf("the limit is exceeded by %.1f txns", worst)
 	}
 }
 
-// A tenant's hundred txns a second are the fleet's: through one gateway, through all, while one is cut off, while one stands
-// still for twice a lease and wakes under load, while who keeps the book is killed, while all but two are. What the
-// stand-ins did never passes it, and where it is asked for it is used.
+// A tenant's 100 txns a second are a fleet-wide limit: through one gateway, through all, while one is partitioned, while one is
+// stopped for twice its lease and resumes under load, and while the allocator is killed. The reads at the stand-ins never
+// exceed the limit, and where there is demand the limit is used.
 func TestFleetRateLimit(t *testing.T) {
 	u := newUnion(t, 5, 3)
 	const rate, burst = 100, 30
@@ -108,10 +109,10 @@
 	}
 	u.holds(1, 0, 1, 2, 3, 4)
 	f := u.startFlood(6)
-	used := func(what string, least float64, span time.Duration, gateways ...int) {
+	checkUsed := func(what string, least float64, span time.Duration, gateways ...int) {
 		t.Helper()
 		f.setActive(gateways...)
-		u.awaitFor(3*soon, what+": the first is served", func() bool { n := f.served(); time.Sleep(200 * time.Millisecond); return f.served() > n+4 })
+		u.awaitFor(3*soon, what+": reads are served", func() bool { n := f.served(); time.Sleep(200 * time.Millisecond); return f.served() > n+4 })
 		time.Sleep(time.Second)
 		before, began := f.served(), time.Now()
 		time.Sleep(span)
@@ -121,9 +122,9 @@
 			t.Fatalf("%s: %.1f a second", what, got)
 		}
 	}
-	keeper := func() int {
+	findAllocator := func() int {
 		at := -1
-		u.awaitFor(3*soon, "somebody keeps the book", func() bool {
+		u.awaitFor(3*soon, "a gateway is the allocator", func() bool {
 			for i, p := range u.gateways {
 				if p.cmd != nil && strings.Contains(u.said(i, "fleet", "shares"), "not lent") {
 					at = i
@@ -134,52 +135,52 @@
 		})
 		return at
 	}
-	used("through one", 0.75, 2*time.Second, 4)
-	used("through all", 0.75, 2*time.Second, 0, 1, 2, 3, 4)
-	k := keeper()
-	if said := u.said(k, "metrics"); !strings.Contains(said, `magpieglade_bound_amount{bound="t, rate"} 100`) || !strings.Contains(said, `magpieglade_bound_lent{bound="t, rate"}`) ||
+	checkUsed("through one", 0.75, 2*time.Second, 4)
+	checkUsed("through all", 0.75, 2*time.Second, 0, 1, 2, 3, 4)
+	allocator := findAllocator()
+	if said := u.said(allocator, "metrics"); !strings.Contains(said, `magpieglade_bound_amount{bound="t, rate"} 100`) || !strings.Contains(said, `magpieglade_bound_lent{bound="t, rate"}`) ||
 		!strings.Contains(said, "magpieglade_fleet_version_in_force 1") {
 		t.Fatal(said)
 	}
-	other := func(k int) int { // that does not vote, so that nobody waits for an election
-		if k == 3 {
+	other := func(allocator int) int { // not a voter, so that no election delays the test
+		if allocator == 3 {
 			return 4
 		}
 		return 3
 	}
-	cut := other(k)
-	u.wire.Isolate(cut, true)
-	used("one is cut off", 0.6, 3*time.Second, 0, 1, 2, 3, 4)
-	u.wire.Isolate(cut, false)
-	k = keeper()
-	still := other(k)
-	u.gateways[still].halt()
-	used("one stands still", 0.6, 4*time.Second, 0, 1, 2, 3, 4)
-	must(u.gateways[still].cmd.Process.Signal(syscall.SIGCONT))
-	used("it goes on", 0.75, time.Second, 0, 1, 2, 3, 4)
-	k = keeper()
-	u.gateways[k].kill()
-	used("who kept the book is killed", 0, 2*time.Second, 0, 1, 2, 3, 4)
-	gone := time.Now()
-	u.awaitFor(3*soon, "another one keeps the book", func() bool { return keeper() != k })
-	used("another one keeps the book", 0.6, 2*time.Second, 0, 1, 2, 3, 4)
-	t.Logf("the book is kept by another one, and the bound used, %v after its keeper was killed, the look included", time.Since(gone).Round(time.Second))
-	must(os.RemoveAll(filepath.Join(u.dir, fmt.Sprint("ledger", k))))
-	u.gateways[k].start()
-	used("it comes back as another", 0.75, time.Second, k)
+	partitioned := other(allocator)
+	u.wire.Isolate(partitioned, true)
+	checkUsed("one is partitioned", 0.6, 3*time.Second, 0, 1, 2, 3, 4)
+	u.wire.Isolate(partitioned, false)
+	allocator = findAllocator()
+	stopped := other(allocator)
+	u.gateways[stopped].halt()
+	checkUsed("one is stopped", 0.6, 4*time.Second, 0, 1, 2, 3, 4)
+	must(u.gateways[stopped].cmd.Process.Signal(syscall.SIGCONT))
+	checkUsed("it resumes", 0.75, time.Second, 0, 1, 2, 3, 4)
+	allocator = findAllocator()
+	u.gateways[allocator].kill()
+	checkUsed("the allocator is killed", 0, 2*time.Second, 0, 1, 2, 3, 4)
+	killedAt := time.Now()
+	u.awaitFor(3*soon, "another gateway is the allocator", func() bool { return findAllocator() != allocator })
+	checkUsed("another gateway is the allocator", 0.6, 2*time.Second, 0, 1, 2, 3, 4)
+	t.Logf("another gateway is the allocator and the limit is used %v after the allocator was killed, the measurement included", time.Since(killedAt).Round(time.Second))
+	must(os.RemoveAll(filepath.Join(u.dir, fmt.Sprint("ledger", allocator))))
+	u.gateways[allocator].start()
+	checkUsed("it restarts with a new identity", 0.75, time.Second, allocator)
 	close(f.stop)
 	f.wg.Wait()
 	u.checkRate(rate, burst)
 }
 
-// Twelve of a tenant's txns in flight and eight of its connections are the fleet's: of those that come through four gateways
-// at once so many are served at a time at the stand-ins and no more, also while a gateway that holds a part is killed, whose
-// part others have once its lease has run out; so many clients are let in and no more.
+// A tenant's 12 txns in flight and 8 connections are fleet-wide limits: of the txns through four gateways no more than 12 run
+// at a time at the stand-ins, also after a gateway with an allocation is killed, whose allocation passes to the others once its
+// lease has expired; no more than 8 clients are admitted.
 func TestFleetConcurrencyLimits(t *testing.T) {
 	u := newUnion(t, 4, 3)
-	const inFlight, connections, span = 12, 8, 40 * time.Millisecond
+	const inFlight, connections, serviceTime = 12, 8, 40 * time.Millisecond
 	for _, m := range u.members {
-		m.SetDelay(span)
+		m.SetDelay(serviceTime)
 	}
 	if said := u.apply(3, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\nroute \"few\" {\n  users = [\"few\"]\n  tenant = \"c\"\n}\ntenant \"t\" {\n  fleet = true\n  in_flight = %d\n}\ntenant \"c\" {\n  fleet = true\n  connections = %d\n}\n",
 		inFlight, connections)); !strings.Contains(said, "version 1 is agreed on") {
@@ -187,55 +188,55 @@
 	}
 	u.holds(1, 0, 1, 2, 3)
 	f := u.startFlood(10)
-	rate := func(what string, least float64, gateways ...int) {
+	checkUsed := func(what string, least float64, gateways ...int) {
 		t.Helper()
 		f.setActive(gateways...)
 		time.Sleep(1500 * time.Millisecond)
 		before, began := f.served(), time.Now()
 		time.Sleep(2 * time.Second)
 		got := float64(f.served()-before) / time.Since(began).Seconds()
-		t.Logf("%s: %.0f a second are served, %.0f would fill the bound", what, got, inFlight/span.Seconds())
-		if got < least*inFlight/span.Seconds() {
+		t.Logf("%s: %.0f a second are served, %.0f would use the whole limit", what, got, inFlight/serviceTime.Seconds())
+		if got < least*inFlight/serviceTime.Seconds() {
 			t.Fatal(what)
 		}
 	}
-	u.await("the books are kept", func() bool {
+	u.await("allocations are held", func() bool {
 		f.setActive(0, 1, 2, 3)
 		n := f.served()
 		time.Sleep(100 * time.Millisecond)
 		return f.served() > n+5
 	})
-	rate("through all", 0.6, 0, 1, 2, 3)
-	rate("through one", 0.4, 1) // whose ten clients leave two of twelve
-	at := u.leader(0, 1, 2)
-	killed := (at + 1) % 3 // one that votes, but does not lead
+	checkUsed("through all", 0.6, 0, 1, 2, 3)
+	checkUsed("through one", 0.4, 1) // its 10 clients leave 2 of the 12 unused
+	leader := u.leader(0, 1, 2)
+	killed := (leader + 1) % 3 // a voter, but not the leader
 	u.gateways[killed].kill()
-	u.awaitFor(3*soon, "others have its part", func() bool {
+	u.awaitFor(3*soon, "the others have its allocation", func() bool {
 		n, began := f.served(), time.Now()
 		f.setActive(0, 1, 2, 3)
 		time.Sleep(time.Second)
-		return float64(f.served()-n)/time.Since(began).Seconds() > 0.6*inFlight/span.Seconds()
+		return float64(f.served()-n)/time.Since(began).Seconds() > 0.6*inFlight/serviceTime.Seconds()
 	})
 	u.gateways[killed].start()
 	close(f.stop)
 	f.wg.Wait()
-	most, all := 0, u.readTimes()
-	for i, k := 0, 0; i < len(all); i++ { // each is at a stand-in for the span: how many are at a time
-		for all[i].Sub(all[k]) >= span-time.Millisecond {
+	maxConcurrent, all := 0, u.readTimes()
+	for i, k := 0, 0; i < len(all); i++ { // each read is at a stand-in for serviceTime: counts those at the same time
+		for all[i].Sub(all[k]) >= serviceTime-time.Millisecond {
 			k++
 		}
-		most = max(most, i-k+1)
+		maxConcurrent = max(maxConcurrent, i-k+1)
 	}
-	t.Logf("%d reads, %d at a time at the most", len(all), most)
-	if most > inFlight || most < inFlight-3 {
-		t.Fatalf("%d at a time, the bound is %d", most, inFlight)
+	t.Logf("%d reads, %d at a time at most", len(all), maxConcurrent)
+	if maxConcurrent > inFlight || maxConcurrent < inFlight-3 {
+		t.Fatalf("%d at a time, the limit is %d", maxConcurrent, inFlight)
 	}
 
-	// Clients of a tenant, let in through four gateways at once. Their bound's book may have been that of the one that was
-	// killed: then nobody is let in until another one keeps it and is no longer quiet.
-	u.awaitFor(2*soon, "clients are let in", func() bool {
+	// Clients of a tenant connect through four gateways at once. The killed gateway may have been the allocator of their limit:
+	// then no client is admitted until another allocator has taken over and its initial waiting time is over.
+	u.awaitFor(2*soon, "clients are admitted", func() bool {
 		var wg sync.WaitGroup
-		var in atomic.Int64
+		var admitted atomic.Int64
 		var all []*standin.Client
 		for i := range 24 {
 			c := u.front.NewClient(fmt.Sprintf("%08x", 0xc1000+i), standin.TxnTypes{Read: "session", Write: "keyed"})
@@ -245,7 +246,7 @@
 			go func() {
 				defer wg.Done()
 				if a := c.Read(i % 4); a.Err == nil {
-					in.Add(1)
+					admitted.Add(1)
 				}
 			}()
 		}
@@ -253,16 +254,16 @@
 		for _, c := range all {
 			c.Close()
 		}
-		if in.Load() > connections {
-			t.Fatalf("%d of 24 clients are let in, %d may be", in.Load(), connections)
+		if admitted.Load() > connections {
+			t.Fatalf("%d of 24 clients are admitted, the limit is %d", admitted.Load(), connections)
 		}
-		t.Logf("%d of 24 clients are let in, %d may be", in.Load(), connections)
-		return in.Load() >= connections/2
+		t.Logf("%d of 24 clients are admitted, the limit is %d", admitted.Load(), connections)
+		return admitted.Load() >= connections/2
 	})
 }
 
-// A mass restart: of nine gateways seven are killed at once, among them one that votes, and started again at once. The two that
-// are left have the bound to themselves within some seconds, nine share it again, and it is never passed.
+// A mass restart: of nine gateways seven, among them one voter, are killed at once and later started at once. The remaining two
+// have the whole limit within some seconds, then nine share it again, and it is never exceeded.
 func TestFleetRateLimitThroughMassRestart(t *testing.T) {
 	u := newUnion(t, 9, 3)
 	const rate, burst = 120, 40
@@ -271,10 +272,10 @@
 	}
 	u.holds(1, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	f := u.startFlood(3)
-	used := func(what string, least float64, gateways ...int) {
+	awaitUsed := func(what string, least float64, gateways ...int) {
 		t.Helper()
 		f.setActive(gateways...)
-		for began := time.Now(); ; { // an election, another keeper and its quiet take longer than most events
+		for began := time.Now(); ; { // an election and the start of a new allocator take longer than most events
 			n, from := f.served(), time.Now()
 			time.Sleep(time.Second)
 			if got := float64(f.served()-n) / time.Since(from).Seconds(); got >= least*rate {
@@ -286,17 +287,17 @@
 			}
 		}
 	}
-	used("through nine", 0.75, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+	awaitUsed("through nine", 0.75, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	for i := 2; i < 9; i++ {
 		u.gateways[i].kill()
 	}
 	began := time.Now()
-	used("through the two that are left", 0.75, 0, 1)
-	t.Logf("%v after the others were killed, the look included", time.Since(began).Round(time.Second))
+	awaitUsed("through the remaining two", 0.75, 0, 1)
+	t.Logf("%v after the others were killed, the measurement included", time.Since(began).Round(time.Second))
 	for i := 2; i < 9; i++ {
 		u.gateways[i].start()
 	}
-	used("through nine again", 0.75, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+	awaitUsed("through nine again", 0.75, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	close(f.stop)
 	f.wg.Wait()
 	u.checkRate(rate, burst)
--- a/gateway/reserved_test.go
+++ b/gateway/reserved_test.go
@@ -13,7 +13,7 @@
 	"magpieglade/standin"
 )
 
-// guests are clients of one user at one gateway, each of which asks for reads one after another.
+// userLoad is the load of one user's clients at one gateway, each of which sends one read after another.
 type userLoad struct {
 	stop                     chan struct{}
 	wg                       sync.WaitGroup
@@ -57,9 +57,9 @@
 	return g.served.Load(), g.declined.Load()
 }
 
-// A window that is open: what is stated at a gateway that votes adds up to what the clients of all gateways were told, and to
-// what the stand-ins served, also after a gateway that does not vote was killed a moment after its last report and all that
-// vote were killed one after another.
+// In an open window the statement of a voter adds up to what the clients of all gateways received and to what the stand-ins
+// served, also after a gateway that is no voter was killed shortly after its last report and all voters were killed one after
+// another.
 func TestUsageCountsAddUp(t *testing.T) {
 	u := newUnion(t, 5, 3)
 	rules := "in_flight = 20\nroute \"tv\" {\n  users  = [\"tv\"]\n  tenant = \"tv\"\n}\ntenant \"tv\" {}\ntenant \"others\" {}\n"
@@ -76,26 +76,26 @@
 		}
 	}
 	for i := range u.gateways {
-		u.await("room is held", func() bool { return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12") })
+		u.await("slots are reserved", func() bool { return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12") })
 	}
 	reads := len(u.readTimes())
-	asked, served := int64(0), int64(0)
+	requested, served := int64(0), int64(0)
 	for range 2 {
 		var all []*userLoad
 		for i := range u.gateways {
-			all = append(all, u.startUserLoad("tv", i, 15)) // three more than there is room for beside others
+			all = append(all, u.startUserLoad("tv", i, 15)) // three more than the reserved slots
 		}
 		time.Sleep(time.Second)
 		for _, g := range all {
 			n, declined := g.end()
-			served, asked = served+n, asked+n+declined
+			served, requested = served+n, requested+n+declined
 			if g.failed.Load() > 0 {
-				t.Fatal("without an answer: ", g.failed.Load())
+				t.Fatal("failed reads: ", g.failed.Load())
 			}
 		}
 	}
 	if n := int64(len(u.readTimes()) - reads); n < served {
-		t.Fatalf("%d were served at the stand-ins, %d were told so", n, served)
+		t.Fatalf("%d reads at the stand-ins, %d served at the clients", n, served)
 	}
 	stated := func(i int) (got, inTime int64) {
 		for _, line := range strings.Split(u.said(i, "contracts", "statement", "now", "--csv"), "\n") {
@@ -107,17 +107,17 @@
 		}
 		return got, inTime
 	}
-	adds := func(what string, gateways ...int) {
+	checkCounts := func(what string, gateways ...int) {
 		t.Helper()
 		for _, i := range gateways {
-			u.await(what, func() bool { got, _ := stated(i); return got == asked })
-			if got, inTime := stated(i); inTime > served || got > asked {
-				t.Fatal(what, got, inTime, asked, served)
+			u.await(what, func() bool { got, _ := stated(i); return got == requested })
+			if got, inTime := stated(i); inTime > served || got > requested {
+				t.Fatal(what, got, inTime, requested, served)
 			}
 		}
 	}
-	adds("all is counted once", 0, 1, 2)
-	t.Logf("%d asked, %d served, as stated at each that votes", asked, served)
+	checkCounts("every txn is counted once", 0, 1, 2)
+	t.Logf("%d requested, %d served, as stated by each voter", requested, served)
 	if said := u.said(4, "contracts", "usage"); !strings.Contains(said, "this gateway alone") {
 		t.Fatal(said)
 	}
@@ -126,7 +126,7 @@
 	if text, err := os.ReadFile(page); err != nil || !strings.Contains(string(text), "<h1>now: what was kept</h1>") {
 		t.Fatal(err, string(text))
 	}
-	if said := u.said(0, "metrics"); !strings.Contains(said, fmt.Sprintf("magpieglade_contract_txns{contract=\"now\",outcome=\"asked\"} %d", asked)) {
+	if said := u.said(0, "metrics"); !strings.Contains(said, fmt.Sprintf("magpieglade_contract_txns{contract=\"now\",outcome=\"asked\"} %d", requested)) {
 		t.Fatal(said)
 	}
 	u.gateways[4].kill()
@@ -134,14 +134,14 @@
 	for _, i := range []int{0, 1, 2} {
 		u.gateways[i].kill()
 		u.gateways[i].start()
-		u.awaitFor(2*soon, "the others have told it", func() bool { got, _ := stated(i); return got == asked })
+		u.awaitFor(2*soon, "the other voters have sent their counts", func() bool { got, _ := stated(i); return got == requested })
 	}
-	adds("nothing is counted twice or forgotten", 0, 1, 2)
+	checkCounts("no count is lost or doubled", 0, 1, 2)
 }
 
-// Capacity for one of two contracts: both are booked at once at two gateways, and one gets it. Its tenant's clients are served
-// through any gateway beside a flood by others, also through one that is cut off, while who leads is killed; all gateways
-// are killed, and the book is what it was.
+// There is capacity for one of two contracts: both are booked concurrently at two gateways, and one succeeds. Its tenant's
+// clients are served through any gateway beside a flood by others, also while the leader is killed; a partitioned gateway keeps
+// the slots reserved. After all gateways were killed the book is unchanged.
 func TestContracts(t *testing.T) {
 	t.Parallel()
 	u := newUnion(t, 5, 3)
@@ -166,25 +166,25 @@
 			t.Fatal(w, said)
 		}
 	}
-	// Before: beside a flood the tenant has its weight of 1 in 20.
-	floods := func() (all []*userLoad) {
+	// Before the booking: beside a flood the tenant has its weight of 1 in 20.
+	startFloods := func() (all []*userLoad) {
 		for i := range u.gateways {
 			all = append(all, u.startUserLoad("portal", i, 40))
 		}
 		return all
 	}
-	served := func(gateway int, span time.Duration) (float64, int64) {
+	measureRate := func(gateway int, span time.Duration) (float64, int64) {
 		g := u.startUserLoad("tv", gateway, 10)
 		time.Sleep(span)
 		n, declined := g.end()
 		return float64(n) / span.Seconds(), declined
 	}
-	alone, _ := served(0, time.Second)
-	flood := floods()
+	alone, _ := measureRate(0, time.Second)
+	flood := startFloods()
 	time.Sleep(300 * time.Millisecond)
-	before, _ := served(0, time.Second)
+	before, _ := measureRate(0, time.Second)
 
-	// Two operators at once.
+	// Two operators book concurrently.
 	said := make([]string, 2)
 	var wg sync.WaitGroup
 	for i, name := range []string{"final", "gala"} {
@@ -199,38 +199,38 @@
 		t.Fatalf("two booked the last capacity: %s / %s", said[0], said[1])
 	}
 	for _, i := range all {
-		u.await("room is held at each gateway", func() bool {
+		u.await("slots are reserved at each gateway", func() bool {
 			return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12 in flight for tv")
 		})
 	}
-	time.Sleep(300 * time.Millisecond) // what was lent has ended
-	after, declined := served(1, time.Second)
+	time.Sleep(300 * time.Millisecond) // txns that used the now reserved slots have ended
+	after, declined := measureRate(1, time.Second)
 	t.Logf("ten clients: %.0f txns a second alone, %.0f beside the flood before, %.0f after; %d declined", alone, before, after, declined)
 	if after < 0.6*alone || before > 0.5*after {
 		t.Fatal(alone, before, after)
 	}
 
-	// Through one that is cut off, which is careful, the others going on; who leads is killed at that moment.
-	at := u.leader(0, 1, 2)
-	u.gateways[at].kill()
-	cut := 4
-	u.wire.Isolate(cut, true)
-	time.Sleep(4 * time.Second) // past its lease
-	through, _ := served(3, time.Second)
-	t.Logf("through another gateway with the leader killed: %.0f", through)
-	if through < 0.4*alone {
-		t.Fatal(through, alone)
-	}
-	if said := u.said(cut, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
-		t.Fatal("a gateway that is cut off holds no room: ", said)
-	}
-	u.wire.Isolate(cut, false)
+	// One gateway is partitioned, the others go on; the leader is killed at the same time.
+	leader := u.leader(0, 1, 2)
+	u.gateways[leader].kill()
+	partitioned := 4
+	u.wire.Isolate(partitioned, true)
+	time.Sleep(4 * time.Second) // longer than its lease
+	rateAfter, _ := measureRate(3, time.Second)
+	t.Logf("through another gateway with the leader killed: %.0f", rateAfter)
+	if rateAfter < 0.4*alone {
+		t.Fatal(rateAfter, alone)
+	}
+	if said := u.said(partitioned, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
+		t.Fatal("a partitioned gateway has no reserved slots: ", said)
+	}
+	u.wire.Isolate(partitioned, false)
 	for _, f := range flood {
 		f.end()
 	}
-	u.gateways[at].start()
+	u.gateways[leader].start()
 
-	// All are killed, and start again.
+	// All gateways are killed and started again.
 	u.awaitFor(2*soon, "all may act", func() bool {
 		for _, i := range all {
 			if !strings.Contains(u.said(i, "fleet", "status"), "may act") {
@@ -247,11 +247,11 @@
 		p.start()
 	}
 	for _, i := range all {
-		u.awaitFor(2*soon, "the book is what it was", func() bool {
+		u.awaitFor(2*soon, "the book is unchanged", func() bool {
 			return u.said(i, "contracts", "history", "final")+u.said(i, "contracts", "history", "gala") == book && strings.Contains(u.said(i, "contracts", "list"), "held here now: 12 in flight for tv")
 		})
 	}
-	// A member leaves for good: what can't be kept by the others is told, and stays booked.
+	// A member is removed: a contract that the others can't fulfil is reported, and stays booked.
 	var hosts []standin.Host
 	for _, m := range u.members[:2] {
 		hosts = append(hosts, m.ListEntry("active"))
@@ -263,13 +263,13 @@
 	if said := u.said(1, "contracts", "list"); !strings.Contains(said, "at risk from") || !strings.Contains(said, "group 0 lacks 50 reads a second") {
 		t.Fatal(said)
 	}
-	// Cancelled, the room is nobody's.
+	// After the cancellation no slots are reserved.
 	won := "final"
 	if strings.Contains(said[1], "is booked") {
 		won = "gala"
 	}
 	u.awaitFor(2*soon, "it is cancelled", func() bool { return strings.Contains(u.said(2, "contracts", "cancel", won), "is cancelled") })
 	for _, i := range all {
-		u.await("no room is held", func() bool { return !strings.Contains(u.said(i, "contracts", "list"), "held here now") })
+		u.await("no slots are reserved", func() bool { return !strings.Contains(u.said(i, "contracts", "list"), "held here now") })
 	}
 }
--- a/gateway/sessions_test.go
+++ b/gateway/sessions_test.go
@@ -16,7 +16,7 @@
 
 var txnTypes = standin.TxnTypes{Write: "keyed", Read: "session"}
 
-// group is a primary and replicas that apply with a lag.
+// newGroup returns a primary and replicas that apply changes with a lag.
 func newGroup(lag time.Duration, replicas int) (g *standin.Group, all []*standin.Member) {
 	g = standin.NewGroup(0)
 	g.DedupWindow = 800 * time.Millisecond
@@ -29,8 +29,8 @@
 	return g, all
 }
 
-// roam has clients that write at one gateway and read at another, and counts what was served and what was stale: a
-// read that shows less than what its own session had been answered before.
+// runRoamingClients runs clients that write at one gateway and read at another, and counts the served and the stale reads: a
+// stale read returns less than what its own session had been answered before.
 func runRoamingClients(f *fleet, clients, rounds, gateways int) (served, stale int, other map[string]int) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -66,8 +66,8 @@
 	return served, stale, other
 }
 
-// What a session wrote at one gateway is seen at the others, whatever the replicas lag; gateways that know their own
-// writes alone serve stale reads under the same load, so the check can fail.
+// A session's write at one gateway is visible at the others, whatever the replicas' lag. Gateways that know only their own
+// writes serve stale reads under the same load, which proves that the check can fail.
 func TestSessionsAcrossGateways(t *testing.T) {
 	for _, source := range []string{"covered", "fenced", "own"} {
 		t.Run(source, func(t *testing.T) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// persist reads until it is served, coming back when it is told to: a fresh gateway puts few reads on a primary that it
-// has not heard of yet.
+// readUntilServed repeats a read after the time that its rejection states: a fresh gateway sends few reads to a primary that it
+// has no responses of yet.
 func readUntilServed(c *standin.Client, gateway int) standin.Response {
 	for began := time.Now(); ; {
 		a := c.Read(gateway)
@@ -96,8 +96,8 @@
 	}
 }
 
-// The first gateway dies right after it has answered: nobody can be asked for what it noted, so the others fence. It
-// comes back from nothing, and fences as well.
+// The first gateway dies right after it has answered: its recorded writes can't be queried any more, so the others fence. It
+// restarts without state, and fences as well.
 func Example_firstGatewayDies() {
 	_, members := newGroup(400*time.Millisecond, 2)
 	f := newFleet(2, operatorWithPeers, members...)
@@ -124,7 +124,7 @@
 	// served v2
 }
 
-// A gateway in the list that never runs costs fences, not freshness; so does a peer's message that is lost.
+// A listed gateway that never runs causes fences but no stale reads; a lost message of a peer does the same.
 func Example_gatewayNeverRuns() {
 	_, members := newGroup(200*time.Millisecond, 2)
 	f := newFleet(0, operatorWithPeers, members...)
@@ -137,7 +137,7 @@
 	// 60 served, 0 stale
 }
 
-// The group's clock is seconds ahead of the gateways', or behind: positions are compared with one another alone.
+// The group's clock is seconds ahead of the gateways' or behind: positions are only compared with each other.
 func TestGroupClockSkew(t *testing.T) {
 	for _, skew := range []time.Duration{2 * time.Second, -2 * time.Second} {
 		t.Run(skew.String(), func(t *testing.T) {
@@ -153,8 +153,8 @@
 	}
 }
 
-// A keyed write is committed and its answer lost with the gateway. Asked again elsewhere, within the window it is
-// dropped as a repeat; past it, it is not sent, as it would have its effect twice.
+// A write with an idempotency key is committed, and its answer is lost with the gateway. Repeated at another gateway within the
+// window it is deduplicated; after the window it is not sent, as it would take effect twice.
 func Example_repeatElsewhere() {
 	g, members := newGroup(20*time.Millisecond, 1)
 	f := newFleet(2, operatorWithPeers, members...)
@@ -164,10 +164,10 @@
 	lost := make(chan string)
 	go func() { lost <- c.Write(0, "once-1", "x").String() }()
 	g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" })
-	fmt.Println(await(lost)) // the gateway itself sends it again, within the window
+	fmt.Println(await(lost)) // the gateway itself retries it within the window
 	other := f.front.NewClient("bb01", txnTypes)
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
-	time.Sleep(g.DedupWindow) // what is waited for is the group's forgetting, which no event tells
+	time.Sleep(g.DedupWindow) // no event reports the end of the group's deduplication window
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
 	f.gateways[0].kill()
 	fmt.Println(other.Write(1, "once-1", "x"), g.Effects("once-1"))
@@ -178,22 +178,22 @@
 	// 40000 1
 }
 
-// A keyed write that comes past its window to a gateway that was quiet since is rolled back: the window ends by the time
-// of its arrival, not of what the gateway did last. Declined, it would be said to have had no effect.
+// A keyed write that arrives after its window at a gateway that was idle since is rolled back: the end of the window is
+// compared with the time of arrival, not of the gateway's last activity. A rejection would claim that it had no effect.
 func Example_repeatAfterQuiet() {
 	g, members := newGroup(0, 1)
 	f := newFleet(1, "sessions {}", members...)
 	defer f.stop()
 	c := f.front.NewClient("be01", txnTypes)
 	fmt.Println(c.Write(0, "quiet-1", "x"))
-	time.Sleep(g.DedupWindow) // what is waited for is the group's forgetting, which no event tells
+	time.Sleep(g.DedupWindow) // no event reports the end of the group's deduplication window
 	fmt.Println(c.Write(0, "quiet-1", "x"), g.Effects("quiet-1"))
 	// Output:
 	// served x
 	// 40000 1
 }
 
-// The only replica that is fresh enough drains: past the grace nothing new goes there, and the read is the primary's.
+// The only replica that is fresh enough drains: after the grace period it gets nothing new, and the primary serves the read.
 func Example_freshReplicaDrains() {
 	g, members := newGroup(0, 2)
 	p, near, far := members[0], members[1], members[2]
@@ -205,7 +205,7 @@
 	f.gateways[0].awaitLog("list followed")
 	f.list.SetHosts(p.ListEntry("active"), near.ListEntry("leaving"), far.ListEntry("active"))
 	f.list.AwaitDelivered()
-	time.Sleep(250 * time.Millisecond) // the grace
+	time.Sleep(250 * time.Millisecond) // the grace period
 	from := len(g.Events())
 	fmt.Println(c.Write(0, "d2", "2"), c.Read(0))
 	for _, e := range g.Events()[from:] {
@@ -219,8 +219,7 @@
 	// read p
 }
 
-// What drains is the primary: reads wait for its successor, and are refused with when to come back where none comes
-// in their time.
+// The primary drains: reads wait for its successor, and are rejected with a retry time if none appears before their deadline.
 func Example_primaryDrains() {
 	g, members := newGroup(0, 2)
 	p, next := members[0], members[1]
@@ -246,8 +245,8 @@
 	// served 1
 }
 
-// A commit is lost in a switch without sync, and with it the position that its session is to see: the session is
-// served what there is, by the primary, and does not hang.
+// A failover without synchronization loses a commit, and with it the position that its session requires: the primary serves
+// the session what there is, and the read does not hang.
 func Example_lostCommit() {
 	g, members := newGroup(5*time.Second, 1)
 	f := newFleet(2, operatorWithPeers, members...)
@@ -264,8 +263,8 @@
 	// served 2 served 2
 }
 
-// A signed token is believed at any gateway; a forged one, or one that was made for another session, is none: the
-// read is covered as one without.
+// Any gateway accepts a signed token. A forged token or one of another session is ignored: the read is treated as one without
+// a token.
 func Example_signedTokens() {
 	_, members := newGroup(0, 2)
 	f := newFleet(2, strings.Replace(operatorWithPeers, "hints", "signed", 1), members...)
@@ -275,7 +274,7 @@
 	fmt.Println(c.Read(1))
 	token := c.Token
 	for _, bad := range []string{"00" + token[2:], token[:20] + "ffff" + token[24:], "zz", token} {
-		c.Token, c.MinPosition = bad, 9e12 // and a position from a future that never comes
+		c.Token, c.MinPosition = bad, 9e12 // and a position in the far future
 		if bad == token {
 			c.SessionCode = "ee02"
 		}
@@ -291,7 +290,7 @@
 	// true true
 }
 
-// Two processes never answer for the same gateway: the second does not start while the first holds its address.
+// Two processes never run as the same gateway: the second does not start while the first holds its address.
 func Example_sameGatewayTwice() {
 	_, members := newGroup(0, 1)
 	f := newFleet(2, operatorWithPeers, members...)
@@ -306,7 +305,7 @@
 	// true
 }
 
-// kept is an operator's file with a ledger.
+// operatorWithLedger is an operator's file with a ledger.
 const operatorWithLedger = `
 sessions {
   tokens = "hints"
@@ -323,8 +322,8 @@
 }
 `
 
-// With a ledger that is written before it answers, a gateway that was killed goes on as if nothing had been: it needs
-// no primary to serve what it had answered. Without one it does.
+// With a ledger that is written before the answer, a killed gateway resumes with its state: it needs no primary to serve
+// what it had answered. Without one it does.
 func Example_ledger() {
 	for _, before := range []string{"process", "none"} {
 		g, members := newGroup(50*time.Millisecond, 1)
@@ -337,7 +336,7 @@
 		g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" })
 		f.gateways[0].start()
 		fmt.Println(strings.Contains(f.gateways[0].readLedger, "complete=true"))
-		if before == "process" { // it may try the primary first, as it does not know yet which of them that is
+		if before == "process" { // it may try the primary first, as it does not know yet which member that is
 			fmt.Println(readUntilServed(c, 0))
 		} else {
 			c.Timeout = 400 * time.Millisecond
@@ -355,8 +354,8 @@
 	// 53300 200
 }
 
-// Gateways are killed and come back under load, with and without ledgers: nothing that was served is stale, and each
-// keyed write has its effect once.
+// Gateways are killed and restarted under load, with and without ledgers: no served read is stale, and each keyed write takes
+// effect once.
 func TestKilledUnderLoad(t *testing.T) {
 	for name, operator := range map[string]string{"ledger": operatorWithLedger, "none": operatorWithPeers} {
 		t.Run(name, func(t *testing.T) {
@@ -393,9 +392,9 @@
 	}
 }
 
-// What sessions cost: two gateways, replicas 20 ms behind, clients that write and then read at the other gateway; read
-// latencies and the gateways' processor time a txn. Without an operator's file, and with what clients bring, nothing is
-// covered across gateways.
+// Measures the cost of sessions: two gateways, replicas with 20 ms lag, clients that write and then read at the other gateway.
+// Reports read latencies and the gateways' CPU time per txn. Without an operator's file, and with the positions that clients
+// send, there is no consistency across gateways.
 func BenchmarkSessionsAcrossGateways(b *testing.B) {
 	for _, c := range []struct{ name, operator string }{
 		{"off", ""}, {"covered", operatorWithPeers}, {"fenced", strings.Replace(operatorWithPeers, "tokens", "source = \"fenced\"\n  tokens", 1)}, {"ledger", operatorWithLedger},
@@ -403,7 +402,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			_, members := newGroup(20*time.Millisecond, 2)
 			f := newFleet(2, c.operator, members...)
-			var took []time.Duration
+			var latencies []time.Duration
 			var mu sync.Mutex
 			txns := 0
 			for b.Loop() {
@@ -421,7 +420,7 @@
 							if w.Code+r.Code != "" || w.Err != nil || r.Err != nil {
 								b.Error(w, r)
 							}
-							took = append(took, r.Latency)
+							latencies = append(latencies, r.Latency)
 							txns += 2
 							mu.Unlock()
 						}
@@ -429,22 +428,22 @@
 				}
 				wg.Wait()
 			}
-			var spent time.Duration
+			var cpuTime time.Duration
 			for _, p := range f.gateways {
 				cmd := p.cmd
 				p.kill()
-				spent += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+				cpuTime += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 			}
 			f.stop()
-			slices.Sort(took)
-			b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-			b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
-			b.ReportMetric(float64(spent.Microseconds())/float64(txns), "cpu-us/txn")
+			slices.Sort(latencies)
+			b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+			b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
+			b.ReportMetric(float64(cpuTime.Microseconds())/float64(txns), "cpu-us/txn")
 		})
 	}
 }
 
-// Gateways whose lists or keys differ do not believe one another, say so once, and fence.
+// Gateways whose lists or keys differ reject each other's messages, log so once, and fence.
 func Example_otherKey() {
 	_, members := newGroup(100*time.Millisecond, 1)
 	f := newFleet(2, operatorWithPeers, members...)
