--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -51,16 +51,16 @@
 	settled := func(gateways ...int) {
 		t.Helper()
 		u.await("the members are evenly assigned", func() bool {
-			has := u.gatewaysByMember(gateways...)
-			sum, least, most := 0, 1<<30, 0
+			counts := u.gatewaysByMember(gateways...)
+			sum, minCount, maxCount := 0, 1<<30, 0
 			for _, m := range members[1:] {
-				n := has[m.Name]
-				sum, least, most = sum+n, min(least, n), max(most, n)
+				n := counts[m.Name]
+				sum, minCount, maxCount = sum+n, min(minCount, n), max(maxCount, n)
 			}
-			if has[members[0].Name] != len(gateways) || sum > 4*len(gateways) || most-least > 2 {
+			if counts[members[0].Name] != len(gateways) || sum > 4*len(gateways) || maxCount-minCount > 2 {
 				return false
 			}
-			t.Logf("%d gateways: a replica is assigned to %d to %d of them, the primary to all", len(gateways), least, most)
+			t.Logf("%d gateways: a replica is assigned to %d to %d of them, the primary to all", len(gateways), minCount, maxCount)
 			return true
 		})
 	}
@@ -210,8 +210,8 @@
 	}
 }
 
-// stopAllowingErrors ends the load of a test whose members fail under txns: these may be rolled back or late, and some txns
-// must have been served.
+// stopAllowingErrors ends the load of a test whose members fail under txns: these may be rolled back or late, but not left
+// without an answer. At least one txn must have been served.
 func (l *load) stopAllowingErrors(t testing.TB) {
 	t.Helper()
 	close(l.stop)
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -109,16 +109,16 @@
 	}
 	u.holds(1, 0, 1, 2, 3, 4)
 	f := u.startFlood(6)
-	checkUsed := func(what string, least float64, span time.Duration, gateways ...int) {
+	checkUsed := func(what string, minFraction float64, duration time.Duration, gateways ...int) {
 		t.Helper()
 		f.setActive(gateways...)
 		u.awaitFor(3*soon, what+": reads are served", func() bool { n := f.served(); time.Sleep(200 * time.Millisecond); return f.served() > n+4 })
 		time.Sleep(time.Second)
 		before, began := f.served(), time.Now()
-		time.Sleep(span)
+		time.Sleep(duration)
 		got := float64(f.served()-before) / time.Since(began).Seconds()
 		t.Logf("%s: %.1f of %d a second are served", what, got, rate)
-		if got < least*rate {
+		if got < minFraction*rate {
 			t.Fatalf("%s: %.1f a second", what, got)
 		}
 	}
@@ -188,7 +188,7 @@
 	}
 	u.holds(1, 0, 1, 2, 3)
 	f := u.startFlood(10)
-	checkUsed := func(what string, least float64, gateways ...int) {
+	checkUsed := func(what string, minFraction float64, gateways ...int) {
 		t.Helper()
 		f.setActive(gateways...)
 		time.Sleep(1500 * time.Millisecond)
@@ -196,7 +196,7 @@
 		time.Sleep(2 * time.Second)
 		got := float64(f.served()-before) / time.Since(began).Seconds()
 		t.Logf("%s: %.0f a second are served, %.0f would use the whole limit", what, got, inFlight/serviceTime.Seconds())
-		if got < least*inFlight/serviceTime.Seconds() {
+		if got < minFraction*inFlight/serviceTime.Seconds() {
 			t.Fatal(what)
 		}
 	}
@@ -272,13 +272,13 @@
 	}
 	u.holds(1, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	f := u.startFlood(3)
-	awaitUsed := func(what string, least float64, gateways ...int) {
+	awaitUsed := func(what string, minFraction float64, gateways ...int) {
 		t.Helper()
 		f.setActive(gateways...)
 		for began := time.Now(); ; { // an election and the start of a new allocator take longer than most events
 			n, from := f.served(), time.Now()
 			time.Sleep(time.Second)
-			if got := float64(f.served()-n) / time.Since(from).Seconds(); got >= least*rate {
+			if got := float64(f.served()-n) / time.Since(from).Seconds(); got >= minFraction*rate {
 				t.Logf("%s: %.1f of %d a second are served", what, got, rate)
 				return
 			}
--- a/gateway/reserved_test.go
+++ b/gateway/reserved_test.go
@@ -173,16 +173,16 @@
 		}
 		return all
 	}
-	measureRate := func(gateway int, span time.Duration) (float64, int64) {
+	measureRate := func(gateway int, duration time.Duration) (float64, int64) {
 		g := u.startUserLoad("tv", gateway, 10)
-		time.Sleep(span)
+		time.Sleep(duration)
 		n, declined := g.end()
-		return float64(n) / span.Seconds(), declined
+		return float64(n) / duration.Seconds(), declined
 	}
-	alone, _ := measureRate(0, time.Second)
+	aloneRate, _ := measureRate(0, time.Second)
 	flood := startFloods()
 	time.Sleep(300 * time.Millisecond)
-	before, _ := measureRate(0, time.Second)
+	rateBefore, _ := measureRate(0, time.Second)
 
 	// Two operators book concurrently.
 	said := make([]string, 2)
@@ -204,10 +204,10 @@
 		})
 	}
 	time.Sleep(300 * time.Millisecond) // txns that used the now reserved slots have ended
-	after, declined := measureRate(1, time.Second)
-	t.Logf("ten clients: %.0f txns a second alone, %.0f beside the flood before, %.0f after; %d declined", alone, before, after, declined)
-	if after < 0.6*alone || before > 0.5*after {
-		t.Fatal(alone, before, after)
+	rateBooked, declined := measureRate(1, time.Second)
+	t.Logf("ten clients: %.0f txns a second alone, %.0f beside the flood before, %.0f after; %d declined", aloneRate, rateBefore, rateBooked, declined)
+	if rateBooked < 0.6*aloneRate || rateBefore > 0.5*rateBooked {
+		t.Fatal(aloneRate, rateBefore, rateBooked)
 	}
 
 	// One gateway is partitioned, the others go on; the leader is killed at the same time.
@@ -218,8 +218,8 @@
 	time.Sleep(4 * time.Second) // longer than its lease
 	rateAfter, _ := measureRate(3, time.Second)
 	t.Logf("through another gateway with the leader killed: %.0f", rateAfter)
-	if rateAfter < 0.4*alone {
-		t.Fatal(rateAfter, alone)
+	if rateAfter < 0.4*aloneRate {
+		t.Fatal(rateAfter, aloneRate)
 	}
 	if said := u.said(partitioned, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
 		t.Fatal("a partitioned gateway has no reserved slots: ", said)
@@ -264,11 +264,11 @@
 		t.Fatal(said)
 	}
 	// After the cancellation no slots are reserved.
-	won := "final"
+	booked := "final"
 	if strings.Contains(said[1], "is booked") {
-		won = "gala"
+		booked = "gala"
 	}
-	u.awaitFor(2*soon, "it is cancelled", func() bool { return strings.Contains(u.said(2, "contracts", "cancel", won), "is cancelled") })
+	u.awaitFor(2*soon, "it is cancelled", func() bool { return strings.Contains(u.said(2, "contracts", "cancel", booked), "is cancelled") })
 	for _, i := range all {
 		u.await("no slots are reserved", func() bool { return !strings.Contains(u.said(i, "contracts", "list"), "held here now") })
 	}
