--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -528,7 +528,7 @@
 	case kind == pgwire.Startup:
 		c.user, c.database = pgwire.StartupNames(buf[:size])
 		ok, awaitsAllocation := cs.admit(c)
-		if awaitsAllocation && cs.waitsForPart(c) {
+		if awaitsAllocation && cs.waitForAllocation(c) {
 			cs.pollIn(ref, c, allocationPollInterval)
 			return 0
 		}
@@ -595,7 +595,7 @@
 		cs.writeClient(c, pgwire.AppendReadyForQuery(pgwire.AppendEmptyQueryResponse(cs.g.scratch[:0])))
 		return size
 	}
-	if cs.stillWaits(c) {
+	if cs.stillAwaitsAllocation(c) {
 		cs.pollIn(ref, c, allocationPollInterval)
 		return 0
 	}
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -13,259 +13,262 @@
 	"magpieglade/subset"
 )
 
-// coordinated is what this gateway chooses together with others: fleet.Coordination decides, here it is carried out.
-type coordinated struct {
-	g       *Gateway
-	c       *fleet.Coordination
-	names   map[uint64]string        // of members, by their keys
-	probes  map[uint64]decide.Result // what the latest probe of a member came to, here or elsewhere
-	list    decide.Result            // and the latest call to the list service
-	waiting []callKind               // calls that wait for a turn
-	primary map[int]uint64           // of each group, as another gateway last told
+// coordinator carries out the decisions of fleet.Coordination: the choices that this gateway makes together with others.
+// It implements fleet.CoordinationHost.
+type coordinator struct {
+	g             *Gateway
+	coordination  *fleet.Coordination
+	memberNames   map[uint64]string        // by member key
+	probeResults  map[uint64]decide.Result // of each member's latest probe, by this gateway or another
+	listResult    decide.Result            // of the latest call to the list service, by this gateway or another
+	deferredCalls []callKind               // calls to the list service that wait for this gateway's turn
+	primaries     map[int]uint64           // key of each group's primary, as last reported by another gateway
 }
 
-func newCoordinated(g *Gateway) (x *coordinated, err error) {
-	x = &coordinated{g: g, names: map[uint64]string{}, probes: map[uint64]decide.Result{}, primary: map[int]uint64{}}
-	x.c, err = fleet.NewCoordination(g.agreement.f, g.config.Coordination, x, g.seed)
+func newCoordinator(g *Gateway) (x *coordinator, err error) {
+	x = &coordinator{g: g, memberNames: map[uint64]string{}, probeResults: map[uint64]decide.Result{}, primaries: map[int]uint64{}}
+	x.coordination, err = fleet.NewCoordination(g.agreement.f, g.config.Coordination, x, g.seed)
 	return x, err
 }
 
-// RunAsync runs work beside the loop.
-func (x *coordinated) RunAsync(work func() (then func())) {
+// RunAsync runs work outside the event loop, then the function that it returns on the loop.
+func (x *coordinator) RunAsync(work func() (then func())) {
 	go func() {
 		then := work()
 		x.g.post(then)
 	}()
 }
 
-// WakeAfter has a turn come, Now is the gateway's clock, Logger its log.
-func (x *coordinated) WakeAfter(span int64) { x.g.agreement.WakeAfter(span) }
+// WakeAfter wakes the event loop after a delay in nanoseconds.
+func (x *coordinator) WakeAfter(delay int64) { x.g.agreement.WakeAfter(delay) }
 
-// Now is for fleet.CoordinationHost.
-func (x *coordinated) Now() int64 { return int64(x.g.clock.now()) }
+// Now returns the time of the gateway's clock in nanoseconds.
+func (x *coordinator) Now() int64 { return int64(x.g.clock.now()) }
 
-// Logger is for fleet.CoordinationHost.
-func (x *coordinated) Logger() *slog.Logger { return x.g.log }
+// Logger returns the gateway's logger.
+func (x *coordinator) Logger() *slog.Logger { return x.g.log }
 
-// hostOf is a member of the list by its key.
-func (x *coordinated) hostOf(key uint64) (h host, ok bool) {
-	h, ok = x.g.discovery.list.hosts[x.names[key]]
+// hostByKey returns the list entry of the member with this key.
+func (x *coordinator) hostByKey(key uint64) (h host, ok bool) {
+	h, ok = x.g.discovery.list.hosts[x.memberNames[key]]
 	return h, ok
 }
 
-// members has the modules know of the list: of those that may get something new, in the order of their names.
-func (x *coordinated) members() {
-	var all []subset.Member
+// updateMembers passes the active members of the list to the coordination, ordered by name.
+func (x *coordinator) updateMembers() {
+	var members []subset.Member
 	hosts := x.g.discovery.list.hosts
-	clear(x.names)
+	clear(x.memberNames)
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
 		h := hosts[name]
-		x.names[h.key] = name
+		x.memberNames[h.key] = name
 		if x.g.generations.health(&h.entry) != "active" {
 			continue
 		}
-		primary := h.entry.Mode == "read-write" || x.primary[h.entry.Block] == h.key
+		primary := h.entry.Mode == "read-write" || x.primaries[h.entry.Block] == h.key
 		if s, ok := x.g.module.Primary(h.entry.Block); ok && s == h.server {
 			primary = true
 		}
-		all = append(all, subset.Member{Key: h.key, Group: h.entry.Block, Zone: h.entry.Site, Weight: 1, Primary: primary})
+		members = append(members, subset.Member{Key: h.key, Group: h.entry.Block, Zone: h.entry.Site, Weight: 1, Primary: primary})
 	}
-	x.c.SetMembers(all)
+	x.coordination.SetMembers(members)
 }
 
-// SetMember tells the module of a member, or has it forget one: it gets nothing new, and what is out to it ends there.
-func (x *coordinated) SetMember(key uint64, on bool) {
-	h, ok := x.hostOf(key)
+// SetMember adds a member to the decision module or removes it. A removed member gets no new submissions; those in flight to
+// it are completed.
+func (x *coordinator) SetMember(key uint64, enabled bool) {
+	member, ok := x.hostByKey(key)
 	switch {
 	case !ok:
-		return // it left the list, and the module was told
-	case on:
-		x.g.discovery.applyHost(h.entry)
+		return // it left the list, which the module has been told
+	case enabled:
+		x.g.discovery.applyHost(member.entry)
 	default:
-		zone := slices.Index(x.g.names.Zones, h.entry.Site)
+		zone := slices.Index(x.g.names.Zones, member.entry.Site)
 		for _, s := range []decide.Status{decide.Draining, decide.Removed} {
-			x.g.module.UpdateMember(h.server, h.entry.Block, false, s, zone, h.entry.Share, -1, 0)
+			x.g.module.UpdateMember(member.server, member.entry.Block, false, s, zone, member.entry.Share, -1, 0)
 		}
-		x.g.members.closeIdle(h.server)
+		x.g.members.closeIdle(member.server)
 	}
 	x.g.module.RefreshMembers()
 }
 
-// ObserveMember tells what this gateway itself sees of a member.
-func (x *coordinated) ObserveMember(key uint64) (o fleet.MemberObservation, ok bool) {
-	h, ok := x.hostOf(key)
+// ObserveMember returns what this gateway itself has observed of a member.
+func (x *coordinator) ObserveMember(key uint64) (observation fleet.MemberObservation, ok bool) {
+	h, ok := x.hostByKey(key)
 	if !ok {
-		return o, false
+		return observation, false
 	}
 	s := x.g.module.StateOf(h.server)
-	o = fleet.MemberObservation{Suspect: s.Suspect, Latency: int64(s.Latency) / 1000, InFlight: int64(s.InFlight)}
+	observation = fleet.MemberObservation{Suspect: s.Suspect, Latency: int64(s.Latency) / 1000, InFlight: int64(s.InFlight)}
 	if s.Primary && s.Position > 0 {
-		o.PrimaryPosition = int64(x.g.position(s.Position))
+		observation.PrimaryPosition = int64(x.g.sessionPosition(s.Position))
 	}
-	return o, s.Known
+	return observation, s.Known
 }
 
-// GroupState tells what the decisions know of a group.
-func (x *coordinated) GroupState(group int) (no int, primary bool, replicas, lacking int) {
-	_, primary = x.g.module.Primary(group)
+// GroupState returns what the decision module knows of a group.
+func (x *coordinator) GroupState(group int) (number int, primaryKnown bool, replicas, unproven int) {
+	_, primaryKnown = x.g.module.Primary(group)
 	for _, h := range x.g.discovery.list.hosts {
 		if s := x.g.module.StateOf(h.server); h.entry.Block == group && s.Known && !s.Primary {
 			if replicas++; s.NeedsPosition {
-				lacking++
+				unproven++
 			}
 		}
 	}
-	return group, primary, replicas, lacking
+	return group, primaryKnown, replicas, unproven
 }
 
-// ReceiveReport takes another gateway's word as a hint for the module.
-func (x *coordinated) ReceiveReport(i signals.Item, ill bool) {
-	if i.Member == fleet.ListKey {
-		if i.Kind == signals.Probe {
-			x.listed(decide.Result(uint32(i.Value)))
+// ReceiveReport passes another gateway's report to the decision module as a hint.
+func (x *coordinator) ReceiveReport(item signals.Item, unhealthy bool) {
+	if item.Member == fleet.ListKey {
+		if item.Kind == signals.Probe {
+			x.receiveListResult(decide.Result(uint32(item.Value)))
 		}
 		return
 	}
-	h, ok := x.hostOf(i.Member)
+	h, ok := x.hostByKey(item.Member)
 	if !ok {
 		return
 	}
-	switch i.Kind {
+	switch item.Kind {
 	case signals.Primary, signals.Position:
-		in := input{kind: inMemberUpdate, server: h.server, position: x.g.onClock(session.Position(i.Value))}
-		if i.Kind == signals.Primary && x.g.config.ClockError == 0 {
+		in := input{kind: inMemberUpdate, server: h.server, position: x.g.clockTime(session.Position(item.Value))}
+		if item.Kind == signals.Primary && x.g.config.ClockError == 0 {
 			in.role = decide.RolePrimary
-			if x.primary[h.entry.Block] != h.key {
-				x.primary[h.entry.Block] = h.key
-				x.members()
+			if x.primaries[h.entry.Block] != h.key {
+				x.primaries[h.entry.Block] = h.key
+				x.updateMembers()
 			}
 		}
 		x.g.inputs = append(x.g.inputs, in)
 	case signals.Health:
-		if ill {
+		if unhealthy {
 			x.g.module.ReportUnhealthy(h.server)
-		} else if i.Value == signals.Healthy {
+		} else if item.Value == signals.Healthy {
 			x.g.module.ReportHealthy(h.server)
 		}
 	case signals.Probe:
-		x.probes[i.Member] = decide.Result(uint32(i.Value))
-		x.g.inputs = append(x.g.inputs, input{kind: inProbed, server: h.server, result: x.probes[i.Member]})
+		x.probeResults[item.Member] = decide.Result(uint32(item.Value))
+		x.g.inputs = append(x.g.inputs, input{kind: inProbed, server: h.server, result: x.probeResults[item.Member]})
 	}
 }
 
-// told has the others told what the module has learned of positions.
-func (x *coordinated) told(all []decide.MemberUpdate) {
-	for _, n := range all {
+// reportUpdates reports to the other gateways the positions that the module has learned.
+func (x *coordinator) reportUpdates(updates []decide.MemberUpdate) {
+	for _, update := range updates {
 		for _, h := range x.g.discovery.list.hosts {
-			if h.server == n.Server {
+			if h.server == update.Server {
 				kind := signals.Position
-				if n.Primary {
+				if update.Primary {
 					kind = signals.Primary
 				}
-				x.c.Report(kind, h.key, int64(x.g.position(n.Position)))
+				x.coordination.Report(kind, h.key, int64(x.g.sessionPosition(update.Position)))
 			}
 		}
 	}
 }
 
-// probe has a member probed by this gateway, or by another one whose word counts for this one too.
-func (x *coordinated) probe(server decide.Server) {
+// requestProbe has a member probed by this gateway, or by another one whose result then counts for this gateway too.
+func (x *coordinator) requestProbe(server decide.Server) {
 	for _, h := range x.g.discovery.list.hosts {
-		if h.server != server || x.c.Turns == nil {
+		if h.server != server || x.coordination.Turns == nil {
 			continue
 		}
-		if x.c.RequestTurn(h.key) {
-			x.g.inputs = append(x.g.inputs, input{kind: inProbed, server: server, result: x.probes[h.key]})
+		if x.coordination.RequestTurn(h.key) {
+			x.g.inputs = append(x.g.inputs, input{kind: inProbed, server: server, result: x.probeResults[h.key]})
 			return
 		}
-		x.c.ProcessDecisions()
+		x.coordination.ProcessDecisions()
 		return
 	}
 	x.g.members.probe(server)
 }
 
-// probed tells the others what a probe came to, if it was done for all.
-func (x *coordinated) probed(server decide.Server, r decide.Result) {
+// probeEnded reports the result of a probe to the other gateways if it was made for all of them.
+func (x *coordinator) probeEnded(server decide.Server, r decide.Result) {
 	for _, h := range x.g.discovery.list.hosts {
-		if h.server == server && x.c.Turns != nil {
-			x.probes[h.key] = r
-			x.c.CompleteTurn(h.key, uint32(r))
+		if h.server == server && x.coordination.Turns != nil {
+			x.probeResults[h.key] = r
+			x.coordination.CompleteTurn(h.key, uint32(r))
 		}
 	}
 }
 
-// PerformTask does what this gateway's turn is for.
-func (x *coordinated) PerformTask(key uint64) {
+// PerformTask performs the task whose turn came to this gateway: a call to the list service or a probe of a member.
+func (x *coordinator) PerformTask(key uint64) {
 	if key == fleet.ListKey {
-		x.asks()
+		x.makeDeferredCalls()
 		return
 	}
-	if h, ok := x.hostOf(key); ok {
+	if h, ok := x.hostByKey(key); ok {
 		x.g.members.probe(h.server)
 		return
 	}
-	x.c.CompleteTurn(key, uint32(decide.NotSent))
+	x.coordination.CompleteTurn(key, uint32(decide.NotSent))
 }
 
-// holds tells whether a call to a list service that was down waits for another gateway's.
-func (x *coordinated) holds(kind callKind, failing bool) bool {
-	if x.c.Turns == nil || !failing {
+// deferCall reports whether a call to a list service that was unavailable waits until another gateway's call has ended.
+func (x *coordinator) deferCall(kind callKind, failing bool) bool {
+	if x.coordination.Turns == nil || !failing {
 		return false
 	}
-	if !slices.Contains(x.waiting, kind) {
-		x.waiting = append(x.waiting, kind)
+	if !slices.Contains(x.deferredCalls, kind) {
+		x.deferredCalls = append(x.deferredCalls, kind)
 	}
-	if x.c.RequestTurn(fleet.ListKey) {
-		x.listed(x.list)
+	if x.coordination.RequestTurn(fleet.ListKey) {
+		x.receiveListResult(x.listResult)
 	} else {
-		x.c.ProcessDecisions()
+		x.coordination.ProcessDecisions()
 	}
 	return true
 }
 
-// called tells the others what a call came to.
-func (x *coordinated) called(r decide.Result) {
-	if x.c.Turns != nil {
-		x.list = r
-		x.c.CompleteTurn(fleet.ListKey, uint32(r))
+// listCallEnded reports the result of a call to the list service to the other gateways.
+func (x *coordinator) listCallEnded(r decide.Result) {
+	if x.coordination.Turns != nil {
+		x.listResult = r
+		x.coordination.CompleteTurn(fleet.ListKey, uint32(r))
 	}
 }
 
-// listed takes what another gateway's call came to: the service is up again, so that all may call, or it is not.
-func (x *coordinated) listed(r decide.Result) {
-	x.list = r
+// receiveListResult handles the result of another gateway's call: if the list service is available again the deferred calls
+// are made after a delay, else they fail.
+func (x *coordinator) receiveListResult(r decide.Result) {
+	x.listResult = r
 	switch {
-	case len(x.waiting) == 0:
+	case len(x.deferredCalls) == 0:
 	case r == decide.Committed:
-		x.g.deadlines.Add(x.Now()+x.c.StartDelay(), timerEvent{kind: timerList})
+		x.g.deadlines.Add(x.Now()+x.coordination.StartDelay(), timerEvent{kind: timerList})
 	default:
-		x.waiting = nil
+		x.deferredCalls = nil
 		x.g.inputs = append(x.g.inputs, input{kind: inListFailed})
 	}
 }
 
-// asks makes the calls that wait.
-func (x *coordinated) asks() {
-	for _, kind := range x.waiting {
+// makeDeferredCalls makes the calls that were deferred.
+func (x *coordinator) makeDeferredCalls() {
+	for _, kind := range x.deferredCalls {
 		if c := &x.g.discovery.calls[kind]; !c.awaitingResponse && !c.dialing {
 			x.g.discovery.sendCall(c)
 		}
 	}
-	x.waiting = nil
+	x.deferredCalls = nil
 }
 
-// Coordination tells of what is chosen together; nil where nothing is. Names are those of members, by their keys.
-func (g *Gateway) Coordination(ctx context.Context) (v *fleet.CoordinationView, names map[uint64]string, err error) {
+// Coordination returns the state of the coordination, nil if it is not configured, and the names of the members by their keys.
+func (g *Gateway) Coordination(ctx context.Context) (view *fleet.CoordinationView, names map[uint64]string, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.coordination == nil {
 			return nil
 		}
-		x := g.coordination.c.View()
-		v, names = &x, map[uint64]string{fleet.ListKey: "the list"}
+		state := g.coordination.coordination.View()
+		view, names = &state, map[uint64]string{fleet.ListKey: "the list"}
 		for name, h := range g.discovery.list.hosts {
 			names[h.key] = name
 		}
 		return nil
 	})
-	return v, names, err
+	return view, names, err
 }
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -95,7 +95,7 @@
 	if c.awaitingResponse || c.dialing {
 		return
 	}
-	if x := ds.g.coordination; x != nil && x.holds(kind, c.lastFailure != "") {
+	if x := ds.g.coordination; x != nil && x.deferCall(kind, c.lastFailure != "") {
 		return
 	}
 	c.waitMs = 0 // the first watch is answered immediately, which shows that the watch works
@@ -237,7 +237,7 @@
 	}
 	ds.closeCall(c)
 	if ds.g.coordination != nil {
-		ds.g.coordination.called(decide.TimedOut)
+		ds.g.coordination.listCallEnded(decide.TimedOut)
 	}
 	ds.g.inputs = append(ds.g.inputs, input{kind: inListFailed})
 }
@@ -300,7 +300,7 @@
 	ds.g.deadlines.Remove(c.timeout)
 	c.awaitingResponse, c.lastFailure = false, ""
 	if ds.g.coordination != nil {
-		ds.g.coordination.called(decide.Committed)
+		ds.g.coordination.listCallEnded(decide.Committed)
 	}
 	// A late response to the previous call may have arrived first with a newer list, which makes this one outdated. A version
 	// below the requested one, however, means that the service has restarted its numbering.
@@ -355,7 +355,7 @@
 	}
 	ds.g.module.EndMemberList(update.scope)
 	if ds.g.coordination != nil {
-		ds.g.coordination.members()
+		ds.g.coordination.updateMembers()
 	}
 }
 
@@ -399,7 +399,7 @@
 	server := serverOf(address)
 	ds.list.hosts[e.Host] = host{server, e, fleet.MemberKey(e.Host)}
 	ds.list.knownGroups[e.Block] = true
-	if x := ds.g.coordination; x != nil && !x.c.Has(ds.list.hosts[e.Host].key) {
+	if x := ds.g.coordination; x != nil && !x.coordination.Has(ds.list.hosts[e.Host].key) {
 		return // assigned to other gateways
 	}
 	kind := slices.Index(ds.g.names.MachineTypes, e.Class)
--- a/gateway/disk_test.go
+++ b/gateway/disk_test.go
@@ -45,7 +45,7 @@
 		}
 	}
 	fleet.holds(2, others...)
-	fleet.gateways[follower].logged("the log is not kept")
+	fleet.gateways[follower].awaitLog("the log is not kept")
 	fleet.gateways[follower].setDiskFull(false)
 	fleet.holds(2, follower)
 
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -15,37 +15,37 @@
 	"magpieglade/standin"
 )
 
-// fleet is some gateways of this build, as processes, with one list and one front before them.
+// fleet is a set of gateway processes of this build with one member list and one client pool.
 type fleet struct {
-	list     *standin.List
-	front    *standin.ClientPool
-	gateways []*process
-	dir      string
-	operator string // the operator's file; %LISTEN% and %GATEWAYS% are put in
-	settings string
-	ghosts   int // gateways in the list that never run
-	closers  []func()
-	skews    func(*process)        // sets what is unlike in one, nil where all are alike
-	via      func(*process) string // at which address others reach a gateway, nil at its own
+	list         *standin.List
+	front        *standin.ClientPool
+	gateways     []*process
+	dir          string
+	operator     string // operator's file with placeholders such as %LISTEN% and %GATEWAYS%
+	settings     string
+	neverStarted int // listed gateways that never run
+	closers      []func()
+	customize    func(*process)        // changes the settings of single gateways, nil if all are alike
+	advertised   func(*process) string // address at which others reach a gateway, nil for its own
 
 	addresses map[int]string
 }
 
-// process is one gateway.
+// process is one gateway process.
 type process struct {
-	f              *fleet
-	no             int
+	fleet          *fleet
+	index          int
 	listen, peer   string
 	cmd            *exec.Cmd
 	log            chan string
 	exited         chan error
-	all            []string
-	extra          []string      // environment
-	discovery      string        // of this one alone, if it has another list
-	rate           float64       // of its clock against the others', 0 for the program as it is
-	slow           time.Duration // of its disk, at the most
+	lines          []string
+	env            []string      // additional environment variables
+	discovery      string        // its own list service, if it is not the fleet's
+	clockRate      float64       // relative to the other clocks, 0 for the unmodified program
+	maxDiskDelay   time.Duration // of its disk
 	operatorFile   string
-	readLedger     string // the line that tells what its ledger held
+	readLedger     string // log line about the ledger it read
 	configFileName string
 }
 
@@ -62,7 +62,7 @@
 	return l.Addr().String()
 }
 
-// newFleet starts n gateways before some members. Without an operator's file they know nothing of one another.
+// newFleet starts n gateways for some members. Without an operator's file they don't know of each other.
 func newFleet(n int, operator string, members ...*standin.Member) *fleet {
 	var hosts []standin.Host
 	for _, m := range members {
@@ -76,13 +76,13 @@
 	return f
 }
 
-// add starts the gateways of a fleet, which all know of one another.
+// add starts n gateways that all know of each other.
 func (f *fleet) add(n int) {
 	var fronts []string
 	for i := range n {
-		p := &process{f: f, no: i, listen: freePort("tcp4", "127.0.0.2"), peer: freePort("udp4", "127.0.0.3")}
-		if f.gateways = append(f.gateways, p); f.skews != nil {
-			f.skews(p)
+		p := &process{fleet: f, index: i, listen: freePort("tcp4", "127.0.0.2"), peer: freePort("udp4", "127.0.0.3")}
+		if f.gateways = append(f.gateways, p); f.customize != nil {
+			f.customize(p)
 		}
 		fronts = append(fronts, p.listen)
 	}
@@ -102,48 +102,48 @@
 	f.list.Close()
 }
 
-// peerList is the list of gateways as the operator's file has it.
+// peerList returns the list of gateways in the form of the operator's file.
 func (f *fleet) peerList() string {
 	var all []string
 	for _, p := range f.gateways {
 		all = append(all, fmt.Sprintf("%q", p.peer))
 	}
-	for i := range f.ghosts {
+	for i := range f.neverStarted {
 		all = append(all, fmt.Sprintf("\"127.0.0.9:%d\"", 9000+i))
 	}
 	return "[" + strings.Join(all, ", ") + "]"
 }
 
 func (p *process) start() {
-	f := p.f
-	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", p.no), "listen": p.listen, "discovery": cmp.Or(p.discovery, f.list.Address()),
-		"seed": fmt.Sprint(p.no + 1), "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": f.list.Snapshot(),
+	f := p.fleet
+	text, err := json.Marshal(map[string]any{"name": fmt.Sprint("n", p.index), "listen": p.listen, "discovery": cmp.Or(p.discovery, f.list.Address()),
+		"seed": fmt.Sprint(p.index + 1), "limits": map[string]any{"memory_mb": 192, "sockets": 256}, "known": f.list.Snapshot(),
 		"settings": json.RawMessage(f.settings)})
 	must(err)
-	p.configFileName = filepath.Join(f.dir, fmt.Sprintf("config%d.json", p.no))
+	p.configFileName = filepath.Join(f.dir, fmt.Sprintf("config%d.json", p.index))
 	must(os.WriteFile(p.configFileName, text, 0o600))
 	var args []string
 	if f.operator != "" {
-		p.operatorFile = filepath.Join(f.dir, fmt.Sprintf("operator%d.hcl", p.no))
+		p.operatorFile = filepath.Join(f.dir, fmt.Sprintf("operator%d.hcl", p.index))
 		address, voters := p.peer, "[]"
-		if f.via != nil {
+		if f.advertised != nil {
 			var ask []string
 			for _, x := range f.gateways[:min(3, len(f.gateways))] {
-				ask = append(ask, fmt.Sprintf("%q", f.via(x)))
+				ask = append(ask, fmt.Sprintf("%q", f.advertised(x)))
 			}
-			address, voters = f.via(p), "["+strings.Join(ask, ", ")+"]"
+			address, voters = f.advertised(p), "["+strings.Join(ask, ", ")+"]"
 		}
-		words := strings.NewReplacer("%ADDRESS%", address, "%VOTERS%", voters, "%LISTEN%", p.peer, "%GATEWAYS%", f.peerList(), "%DIR%", filepath.Join(f.dir, fmt.Sprint("ledger", p.no)))
+		words := strings.NewReplacer("%ADDRESS%", address, "%VOTERS%", voters, "%LISTEN%", p.peer, "%GATEWAYS%", f.peerList(), "%DIR%", filepath.Join(f.dir, fmt.Sprint("ledger", p.index)))
 		must(os.WriteFile(p.operatorFile, []byte(words.Replace(f.operator)), 0o600))
 		args = []string{"serve", "--operator", p.operatorFile}
 	}
 	p.log, p.exited = make(chan string, 100000), make(chan error, 1)
 	p.cmd = exec.Command(program, args...)
-	if p.rate != 0 {
+	if p.clockRate != 0 {
 		p.cmd = exec.Command(os.Args[0])
-		p.extra = []string{fmt.Sprintf("%s=%g", envRate, p.rate), fmt.Sprintf("%s=%v", envDisk, p.slow), "EDGE_OPERATOR=" + p.operatorFile}
+		p.env = []string{fmt.Sprintf("%s=%g", envRate, p.clockRate), fmt.Sprintf("%s=%v", envDisk, p.maxDiskDelay), "EDGE_OPERATOR=" + p.operatorFile}
 	}
-	p.cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+p.configFileName), p.extra...)
+	p.cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+p.configFileName), p.env...)
 	pipe, err := p.cmd.StderrPipe()
 	must(err)
 	must(p.cmd.Start())
@@ -155,24 +155,24 @@
 		exited <- cmd.Wait()
 	}()
 	if strings.Contains(f.operator, "ledger") {
-		p.readLedger = p.logged("ledger read")
+		p.readLedger = p.awaitLog("ledger read")
 	}
-	p.logged("listening")
+	p.awaitLog("listening")
 }
 
-// drain takes what it has logged so far.
-func (p *process) drain() {
+// readLog collects the lines logged so far.
+func (p *process) readLog() {
 	for {
 		select {
 		case line := <-p.log:
-			p.all = append(p.all, line)
+			p.lines = append(p.lines, line)
 		default:
 			return
 		}
 	}
 }
 
-// kill ends it as the kernel would.
+// kill ends the process with SIGKILL.
 func (p *process) kill() {
 	if p.cmd != nil {
 		_ = p.cmd.Process.Kill()
@@ -181,26 +181,26 @@
 	}
 }
 
-// logged waits for a line and gives it.
-func (p *process) logged(part string) string {
+// awaitLog waits for a log line that contains part, and returns it.
+func (p *process) awaitLog(part string) string {
 	for {
 		select {
 		case line := <-p.log:
-			p.all = append(p.all, line)
+			p.lines = append(p.lines, line)
 			if strings.Contains(line, part) {
 				return line
 			}
 		case err := <-p.exited:
 			p.exited <- err
-			panic(fmt.Sprintf("gateway %d ended before %q: %v\n%s", p.no, part, err, strings.Join(p.all, "\n")))
+			panic(fmt.Sprintf("gateway %d ended before %q: %v\n%s", p.index, part, err, strings.Join(p.lines, "\n")))
 		case <-time.After(eventTimeout):
-			panic(fmt.Sprintf("gateway %d did not log %q:\n%s", p.no, part, strings.Join(p.all, "\n")))
+			panic(fmt.Sprintf("gateway %d did not log %q:\n%s", p.index, part, strings.Join(p.lines, "\n")))
 		}
 	}
 }
 
-// covered is an operator's file for gateways that tell one another what they answered.
-const covered = `
+// operatorWithPeers is an operator's file for gateways that report their answered writes to each other.
+const operatorWithPeers = `
 sessions {
   tokens = "hints"
   peers {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -75,8 +75,8 @@
 	sessions      *fleet.Sessions  // nil if not configured
 	quotas        *fleet.Quotas    // limits of the fleet, nil without an agreement
 	agreement     *agreed          // nil without an agreement between gateways
-	contracts     *reserved        // nil without an agreement
-	coordination  *coordinated     // nil if each gateway chooses members and probes on its own
+	contracts     *contractManager // nil without an agreement
+	coordination  *coordinator     // nil if each gateway chooses members and probes on its own
 	peerLink      *fleet.Datagrams // datagrams of other gateways, nil if there are none
 	seed          uint64
 	longestTurn   decide.Nanos // nothing else is read or written during a turn
@@ -122,7 +122,7 @@
 	g.budget.total = g.budget.free
 	g.generations = newGenerations(g)
 	if c.Sessions != nil {
-		if g.sessions, err = fleet.NewSessions(sessionTxns{g}, c.Sessions, seed, g.clock.startedAt); err != nil {
+		if g.sessions, err = fleet.NewSessions(sessionHost{g}, c.Sessions, seed, g.clock.startedAt); err != nil {
 			return nil, fmt.Errorf("configuration: %w", err)
 		}
 	}
@@ -158,12 +158,12 @@
 		if g.quotas, err = fleet.NewQuotas(g.agreement.f, int64(decide.Millis(maxHardLimit))); err != nil {
 			return errors.Join(err, g.agreement.f.Close())
 		}
-		g.contracts = &reserved{g: g, books: map[agreement.Digest]*contracts.Book{}, reading: map[agreement.Digest]bool{}}
-		if err := g.contracts.opens(); err != nil {
+		g.contracts = &contractManager{g: g, books: map[agreement.Digest]*contracts.Book{}, decoding: map[agreement.Digest]bool{}}
+		if err := g.contracts.loadAccount(); err != nil {
 			return errors.Join(err, g.agreement.f.Close())
 		}
 		if g.config.Coordination != nil {
-			if g.coordination, err = newCoordinated(g); err != nil {
+			if g.coordination, err = newCoordinator(g); err != nil {
 				return errors.Join(err, g.agreement.f.Close())
 			}
 		}
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -39,7 +39,7 @@
 	txns     int
 	version  uint64          // that the fleet gave it, 0 for none
 	watch    int64           // for which that one is watched
-	fleet    []*fleetBounds  // by tenant; nil for one whose bounds are each gateway's own
+	fleet    []*fleetLimits  // by tenant; nil for one whose bounds are each gateway's own
 	barred   map[string]bool // members that it excludes or drains
 }
 
@@ -266,7 +266,7 @@
 	if x == gs.told {
 		gs.told = nil
 	}
-	gs.rebound()
+	gs.updateFleetLimits()
 	gs.g.clients.recount(x)
 	gs.listed(before)
 	gs.forget()
@@ -292,7 +292,7 @@
 			t.nextShares.CarryOver(t.nextTenant, int64(t.querySize))
 		}
 	}
-	gs.rebound()
+	gs.updateFleetLimits()
 	gs.listed(before)
 }
 
@@ -398,7 +398,7 @@
 	if t.nextShares != nil {
 		t.nextShares.Begin(t.nextTenant, int64(t.querySize), int64(gs.g.clock.now()))
 	}
-	gs.beginOfFleet(t)
+	gs.acquireFleetLimits(t)
 }
 
 func (gs *generations) end(t *txn) {
@@ -412,7 +412,7 @@
 	if t.nextShares != nil {
 		t.nextShares.End(t.nextTenant, int64(t.querySize))
 	}
-	gs.endOfFleet(t)
+	gs.releaseFleetLimits(t)
 	if t.generation.txns--; t.generation.txns == 0 && t.generation != gs.inForce {
 		gs.forget()
 	}
--- a/gateway/listed_test.go
+++ b/gateway/listed_test.go
@@ -26,7 +26,7 @@
 		w.wg.Add(1)
 		go func() {
 			defer w.wg.Done()
-			c := u.front.NewClient(fmt.Sprintf("%08x", 0x5e00+i), classes)
+			c := u.front.NewClient(fmt.Sprintf("%08x", 0x5e00+i), txnTypes)
 			defer c.Close()
 			written := ""
 			for k := 1; ; k++ {
@@ -84,7 +84,7 @@
 	}
 	awaitWrite := func(gateway int, code, value, key string) {
 		t.Helper()
-		c := u.front.NewClient(code, classes)
+		c := u.front.NewClient(code, txnTypes)
 		defer c.Close()
 		u.await(fmt.Sprintf("gateway %d accepts session writes", gateway), func() bool {
 			a := c.Write(gateway, key+fmt.Sprint(time.Now().UnixNano()), value)
@@ -93,9 +93,9 @@
 	}
 	checkRead := func(gateway int, code, value string) {
 		t.Helper()
-		c := u.front.NewClient(code, classes)
+		c := u.front.NewClient(code, txnTypes)
 		defer c.Close()
-		if a := persist(c, gateway); a.Value != value {
+		if a := readUntilServed(c, gateway); a.Value != value {
 			t.Fatalf("read at n%d: %v, but %s was acknowledged", gateway, a, value)
 		}
 	}
@@ -124,7 +124,7 @@
 	// Reconnected, it learns of the eviction, acknowledges no session's write any more, and reports that it has ended.
 	u.wire.Isolate(3, false)
 	awaitStatus(1, "n3 at", false)
-	c := u.front.NewClient("ab03", classes)
+	c := u.front.NewClient("ab03", txnTypes)
 	defer c.Close()
 	if a := c.Write(3, "late", "late"); a.Code != "53300" || a.RetryAfter == "" {
 		t.Fatalf("a session's write at a gateway that no other queries: %v", a)
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -160,10 +160,10 @@
 		if g.agreement != nil {
 			g.agreement.carryOut()
 			g.quotas.ProcessDecisions()
-			g.contracts.carryOut()
+			g.contracts.update()
 		}
 		if g.coordination != nil {
-			g.coordination.c.ProcessDecisions()
+			g.coordination.coordination.ProcessDecisions()
 		}
 		if g.sessions != nil {
 			g.sessions.ProcessDecisions()
@@ -194,9 +194,9 @@
 	case inProbed:
 		g.module.ProbeEnded(in.server, in.result, in.elapsed, in.report)
 		if in.fenceAttempt != 0 {
-			g.fenced(&in)
+			g.fenceCompleted(&in)
 		} else if g.coordination != nil {
-			g.coordination.probed(in.server, in.result)
+			g.coordination.probeEnded(in.server, in.result)
 		}
 	case inProgress:
 		g.module.ResponseProgress(in.server)
@@ -234,7 +234,7 @@
 		g.cancelSubmission(d.Txn, int(d.Attempt))
 	case decide.Probe:
 		if g.coordination != nil {
-			g.coordination.probe(d.Server)
+			g.coordination.requestProbe(d.Server)
 		} else {
 			g.members.probe(d.Server)
 		}
@@ -248,7 +248,7 @@
 		g.deadlines.Add(int64(g.clock.now()+d.Delay), timerEvent{kind: timerWake})
 	case decide.SendUpdates:
 		if g.coordination != nil {
-			g.coordination.told(d.Updates)
+			g.coordination.reportUpdates(d.Updates)
 		} else {
 			g.sendUpdates(d.Updates)
 		}
@@ -302,7 +302,7 @@
 			}
 			g.inputs = append(g.inputs, input{kind: inReadable, ref: d.ref})
 		case timerList:
-			g.coordination.asks()
+			g.coordination.makeDeferredCalls()
 		case timerCloseClients:
 			g.closeIdleClients()
 		case timerCloseListener:
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -22,7 +22,7 @@
 			if h.server != update.Server {
 				continue
 			}
-			e := peerwire.Entry{Kind: replicaPosition, Group: uint16(h.entry.Block), Key: h.key, Position: int64(g.position(update.Position))}
+			e := peerwire.Entry{Kind: replicaPosition, Group: uint16(h.entry.Block), Key: h.key, Position: int64(g.sessionPosition(update.Position))}
 			if update.Primary {
 				e.Kind = primaryPosition
 			}
@@ -34,7 +34,7 @@
 }
 
 // ReceivePositions implements fleet.SessionHost.
-func (x sessionTxns) ReceivePositions(entries []peerwire.Entry) { x.g.receiveUpdates(entries) }
+func (x sessionHost) ReceivePositions(entries []peerwire.Entry) { x.g.receiveUpdates(entries) }
 
 // receiveUpdates queues what another gateway learned as input for the module in the next turn. Where clocks may differ, an
 // old report of a role cannot be distinguished from a later one, so the role is left out. A position remains valid.
@@ -47,7 +47,7 @@
 			if h.key != e.Key || h.entry.Block != int(e.Group) {
 				continue
 			}
-			in := input{kind: inMemberUpdate, server: h.server, position: g.onClock(session.Position(e.Position))}
+			in := input{kind: inMemberUpdate, server: h.server, position: g.clockTime(session.Position(e.Position))}
 			if e.Kind == primaryPosition && g.config.ClockError == 0 {
 				in.role = decide.RolePrimary
 			}
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -14,12 +14,12 @@
 
 // startZoned starts a gateway for a primary in zone a and one replica in each of the zones a and b.
 func startZoned(t *testing.T, log *slog.Logger) (pool *standin.ClientPool, g0 *standin.Group, g *gateway.Gateway, list *standin.List, hosts []standin.Host) {
-	g0, members := group(0, 2)
+	g0, members := newGroup(0, 2)
 	for _, m := range members {
 		hosts = append(hosts, m.ListEntry("active"))
 	}
 	hosts[2].Site = "b"
-	address, g, list := embeddedWith(t, func(c *gateway.Config) {
+	address, g, list := runInProcessWith(t, func(c *gateway.Config) {
 		c.Log = log
 		c.Settings = bytes.Replace(c.Settings, []byte(`"zones":["a"]`), []byte(`"zones":["a","b"]`), 1)
 	}, members...)
@@ -76,7 +76,7 @@
 // configuration changes: one above the limit is refused, existing ones stay, and one that closes frees a slot. The log level
 // follows the generation.
 func TestConnectionsAndLog(t *testing.T) {
-	log, lines := logLines()
+	log, lines := captureLog()
 	pool, _, g, _, _ := startZoned(t, log)
 	withLimit := func(n int, level string) *routes.Document {
 		return &routes.Document{LogLevel: level, Tenants: []routes.Tenant{{Name: "t", Weight: 1, MaxConnections: n}},
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -14,54 +14,55 @@
 	"magpieglade/routes"
 )
 
-// SubjectContracts is the subject of the book of contracts.
+// SubjectContracts is the agreement's subject for the book of contracts.
 const SubjectContracts = "contracts"
 
-// reserved holds room for the contracts of the book that the fleet agreed on.
-type reserved struct {
-	g        *Gateway
-	stamp    uint64
-	books    map[agreement.Digest]*contracts.Book // those in force and next, read
-	reading  map[agreement.Digest]bool
-	inForce  *contracts.Book
-	next     *contracts.Book // binds beside it until it is in force
-	last     uint64          // version that the next one follows
-	holdings []contracts.Reservation
-	at       decide.Nanos // when they change next
-	shares   any          // of the generation that they were told
-	told     string       // as last logged
-	account  *contracts.Account
-	open     []counted    // contracts whose windows are open, or about to be
-	reportAt decide.Nanos // when counts are told again
-	keepAt   decide.Nanos
-	keeping  bool
-	asked    int
-	now      standing
-	working  bool   // the next one is worked out
-	members  string // the fleet's members by which risks were looked at
-	risky    bool   // that look is under way
-	risks    []contracts.UnmetContract
-	lookAt   decide.Nanos
-	failed   string // why a book can't be read, as last logged
+// contractManager reserves slots for the contracts of the book that the fleet agreed on, and counts their txns.
+type contractManager struct {
+	g                  *Gateway
+	revision           uint64
+	books              map[agreement.Digest]*contracts.Book // decoded books of the versions in force and next
+	decoding           map[agreement.Digest]bool
+	inForce            *contracts.Book
+	next               *contracts.Book // applies together with inForce until it is in force itself
+	lastVersion        uint64          // version that the next proposal follows
+	reservations       []contracts.Reservation
+	nextChangeAt       decide.Nanos // when reservations change next
+	appliedShares      any          // *routes.Shares of the generation that the reservations were applied to
+	loggedReservations string       // text of the last log line
+	account            *contracts.Account
+	openContracts      []countedContract // contracts whose windows are open or about to open
+	nextReportAt       decide.Nanos      // of counts, to the voters
+	nextSaveAt         decide.Nanos
+	saving             bool
+	countRequests      int
+	plan               reservationPlan
+	planning           bool   // the next plan is being computed
+	checkedMembers     string // members that the last check of risks was made for
+	checkingRisks      bool   // a check is running
+	risks              []contracts.UnmetContract
+	nextRiskCheckAt    decide.Nanos
+	lastDecodeError    string // last logged error of decoding a book
 }
 
-// lookSpan is between looks at whether members have come or gone. Ours: told within what a person takes for at once.
-const lookSpan = 500 * decide.Millisecond
+// riskCheckInterval is the time between checks whether members have come or gone: short enough that an operator takes the
+// warning for immediate.
+const riskCheckInterval = 500 * decide.Millisecond
 
-// held takes the books of what this gateway holds; a new one is read beside the loop.
-func (r *reserved) held() {
+// refreshBooks takes the books from the manifest that this gateway holds. A new book is decoded outside the event loop.
+func (r *contractManager) refreshBooks() {
 	m := r.g.agreement.f.Manifest()
-	if m.Revision == r.stamp {
+	if m.Revision == r.revision {
 		return
 	}
-	r.stamp = m.Revision
+	r.revision = m.Revision
 	r.inForce, r.next = nil, nil
-	live := map[agreement.Digest]*contracts.Book{}
+	books := map[agreement.Digest]*contracts.Book{}
 	for _, s := range m.Subjects {
 		if s.Name != SubjectContracts {
 			continue
 		}
-		r.last = s.LastVersion
+		r.lastVersion = s.LastVersion
 		for _, x := range []struct {
 			v  *agreement.Version
 			to **contracts.Book
@@ -70,164 +71,167 @@
 				continue
 			}
 			if b := r.books[x.v.Digest]; b != nil {
-				live[x.v.Digest], *x.to = b, b
+				books[x.v.Digest], *x.to = b, b
 			} else {
-				r.read(x.v.Digest)
+				r.decodeBook(x.v.Digest)
 			}
 		}
 	}
-	r.books = live
-	r.at = 0
+	r.books = books
+	r.nextChangeAt = 0
 }
 
-func (r *reserved) read(d agreement.Digest) {
-	if r.reading[d] {
+// decodeBook decodes a book in a goroutine, and has refreshBooks run again once it is decoded.
+func (r *contractManager) decodeBook(d agreement.Digest) {
+	if r.decoding[d] {
 		return
 	}
-	r.reading[d] = true
+	r.decoding[d] = true
 	text := r.g.agreement.f.Text(d)
 	go func() {
 		b, err := contracts.DecodeBook(text)
 		r.g.post(func() {
-			delete(r.reading, d)
-			if err != nil { // what was held stays
-				if err.Error() != r.failed {
-					r.failed = err.Error()
-					r.g.log.Error("the book of contracts can't be taken", "why", err)
+			delete(r.decoding, d)
+			if err != nil { // the former book stays in use
+				if err.Error() != r.lastDecodeError {
+					r.lastDecodeError = err.Error()
+					r.g.log.Error("the book of contracts can't be decoded", "why", err)
 				}
 				return
 			}
-			r.books[d], r.stamp = b, 0
+			r.books[d], r.revision = b, 0
 		})
 	}()
 }
 
-var errNoBook = errors.New("this gateway does not hold the book of contracts yet")
+var errBookNotRead = errors.New("this gateway does not hold the book of contracts yet")
 
-// latest is the book that the next version follows, nil where it is not read yet.
-func (r *reserved) latest() (*contracts.Book, error) {
+// latestBook returns the book that the next version follows, or errBookNotRead.
+func (r *contractManager) latestBook() (*contracts.Book, error) {
 	switch {
-	case r.last == 0:
+	case r.lastVersion == 0:
 		return contracts.DecodeBook(nil)
 	case r.next != nil:
 		return r.next, nil
-	case r.inForce != nil && len(r.reading) == 0:
+	case r.inForce != nil && len(r.decoding) == 0:
 		return r.inForce, nil
 	}
-	return nil, errNoBook
+	return nil, errBookNotRead
 }
 
-// carryOut holds what is to be held now. While another book is on its way the larger of both is: what is taken away from others
-// acts at once.
-func (r *reserved) carryOut() {
-	r.held()
+// update applies the reservations that are due now. While another book is pending the larger reservation of both books
+// applies, so that slots taken away from other tenants are withheld at once.
+func (r *contractManager) update() {
+	r.refreshBooks()
 	now := r.g.clock.now()
-	r.reports(now)
-	if now >= r.lookAt && len(r.reading) == 0 {
-		r.lookAt = now + lookSpan
-		r.look(r.inForce)
+	r.reportCounts(now)
+	if now >= r.nextRiskCheckAt && len(r.decoding) == 0 {
+		r.nextRiskCheckAt = now + riskCheckInterval
+		r.checkRisks(r.inForce)
 	}
 	shares := r.g.generations.inForce.shares
-	if now >= r.at && len(r.reading) == 0 && !r.working { // beside the loop: a full book takes a while
-		r.working, r.at = true, 1<<62
-		unix := r.unix()
+	if now >= r.nextChangeAt && len(r.decoding) == 0 && !r.planning { // outside the event loop, as a full book takes long
+		r.planning, r.nextChangeAt = true, 1<<62
+		unixNow := r.unixNow()
 		books := []*contracts.Book{r.inForce, r.next}
 		go func() {
-			x := standingOf(books, unix)
+			x := planReservations(books, unixNow)
 			r.g.post(func() {
-				r.working = false
-				if r.now = x; x.next > 0 {
-					r.at = min(r.at, r.g.clock.now()+max(0, decide.Nanos(x.next-r.unix())))
-					r.g.deadlines.Add(int64(r.at), timerEvent{kind: timerWake})
+				r.planning = false
+				if r.plan = x; x.nextChange > 0 {
+					r.nextChangeAt = min(r.nextChangeAt, r.g.clock.now()+max(0, decide.Nanos(x.nextChange-r.unixNow())))
+					r.g.deadlines.Add(int64(r.nextChangeAt), timerEvent{kind: timerWake})
 				}
 				r.apply(r.g.generations.inForce.shares)
 			})
 		}()
 	}
-	if r.shares != any(shares) {
+	if r.appliedShares != any(shares) {
 		r.apply(shares)
 	}
 }
 
-// standing is what is held and counted at a time, by books.
-type standing struct {
-	all   map[string]contracts.Reservation
-	order []string
-	next  int64 // when it changes, Unix nanoseconds, 0 for never
-	open  []counted
+// reservationPlan holds the reservations and the counted contracts of some books at a moment.
+type reservationPlan struct {
+	byTenant      map[string]contracts.Reservation
+	tenants       []string
+	nextChange    int64 // time of the next change in Unix nanoseconds, 0 for never
+	openContracts []countedContract
 }
 
-func standingOf(books []*contracts.Book, unix int64) standing {
-	x := standing{all: map[string]contracts.Reservation{}}
+// planReservations merges the reservations of some books: of two for one tenant the larger counts.
+func planReservations(books []*contracts.Book, unix int64) reservationPlan {
+	plan := reservationPlan{byTenant: map[string]contracts.Reservation{}}
 	for _, b := range books {
 		if b == nil {
 			continue
 		}
 		list, next := b.Reservations(unix)
-		if next > 0 && (x.next == 0 || next < x.next) {
-			x.next = next
+		if next > 0 && (plan.nextChange == 0 || next < plan.nextChange) {
+			plan.nextChange = next
 		}
-		for _, h := range list {
-			if before, ok := x.all[h.Tenant]; !ok {
-				x.order = append(x.order, h.Tenant)
-				x.all[h.Tenant] = h
-			} else if h.InFlight > before.InFlight {
-				x.all[h.Tenant] = h
+		for _, reservation := range list {
+			if former, ok := plan.byTenant[reservation.Tenant]; !ok {
+				plan.tenants = append(plan.tenants, reservation.Tenant)
+				plan.byTenant[reservation.Tenant] = reservation
+			} else if reservation.InFlight > former.InFlight {
+				plan.byTenant[reservation.Tenant] = reservation
 			}
 		}
 	}
-	x.open = windows(books, unix)
-	return x
+	plan.openContracts = openContractsOf(books, unix)
+	return plan
 }
 
 // apply holds room in the shares in force, and logs a change.
-func (r *reserved) apply(shares *routes.Shares) {
-	all, order := r.now.all, r.now.order
-	r.open = r.now.open
-	r.shares, r.holdings = shares, nil
-	held := map[int32]int{}
-	var words []string
+func (r *contractManager) apply(shares *routes.Shares) {
+	byTenant, tenants := r.plan.byTenant, r.plan.tenants
+	r.openContracts = r.plan.openContracts
+	r.appliedShares, r.reservations = shares, nil
+	slotsByTenant := map[int32]int{}
+	var texts []string
 	table := r.g.generations.inForce.table
-	for _, name := range order {
-		h := all[name]
-		r.holdings = append(r.holdings, h)
-		at := -1
+	for _, name := range tenants {
+		reservation := byTenant[name]
+		r.reservations = append(r.reservations, reservation)
+		tenantIndex := -1
 		if table != nil && table.MaxInFlight > 0 {
 			for i := range table.Tenants {
 				if table.Tenants[i].Name == name {
-					at = i
+					tenantIndex = i
 				}
 			}
 		}
-		if at < 0 { // nothing is bounded here that room could be held of
-			words = append(words, fmt.Sprintf("%s: none, as the settings have no in_flight or no such tenant", name))
+		if tenantIndex < 0 { // without an in-flight limit there are no slots to reserve
+			texts = append(texts, fmt.Sprintf("%s: none, as the settings have no in_flight or no such tenant", name))
 			continue
 		}
-		held[int32(at)] = h.InFlight
-		words = append(words, fmt.Sprintf("%s: %d in flight for %s", name, h.InFlight, strings.Join(h.Names, ", ")))
+		slotsByTenant[int32(tenantIndex)] = reservation.InFlight
+		texts = append(texts, fmt.Sprintf("%s: %d in flight for %s", name, reservation.InFlight, strings.Join(reservation.Names, ", ")))
 	}
 	if shares != nil {
-		shares.HoldSlots(held)
+		shares.HoldSlots(slotsByTenant)
 	}
-	if text := strings.Join(words, "; "); text != r.told {
-		r.told = text
+	if text := strings.Join(texts, "; "); text != r.loggedReservations {
+		r.loggedReservations = text
 		r.g.log.Info("contracts: room held", "for", text)
 	}
 }
 
-// look tells of contracts that the fleet as it is can't keep, once it has changed: worked out beside the loop.
-func (r *reserved) look(b *contracts.Book) {
-	f := r.fleet()
-	members := fmt.Sprint(f, r.stamp)
-	if members == r.members || r.risky || b == nil {
+// checkRisks logs the contracts that the active members cannot fulfil, whenever the members have changed. The check runs
+// outside the event loop.
+func (r *contractManager) checkRisks(book *contracts.Book) {
+	fleet := r.activeMembers()
+	memberCounts := fmt.Sprint(fleet, r.revision)
+	if memberCounts == r.checkedMembers || r.checkingRisks || book == nil {
 		return
 	}
-	r.members, r.risky = members, true
-	unix := r.unix()
+	r.checkedMembers, r.checkingRisks = memberCounts, true
+	now := r.unixNow()
 	go func() {
-		risks := b.UnmetContracts(f, unix)
+		risks := book.UnmetContracts(fleet, now)
 		r.g.post(func() {
-			r.risky = false
+			r.checkingRisks = false
 			for _, x := range risks {
 				if !slices.ContainsFunc(r.risks, func(o contracts.UnmetContract) bool { return o.No == x.No }) {
 					r.g.log.Warn("contracts: at risk", "contract", x.Name, "from", time.Unix(0, x.Start).UTC().Format(time.RFC3339), "why", x.Reason)
@@ -243,81 +247,81 @@
 	}()
 }
 
-// fleet is the members there are, by the list.
-func (r *reserved) fleet() contracts.Fleet {
-	f := contracts.Fleet{}
+// activeMembers counts the active members of the list by group and zone.
+func (r *contractManager) activeMembers() contracts.Fleet {
+	members := contracts.Fleet{}
 	for _, h := range r.g.discovery.list.hosts {
 		if r.g.generations.health(&h.entry) != "active" {
 			continue
 		}
-		if f[h.entry.Block] == nil {
-			f[h.entry.Block] = map[string]int{}
+		if members[h.entry.Block] == nil {
+			members[h.entry.Block] = map[string]int{}
 		}
-		f[h.entry.Block][h.entry.Site]++
+		members[h.entry.Block][h.entry.Site]++
 	}
-	return f
+	return members
 }
 
-// contractTries is how often a wish is put anew where another one was first.
-const contractTries = 8
+// maxContractAttempts is how often a proposal is made when others come before it.
+const maxContractAttempts = 8
 
-// Contract has the fleet agree on the book as it is after a wish. Of two that are asked for at once at two gateways one
-// comes first, and the other is looked at again by the book after that.
-func (g *Gateway) Contract(ctx context.Context, w contracts.Proposal) error {
+// ProposeContract has the fleet agree on the book as changed by a proposal. Of two concurrent proposals at two gateways one
+// comes first, and the other is checked again against the book that results.
+func (g *Gateway) ProposeContract(ctx context.Context, proposal contracts.Proposal) error {
 	var err error
-	for range contractTries {
-		var b *contracts.Book
-		var f contracts.Fleet
-		v := agreement.Version{Subject: SubjectContracts, Author: w.Author, Reason: w.Reason, FormatVersion: 1}
+	for range maxContractAttempts {
+		var book *contracts.Book
+		var members contracts.Fleet
+		version := agreement.Version{Subject: SubjectContracts, Author: proposal.Author, Reason: proposal.Reason, FormatVersion: 1}
 		if err = g.inLoop(ctx, func() (err error) {
 			if g.contracts == nil {
 				return errors.New("this gateway agrees on nothing with others")
 			}
-			g.contracts.held()
-			b, err = g.contracts.latest()
-			f, v.Predecessor, w.At = g.contracts.fleet(), g.contracts.last, g.contracts.unix()
+			g.contracts.refreshBooks()
+			book, err = g.contracts.latestBook()
+			members, version.Predecessor, proposal.At = g.contracts.activeMembers(), g.contracts.lastVersion, g.contracts.unixNow()
 			return err
-		}); err == nil { // beside the loop: a large book takes a while
-			next, wrong := b.Apply(&w, f)
-			if wrong != nil {
-				return wrong
+		}); err == nil { // outside the event loop, as a large book takes long
+			changed, applyErr := book.Apply(&proposal, members)
+			if applyErr != nil {
+				return applyErr
 			}
-			text := next.Encode()
-			if v.ProposedAt = w.At; w.ChangesReservations(b) {
-				v.Conflicts = []string{"a reserved share"}
+			text := changed.Encode()
+			if version.ProposedAt = proposal.At; proposal.ChangesReservations(book) {
+				version.Conflicts = []string{"a reserved share"}
 			}
-			_, err = g.ask(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &v}, text, nil })
+			_, err = g.ask(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &version}, text, nil })
 		}
-		if err == nil || !errors.Is(err, errNoBook) && !strings.Contains(err.Error(), "it follows version") {
+		if err == nil || !errors.Is(err, errBookNotRead) && !strings.Contains(err.Error(), "it follows version") {
 			return err
 		}
-		time.Sleep(200 * time.Millisecond) // until this gateway holds what was first
+		time.Sleep(200 * time.Millisecond) // until this gateway holds the version that came first
 	}
 	return err
 }
 
-// ContractsView is the book as a gateway holds it.
+// ContractsView is a gateway's view of the book of contracts.
 type ContractsView struct {
-	Book     *contracts.Book
-	Fleet    contracts.Fleet
-	Now      int64
-	Holdings []contracts.Reservation
-	Coming   bool // another book binds beside it, until all have it
+	Book         *contracts.Book
+	Fleet        contracts.Fleet
+	Now          int64
+	Reservations []contracts.Reservation `json:"Holdings"`
+	Pending      bool                    `json:"Coming"` // another book applies as well until all gateways have it
 }
 
-// Contracts tells of the book; nil where the gateway agrees on nothing.
-func (g *Gateway) Contracts(ctx context.Context) (v *ContractsView, err error) {
+// Contracts returns the gateway's view of the book, nil if it takes part in no agreement.
+func (g *Gateway) Contracts(ctx context.Context) (view *ContractsView, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.contracts == nil {
 			return nil
 		}
-		g.contracts.held()
-		b, err := g.contracts.latest()
+		g.contracts.refreshBooks()
+		b, err := g.contracts.latestBook()
 		if err != nil {
 			return err
 		}
-		v = &ContractsView{b, g.contracts.fleet(), int64(g.position(g.clock.now())), g.contracts.holdings, g.contracts.next != nil}
+		view = &ContractsView{b, g.contracts.activeMembers(), int64(g.sessionPosition(g.clock.now())), g.contracts.reservations, g.contracts.next != nil}
 		return nil
 	})
-	return v, err
+	return view, err
 }
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -10,104 +10,106 @@
 	"magpieglade/session"
 )
 
-// sessionTxns is what package fleet sees of the gateway for sessions: it routes reads, asks primaries and gives answers.
-type sessionTxns struct{ g *Gateway }
+// sessionHost implements fleet.SessionHost: it routes reads, queries primaries for their positions and releases answers.
+type sessionHost struct{ g *Gateway }
 
-// Post runs something on the loop.
-func (x sessionTxns) Post(f func()) { x.g.post(f) }
+// Post runs f on the event loop.
+func (x sessionHost) Post(f func()) { x.g.post(f) }
 
-// Now is the gateway's clock.
-func (x sessionTxns) Now() int64 { return int64(x.g.clock.now()) }
+// Now returns the time of the gateway's clock in nanoseconds.
+func (x sessionHost) Now() int64 { return int64(x.g.clock.now()) }
 
-// WakeAfter has a turn come.
-func (x sessionTxns) WakeAfter(span int64) {
-	x.g.deadlines.Add(x.Now()+span, timerEvent{kind: timerWake})
+// WakeAfter wakes the event loop after a delay in nanoseconds.
+func (x sessionHost) WakeAfter(delay int64) {
+	x.g.deadlines.Add(x.Now()+delay, timerEvent{kind: timerWake})
 }
 
-// Logger is the gateway's.
-func (x sessionTxns) Logger() *slog.Logger { return x.g.log }
+// Logger returns the gateway's logger.
+func (x sessionHost) Logger() *slog.Logger { return x.g.log }
 
-// Started is closed once there is a loop.
-func (x sessionTxns) Started() <-chan struct{} { return x.g.started }
+// Started is closed once the event loop runs.
+func (x sessionHost) Started() <-chan struct{} { return x.g.started }
 
-// position is a position on the gateway's clock as every gateway words it, and onClock takes it back.
-func (g *Gateway) position(at decide.Nanos) session.Position {
+// sessionPosition converts a position on the gateway's own clock to one that is comparable between gateways.
+func (g *Gateway) sessionPosition(at decide.Nanos) session.Position {
 	return session.Position(g.clock.zeroUnixMs*1e6 + int64(at))
 }
 
-func (g *Gateway) onClock(p session.Position) decide.Nanos {
+// clockTime is the inverse of sessionPosition.
+func (g *Gateway) clockTime(p session.Position) decide.Nanos {
 	return decide.Nanos(int64(p) - g.clock.zeroUnixMs*1e6)
 }
 
-// readOf takes a session read, which waits for its floor.
-func (g *Gateway) readOf(t *txn, budget decide.Nanos) {
-	brought := session.Position(0)
+// addSessionRead adds a session's read, which waits until its minimum position is known.
+func (g *Gateway) addSessionRead(t *txn, budget decide.Nanos) {
+	minPosition := session.Position(0)
 	if t.comment.After > 0 {
-		brought = g.position(decide.Millis(t.comment.After - float64(g.clock.zeroUnixMs)))
+		minPosition = g.sessionPosition(decide.Millis(t.comment.After - float64(g.clock.zeroUnixMs)))
 	}
 	t.awaitingFloor, t.heldUntil = true, g.clock.now()+budget
-	g.sessions.AddRead(t.id, t.comment.Group, t.session, brought, t.comment.Token, int64(t.heldUntil))
+	g.sessions.AddRead(t.id, t.comment.Group, t.session, minPosition, t.comment.Token, int64(t.heldUntil))
 }
 
-// committed notes a session's write before it is answered, and gives what its client is to carry.
-func (g *Gateway) committed(t *txn, unixMs float64) (parameter []byte) {
-	p := session.Position(0)
+// recordSessionCommit records a session's write before it is answered, and returns the message with the token that its client
+// is to send with later txns, if any.
+func (g *Gateway) recordSessionCommit(t *txn, unixMs float64) (parameter []byte) {
+	position := session.Position(0)
 	if at, ok := g.members.localPosition(unixMs); ok {
-		p = g.position(at)
+		position = g.sessionPosition(at)
 	}
-	if token := g.sessions.RecordCommit(t.comment.Group, t.session, p); token != nil {
+	if token := g.sessions.RecordCommit(t.comment.Group, t.session, position); token != nil {
 		return pgwire.AppendParameterStatus(nil, "session_token", string(token))
 	}
 	return nil
 }
 
-// waitsForMark tells whether a write's answer is to wait for the ledger.
-func (g *Gateway) waitsForMark(ref slots.Ref) bool {
+// waitsForLedger reports whether a write's answer waits until the ledger has its record.
+func (g *Gateway) waitsForLedger(ref slots.Ref) bool {
 	t := g.txns.Get(ref)
 	return g.sessions != nil && g.sessions.WaitsForLedger() && t != nil && t.writes && t.session != 0 && !t.answered
 }
 
-// mayRepeatKey tells how long a keyed write may be sent; ok is false where that is over.
-func (g *Gateway) mayRepeatKey(t *txn, window, budget decide.Nanos) (left decide.Nanos, ok bool) {
-	until, ok := g.sessions.Module.RetryDeadline(t.comment.Group, t.key, int64(window))
-	if until > 0 {
-		budget = min(budget, decide.Nanos(until)-g.clock.now())
+// retryBudget returns how long a write with an idempotency key may still be sent; ok is false if that time is over.
+func (g *Gateway) retryBudget(t *txn, window, budget decide.Nanos) (left decide.Nanos, ok bool) {
+	deadline, ok := g.sessions.Module.RetryDeadline(t.comment.Group, t.key, int64(window))
+	if deadline > 0 {
+		budget = min(budget, decide.Nanos(deadline)-g.clock.now())
 	}
 	return budget, ok
 }
 
-// fenced takes the answer to a fence. Its member must have called itself primary in that very answer.
-func (g *Gateway) fenced(in *input) {
-	at, primary := in.position, in.role == decide.RolePrimary
+// fenceCompleted handles the response to a fence. It counts only if the member reports itself primary in that same response.
+func (g *Gateway) fenceCompleted(in *input) {
+	reported, primary := in.position, in.role == decide.RolePrimary
 	fields := g.names.LoadReport.Fields
 	for i, x := range in.report {
 		switch fields[i] {
 		case "x0":
-			at = max(at, decide.Millis(x*1000))
+			reported = max(reported, decide.Millis(x*1000))
 		case "x1":
 			primary = primary || in.role == decide.RoleUnknown && x == 1
 		}
 	}
-	p := session.Position(0)
-	if in.result == decide.Committed && at > 0 {
-		p = g.position(at)
+	position := session.Position(0)
+	if in.result == decide.Committed && reported > 0 {
+		position = g.sessionPosition(reported)
 	}
-	g.sessions.FenceCompleted(in.group, in.fenceAttempt, p, primary)
+	g.sessions.FenceCompleted(in.group, in.fenceAttempt, position, primary)
 }
 
-// Serve gives a read with its floor to the routing.
-func (x sessionTxns) Serve(read uint64, floor session.Position) {
+// Serve routes a read to a member that has reached minPosition.
+func (x sessionHost) Serve(readID uint64, minPosition session.Position) {
 	g := x.g
-	t := g.txns.Get(g.byID[read])
+	t := g.txns.Get(g.byID[readID])
 	if t == nil || !t.awaitingFloor {
 		return
 	}
 	t.awaitingFloor = false
 	now := g.clock.now()
 	var age decide.Nanos
-	if floor > 0 {
-		t.floor = g.onClock(floor)
-		// A token of 0 or below would be none.
+	if minPosition > 0 {
+		t.floor = g.clockTime(minPosition)
+		// A minimum position of 0 or below would mean none.
 		if age = now - max(1, t.floor); age == 0 {
 			age = -1
 		}
@@ -119,39 +121,39 @@
 	g.generations.bind(t)
 }
 
-// Refuse declines a read.
-func (x sessionTxns) Refuse(read uint64, after int64) {
-	if t := x.g.txns.Get(x.g.byID[read]); t != nil {
+// Refuse rejects a read.
+func (x sessionHost) Refuse(readID uint64, retryAfter int64) {
+	if t := x.g.txns.Get(x.g.byID[readID]); t != nil {
 		t.awaitingFloor = false
-		x.g.reject(read, decide.Nanos(after))
+		x.g.reject(readID, decide.Nanos(retryAfter))
 	}
 }
 
-// Fence asks the primary of a group for its position, or whoever may be it.
-func (x sessionTxns) Fence(group int, no uint64, turn int, wait int64) bool {
-	server, ok := x.g.module.PositionSource(group, turn)
+// Fence queries the primary of a group for its position, or a member that may be the primary.
+func (x sessionHost) Fence(group int, requestID uint64, attempt int, timeout int64) bool {
+	server, ok := x.g.module.PositionSource(group, attempt)
 	if !ok {
 		return false
 	}
 	now := x.g.clock.now()
-	x.g.members.startJob(server, job{probe: true, fenceRequestNo: no, group: group, startedAt: now, deadline: now + decide.Nanos(wait)})
+	x.g.members.startJob(server, job{probe: true, fenceRequestNo: requestID, group: group, startedAt: now, deadline: now + decide.Nanos(timeout)})
 	return true
 }
 
-// IsWaiting tells whether an answer waits for its mark.
-func (x sessionTxns) IsWaiting(ref slots.Ref) bool {
+// IsWaiting reports whether an answer waits for its ledger record.
+func (x sessionHost) IsWaiting(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
 	return t != nil && t.delayedResponse != nil
 }
 
-// ReleaseAnswer gives it.
-func (x sessionTxns) ReleaseAnswer(ref slots.Ref, early bool) {
+// ReleaseAnswer sends an answer that waited for its ledger record; early means before the record is written.
+func (x sessionHost) ReleaseAnswer(ref slots.Ref, early bool) {
 	x.g.txns.Get(ref).awaitingLedger = early
 	x.g.sendDelayedResponse(ref)
 }
 
-// EarlyAnswerWritten frees the place of one that went out early.
-func (x sessionTxns) EarlyAnswerWritten(ref slots.Ref) bool {
+// EarlyAnswerWritten frees the slot of a txn whose answer was sent early.
+func (x sessionHost) EarlyAnswerWritten(ref slots.Ref) bool {
 	t := x.g.txns.Get(ref)
 	if t == nil || !t.awaitingLedger {
 		return false
@@ -161,13 +163,13 @@
 	return true
 }
 
-// SetAnswerDeadline has one that waits be given at a time, whatever has become of its mark.
-func (x sessionTxns) SetAnswerDeadline(ref slots.Ref, at int64) {
+// SetAnswerDeadline has a waiting answer sent at a given time even if its ledger record is not written by then.
+func (x sessionHost) SetAnswerDeadline(ref slots.Ref, at int64) {
 	x.g.deadlines.Add(at, timerEvent{kind: timerAnswer, ref: ref})
 }
 
-// keyOf is a key's number.
-func keyOf(key []byte) uint64 {
+// hashKey hashes an idempotency key to a non-zero number.
+func hashKey(key []byte) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(key)
 	return max(1, h.Sum64())
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -30,10 +30,10 @@
 	nextShares      *routes.Shares // the quotas of the next version that it also counts against, nil for none
 	nextTenant      int32          // of those
 	countedInFlight bool           // it counts against those quotas, until it has ended
-	fleetLimits     []*fleetBounds // fleet-wide limits that it counts against
+	fleetLimits     []*fleetLimits // fleet-wide limits that it counts against
 	fleetLimitBytes int64          // size that it counts with against them
 	failed          bool           // its response is an error
-	ending          ending         // how it ended, for statistics
+	ending          txnOutcome     // how it ended, for statistics
 	arrived         decide.Nanos
 
 	class           int
@@ -78,7 +78,7 @@
 	}
 	if reason == routes.Allowed {
 		awaitsAllocation := false
-		if reason, retryAfter, awaitsAllocation = g.generations.mayOfFleet(&t); awaitsAllocation && g.clients.waitsForPart(c) {
+		if reason, retryAfter, awaitsAllocation = g.generations.checkFleetLimits(&t); awaitsAllocation && g.clients.waitForAllocation(c) {
 			return awaitingAllocation
 		}
 	}
@@ -100,23 +100,23 @@
 		t.session = sessionNumber(comment.Session)
 	}
 	if comment.IdempotencyKey != nil {
-		t.key = keyOf(comment.IdempotencyKey)
+		t.key = hashKey(comment.IdempotencyKey)
 	}
 	if g.sessions != nil && reason == routes.Allowed && t.writes && t.session != 0 && !g.sessions.Module.AcceptsSessionWrites() {
 		reason, retryAfter = routes.AgreementUnavailable, g.sessions.Config.Session.RetryAfter // the other gateways do not know that this one must be asked
 	}
 	mayRepeat := true
 	if g.sessions != nil && kind.Effect == "by_key" {
-		budget, mayRepeat = g.mayRepeatKey(&t, decide.Millis(kind.Window), budget)
+		budget, mayRepeat = g.retryBudget(&t, decide.Millis(kind.Window), budget)
 	}
 	c.txn = g.txns.Add(t)
 	g.byID[comment.ID] = c.txn
 	g.counts.taken++
 	if g.coordination != nil {
-		g.coordination.c.AddTxn()
+		g.coordination.coordination.AddTxn()
 	}
 	added := g.txns.Get(c.txn)
-	added.ending = endingOf(reason)
+	added.ending = outcomeOfRejection(reason)
 	defer g.clearBufferReferences(added)
 	switch {
 	case reason != routes.Allowed:
@@ -128,7 +128,7 @@
 	}
 	g.generations.begin(added)
 	if g.sessions != nil && consistency == "causal" {
-		g.readOf(added, budget)
+		g.addSessionRead(added, budget)
 		return ""
 	}
 	var age decide.Nanos
@@ -202,7 +202,7 @@
 	t.answered = true
 	g.generations.served(t, !t.failed)
 	if g.contracts != nil {
-		g.contracts.count(t, !t.failed)
+		g.contracts.countTxn(t, !t.failed)
 	}
 	client, size := t.client, t.querySize
 	c := g.clients.conns.Get(client)
@@ -246,7 +246,7 @@
 // rollBack carries out a decision to roll a txn back: it may nevertheless have taken effect.
 func (g *Gateway) rollBack(id uint64) {
 	if t := g.txns.Get(g.byID[id]); t != nil {
-		t.ending = endRolledBack
+		t.ending = outcomeRolledBack
 	}
 	g.respondError(id, "40000", "rolled back, it may have had its effect", "")
 	g.counts.rolledBack++
@@ -269,8 +269,8 @@
 func (g *Gateway) withdrawTxn(ref slots.Ref) {
 	if t := g.txns.Get(ref); t != nil {
 		g.counts.withdrawn++
-		if t.ending = endLeft; g.contracts != nil && !t.answered {
-			g.contracts.count(t, false)
+		if t.ending = outcomeAbandoned; g.contracts != nil && !t.answered {
+			g.contracts.countTxn(t, false)
 		}
 		if t.awaitingFloor {
 			g.sessions.Module.CancelRead(t.id)
@@ -287,7 +287,7 @@
 	if t == nil || t.answered {
 		return
 	}
-	t.failed, t.ending = true, endLeft
+	t.failed, t.ending = true, outcomeAbandoned
 	out := pgwire.AppendError(g.scratch[:0], "ERROR", "57014", "cancelled by its client, it may have had its effect", "")
 	g.scratch = pgwire.AppendReadyForQuery(out)
 	g.respond(ref, g.scratch)
