--- a/cli/cli.go
+++ b/cli/cli.go
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	no, findings, err := g.Apply(ctx, gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, Watch: int64(f.Watch), Alone: true})
+	no, findings, err := g.Apply(ctx, gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.Watch), LocalOnly: true})
 	for _, x := range findings {
 		slog.Warn("operator's file", "finding", x.Error())
 	}
--- a/gateway/agreed_test.go
+++ b/gateway/agreed_test.go
@@ -15,7 +15,7 @@
 )
 
 // agreeing is an operator's file for gateways that agree on one version; the wire stands between them.
-const agreeing = `
+const agreementOperatorFile = `
 control = "%DIR%.sock"
 agreement {
   listen  = "%LISTEN%"
@@ -27,34 +27,36 @@
 `
 
 // union is a fleet that agrees, with the network between its gateways.
-type union struct {
+type agreementFleet struct {
 	*fleet
-	wire    *standin.Network
+	network *standin.Network
 	voters  int
 	t       testing.TB
 	members []*standin.Member
 	group   *standin.Group
 }
 
-func newUnion(t testing.TB, n, voters int) *union { return newUnionOf(t, n, voters, agreeing) }
+func newAgreementFleet(t testing.TB, n, voters int) *agreementFleet {
+	return newAgreementFleetWith(t, n, voters, agreementOperatorFile)
+}
 
-func newUnionOf(t testing.TB, n, voters int, operator string) *union {
-	return newUnlikeUnion(t, n, voters, operator, nil)
+func newAgreementFleetWith(t testing.TB, n, voters int, operator string) *agreementFleet {
+	return newSkewedAgreementFleet(t, n, voters, operator, nil)
 }
 
-func newUnlikeUnion(t testing.TB, n, voters int, operator string, skews func(*process)) *union {
+func newSkewedAgreementFleet(t testing.TB, n, voters int, operator string, setSkew func(*process)) *agreementFleet {
 	g, members := group(0, 2)
-	return newUnionBefore(t, n, voters, operator, skews, g, members)
+	return newAgreementFleetForGroup(t, n, voters, operator, setSkew, g, members)
 }
 
-func newUnionBefore(t testing.TB, n, voters int, operator string, skews func(*process), g *standin.Group, members []*standin.Member) *union {
-	u := &union{wire: standin.NewNetwork(1), voters: voters, t: t, members: members, group: g}
+func newAgreementFleetForGroup(t testing.TB, n, voters int, operator string, setSkew func(*process), g *standin.Group, members []*standin.Member) *agreementFleet {
+	u := &agreementFleet{network: standin.NewNetwork(1), voters: voters, t: t, members: members, group: g}
 	u.fleet = newFleet(0, operator, members...)
-	u.fleet.skews = skews
+	u.fleet.skews = setSkew
 	u.addresses = map[int]string{}
 	u.fleet.via = func(p *process) string {
 		if u.addresses[p.no] == "" {
-			u.addresses[p.no] = u.wire.Join(p.peer)
+			u.addresses[p.no] = u.network.Join(p.peer)
 		}
 		return u.addresses[p.no]
 	}
@@ -69,7 +71,7 @@
 			time.Sleep(time.Second)
 		}
 		u.stop()
-		u.wire.Close()
+		u.network.Close()
 		if t.Failed() {
 			for _, p := range u.gateways {
 				p.drain()
@@ -77,57 +79,57 @@
 			}
 		}
 	})
-	u.said(0, "fleet", "found")
-	u.await("all have joined", func() bool { return strings.Count(u.said(0, "fleet", "status"), "127.0.0.5") == n })
+	u.command(0, "fleet", "found")
+	u.await("all have joined", func() bool { return strings.Count(u.command(0, "fleet", "status"), "127.0.0.5") == n })
 	for i := 1; i < voters; i++ {
-		u.said(0, "fleet", "voters", "--add", fmt.Sprint("n", i))
+		u.command(0, "fleet", "voters", "--add", fmt.Sprint("n", i))
 	}
 	for i := range u.gateways {
-		u.await("it may act", func() bool { return strings.Contains(u.said(i, "fleet", "status"), "may act") })
+		u.await("it may act", func() bool { return strings.Contains(u.command(i, "fleet", "status"), "may act") })
 	}
-	u.await("all vote", func() bool { return strings.Count(u.said(0, "fleet", "status"), "true") == voters })
+	u.await("all vote", func() bool { return strings.Count(u.command(0, "fleet", "status"), "true") == voters })
 	return u
 }
 
-func (u *union) said(gateway int, args ...string) string {
-	return command(append(args, "--control", filepath.Join(u.dir, fmt.Sprintf("ledger%d.sock", gateway)))...)
+func (u *agreementFleet) command(index int, args ...string) string {
+	return runProgram(append(args, "--control", filepath.Join(u.dir, fmt.Sprintf("ledger%d.sock", index)))...)
 }
 
-func (u *union) await(what string, f func() bool) {
+func (u *agreementFleet) await(what string, condition func() bool) {
 	u.t.Helper()
-	u.awaitFor(soon, what, f)
+	u.awaitFor(soon, what, condition)
 }
 
 // awaitFor is for what takes an election, another keeper and its quiet.
-func (u *union) awaitFor(span time.Duration, what string, f func() bool) {
+func (u *agreementFleet) awaitFor(timeout time.Duration, what string, condition func() bool) {
 	u.t.Helper()
-	for began := time.Now(); !f(); time.Sleep(20 * time.Millisecond) {
-		if time.Since(began) > span {
+	for began := time.Now(); !condition(); time.Sleep(20 * time.Millisecond) {
+		if time.Since(began) > timeout {
 			u.t.Fatal("not in time: ", what)
 		}
 	}
 }
 
 // apply has a gateway ask for a change; it gives what the command said.
-func (u *union) apply(gateway int, text string) string {
+func (u *agreementFleet) apply(gateway int, text string) string {
 	path := filepath.Join(u.dir, fmt.Sprintf("change%d.hcl", gateway))
 	must(os.WriteFile(path, []byte(text), 0o600))
-	return u.said(gateway, "config", "apply", "--why", "a test", path)
+	return u.command(gateway, "config", "apply", "--why", "a test", path)
 }
 
-// holds waits until some gateways act on a version.
-func (u *union) holds(version int, gateways ...int) {
+// awaitVersion waits until some gateways act on a version.
+func (u *agreementFleet) awaitVersion(version int, gateways ...int) {
 	u.t.Helper()
 	for _, i := range gateways {
 		u.await(fmt.Sprintf("gateway %d acts on version %d", i, version), func() bool {
-			said := u.said(i, "fleet", "status")
+			said := u.command(i, "fleet", "status")
 			return strings.Contains(said, fmt.Sprintf("routes: version %d (", version)) && !strings.Contains(said, "next version") && !strings.Contains(said, "tries version") && strings.Contains(said, "may act")
 		})
 	}
 }
 
 // halt stops a process as it stands, and waits until all of its threads do.
-func (p *process) halt() {
+func (p *process) pause() {
 	must(p.cmd.Process.Signal(syscall.SIGSTOP))
 	until(func() bool {
 		tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
@@ -143,16 +145,16 @@
 }
 
 // leader is who leads as a voter knows it.
-func (u *union) leader(asked ...int) int {
+func (u *agreementFleet) leader(voters ...int) int {
 	u.t.Helper()
-	at := -1
+	leader := -1
 	u.await("somebody leads", func() bool {
-		for _, i := range asked {
+		for _, i := range voters {
 			var name string
-			said := u.said(i, "fleet", "status")
+			said := u.command(i, "fleet", "status")
 			if _, after, ok := strings.Cut(said, "votes; "); ok {
 				if n, _ := fmt.Sscanf(after, "%s leads", &name); n == 1 && strings.HasPrefix(name, "n") {
-					if k, _ := fmt.Sscanf(name, "n%d", &at); k == 1 {
+					if k, _ := fmt.Sscanf(name, "n%d", &leader); k == 1 {
 						return true
 					}
 				}
@@ -160,26 +162,26 @@
 		}
 		return false
 	})
-	return at
+	return leader
 }
 
 // moves is a change that the others contradict: reads are run as another tenant's, which may have none.
-func moves(n int) string {
+func conflictingChange(n int) string {
 	return fmt.Sprintf("route \"moved\" {\n  types  = [\"any\"]\n  tenant = \"t%d\"\n}\ntenant \"t%d\" {\n  in_flight = 50\n}\n", n, n)
 }
 
 // load asks all gateways for reads and writes until it is ended, and tells what was not right.
-type load struct {
-	stop           chan struct{}
-	wg             sync.WaitGroup
-	served, others atomic.Int64
-	declined       atomic.Int64
-	mu             sync.Mutex
-	wrong          map[string]int
+type backgroundReads struct {
+	stop               chan struct{}
+	wg                 sync.WaitGroup
+	served, unanswered atomic.Int64
+	rejected           atomic.Int64
+	mu                 sync.Mutex
+	unexpected         map[string]int
 }
 
-func (u *union) load() *load {
-	l := &load{stop: make(chan struct{}), wrong: map[string]int{}}
+func (u *agreementFleet) startReads() *backgroundReads {
+	l := &backgroundReads{stop: make(chan struct{}), unexpected: map[string]int{}}
 	for i := range u.gateways {
 		for _, class := range []string{"any", "session"} {
 			l.wg.Add(1)
@@ -198,12 +200,12 @@
 					case a.Err == nil && a.Code == "":
 						l.served.Add(1)
 					case a.Code == "53300":
-						l.declined.Add(1)
+						l.rejected.Add(1)
 					case a.Err != nil:
-						l.others.Add(1) // its gateway was killed or stopped
+						l.unanswered.Add(1) // its gateway was killed or stopped
 					default:
 						l.mu.Lock()
-						l.wrong[a.String()]++
+						l.unexpected[a.String()]++
 						l.mu.Unlock()
 					}
 				}
@@ -213,32 +215,32 @@
 	return l
 }
 
-func (l *load) end(t testing.TB) {
+func (l *backgroundReads) finish(t testing.TB) {
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
-	t.Logf("%d served, %d declined, %d without an answer", l.served.Load(), l.declined.Load(), l.others.Load())
-	if len(l.wrong) > 0 || l.served.Load() == 0 {
-		t.Fatalf("%d served, %v", l.served.Load(), l.wrong)
+	t.Logf("%d served, %d declined, %d without an answer", l.served.Load(), l.rejected.Load(), l.unanswered.Load())
+	if len(l.unexpected) > 0 || l.served.Load() == 0 {
+		t.Fatalf("%d served, %v", l.served.Load(), l.unexpected)
 	}
 }
 
 // A fleet of five, three of which vote, under load and a network that loses and repeats, while what can fail fails: after
 // each there is one history, and the next change comes in force at all that can be reached.
-func TestAgreedUnderFaults(t *testing.T) {
+func TestAgreementUnderFaults(t *testing.T) {
 	t.Parallel() // it waits for events nearly all of its time
-	u := newUnion(t, 5, 3)
-	l := u.load()
-	u.wire.SetFaults(0.05, 0.05, 5*time.Millisecond)
+	u := newAgreementFleet(t, 5, 3)
+	l := u.startReads()
+	u.network.SetFaults(0.05, 0.05, 5*time.Millisecond)
 	all := []int{0, 1, 2, 3, 4}
-	want := func(gateway, version int) {
+	applyVersion := func(gateway, version int) {
 		t.Helper()
-		if said := u.apply(gateway, moves(version)); !strings.Contains(said, fmt.Sprintf("version %d is agreed on", version)) {
-			t.Fatalf("version %d: %s", version, said)
+		if results := u.apply(gateway, conflictingChange(version)); !strings.Contains(results, fmt.Sprintf("version %d is agreed on", version)) {
+			t.Fatalf("version %d: %s", version, results)
 		}
 	}
-	want(4, 1)
-	u.holds(1, all...)
+	applyVersion(4, 1)
+	u.awaitVersion(1, all...)
 
 	// One is stopped, as somebody is in any fleet: it holds nobody up. A txn that waits at it while the others move its
 	// tenant is not served by former rules when it goes on, not even as the first thing that it does.
@@ -247,54 +249,54 @@
 	if a := c.Read(4); a.Code != "" || a.Err != nil {
 		t.Fatal(a)
 	}
-	u.gateways[4].halt()
+	u.gateways[4].pause()
 	waited := make(chan standin.Response, 1)
 	go func() { waited <- c.Read(4) }()
 	for v := 2; v <= 4; v++ {
-		want(v%4, v)
-		u.holds(v, 0, 1, 2, 3)
+		applyVersion(v%4, v)
+		u.awaitVersion(v, 0, 1, 2, 3)
 	}
 	must(u.gateways[4].cmd.Process.Signal(syscall.SIGCONT))
 	if a := <-waited; a.Code != "53300" {
 		t.Fatalf("a gateway that stood still served by former rules: %v", a)
 	}
 	c.Close()
-	u.holds(4, 4)
+	u.awaitVersion(4, 4)
 
 	// The leader is killed with a change half-way: another one goes on with it.
-	at := u.leader(0, 1, 2)
-	want(3, 5)
-	u.gateways[at].kill()
+	leader := u.leader(0, 1, 2)
+	applyVersion(3, 5)
+	u.gateways[leader].kill()
 	others := []int{}
 	for _, i := range all {
-		if i != at {
+		if i != leader {
 			others = append(others, i)
 		}
 	}
-	u.holds(5, others...)
-	u.gateways[at].start()
-	u.holds(5, at)
+	u.awaitVersion(5, others...)
+	u.gateways[leader].start()
+	u.awaitVersion(5, leader)
 
 	// Cut off from the others but not from its clients: it is careful, and takes what holds when it is back.
 	c = u.front.NewClient("ca01", standin.TxnTypes{Read: "any", Write: "keyed"})
 	last, ended := time.Now(), make(chan struct{})
-	u.wire.Isolate(3, true)
+	u.network.Isolate(3, true)
 	go func() { // until it declines what a change may have moved
 		defer close(ended)
 		for a := c.Read(3); a.Code == "" && a.Err == nil; a = c.Read(3) {
 			last = time.Now()
 		}
 	}()
-	want(0, 6)
+	applyVersion(0, 6)
 	agreed := time.Now()
-	u.holds(6, 0, 1, 2, 4)
+	u.awaitVersion(6, 0, 1, 2, 4)
 	<-ended
 	if d := last.Sub(agreed); d > 3*time.Second {
 		t.Fatalf("acted on a former version for %v", d)
 	} else {
 		t.Logf("a gateway that was cut off acted on the former version for %v, 3s are stated", max(0, d))
 	}
-	u.await("it is careful", func() bool { return strings.Contains(u.said(3, "fleet", "status"), "careful") })
+	u.await("it is careful", func() bool { return strings.Contains(u.command(3, "fleet", "status"), "careful") })
 	if a := c.Read(3); a.Code != "53300" || a.RetryAfter == "" {
 		t.Fatalf("a txn that the versions do not share, at a gateway that can't renew: %v", a)
 	}
@@ -303,23 +305,23 @@
 		t.Fatalf("a txn of the ordinary path, at a gateway that can't renew: %v", a)
 	}
 	c.Close()
-	if said := u.said(3, "metrics"); !strings.Contains(said, "magpieglade_fleet_version_in_force 5") || strings.Contains(said, "txns_unagreed_total 0") ||
+	if said := u.command(3, "metrics"); !strings.Contains(said, "magpieglade_fleet_version_in_force 5") || strings.Contains(said, "txns_unagreed_total 0") ||
 		!strings.Contains(said, "magpieglade_fleet_lease_left_seconds -") {
 		t.Fatal(said)
 	}
-	u.wire.Isolate(3, false)
-	u.holds(6, all...)
+	u.network.Isolate(3, false)
+	u.awaitVersion(6, all...)
 
 	// Two operators at once: one wins, the other is told by whom.
 	said := make(chan string, 2)
 	for i := range 2 {
-		go func() { said <- u.apply(3+i, moves(70+i)) }()
+		go func() { said <- u.apply(3+i, conflictingChange(70+i)) }()
 	}
 	first, second := <-said, <-said
 	if strings.Contains(first, "agreed on") == strings.Contains(second, "agreed on") || !strings.Contains(first+second, "put version 7") {
 		t.Fatalf("two operators: %s / %s", first, second)
 	}
-	u.holds(7, all...)
+	u.awaitVersion(7, all...)
 
 	// All that vote are killed and started again.
 	for i := range 3 {
@@ -328,71 +330,71 @@
 	for i := range 3 {
 		u.gateways[i].start()
 	}
-	u.holds(7, all...)
-	want(2, 8)
-	u.holds(8, all...)
+	u.awaitVersion(7, all...)
+	applyVersion(2, 8)
+	u.awaitVersion(8, all...)
 
 	// A voter that lost its disk comes back as another gateway, and votes once it is let.
 	u.gateways[1].kill()
 	must(os.RemoveAll(filepath.Join(u.dir, "ledger1")))
 	u.gateways[1].start()
-	u.holds(8, 1)
-	u.await("two vote", func() bool { return strings.Count(u.said(0, "fleet", "status"), "true") == 2 })
-	u.said(0, "fleet", "voters", "--add", "n1")
-	u.await("three vote", func() bool { return strings.Contains(u.said(1, "fleet", "status"), "votes; n") })
+	u.awaitVersion(8, 1)
+	u.await("two vote", func() bool { return strings.Count(u.command(0, "fleet", "status"), "true") == 2 })
+	u.command(0, "fleet", "voters", "--add", "n1")
+	u.await("three vote", func() bool { return strings.Contains(u.command(1, "fleet", "status"), "votes; n") })
 
 	// A voter that hears all and is heard by none: the others go on without it, another one leads if it did.
 	for i := range all {
-		u.wire.Block(2, i, true)
+		u.network.Block(2, i, true)
 	}
-	u.await("version 9 is agreed on", func() bool { return strings.Contains(u.apply(3, moves(9)), "version 9 is agreed on") })
-	u.holds(9, 0, 1, 3, 4)
+	u.await("version 9 is agreed on", func() bool { return strings.Contains(u.apply(3, conflictingChange(9)), "version 9 is agreed on") })
+	u.awaitVersion(9, 0, 1, 3, 4)
 	for i := range all {
-		u.wire.Block(2, i, false)
+		u.network.Block(2, i, false)
 	}
-	u.holds(9, all...)
-	u.wire.SetFaults(0, 0, 0)
-	l.end(t)
+	u.awaitVersion(9, all...)
+	u.network.SetFaults(0, 0, 0)
+	l.finish(t)
 	u.await("one history", func() bool { // once the log has reached all that vote
-		history := u.said(0, "config", "history")
-		return history == u.said(1, "config", "history") && history == u.said(2, "config", "history")
+		history := u.command(0, "config", "history")
+		return history == u.command(1, "config", "history") && history == u.command(2, "config", "history")
 	})
 }
 
 // What one gateway's health speaks against, or an operator undoes, is undone by all: its former text is the next version.
-func TestWorseVersionIsUndoneByAll(t *testing.T) {
-	u := newUnion(t, 3, 1)
-	l := u.load()
-	defer l.end(t)
+func TestWorseVersionIsUndoneByAllGateways(t *testing.T) {
+	u := newAgreementFleet(t, 3, 1)
+	l := u.startReads()
+	defer l.finish(t)
 	for i := range u.gateways { // each has a time before that it judges by
-		u.await("health is known", func() bool { return strings.Contains(u.said(i, "config", "status"), "spread") })
+		u.await("health is known", func() bool { return strings.Contains(u.command(i, "config", "status"), "spread") })
 	}
 	if said := u.apply(1, "watch = \"20s\"\nroute \"bad\" {\n  types = [\"any\"]\n  expiry = \"1ms\"\n}\n"); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(2, 0, 1, 2)
-	history := u.said(0, "config", "history")
+	u.awaitVersion(2, 0, 1, 2)
+	history := u.command(0, "config", "history")
 	if !strings.Contains(history, "gateway n") || !strings.Contains(history, "health worsened") {
 		t.Fatal(history)
 	}
-	if said := u.apply(2, "watch = \"1m\"\n"+moves(3)); !strings.Contains(said, "version 3 is agreed on") {
+	if said := u.apply(2, "watch = \"1m\"\n"+conflictingChange(3)); !strings.Contains(said, "version 3 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(3, 0, 1, 2)
-	u.said(1, "config", "undo")
-	u.holds(4, 0, 1, 2)
-	if history := u.said(0, "config", "history"); !strings.Contains(history, "by hand") {
+	u.awaitVersion(3, 0, 1, 2)
+	u.command(1, "config", "undo")
+	u.awaitVersion(4, 0, 1, 2)
+	if history := u.command(0, "config", "history"); !strings.Contains(history, "by hand") {
 		t.Fatal(history)
 	}
-	if said := u.said(0, "config", "restore", "3"); !strings.Contains(said, "version 5 is agreed on, with the text of version 3") {
+	if said := u.command(0, "config", "restore", "3"); !strings.Contains(said, "version 5 is agreed on, with the text of version 3") {
 		t.Fatal(said)
 	}
-	u.holds(5, 0, 1, 2)
+	u.awaitVersion(5, 0, 1, 2)
 }
 
 // What the agreement costs a txn: processor time of one gateway, which votes, without it, with it, and with a route that
 // rules the txns. Run by hand: -bench Agreed -benchtime 1x.
-func BenchmarkAgreed(b *testing.B) {
+func BenchmarkAgreement(b *testing.B) {
 	for _, name := range []string{"off", "on", "ruled"} {
 		b.Run(name, func(b *testing.B) {
 			var f *fleet
@@ -401,14 +403,14 @@
 				f = newFleet(1, "", members...)
 				defer f.stop()
 			} else {
-				u := newUnion(b, 1, 1)
+				u := newAgreementFleet(b, 1, 1)
 				if f = u.fleet; name == "ruled" {
-					u.apply(0, moves(1))
-					u.holds(1, 0)
+					u.apply(0, conflictingChange(1))
+					u.awaitVersion(1, 0)
 				}
 			}
 			p := f.gateways[0]
-			began, txns := spentBy(p), 0
+			began, txns := cpuTime(p), 0
 			for b.Loop() {
 				var wg sync.WaitGroup
 				for i := range 8 {
@@ -427,13 +429,13 @@
 				wg.Wait()
 				txns += 8 * 3000
 			}
-			b.ReportMetric(float64((spentBy(p)-began).Microseconds())/float64(txns), "cpu-us/txn")
+			b.ReportMetric(float64((cpuTime(p)-began).Microseconds())/float64(txns), "cpu-us/txn")
 		})
 	}
 }
 
 // spentBy is a process's processor time so far, in steps of 10 ms.
-func spentBy(p *process) time.Duration {
+func cpuTime(p *process) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	must(err)
 	_, after, _ := strings.Cut(string(text), ") ")
@@ -446,31 +448,33 @@
 
 // A version that contradicts nothing goes to the gateway that was asked, to a share, to all, each watching it; one that is
 // not well with who tries it is dropped, and nobody else has it.
-func TestVersionBySteps(t *testing.T) {
-	u := newUnionOf(t, 3, 1, strings.Replace(agreeing, "folder ", "share   = 0.5\n  folder ", 1))
-	l := u.load()
-	defer l.end(t)
+func TestVersionRollsOutInSteps(t *testing.T) {
+	u := newAgreementFleetWith(t, 3, 1, strings.Replace(agreementOperatorFile, "folder ", "share   = 0.5\n  folder ", 1))
+	l := u.startReads()
+	defer l.finish(t)
 	route := func(retries, watch string) string {
 		return "watch = \"" + watch + "\"\nroute \"tuned\" {\n  types = [\"any\"]\n  retries = " + retries + "\n}\n"
 	}
 	for i := range u.gateways {
-		u.await("health is known", func() bool { return strings.Contains(u.said(i, "config", "status"), "spread") })
+		u.await("health is known", func() bool { return strings.Contains(u.command(i, "config", "status"), "spread") })
 	}
 	if said := u.apply(0, route("0.1", "0s")); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2)
+	u.awaitVersion(1, 0, 1, 2)
 	if said := u.apply(1, route("0.2", "1m")); !strings.Contains(said, "version 2 is agreed on") {
 		t.Fatal(said)
 	}
-	u.await("its asker tries it", func() bool { return strings.Contains(u.said(1, "fleet", "status"), "here too") })
-	if said := u.said(0, "fleet", "status"); !strings.Contains(said, "step 1 of 2 tries version 2") || !strings.Contains(said, "elsewhere") {
+	u.await("its asker tries it", func() bool { return strings.Contains(u.command(1, "fleet", "status"), "here too") })
+	if said := u.command(0, "fleet", "status"); !strings.Contains(said, "step 1 of 2 tries version 2") || !strings.Contains(said, "elsewhere") {
 		t.Fatal(said)
 	}
-	u.said(1, "config", "undo")
-	u.await("it is dropped", func() bool { return strings.Contains(u.said(0, "config", "history"), "dropped: gateway n1: by hand") })
+	u.command(1, "config", "undo")
+	u.await("it is dropped", func() bool {
+		return strings.Contains(u.command(0, "config", "history"), "dropped: gateway n1: by hand")
+	})
 	if said := u.apply(2, route("0.3", "2s")); !strings.Contains(said, "version 3 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(3, 0, 1, 2)
+	u.awaitVersion(3, 0, 1, 2)
 }
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	envRate = "MAGPIEGLADE_TEST_RATE"
-	envDisk = "MAGPIEGLADE_TEST_DISK"
+	clockRateVariable = "MAGPIEGLADE_TEST_RATE"
+	diskDelayVariable = "MAGPIEGLADE_TEST_DISK"
 )
 
 // skewed is a gateway in a process of its own, as an embedder runs one, whose clock runs at another rate and whose disk
 // takes its time: neither can be had of the machine without privileges.
-func skewed() {
-	rate, err := strconv.ParseFloat(os.Getenv(envRate), 64)
+func runSkewedGateway() {
+	rate, err := strconv.ParseFloat(os.Getenv(clockRateVariable), 64)
 	must(err)
-	slow, err := time.ParseDuration(os.Getenv(envDisk))
+	diskDelay, err := time.ParseDuration(os.Getenv(diskDelayVariable))
 	must(err)
 	c, err := gateway.FromEnvironment()
 	must(err)
@@ -38,8 +38,8 @@
 	f.Apply(&c)
 	began := time.Now()
 	c.Elapsed = func() time.Duration { return time.Duration(float64(time.Since(began)) * rate) }
-	if slow > 0 {
-		c.Agreement.FileSystem = &slowDisk{FileSystem: store.System(), most: slow}
+	if diskDelay > 0 {
+		c.Agreement.FileSystem = &slowDisk{FileSystem: store.System(), maxDelay: diskDelay}
 	}
 	g, err := gateway.New(c)
 	must(err)
@@ -53,12 +53,12 @@
 // slowDisk is the operating system's, but what is to be on it takes up to a time by chance.
 type slowDisk struct {
 	store.FileSystem
-	most time.Duration
+	maxDelay time.Duration
 }
 
 type slowFile struct {
 	store.File
-	d *slowDisk
+	disk *slowDisk
 }
 
 func (d *slowDisk) Create(path string) (store.File, error) {
@@ -67,69 +67,69 @@
 }
 
 func (f slowFile) Sync() error {
-	time.Sleep(time.Duration(rand.Int64N(int64(f.d.most))))
+	time.Sleep(time.Duration(rand.Int64N(int64(f.disk.maxDelay))))
 	return f.File.Sync()
 }
 
 // Five processes whose clocks run up to 1.6% apart, which is what clock_error allows for, three of them with disks
 // that take up to 300 ms: one after another is cut off while it serves and a change that contradicts is agreed on. None
 // acts on the former version past the stated time, the one whose clock runs slowest neither, and all come to hold the last.
-func TestAgreedWithClocksApart(t *testing.T) {
+func TestAgreementWithClockSkew(t *testing.T) {
 	t.Parallel() // it waits for events nearly all of its time
 	rates := []float64{1.008, 0.992, 1, 1.004, 0.992}
-	u := newUnlikeUnion(t, 5, 3, agreeing, func(p *process) {
+	u := newSkewedAgreementFleet(t, 5, 3, agreementOperatorFile, func(p *process) {
 		p.rate = rates[p.no]
 		if p.no < 3 {
 			p.slow = 300 * time.Millisecond
 		}
 	})
-	l := u.load()
+	l := u.startReads()
 	all := []int{0, 1, 2, 3, 4}
 	longest := time.Duration(0)
 	change := func(no, from int) {
 		t.Helper()
 		u.await(fmt.Sprintf("version %d is agreed on", no), func() bool {
-			return strings.Contains(u.apply(from, moves(no)), fmt.Sprintf("version %d is agreed on", no))
+			return strings.Contains(u.apply(from, conflictingChange(no)), fmt.Sprintf("version %d is agreed on", no))
 		})
 	}
 	change(1, 4)
-	u.holds(1, all...)
-	for i, away := range []int{4, 3, 1} { // slow, quick, a slow one that votes
+	u.awaitVersion(1, all...)
+	for i, isolated := range []int{4, 3, 1} { // slow, quick, a slow one that votes
 		no := i + 2
 		c := u.front.NewClient(fmt.Sprintf("%08x", 0xcb00+i), standin.TxnTypes{Read: "any", Write: "keyed"})
-		if a := c.Read(away); a.Code != "" || a.Err != nil {
+		if a := c.Read(isolated); a.Code != "" || a.Err != nil {
 			t.Fatal(a)
 		}
 		last, ended := time.Now(), make(chan struct{})
-		u.wire.Isolate(away, true)
+		u.network.Isolate(isolated, true)
 		go func() {
 			defer close(ended)
-			for a := c.Read(away); a.Code == "" && a.Err == nil; a = c.Read(away) {
+			for a := c.Read(isolated); a.Code == "" && a.Err == nil; a = c.Read(isolated) {
 				last = time.Now()
 			}
 		}()
-		change(no, (away+1)%5)
+		change(no, (isolated+1)%5)
 		agreed := time.Now()
 		<-ended
 		longest = max(longest, last.Sub(agreed))
 		others := []int{}
 		for _, x := range all {
-			if x != away {
+			if x != isolated {
 				others = append(others, x)
 			}
 		}
-		u.holds(no, others...)
-		u.wire.Isolate(away, false)
-		u.holds(no, all...)
+		u.awaitVersion(no, others...)
+		u.network.Isolate(isolated, false)
+		u.awaitVersion(no, all...)
 		c.Close()
 	}
 	t.Logf("acted on a former version for %v at the most, 3s are stated", max(0, longest))
 	if longest > 3*time.Second {
 		t.Fatal("acted on a former version for ", longest)
 	}
-	l.end(t)
+	l.finish(t)
 	u.await("one history", func() bool {
-		history := u.said(0, "config", "history")
-		return history == u.said(1, "config", "history") && history == u.said(2, "config", "history")
+		history := u.command(0, "config", "history")
+		return history == u.command(1, "config", "history") && history == u.command(2, "config", "history")
 	})
 }
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -246,7 +246,7 @@
 	}
 	cs.g.outcomes.clientsClosed[c.reason]++
 	cs.held -= c.held
-	cs.leaves(c)
+	cs.releaseConnection(c)
 	cs.leaveStage(c)
 	if !c.counted {
 		cs.turnedAway--
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -27,14 +27,14 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Known    *httpwire.List  `json:"known"`    // the list as last held
-	Settings json.RawMessage `json:"settings"` // what the module reads, and a few names that the sockets need
+	KnownHosts *httpwire.List  `json:"known"`    // the list as last held
+	Settings   json.RawMessage `json:"settings"` // what the module reads, and a few names that the sockets need
 
 	// What the operator's own file says, see deploy/; the platform does not know it.
 	Log          *slog.Logger                                `json:"-"` // nil is the default
 	Sessions     *fleet.SessionConfig                        `json:"-"`
 	Change       *Change                                     `json:"-"` // applied at the start, and kept at once unless another was kept before
-	Changes      *ChangeFolder                               `json:"-"` // nil where changes do not outlive the process
+	Changes      *ChangeStore                                `json:"-"` // nil where changes do not outlive the process
 	Agreement    *fleet.Config                               `json:"-"` // nil where gateways agree on nothing
 	Coordination *fleet.CoordinationConfig                   `json:"-"` // what many gateways choose together; nil where each does for itself
 	Parse        func(text []byte) (*routes.Document, error) `json:"-"` // of a version that was agreed on
@@ -52,7 +52,7 @@
 // before it.
 func FromFile() (Config, error) { return fromEnvironment(false) }
 
-func fromEnvironment(starts bool) (c Config, err error) {
+func fromEnvironment(atStart bool) (c Config, err error) {
 	path := os.Getenv("EDGE_CONFIG")
 	if path == "" {
 		return c, errors.New("EDGE_CONFIG is not set")
@@ -71,7 +71,7 @@
 		name  string
 		to    *netip.AddrPort
 		reads bool
-	}{{"EDGE_LISTEN", &c.Listen, true}, {"EDGE_DISCOVERY", &c.Discovery, starts && !c.Discovery.IsValid()}} {
+	}{{"EDGE_LISTEN", &c.Listen, true}, {"EDGE_DISCOVERY", &c.Discovery, atStart && !c.Discovery.IsValid()}} {
 		if text := os.Getenv(v.name); text != "" && v.reads {
 			if *v.to, err = netip.ParseAddrPort(text); err != nil {
 				return c, fmt.Errorf("%s: %w", v.name, err)
@@ -96,7 +96,7 @@
 }
 
 // names is what the sockets need of the settings: names that stand for the module's numbers.
-type names struct {
+type platformSettings struct {
 	Classes []struct {
 		Name      string
 		HardLimit float64 `json:"hardLimitMs"`
@@ -122,39 +122,39 @@
 }
 
 // check names the first value that is lacking or wrong.
-func (c *Config) check() (seed uint64, n names, err error) {
-	lacking := func(name string) (uint64, names, error) {
+func (c *Config) validate() (seed uint64, n platformSettings, err error) {
+	invalid := func(name string) (uint64, platformSettings, error) {
 		return 0, n, fmt.Errorf("configuration: %s is lacking or out of range", name)
 	}
 	if !c.Listen.IsValid() || !c.Listen.Addr().Is4() {
-		return lacking("listen")
+		return invalid("listen")
 	}
 	if !c.Discovery.IsValid() || c.Discovery.Port() == 0 {
-		return lacking("discovery")
+		return invalid("discovery")
 	}
 	if seed, err = strconv.ParseUint(c.Seed, 16, 64); err != nil {
-		return lacking("seed")
+		return invalid("seed")
 	}
 	if c.Limits.MemoryMB < 32 {
-		return lacking("limits.memory_mb")
+		return invalid("limits.memory_mb")
 	}
 	if c.Limits.Sockets < 2*reserve {
-		return lacking("limits.sockets")
+		return invalid("limits.sockets")
 	}
 	if len(c.Settings) == 0 {
-		return lacking("settings")
+		return invalid("settings")
 	}
 	if err := json.Unmarshal(c.Settings, &n); err != nil {
 		return 0, n, fmt.Errorf("configuration: settings: %w", err)
 	}
 	if n.Limits.ConnectTimeoutMs <= 0 {
-		return lacking("settings.limits.connectTimeoutMs")
+		return invalid("settings.limits.connectTimeoutMs")
 	}
 	if n.Limits.KeepaliveMs <= 0 {
-		return lacking("settings.limits.keepaliveMs")
+		return invalid("settings.limits.keepaliveMs")
 	}
 	if len(n.FamilyInfo.Consistency) != len(n.Classes) {
-		return lacking("settings.familyInfo.consistency")
+		return invalid("settings.familyInfo.consistency")
 	}
 	if c.Coordination != nil {
 		if c.Agreement == nil {
@@ -165,7 +165,7 @@
 		}
 	}
 	if c.ClockError < 0 {
-		return lacking("clock_error")
+		return invalid("clock_error")
 	}
 	if c.Sessions != nil {
 		if c.Sessions.Session.DynamicMembership = c.Agreement != nil; c.Agreement != nil {
@@ -198,7 +198,7 @@
 
 // forModule gives the settings with positions counted from the clock's zero, as this gateway tells them to the
 // module, and with limits.peers as the operator has it: what the platform allows is not yet wished for.
-func forModule(settings json.RawMessage, peers bool) ([]byte, error) {
+func moduleSettings(settings json.RawMessage, peers bool) ([]byte, error) {
 	var all, family, limits map[string]json.RawMessage
 	if err := json.Unmarshal(settings, &all); err != nil {
 		return nil, fmt.Errorf("configuration: settings: %w", err)
--- a/gateway/control_test.go
+++ b/gateway/control_test.go
@@ -10,7 +10,7 @@
 )
 
 // command runs one of the program's own and gives what it says.
-func command(args ...string) string {
+func runProgram(args ...string) string {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	text := strings.TrimSpace(string(out))
 	if err != nil {
@@ -35,44 +35,44 @@
 	good := file("good.hcl", "route \"all\" {\n  expiry = \"700ms\"\n}\n")
 	next := file("next.hcl", "route \"all\" {\n  expiry = \"600ms\"\n}\n")
 	bad := file("bad.hcl", "route \"r\" {\n  types = [\"none\"]\n}\n")
-	say := func(args ...string) {
-		said := command(append(append([]string{"config"}, args...), "--control", socket)...)
+	runConfig := func(args ...string) {
+		said := runProgram(append(append([]string{"config"}, args...), "--control", socket)...)
 		for _, line := range strings.Split(strings.ReplaceAll(said, f.dir+"/", ""), "\n") {
 			fmt.Println(strings.TrimSpace(line))
 		}
 	}
-	settled := func(part string) {
-		until(func() bool { return strings.Contains(command("config", "status", "--control", socket), part) })
+	awaitStatus := func(part string) {
+		until(func() bool { return strings.Contains(runProgram("config", "status", "--control", socket), part) })
 	}
 	info, err := os.Stat(socket)
 	fmt.Println(info.Mode().Perm(), err)
-	say("status")
-	say("apply", bad)
-	say("apply", good, "--watch", "0s", "--wait")
-	say("apply", next, "--watch", "1h")
-	settled("watched: generation 2 in force, 1 kept")
+	runConfig("status")
+	runConfig("apply", bad)
+	runConfig("apply", good, "--watch", "0s", "--wait")
+	runConfig("apply", next, "--watch", "1h")
+	awaitStatus("watched: generation 2 in force, 1 kept")
 	p.kill()
 	p.start()
 	p.logged("generation=1 crashes=0")
-	settled("settled: generation 1 in force, 1 kept")
-	say("apply", next)
-	say("apply", next, "--again", "--watch", "1h")
-	settled("watched: generation 3 in force, 1 kept")
-	say("undo")
-	settled("settled: generation 1 in force, 1 kept")
-	say("undo")
-	say("diff", good)
-	say("diff", next)
-	say("apply", next, "--again", "--watch", "1h")
-	settled("watched: generation 4")
-	say("keep")
-	settled("settled: generation 4 in force, 4 kept")
-	say("history")
+	awaitStatus("settled: generation 1 in force, 1 kept")
+	runConfig("apply", next)
+	runConfig("apply", next, "--again", "--watch", "1h")
+	awaitStatus("watched: generation 3 in force, 1 kept")
+	runConfig("undo")
+	awaitStatus("settled: generation 1 in force, 1 kept")
+	runConfig("undo")
+	runConfig("diff", good)
+	runConfig("diff", next)
+	runConfig("apply", next, "--again", "--watch", "1h")
+	awaitStatus("watched: generation 4")
+	runConfig("keep")
+	awaitStatus("settled: generation 4 in force, 4 kept")
+	runConfig("history")
 	p.kill()
 	must(os.WriteFile(filepath.Join(f.dir, "ledger0", "kept.json"), []byte("00000000\n{}"), 0o600))
 	p.start()
 	p.logged("kept changes are not read")
-	settled("settled: generation 0 in force, 0 kept")
+	awaitStatus("settled: generation 0 in force, 0 kept")
 	// Output:
 	// -rw------- <nil>
 	// settled: generation 0 in force, 0 kept; health not known yet
@@ -113,7 +113,7 @@
 		path := filepath.Join(f.dir, "change.hcl")
 		must(os.WriteFile(path, fmt.Appendf(nil, "route \"all\" {\n  expiry = \"%dms\"\n}\n", 500+i), 0o600))
 		done := make(chan string, 1)
-		go func() { done <- command("config", "apply", path, "--watch", "0s", "--control", socket) }()
+		go func() { done <- runProgram("config", "apply", path, "--watch", "0s", "--control", socket) }()
 		time.Sleep(time.Duration(i) * time.Millisecond) // whenever that is
 		p.kill()
 		<-done
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -26,7 +26,7 @@
 
 func newCoordinated(g *Gateway) (x *coordinated, err error) {
 	x = &coordinated{g: g, names: map[uint64]string{}, probes: map[uint64]decide.Result{}, primary: map[int]uint64{}}
-	x.c, err = fleet.NewCoordination(g.agreed.f, g.config.Coordination, x, g.seed)
+	x.c, err = fleet.NewCoordination(g.agreed.fleet, g.config.Coordination, x, g.seed)
 	return x, err
 }
 
@@ -61,7 +61,7 @@
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
 		h := hosts[name]
 		x.names[h.mark] = name
-		if x.g.generations.health(&h.entry) != "active" {
+		if x.g.generations.memberHealth(&h.entry) != "active" {
 			continue
 		}
 		primary := h.entry.Mode == "read-write" || x.primary[h.entry.Block] == h.mark
--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -13,19 +13,19 @@
 )
 
 // chosen is what a gateway says of what the fleet chooses together, and of members' names.
-func (u *union) chosen(gateway int) (v hosted.CoordinationView, names map[uint64]string) {
+func (u *agreementFleet) chosen(gateway int) (v hosted.CoordinationView, names map[uint64]string) {
 	var r struct {
 		Chosen *hosted.CoordinationView
 		Names  map[uint64]string
 	}
-	if err := json.Unmarshal([]byte(u.said(gateway, "fleet", "subsets", "--json")), &r); err != nil || r.Chosen == nil {
+	if err := json.Unmarshal([]byte(u.command(gateway, "fleet", "subsets", "--json")), &r); err != nil || r.Chosen == nil {
 		return v, nil
 	}
 	return *r.Chosen, r.Names
 }
 
 // holders are the gateways that a member has, by what all gateways say that they have.
-func (u *union) holders(gateways ...int) map[string]int {
+func (u *agreementFleet) holders(gateways ...int) map[string]int {
 	all := map[string]int{}
 	for _, i := range gateways {
 		v, names := u.chosen(i)
@@ -44,10 +44,10 @@
 func TestSubsetsOfMembers(t *testing.T) {
 	t.Parallel() // it waits for events nearly all of its time
 	g, members := group(0, 8)
-	operator := agreeing + "coordination {\n  subset      = 4\n  connections = 1\n  away        = 0\n}\n"
-	u := newUnionBefore(t, 8, 3, operator, nil, g, members)
+	operator := agreementOperatorFile + "coordination {\n  subset      = 4\n  connections = 1\n  away        = 0\n}\n"
+	u := newAgreementFleetForGroup(t, 8, 3, operator, nil, g, members)
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	l := u.load()
+	l := u.startReads()
 	settled := func(gateways ...int) {
 		t.Helper()
 		u.await("each member has its gateways", func() bool {
@@ -124,7 +124,7 @@
 	g, members := group(0, 4)
 	hole := freePort("tcp4", "127.0.0.4") // nobody listens there
 	var own *standin.List
-	u := newUnionBefore(t, 5, 3, agreeing+"coordination {}\n", func(p *process) {
+	u := newAgreementFleetForGroup(t, 5, 3, agreementOperatorFile+"coordination {}\n", func(p *process) {
 		if p.no == 3 {
 			var hosts []standin.Host
 			for _, m := range members {
@@ -136,7 +136,7 @@
 		}
 	}, g, members)
 	defer own.Close()
-	l := u.load()
+	l := u.startReads()
 	for _, m := range members { // so many at a time that each is used: of idle ones the quickest gets nearly all
 		m.SetDelay(5 * time.Millisecond)
 	}
@@ -171,7 +171,7 @@
 		u.await("all know that one is ill", func() bool { return seen(i, members[3].Name).Summary.UnhealthyReports >= 1 })
 	}
 	t.Logf("all know of it after %v", time.Since(began).Round(10*time.Millisecond))
-	if said := u.said(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
+	if said := u.command(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
 		t.Fatal(said)
 	}
 	must(members[3].Start())
@@ -188,7 +188,7 @@
 	t.Parallel() // it waits for events nearly all of its time
 	calls := func(block string) int {
 		g, members := group(0, 2)
-		u := newUnionBefore(t, 6, 3, agreeing+block, nil, g, members)
+		u := newAgreementFleetForGroup(t, 6, 3, agreementOperatorFile+block, nil, g, members)
 		u.list.AwaitDeliveredTo(6)
 		u.list.SetDown(true)
 		for _, p := range u.gateways {
@@ -211,18 +211,18 @@
 }
 
 // endRough ends it where members fail under txns, which may be rolled back or late then, but never without an answer.
-func (l *load) endRough(t testing.TB) {
+func (l *backgroundReads) endRough(t testing.TB) {
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
-	t.Logf("%d served, %d declined, %d without an answer, others %v", l.served.Load(), l.declined.Load(), l.others.Load(), l.wrong)
+	t.Logf("%d served, %d declined, %d without an answer, others %v", l.served.Load(), l.rejected.Load(), l.unanswered.Load(), l.unexpected)
 	if l.served.Load() == 0 {
 		t.Fatal("nothing is served")
 	}
 }
 
 // each are all gateways.
-func (u *union) each() (all []int) {
+func (u *agreementFleet) each() (all []int) {
 	for i := range u.gateways {
 		all = append(all, i)
 	}
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -305,7 +305,7 @@
 
 // start tells the module the list as last held.
 func (ds *discovery) start() {
-	l := ds.g.config.Known
+	l := ds.g.config.KnownHosts
 	if l == nil {
 		l = &httpwire.List{}
 	}
@@ -362,7 +362,7 @@
 
 func (ds *discovery) tellHost(e httpwire.Host) {
 	status := decide.Ready
-	switch ds.g.generations.health(&e) {
+	switch ds.g.generations.memberHealth(&e) {
 	case "active":
 	case "leaving":
 		status = decide.Draining
--- a/gateway/disk_test.go
+++ b/gateway/disk_test.go
@@ -22,18 +22,18 @@
 // itself once there is room. Nobody answers a client wrongly meanwhile.
 func TestAgreedWithFullDisks(t *testing.T) {
 	t.Parallel() // it waits for events nearly all of its time
-	u := newUnion(t, 5, 3)
-	l := u.load()
+	u := newAgreementFleet(t, 5, 3)
+	l := u.startReads()
 	all := []int{0, 1, 2, 3, 4}
 	agreed := func(gateway, version int) {
 		t.Helper()
 		u.await(fmt.Sprintf("version %d is agreed on", version), func() bool {
-			said := u.apply(gateway, moves(version))
+			said := u.apply(gateway, conflictingChange(version))
 			return strings.Contains(said, fmt.Sprintf("version %d is agreed on", version))
 		})
 	}
 	agreed(4, 1)
-	u.holds(1, all...)
+	u.awaitVersion(1, all...)
 	at := u.leader(0, 1, 2)
 	follows := (at + 1) % 3
 	u.gateways[follows].full(true)
@@ -44,15 +44,15 @@
 			others = append(others, i)
 		}
 	}
-	u.holds(2, others...)
+	u.awaitVersion(2, others...)
 	u.gateways[follows].logged("the log is not kept")
 	u.gateways[follows].full(false)
-	u.holds(2, follows)
+	u.awaitVersion(2, follows)
 
 	u.gateways[at].full(true)
-	said := u.apply(4, moves(3)) // by the one that leads it can't be, nor is it known whether another will
+	said := u.apply(4, conflictingChange(3)) // by the one that leads it can't be, nor is it known whether another will
 	u.await("another one leads", func() bool { return u.leader(follows, 3-at-follows) != at })
-	if !strings.Contains(said, "version 3 is agreed on") && !strings.Contains(u.said(follows, "config", "history"), "\n3 ") {
+	if !strings.Contains(said, "version 3 is agreed on") && !strings.Contains(u.command(follows, "config", "history"), "\n3 ") {
 		agreed(4, 3)
 	}
 	others = others[:0]
@@ -61,14 +61,14 @@
 			others = append(others, i)
 		}
 	}
-	u.holds(3, others...)
+	u.awaitVersion(3, others...)
 	u.gateways[at].full(false)
-	u.holds(3, all...)
+	u.awaitVersion(3, all...)
 
 	for i := range 2 {
 		u.gateways[i].full(true)
 	}
-	if said := u.apply(4, moves(4)); strings.Contains(said, "is agreed on") {
+	if said := u.apply(4, conflictingChange(4)); strings.Contains(said, "is agreed on") {
 		t.Fatal("two of three that vote keep nothing: ", said)
 	}
 	for i := range 2 {
@@ -80,16 +80,16 @@
 		held := map[int]int{}
 		for _, i := range all {
 			version := 0
-			said := u.said(i, "fleet", "status")
+			said := u.command(i, "fleet", "status")
 			_, after, _ := strings.Cut(said, "routes: version ")
 			if n, _ := fmt.Sscanf(after, "%d", &version); n == 1 && !strings.Contains(said, "next version") && strings.Contains(said, "may act") {
 				held[version]++
 			}
 		}
 		if held[3] == len(all) {
-			u.apply(4, moves(4))
+			u.apply(4, conflictingChange(4))
 		}
 		return len(held) == 1 && held[3] == 0 && held[0] == 0
 	})
-	l.end(t)
+	l.finish(t)
 }
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -141,7 +141,7 @@
 	p.cmd = exec.Command(program, args...)
 	if p.rate != 0 {
 		p.cmd = exec.Command(os.Args[0])
-		p.extra = []string{fmt.Sprintf("%s=%g", envRate, p.rate), fmt.Sprintf("%s=%v", envDisk, p.slow), "EDGE_OPERATOR=" + p.operatorFile}
+		p.extra = []string{fmt.Sprintf("%s=%g", clockRateVariable, p.rate), fmt.Sprintf("%s=%v", diskDelayVariable, p.slow), "EDGE_OPERATOR=" + p.operatorFile}
 	}
 	p.cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+p.configFileName), p.extra...)
 	pipe, err := p.cmd.StderrPipe()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,7 +38,7 @@
 type Gateway struct {
 	gnet.BuiltinEventEngine
 	config    Config
-	names     names
+	names     platformSettings
 	log       *slog.Logger
 	least     *slog.LevelVar // that is logged, by the generation in force
 	module    *decide.Gateway
@@ -74,7 +74,7 @@
 	generations *generations
 	sessions    *fleet.Sessions  // nil where the operator says nothing of them
 	quotas      *fleet.Quotas    // bounds of the fleet, nil where gateways agree on nothing
-	agreed      *agreed          // nil where gateways agree on nothing
+	agreed      *fleetAgreement  // nil where gateways agree on nothing
 	reserved    *reserved        // nil where gateways agree on nothing
 	coordinated *coordinated     // nil where each gateway chooses for itself
 	link        *fleet.Datagrams // the address for other gateways, nil where there are none
@@ -95,11 +95,11 @@
 
 // New checks the configuration and prepares a gateway; Run starts it.
 func New(c Config) (*Gateway, error) {
-	seed, n, err := c.check()
+	seed, n, err := c.validate()
 	if err != nil {
 		return nil, err
 	}
-	settings, err := forModule(c.Settings, c.Sessions != nil && c.Sessions.SharePositions || c.Coordination != nil && c.Coordination.Signals)
+	settings, err := moduleSettings(c.Settings, c.Sessions != nil && c.Sessions.SharePositions || c.Coordination != nil && c.Coordination.Signals)
 	if err != nil {
 		return nil, err
 	}
@@ -109,12 +109,12 @@
 	}
 	g := &Gateway{config: c, names: n, module: module, clock: newClock(c.Elapsed), started: make(chan struct{}), loopEnded: make(chan struct{}),
 		byID: map[uint64]slots.Ref{}, least: new(slog.LevelVar), outcomes: newOutcomes()}
-	g.least.Set(everything)
+	g.least.Set(levelAll)
 	g.seed = seed
 	if g.network = c.Network; g.network == nil {
 		g.network = SystemNetwork{}
 	}
-	g.log = slog.New(levelled{cmp.Or(c.Log, slog.Default()).Handler(), g.least}).With("gateway", c.Name)
+	g.log = slog.New(levelHandler{cmp.Or(c.Log, slog.Default()).Handler(), g.least}).With("gateway", c.Name)
 	g.members = members{g: g, pools: map[decide.Server]*pool{}}
 	g.clients.keys = map[uint32]slots.Ref{}
 	g.clients.g, g.discovery.g, g.discovery.leave = g, g, map[decide.Server]bool{}
@@ -148,27 +148,27 @@
 	}
 	if g.config.Agreement != nil {
 		var err error
-		if g.agreed, err = openAgreed(g, g.seed); err != nil {
+		if g.agreed, err = openFleetAgreement(g, g.seed); err != nil {
 			return err
 		}
 		longest := 0.0
 		for _, c := range g.names.Classes {
 			longest = max(longest, c.HardLimit)
 		}
-		if g.quotas, err = fleet.NewQuotas(g.agreed.f, int64(decide.Millis(longest))); err != nil {
-			return errors.Join(err, g.agreed.f.Close())
+		if g.quotas, err = fleet.NewQuotas(g.agreed.fleet, int64(decide.Millis(longest))); err != nil {
+			return errors.Join(err, g.agreed.fleet.Close())
 		}
 		g.reserved = &reserved{g: g, books: map[agreement.Digest]*contracts.Book{}, reading: map[agreement.Digest]bool{}}
 		if err := g.reserved.opens(); err != nil {
-			return errors.Join(err, g.agreed.f.Close())
+			return errors.Join(err, g.agreed.fleet.Close())
 		}
 		if g.config.Coordination != nil {
 			if g.coordinated, err = newCoordinated(g); err != nil {
-				return errors.Join(err, g.agreed.f.Close())
+				return errors.Join(err, g.agreed.fleet.Close())
 			}
 		}
 		defer func() {
-			if err := g.agreed.f.Close(); err != nil {
+			if err := g.agreed.fleet.Close(); err != nil {
 				g.log.Info("the log of the agreement is not closed in order", "why", err)
 			}
 		}()
@@ -176,7 +176,7 @@
 	if g.sessions != nil {
 		var agreed *fleet.Fleet
 		if g.agreed != nil {
-			agreed = g.agreed.f
+			agreed = g.agreed.fleet
 		}
 		if err := g.sessions.Open(g.link, agreed); err != nil {
 			return fmt.Errorf("sessions: %w", err)
@@ -214,7 +214,7 @@
 		switch {
 		case peerwire.IsSealed(d.Data):
 			if g.agreed != nil {
-				g.agreed.f.Receive(d)
+				g.agreed.fleet.Receive(d)
 			}
 		case g.sessions != nil && g.sessions.HasPeers():
 			g.sessions.Receive(d.Data)
@@ -225,7 +225,7 @@
 // Reload puts a new configuration in force as far as that goes without a restart: where discovery is. It may
 // be called at any time, and waits until Run has begun. Nothing changes where a value is lacking or wrong.
 func (g *Gateway) Reload(c Config) error {
-	if _, _, err := c.check(); err != nil {
+	if _, _, err := c.validate(); err != nil {
 		return err
 	}
 	<-g.started
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -32,8 +32,8 @@
 var program string
 
 func TestMain(m *testing.M) {
-	if os.Getenv(envRate) != "" {
-		skewed()
+	if os.Getenv(clockRateVariable) != "" {
+		runSkewedGateway()
 	}
 	dir, err := os.MkdirTemp("", "magpieglade")
 	must(err)
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -20,58 +20,58 @@
 type generations struct {
 	g       *Gateway
 	module  *rollout.Rollout
-	next    rollout.Generation
+	lastNo  rollout.Generation
 	inForce *generation
-	told    *generation                        // one that the fleet agreed on and that is not in force: both bind; nil is none
+	pending *generation                        // one that the fleet agreed on and that is not in force: both bind; nil is none
 	saving  bool                               // the module's decisions wait until what it said is on the disk
-	all     map[rollout.Generation]*generation // in force, kept, staged, or with txns under way
+	byNo    map[rollout.Generation]*generation // in force, kept, staged, or with txns under way
 }
 
 // generation is one configuration. A txn is bound to the one that it arrived under, for good.
 type generation struct {
-	no       rollout.Generation
-	document *routes.Document
-	text     []byte
-	digest   uint64
-	table    *routes.Table // nil for generation 0: all is as the platform says
-	shares   *routes.Shares
-	retries  *routes.RetryBudgets
-	txns     int
-	version  uint64          // that the fleet gave it, 0 for none
-	watch    int64           // for which that one is watched
-	fleet    []*fleetBounds  // by tenant; nil for one whose bounds are each gateway's own
-	barred   map[string]bool // members that it excludes or drains
+	no             rollout.Generation
+	document       *routes.Document
+	text           []byte
+	digest         uint64
+	table          *routes.Table // nil for generation 0: all is as the platform says
+	shares         *routes.Shares
+	retryBudgets   *routes.RetryBudgets
+	openTxns       int
+	fleetVersion   uint64          // that the fleet gave it, 0 for none
+	watchDuration  int64           // for which that one is watched
+	fleetLimits    []*fleetBounds  // by tenant; nil for one whose bounds are each gateway's own
+	blockedMembers map[string]bool // members that it excludes or drains
 }
 
 func newGenerations(g *Gateway) *generations {
 	zero := &generation{}
 	return &generations{g: g, module: rollout.New(rollout.State{}), inForce: zero,
-		all: map[rollout.Generation]*generation{0: zero}}
+		byNo: map[rollout.Generation]*generation{0: zero}}
 }
 
 // start applies what the operator's file says at the start. What is wrong with it leaves all as the platform says.
-func (gs *generations) start(c *Change) {
+func (gs *generations) applyStartConfig(c *Change) {
 	if gs.g.agreed != nil {
 		if c != nil {
 			gs.g.log.Info("routes and limits are what the fleet agrees on: those of the operator's file wait for config apply")
 		}
 		return
 	}
-	watch, before := int64(0), uint64(0)
+	watchDuration, keptDigest := int64(0), uint64(0)
 	if gs.g.config.Changes != nil {
-		if before = gs.recall(); before != 0 && c != nil {
-			watch = c.Watch // it is not the first: it is watched like any
+		if keptDigest = gs.restoreKept(); keptDigest != 0 && c != nil {
+			watchDuration = c.WatchDuration // it is not the first: it is watched like any
 		}
 	}
-	if c == nil || before != 0 && c.Digest == before {
+	if c == nil || keptDigest != 0 && c.Digest == keptDigest {
 		return
 	}
 	gs.module.Clock(int64(gs.g.clock.now()))
 	first := *c
-	first.Watch = watch
-	x, findings, err := compiled(first, gs.world())
+	first.WatchDuration = watchDuration
+	x, findings, err := compileChange(first, gs.environment())
 	if err == nil {
-		_, err = gs.propose(x, first)
+		_, err = gs.stage(x, first)
 	}
 	for _, f := range findings {
 		gs.g.log.Warn("operator's file", "finding", f.Error())
@@ -83,23 +83,23 @@
 
 // Change is a new configuration of routes, tenants and members by hand.
 type Change struct {
-	Document *routes.Document // nil is all as the platform says
-	Digest   uint64           // the same for the same text
-	Text     []byte           // that says the same, for Config.Changes
-	Watch    int64            // nanoseconds in which it is undone if health worsens; 0 keeps it at once
-	Again    bool             // also if it was undone before
-	Alone    bool             // for this gateway, which is refused where the fleet agrees on changes
-	Who, Why string           // where the fleet agrees on changes: who wants it and what for
+	Document       *routes.Document // nil is all as the platform says
+	Digest         uint64           // the same for the same text
+	Text           []byte           // that says the same, for Config.Changes
+	WatchDuration  int64            // nanoseconds in which it is undone if health worsens; 0 keeps it at once
+	Reapply        bool             // also if it was undone before
+	LocalOnly      bool             // for this gateway, which is refused where the fleet agrees on changes
+	Author, Reason string           // where the fleet agrees on changes: who wants it and what for
 }
 
 // Apply checks a change and stages it; it is applied, watched, and kept or undone by what Status tells later. Findings
 // that are warnings do not refuse it. It may be called at any time from any goroutine, and waits until Run has begun.
 func (g *Gateway) Apply(ctx context.Context, c Change) (no rollout.Generation, findings []routes.Finding, err error) {
-	var w *routes.Environment
-	if err = g.inLoop(ctx, func() error { w = g.generations.world(); return nil }); err != nil {
+	var environment *routes.Environment
+	if err = g.inLoop(ctx, func() error { environment = g.generations.environment(); return nil }); err != nil {
 		return 0, nil, err
 	}
-	x, findings, err := compiled(c, w) // beside the loop: a large document takes long
+	x, findings, err := compileChange(c, environment) // beside the loop: a large document takes long
 	if err != nil {
 		return 0, findings, err
 	}
@@ -107,14 +107,14 @@
 		return 0, findings, errors.New("a tenant's bounds are of the fleet (fleet = true), and this gateway agrees on nothing with others: its operator's file has no block agreement")
 	}
 	if g.agreed != nil {
-		if c.Alone {
+		if c.LocalOnly {
 			return 0, findings, errors.New("the gateways of a fleet act on one version: nothing is applied at one alone")
 		}
-		o, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return g.agreed.propose(c) })
+		o, err := g.proposeAndWait(ctx, func() (agreement.Proposal, []byte, error) { return g.agreed.versionProposal(c) })
 		return rollout.Generation(o.Version), findings, err
 	}
 	err = g.inLoop(ctx, func() error {
-		no, err = g.generations.propose(x, c)
+		no, err = g.generations.stage(x, c)
 		return err
 	})
 	return no, findings, err
@@ -173,47 +173,47 @@
 }
 
 // world is what a document is checked against now.
-func (gs *generations) world() *routes.Environment {
+func (gs *generations) environment() *routes.Environment {
 	g := gs.g
-	w := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.all}
+	environment := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.all}
 	for i := range g.names.Classes {
 		c := &g.names.Classes[i]
-		w.Types = append(w.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.PromiseMs)), Effect: c.Effect,
+		environment.Types = append(environment.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.PromiseMs)), Effect: c.Effect,
 			Need: g.names.FamilyInfo.Consistency[i], Window: int64(decide.Millis(c.Window))})
 	}
 	for _, h := range g.discovery.list.hosts {
 		primary, known := g.module.Primary(h.entry.Block)
-		w.Groups[h.entry.Block] = append(w.Groups[h.entry.Block], routes.Host{Name: h.entry.Host, Zone: h.entry.Site,
+		environment.Groups[h.entry.Block] = append(environment.Groups[h.entry.Block], routes.Host{Name: h.entry.Host, Zone: h.entry.Site,
 			Draining: h.entry.Health != "active", Primary: known && primary == h.server})
 	}
-	return w
+	return environment
 }
 
 // compiled is a change that has passed the checks.
-func compiled(c Change, w *routes.Environment) (x *generation, findings []routes.Finding, err error) {
-	x = &generation{document: c.Document, text: c.Text, digest: c.Digest, barred: barredBy(c.Document)}
+func compileChange(c Change, environment *routes.Environment) (compiled *generation, findings []routes.Finding, err error) {
+	compiled = &generation{document: c.Document, text: c.Text, digest: c.Digest, blockedMembers: blockedBy(c.Document)}
 	if c.Document != nil {
-		if x.table, findings = routes.Compile(c.Document, w); x.table == nil {
+		if compiled.table, findings = routes.Compile(c.Document, environment); compiled.table == nil {
 			return nil, findings, fmt.Errorf("the change is refused, the former configuration stays")
 		}
 	}
-	return x, findings, nil
+	return compiled, findings, nil
 }
 
 // propose stages a change.
-func (gs *generations) propose(x *generation, c Change) (rollout.Generation, error) {
-	x.no = gs.next + 1
-	p := rollout.Change{Generation: x.no, Digest: c.Digest, WatchDuration: c.Watch, Reapply: c.Again}
-	if err := gs.module.Propose(p); err != nil {
+func (gs *generations) stage(x *generation, c Change) (rollout.Generation, error) {
+	x.no = gs.lastNo + 1
+	change := rollout.Change{Generation: x.no, Digest: c.Digest, WatchDuration: c.WatchDuration, Reapply: c.Reapply}
+	if err := gs.module.Propose(change); err != nil {
 		return 0, err
 	}
-	gs.next = x.no
-	gs.all[x.no] = x
+	gs.lastNo = x.no
+	gs.byNo[x.no] = x
 	return x.no, nil
 }
 
 // carryOut does what the module decides until there is nothing left.
-func (gs *generations) carryOut() {
+func (gs *generations) processDecisions() {
 	gs.module.Clock(int64(gs.g.clock.now()))
 	for !gs.saving {
 		d, ok := gs.module.Next()
@@ -223,19 +223,19 @@
 		switch d.Kind {
 		case rollout.Undo:
 			if gs.g.agreed != nil { // all undo it, or none
-				gs.g.agreed.undo(gs.inForce)
+				gs.g.agreed.proposeUndo(gs.inForce)
 				continue
 			}
-			gs.enter(gs.all[d.Generation])
+			gs.activate(gs.byNo[d.Generation])
 		case rollout.Apply:
-			gs.enter(gs.all[d.Generation])
+			gs.activate(gs.byNo[d.Generation])
 		case rollout.Save:
-			gs.save()
+			gs.saveState()
 		case rollout.Keep:
 			if gs.g.agreed != nil {
-				gs.g.agreed.kept(gs.all[d.Generation])
+				gs.g.agreed.reportHealthy(gs.byNo[d.Generation])
 			}
-			gs.forget()
+			gs.dropUnused()
 		case rollout.Wake:
 			gs.g.deadlines.Add(int64(gs.g.clock.now())+d.After, due{kind: dueWake})
 		case rollout.Log:
@@ -246,41 +246,41 @@
 
 // enter puts a generation in force, for all that arrives from now on, at this one point of the loop. What is under
 // way counts against the shares of its tenants, by name, whatever generation began it.
-func (gs *generations) enter(x *generation) {
+func (gs *generations) activate(x *generation) {
 	now := int64(gs.g.clock.now())
-	before := gs.bars()
+	blockedBefore := gs.blockedMembers()
 	gs.inForce = x
 	if x.table != nil {
-		if x != gs.told {
+		if x != gs.pending {
 			x.shares = routes.NewShares(x.table, now)
 		}
-		x.retries = routes.NewRetryBudgets(x.table)
+		x.retryBudgets = routes.NewRetryBudgets(x.table)
 		for _, ref := range gs.g.txns.Refs() {
-			if t := gs.g.txns.Get(ref); t.counted && x == gs.told {
+			if t := gs.g.txns.Get(ref); t.counted && x == gs.pending {
 				t.shares, t.tenant, t.also = t.also, t.alsoTenant, nil
 			} else if t.counted {
-				gs.carry(x, t)
+				gs.carryOver(x, t)
 			}
 		}
 	}
-	if x == gs.told {
-		gs.told = nil
+	if x == gs.pending {
+		gs.pending = nil
 	}
 	gs.rebound()
-	gs.g.clients.recount(x)
-	gs.listed(before)
-	gs.forget()
-	gs.g.least.Set(levelOf(x.document))
+	gs.g.clients.recountConnections(x)
+	gs.reportBlockChanges(blockedBefore)
+	gs.dropUnused()
+	gs.g.least.Set(minLogLevel(x.document))
 }
 
 // tell has another generation bind beside the one in force: what it takes away is taken at once, what it gives waits
 // until it is in force. nil ends that.
-func (gs *generations) tell(x *generation) {
-	if x == gs.told {
+func (gs *generations) setPending(x *generation) {
+	if x == gs.pending {
 		return
 	}
-	before := gs.bars()
-	gs.told = x
+	blockedBefore := gs.blockedMembers()
+	gs.pending = x
 	if x != nil && x.table != nil {
 		x.shares = routes.NewShares(x.table, int64(gs.g.clock.now()))
 	}
@@ -293,7 +293,7 @@
 		}
 	}
 	gs.rebound()
-	gs.listed(before)
+	gs.reportBlockChanges(blockedBefore)
 }
 
 // tenantIn is a txn's tenant in another table, by its name; below 0 is none.
@@ -306,74 +306,74 @@
 }
 
 // carry counts a txn of another generation against the tenant of its name, if there is one.
-func (gs *generations) carry(x *generation, t *txn) {
+func (gs *generations) carryOver(x *generation, t *txn) {
 	t.shares, t.tenant = x.shares, gs.tenantIn(x, t)
 	x.shares.CarryOver(t.tenant, int64(t.size))
 }
 
 // bars are the members that get nothing new by what is in force, or by what comes next.
-func (gs *generations) bars() map[string]bool {
-	if gs.told == nil {
-		return gs.inForce.barred
+func (gs *generations) blockedMembers() map[string]bool {
+	if gs.pending == nil {
+		return gs.inForce.blockedMembers
 	}
-	all := maps.Clone(gs.inForce.barred)
-	if all == nil {
-		all = map[string]bool{}
+	blocked := maps.Clone(gs.inForce.blockedMembers)
+	if blocked == nil {
+		blocked = map[string]bool{}
 	}
-	maps.Copy(all, gs.told.barred)
-	return all
+	maps.Copy(blocked, gs.pending.blockedMembers)
+	return blocked
 }
 
 // listed tells the module of members whose bar has changed. A drain of the list's goes before any table.
-func (gs *generations) listed(before map[string]bool) {
-	told, after := false, gs.bars()
+func (gs *generations) reportBlockChanges(blockedBefore map[string]bool) {
+	changed, blockedAfter := false, gs.blockedMembers()
 	for _, h := range gs.g.discovery.list.hosts {
-		if before[h.entry.Host] != after[h.entry.Host] {
+		if blockedBefore[h.entry.Host] != blockedAfter[h.entry.Host] {
 			gs.g.discovery.tellHost(h.entry)
-			told = true
+			changed = true
 		}
 	}
-	if told {
+	if changed {
 		gs.g.module.EndMemberList(decide.Delta)
 	}
 }
 
 // health is what the list says of a host, or the generation in force does.
-func (gs *generations) health(e *httpwire.Host) string {
-	if e.Health == "active" && (gs.inForce.barred[e.Host] || gs.told != nil && gs.told.barred[e.Host]) {
+func (gs *generations) memberHealth(e *httpwire.Host) string {
+	if e.Health == "active" && (gs.inForce.blockedMembers[e.Host] || gs.pending != nil && gs.pending.blockedMembers[e.Host]) {
 		return "leaving"
 	}
 	return e.Health
 }
 
 // forget drops generations that nothing needs any more.
-func (gs *generations) forget() {
+func (gs *generations) dropUnused() {
 	s := gs.module.Status()
-	for no, x := range gs.all {
-		if x.txns == 0 && x != gs.inForce && no != s.Kept && no != s.Staged && no != s.InForce {
-			delete(gs.all, no)
+	for no, x := range gs.byNo {
+		if x.openTxns == 0 && x != gs.inForce && no != s.Kept && no != s.Staged && no != s.InForce {
+			delete(gs.byNo, no)
 		}
 	}
 }
 
 // arrive binds a txn to the generation in force. why is why it is refused, with when to come back.
-func (gs *generations) arrive(t *txn, x *routes.Txn) (why routes.RejectReason, after int64) {
+func (gs *generations) admit(t *txn, request *routes.Txn) (reason routes.RejectReason, retryAfter int64) {
 	t.generation = gs.inForce
-	t.route = routes.Match{Route: -1, Type: int32(x.Type), Tenant: -1}
+	t.route = routes.Match{Route: -1, Type: int32(request.Type), Tenant: -1}
 	if t.generation.table != nil {
-		t.route = t.generation.table.Lookup(x)
+		t.route = t.generation.table.Lookup(request)
 	}
 	if gs.g.agreed != nil {
-		if why, after = gs.g.agreed.may(t, x, t.comment.Group); why != routes.Allowed {
-			return why, after
+		if reason, retryAfter = gs.g.agreed.checkLease(t, request, t.comment.Group); reason != routes.Allowed {
+			return reason, retryAfter
 		}
 	}
 	now := int64(gs.g.clock.now())
-	if gs.told != nil && gs.told.table != nil {
-		if why, after = gs.told.shares.CanBegin(t.alsoTenant, int64(t.size), now); why != routes.Allowed {
-			return why, after
+	if gs.pending != nil && gs.pending.table != nil {
+		if reason, retryAfter = gs.pending.shares.CanBegin(t.alsoTenant, int64(t.size), now); reason != routes.Allowed {
+			return reason, retryAfter
 		}
-		t.also = gs.told.shares
+		t.also = gs.pending.shares
 	}
 	if t.generation.table == nil {
 		return routes.Allowed, 0
@@ -381,8 +381,8 @@
 	if !t.generation.table.AllowsGroup(t.route.Route, t.comment.Group) {
 		return routes.WrongGroup, 0
 	}
-	if why, after = t.generation.shares.CanBegin(t.route.Tenant, int64(t.size), now); why != routes.Allowed {
-		return why, after
+	if reason, retryAfter = t.generation.shares.CanBegin(t.route.Tenant, int64(t.size), now); reason != routes.Allowed {
+		return reason, retryAfter
 	}
 	t.shares, t.tenant = t.generation.shares, t.route.Tenant
 	return routes.Allowed, 0
@@ -390,7 +390,7 @@
 
 // begin counts a txn that arrive allowed; end takes it back, once.
 func (gs *generations) begin(t *txn) {
-	t.generation.txns++
+	t.generation.openTxns++
 	t.counted = true
 	if t.shares != nil {
 		t.shares.Begin(t.tenant, int64(t.size), int64(gs.g.clock.now()))
@@ -413,57 +413,57 @@
 		t.also.End(t.alsoTenant, int64(t.size))
 	}
 	gs.endOfFleet(t)
-	if t.generation.txns--; t.generation.txns == 0 && t.generation != gs.inForce {
-		gs.forget()
+	if t.generation.openTxns--; t.generation.openTxns == 0 && t.generation != gs.inForce {
+		gs.dropUnused()
 	}
 }
 
 // bind tells the module what a txn's route says of it, once it has arrived.
-func (gs *generations) bind(t *txn) {
+func (gs *generations) restrictReads(t *txn) {
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return
 	}
-	if aim := t.generation.table.Routes[t.route.Route].TargetLatency; t.route.Zones != 0 || aim > 0 {
-		gs.g.module.RestrictReads(t.id, t.route.Zones, cmp.Or(decide.Nanos(aim), decide.Millis(gs.g.names.Classes[t.class].PromiseMs)))
+	if target := t.generation.table.Routes[t.route.Route].TargetLatency; t.route.Zones != 0 || target > 0 {
+		gs.g.module.RestrictReads(t.id, t.route.Zones, cmp.Or(decide.Nanos(target), decide.Millis(gs.g.names.Classes[t.class].PromiseMs)))
 	}
 }
 
 // aimOf is a txn's SLA time: the txn type's, or its route's if that is shorter.
-func (gs *generations) aimOf(t *txn) decide.Nanos {
-	aim := decide.Millis(gs.g.names.Classes[t.class].PromiseMs)
+func (gs *generations) targetLatency(t *txn) decide.Nanos {
+	target := decide.Millis(gs.g.names.Classes[t.class].PromiseMs)
 	if t.generation != nil && t.generation.table != nil && t.route.Route >= 0 {
-		if own := t.generation.table.Routes[t.route.Route].TargetLatency; own > 0 {
-			aim = min(aim, decide.Nanos(own))
+		if routeTarget := t.generation.table.Routes[t.route.Route].TargetLatency; routeTarget > 0 {
+			target = min(target, decide.Nanos(routeTarget))
 		}
 	}
-	return aim
+	return target
 }
 
 // served tells of a txn's end for the health of its route.
-func (gs *generations) served(t *txn, committed bool) {
-	c := &gs.g.names.Classes[t.class]
-	got := 0.0
-	if took := gs.g.clock.now() - t.arrived; committed && took <= gs.aimOf(t) {
-		got = c.Worth
+func (gs *generations) recordOutcome(t *txn, committed bool) {
+	class := &gs.g.names.Classes[t.class]
+	servedValue := 0.0
+	if latency := gs.g.clock.now() - t.arrived; committed && latency <= gs.targetLatency(t) {
+		servedValue = class.Worth
 	} else if committed {
-		got = c.Worth * c.LateValue
+		servedValue = class.Worth * class.LateValue
 	}
 	route := int32(-1)
 	if t.generation == gs.inForce {
 		route = t.route.Route
 	}
-	gs.module.RecordTxn(route, c.Worth, got)
+	gs.module.RecordTxn(route, class.Worth, servedValue)
 }
 
 // mayRepeat tells whether a repeatable txn may be sent once more, by its route's budget.
-func (gs *generations) mayRepeat(t *txn, no int) bool {
+func (gs *generations) allowAttempt(t *txn, attempt int) bool {
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return true
 	}
 	now := int64(gs.g.clock.now())
-	if no == 0 {
-		t.generation.retries.RecordFirst(t.route.Route, now)
+	if attempt == 0 {
+		t.generation.retryBudgets.RecordFirst(t.route.Route, now)
 		return true
 	}
-	return gs.g.names.Classes[t.class].Effect != "repeatable" || t.generation.retries.TryRetry(t.route.Route, now)
+	return gs.g.names.Classes[t.class].Effect != "repeatable" || t.generation.retryBudgets.TryRetry(t.route.Route, now)
 }
--- a/gateway/generations_test.go
+++ b/gateway/generations_test.go
@@ -20,9 +20,9 @@
 var bg = context.Background()
 
 // changed applies a document and waits until it is in force.
-func changed(t testing.TB, g *gateway.Gateway, d *routes.Document, watch time.Duration) rollout.Generation {
+func applyAndAwait(t testing.TB, g *gateway.Gateway, d *routes.Document, watch time.Duration) rollout.Generation {
 	t.Helper()
-	no, findings, err := g.Apply(bg, gateway.Change{Document: d, Digest: uint64(time.Now().UnixNano()), Watch: int64(watch)})
+	no, findings, err := g.Apply(bg, gateway.Change{Document: d, Digest: uint64(time.Now().UnixNano()), WatchDuration: int64(watch)})
 	if err != nil {
 		t.Fatal(err, findings)
 	}
@@ -35,22 +35,22 @@
 }
 
 // expiring is a document under which each txn may take so long, which members are told.
-func expiring(after time.Duration) *routes.Document {
+func documentWithExpiry(after time.Duration) *routes.Document {
 	return &routes.Document{Routes: []routes.Route{{Name: "all", Expiry: int64(after), RetryRatio: -1}}}
 }
 
 // Hundreds of changes under load: each txn goes by the generation that was in force when it arrived, whole. A txn that
 // was sent after a change was in force never goes by an older one.
-func TestOneInstant(t *testing.T) {
+func TestTxnRunsUnderOneGeneration(t *testing.T) {
 	g0, members := group(0, 1)
 	address, g, _ := embeddedWith(t, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
 	front := standin.NewClientPool(address)
 	var inForce atomic.Int64 // the least expiry that a txn may still go by, in ms: those in force before and after
 	var wg sync.WaitGroup
 	done := make(chan struct{})
-	var bad, asked atomic.Int64
-	spans := []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond}
-	changed(t, g, expiring(spans[0]), 0)
+	var unserved, requested atomic.Int64
+	expiries := []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, 700 * time.Millisecond}
+	applyAndAwait(t, g, documentWithExpiry(expiries[0]), 0)
 	for i := range 4 {
 		wg.Add(1)
 		go func() {
@@ -64,16 +64,16 @@
 				default:
 				}
 				if a := c.Read(0); a.Code != "" || a.Err != nil {
-					bad.Add(1)
+					unserved.Add(1)
 				}
-				asked.Add(1)
+				requested.Add(1)
 			}
 		}()
 	}
-	at := 0
+	position := 0
 	for k := 1; k <= 200; k++ {
-		span := spans[k%3]
-		changed(t, g, expiring(span), 0)
+		span := expiries[k%3]
+		applyAndAwait(t, g, documentWithExpiry(span), 0)
 		inForce.Store(span.Milliseconds())
 		// What this client sends now arrives under the new one.
 		c := front.NewClient("cafe", classes)
@@ -81,19 +81,19 @@
 		c.Read(0)
 		c.Close()
 		var e standin.Event
-		e, at = g0.AwaitEvent(at, func(e standin.Event) bool { return e.Kind == "read" && e.Code == "cafe" })
+		e, position = g0.AwaitEvent(position, func(e standin.Event) bool { return e.Kind == "read" && e.Code == "cafe" })
 		if e.Timeout > span || e.Timeout < span-100*time.Millisecond {
 			t.Fatalf("change %d: %v, not %v", k, e.Timeout, span)
 		}
 	}
 	close(done)
 	wg.Wait()
-	if bad.Load() > 0 || asked.Load() < 200 {
-		t.Fatalf("%d of %d not served", bad.Load(), asked.Load())
+	if unserved.Load() > 0 || requested.Load() < 200 {
+		t.Fatalf("%d of %d not served", unserved.Load(), requested.Load())
 	}
 	for _, e := range g0.Events() {
 		near := false
-		for _, s := range spans {
+		for _, s := range expiries {
 			near = near || e.Timeout <= s && e.Timeout > s-100*time.Millisecond
 		}
 		if e.Kind == "read" && !near {
@@ -106,7 +106,7 @@
 // connections are given back. Undone, it gets work again; unless the list drains it meanwhile, which goes first.
 func TestRemovalAndUndo(t *testing.T) {
 	g0, members := group(0, 2)
-	out := members[2]
+	removed := members[2]
 	address, g, list := embeddedWith(t, func(c *gateway.Config) {
 		c.Log = slog.New(slog.DiscardHandler) // and reads that are never sent twice, however long their member holds them
 		c.Settings = []byte(strings.NewReplacer(`"name":"once"}]`, `"name":"once"},
@@ -142,31 +142,31 @@
 		}
 		return at
 	}
-	if at := reads(20); at[out.Name] == 0 {
+	if at := reads(20); at[removed.Name] == 0 {
 		t.Fatal("the member gets nothing to begin with", at)
 	}
-	out.SetHung(true)
+	removed.SetHung(true)
 	got := make(chan map[string]int)
 	go func() { got <- reads(20) }()
-	until(func() bool { return out.Busy() > 0 })
-	changed(t, g, &routes.Document{Excluded: []routes.Member{{Name: out.Name}}}, time.Hour)
-	out.SetHung(false)
-	if at := <-got; at[out.Name] == 0 {
+	until(func() bool { return removed.Busy() > 0 })
+	applyAndAwait(t, g, &routes.Document{Excluded: []routes.Member{{Name: removed.Name}}}, time.Hour)
+	removed.SetHung(false)
+	if at := <-got; at[removed.Name] == 0 {
 		t.Fatal("what was in flight did not end where it was", at)
 	}
-	if at := reads(20); at[out.Name] != 0 {
+	if at := reads(20); at[removed.Name] != 0 {
 		t.Fatal("an excluded member gets work", at)
 	}
-	until(func() bool { return out.Connections() == 0 })
+	until(func() bool { return removed.Connections() == 0 })
 	must(g.Undo(bg))
-	if at := reads(40); at[out.Name] == 0 {
+	if at := reads(40); at[removed.Name] == 0 {
 		t.Fatal("it gets nothing after the undo", at)
 	}
-	changed(t, g, &routes.Document{Excluded: []routes.Member{{Name: out.Name}}}, time.Hour)
-	list.SetHosts(members[0].ListEntry("active"), members[1].ListEntry("active"), out.ListEntry("leaving"))
+	applyAndAwait(t, g, &routes.Document{Excluded: []routes.Member{{Name: removed.Name}}}, time.Hour)
+	list.SetHosts(members[0].ListEntry("active"), members[1].ListEntry("active"), removed.ListEntry("leaving"))
 	list.AwaitRead()
 	must(g.Undo(bg))
-	if at := reads(20); at[out.Name] != 0 {
+	if at := reads(20); at[removed.Name] != 0 {
 		t.Fatal("an undo ends a drain of the list's", at)
 	}
 }
@@ -205,7 +205,7 @@
 		must(err)
 		return strings.HasPrefix(s.Health, "health 0.9") || strings.HasPrefix(s.Health, "health 1")
 	})
-	bad := gateway.Change{Document: expiring(2 * time.Millisecond), Digest: 7, Watch: int64(time.Minute)}
+	bad := gateway.Change{Document: documentWithExpiry(2 * time.Millisecond), Digest: 7, WatchDuration: int64(time.Minute)}
 	from := time.Now()
 	_, _, err := g.Apply(bg, bad)
 	must(err)
@@ -228,7 +228,7 @@
 }
 
 // One tenant floods; the other is served as without it, and the flood is told when to come back.
-func TestFlood(t *testing.T) {
+func TestTenantFloodIsIsolated(t *testing.T) {
 	_, members := group(0, 1)
 	for _, m := range members {
 		m.SetDelay(20 * time.Millisecond)
@@ -242,7 +242,7 @@
 	front := standin.NewClientPool(address)
 	calm := front.NewClient("f999", classes)
 	defer calm.Close()
-	ask := func() (ok int, took []time.Duration) {
+	readCalm := func() (ok int, took []time.Duration) {
 		for range 50 {
 			a := calm.Read(0)
 			if a.Code == "" && a.Err == nil {
@@ -253,10 +253,10 @@
 		slices.Sort(took)
 		return ok, took
 	}
-	alone, before := ask()
+	alone, before := readCalm()
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	var refused, served atomic.Int64
+	var rejected, served atomic.Int64
 	for i := range 40 {
 		wg.Add(1)
 		go func() {
@@ -270,7 +270,7 @@
 				default:
 				}
 				if a := c.Read(0); a.Code == "53300" {
-					refused.Add(1)
+					rejected.Add(1)
 					time.Sleep(5 * time.Millisecond)
 				} else if a.Code == "" && a.Err == nil {
 					served.Add(1)
@@ -278,14 +278,14 @@
 			}
 		}()
 	}
-	until(func() bool { return refused.Load() > 0 && served.Load() > 20 })
-	ok, beside := ask()
+	until(func() bool { return rejected.Load() > 0 && served.Load() > 20 })
+	ok, beside := readCalm()
 	close(done)
 	wg.Wait()
 	t.Logf("calm tenant: alone %d of 50, median %v, 9 in 10 by %v; beside the flood %d, %v, %v; of the flood %d served, %d refused", alone,
-		before[25], before[45], ok, beside[25], beside[45], served.Load(), refused.Load())
+		before[25], before[45], ok, beside[25], beside[45], served.Load(), rejected.Load())
 	if ok < 49 { // the first may come before anything has ended
-		t.Fatalf("%d of 50 of the calm tenant are served beside %d of the flood, %d refused", ok, served.Load(), refused.Load())
+		t.Fatalf("%d of 50 of the calm tenant are served beside %d of the flood, %d refused", ok, served.Load(), rejected.Load())
 	}
 }
 
@@ -297,7 +297,7 @@
 	front := standin.NewClientPool(address)
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	var failed, asked atomic.Int64
+	var failed, requested atomic.Int64
 	for i := range 8 {
 		wg.Add(1)
 		go func() {
@@ -310,14 +310,14 @@
 					return
 				default:
 				}
-				asked.Add(1)
+				requested.Add(1)
 				if a := c.Read(0); a.Code != "" || a.Err != nil {
 					failed.Add(1)
 				}
 			}
 		}()
 	}
-	in := func(no rollout.Generation) {
+	awaitInForce := func(no rollout.Generation) {
 		for {
 			if s, err := g.Status(bg); err != nil || s.InForce == no {
 				return
@@ -328,15 +328,15 @@
 	n := 0
 	for b.Loop() {
 		from := time.Now()
-		no, _, err := g.Apply(bg, gateway.Change{Document: expiring(500 * time.Millisecond), Digest: uint64(from.UnixNano()), Watch: int64(time.Hour)})
+		no, _, err := g.Apply(bg, gateway.Change{Document: documentWithExpiry(500 * time.Millisecond), Digest: uint64(from.UnixNano()), WatchDuration: int64(time.Hour)})
 		if err != nil {
 			b.Fatal(err)
 		}
-		in(no)
+		awaitInForce(no)
 		apply += time.Since(from)
 		from = time.Now()
 		must(g.Undo(bg))
-		in(0)
+		awaitInForce(0)
 		undo += time.Since(from)
 		n++
 	}
@@ -344,5 +344,5 @@
 	wg.Wait()
 	b.ReportMetric(float64(apply.Microseconds())/float64(n), "us/apply")
 	b.ReportMetric(float64(undo.Microseconds())/float64(n), "us/undo")
-	b.ReportMetric(float64(failed.Load())/float64(asked.Load()), "not-served")
+	b.ReportMetric(float64(failed.Load())/float64(requested.Load()), "not-served")
 }
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -208,7 +208,7 @@
 		t.Fatal(err)
 	}
 	c := Config{Name: "n", Listen: l.Addr().(*net.TCPAddr).AddrPort(), Seed: "1", Settings: json.RawMessage(heldSettings),
-		Discovery: discovery.at(), Known: &httpwire.List{Seq: 1, Whole: true, Hosts: known}}
+		Discovery: discovery.at(), KnownHosts: &httpwire.List{Seq: 1, Whole: true, Hosts: known}}
 	c.Limits.MemoryMB, c.Limits.Sockets = 128, 256
 	change(&c)
 	_ = l.Close() // nothing else here uses this address
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -17,14 +17,14 @@
 )
 
 // ChangeFolder says where changes outlive the process.
-type ChangeFolder struct {
+type ChangeStore struct {
 	Path  string
 	Parse func(text []byte) (*routes.Document, error) // of a change's text
 }
 
 // keptFile is the one file of the folder: a checksum in hexadecimal, a line's end, and this as JSON. It is replaced as
 // a whole, so that any end of the process leaves the former or the new one.
-type keptFile struct {
+type changeFile struct {
 	Form   int
 	State  rollout.State
 	Next   rollout.Generation // the highest number that was given
@@ -32,27 +32,27 @@
 	Text   []byte             // of the kept change; nil is all as the platform says
 }
 
-const keptForm = 1
+const changeFileFormat = 1
 
-var errKept = errors.New("the file of kept changes is damaged or of another version")
+var errDamagedChangeFile = errors.New("the file of kept changes is damaged or of another version")
 
-func (f *ChangeFolder) file() string { return filepath.Join(f.Path, "kept.json") }
+func (f *ChangeStore) file() string { return filepath.Join(f.Path, "kept.json") }
 
 // read gives what the last run left; nothing at a first start.
-func (f *ChangeFolder) read() (k keptFile, err error) {
+func (f *ChangeStore) load() (k changeFile, err error) {
 	text, err := os.ReadFile(f.file())
 	if errors.Is(err, fs.ErrNotExist) {
-		return keptFile{Form: keptForm}, nil
+		return changeFile{Form: changeFileFormat}, nil
 	}
 	if err != nil {
 		return k, err
 	}
 	sum, body, ok := bytes.Cut(text, []byte("\n"))
 	if !ok || string(sum) != checksum(body) {
-		return k, errKept
+		return k, errDamagedChangeFile
 	}
-	if err := json.Unmarshal(body, &k); err != nil || k.Form != keptForm {
-		return k, errKept
+	if err := json.Unmarshal(body, &k); err != nil || k.Form != changeFileFormat {
+		return k, errDamagedChangeFile
 	}
 	return k, nil
 }
@@ -62,8 +62,8 @@
 }
 
 // write replaces the file; it is on the disk when it returns.
-func (f *ChangeFolder) write(k keptFile) error {
-	k.Form = keptForm
+func (f *ChangeStore) save(k changeFile) error {
+	k.Form = changeFileFormat
 	body, err := json.Marshal(k)
 	if err != nil {
 		return err
@@ -76,9 +76,9 @@
 
 // recall puts the last kept change in force at the start; without one that can be read and still passes the checks all
 // is as the platform says. It gives the digest of what it put in force.
-func (gs *generations) recall() (digest uint64) {
+func (gs *generations) restoreKept() (digest uint64) {
 	f := gs.g.config.Changes
-	k, err := f.read()
+	k, err := f.load()
 	if err != nil {
 		gs.g.log.Error("kept changes are not read, all is as the platform says", "why", err)
 		return 0
@@ -89,45 +89,45 @@
 		if err == nil {
 			kept.document = d
 			var findings []routes.Finding
-			if kept.table, findings = routes.Compile(d, gs.world()); kept.table == nil {
+			if kept.table, findings = routes.Compile(d, gs.environment()); kept.table == nil {
 				err = fmt.Errorf("%v", findings[0])
 			}
 		}
 		if err != nil {
 			gs.g.log.Error("the kept change is not applied, all is as the platform says", "generation", k.State.Kept, "why", err)
 			k.State.Kept = 0
-			kept = gs.all[0]
+			kept = gs.byNo[0]
 		}
 	}
-	kept.barred = barredBy(kept.document)
-	gs.all[kept.no] = kept
-	gs.next = max(k.Next, k.State.Kept)
+	kept.blockedMembers = blockedBy(kept.document)
+	gs.byNo[kept.no] = kept
+	gs.lastNo = max(k.Next, k.State.Kept)
 	gs.module = rollout.New(k.State)
 	gs.module.Clock(int64(gs.g.clock.now()))
-	gs.enter(kept)
+	gs.activate(kept)
 	gs.g.log.Info("kept changes are read", "generation", kept.no, "crashes", k.State.Crashes)
 	return kept.digest
 }
 
 // save writes what a restart needs, beside the loop, which goes on with the module's decisions once it is written.
-func (gs *generations) save() {
+func (gs *generations) saveState() {
 	f := gs.g.config.Changes
 	if f == nil {
 		return
 	}
-	k := keptFile{State: gs.module.State(), Next: gs.next}
-	if kept := gs.all[k.State.Kept]; kept != nil {
+	k := changeFile{State: gs.module.State(), Next: gs.lastNo}
+	if kept := gs.byNo[k.State.Kept]; kept != nil {
 		k.Text, k.Digest = kept.text, kept.digest
 	}
 	gs.saving = true
 	go func() {
-		err := f.write(k)
-		gs.g.post(func() { gs.saved(err) })
+		err := f.save(k)
+		gs.g.post(func() { gs.stateSaved(err) })
 	}()
 }
 
 // saved goes on. A change that a restart would not know of is not left in force.
-func (gs *generations) saved(err error) {
+func (gs *generations) stateSaved(err error) {
 	gs.saving = false
 	if err == nil {
 		return
@@ -137,14 +137,14 @@
 	_ = gs.module.UndoNow()
 }
 
-func barredBy(d *routes.Document) map[string]bool {
-	barred := map[string]bool{}
+func blockedBy(d *routes.Document) map[string]bool {
+	blocked := map[string]bool{}
 	if d != nil {
 		for _, list := range [...][]routes.Member{d.Excluded, d.Drained} {
 			for _, m := range list {
-				barred[m.Name] = true
+				blocked[m.Name] = true
 			}
 		}
 	}
-	return barred
+	return blocked
 }
--- a/gateway/listed_test.go
+++ b/gateway/listed_test.go
@@ -20,7 +20,7 @@
 	other  map[string]int
 }
 
-func (u *union) wander(clients int) *wanderers {
+func (u *agreementFleet) wander(clients int) *wanderers {
 	w := &wanderers{stop: make(chan struct{}), other: map[string]int{}}
 	for i := range clients {
 		w.wg.Add(1)
@@ -70,7 +70,7 @@
 // place, while one is cut off from all that vote and knows of neither; one is taken out that is cut off and serves on; it
 // hears, says that it has ended, and comes back by a start. What clients read is never staler than what they were answered.
 func TestSessionsOnAnAgreedList(t *testing.T) {
-	u := newUnionOf(t, 5, 3, agreeing+"sessions {\n  tokens = \"hints\"\n}\n")
+	u := newAgreementFleetWith(t, 5, 3, agreementOperatorFile+"sessions {\n  tokens = \"hints\"\n}\n")
 	for _, m := range u.members[1:] {
 		m.SetLag(200 * time.Millisecond)
 	}
@@ -78,7 +78,7 @@
 	status := func(gateway int, part string, there bool) {
 		t.Helper()
 		u.await(fmt.Sprintf("gateway %d says %q: %v", gateway, part, there), func() bool {
-			return strings.Contains(u.said(gateway, "fleet", "status"), part) == there
+			return strings.Contains(u.command(gateway, "fleet", "status"), part) == there
 		})
 	}
 	once := func(gateway int, code, value, key string) {
@@ -100,11 +100,11 @@
 	}
 
 	// n3 is cut off from the others, not from its clients. n4 goes for good, and another one comes in its place.
-	u.wire.Isolate(3, true)
+	u.network.Isolate(3, true)
 	u.gateways[4].kill()
-	u.said(0, "fleet", "evict", "n4")
+	u.command(0, "fleet", "evict", "n4")
 	status(0, "n4 at", true) // a ghost: it may serve somebody yet, as far as the others know
-	u.said(0, "fleet", "evict", "n4", "--ended")
+	u.command(0, "fleet", "evict", "n4", "--ended")
 	status(0, "n4 at", false)
 	must(os.RemoveAll(filepath.Join(u.dir, "ledger4")))
 	u.gateways[4].start()
@@ -114,14 +114,14 @@
 	}
 
 	// n3 is taken out, and does not know it: it answers writes, and the others ask it in vain and then the primary.
-	u.said(0, "fleet", "evict", "n3")
+	u.command(0, "fleet", "evict", "n3")
 	status(1, "n3 at", true)
 	once(3, "ab02", "cut off", "y")
 	for i := range u.gateways {
 		reads(i, "ab02", "cut off")
 	}
 	// It hears, answers no session's write any more, and says that it has ended.
-	u.wire.Isolate(3, false)
+	u.network.Isolate(3, false)
 	status(1, "n3 at", false)
 	c := u.front.NewClient("ab03", classes)
 	defer c.Close()
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -156,9 +156,9 @@
 			g.inputs[i] = input{}
 		}
 		g.inputs = g.inputs[:0]
-		g.generations.carryOut()
+		g.generations.processDecisions()
 		if g.agreed != nil {
-			g.agreed.carryOut()
+			g.agreed.processDecisions()
 			g.quotas.ProcessDecisions()
 			g.reserved.carryOut()
 		}
@@ -334,7 +334,7 @@
 		if g.sessions != nil {
 			g.sessions.Started()
 		}
-		g.generations.start(g.config.Change)
+		g.generations.applyStartConfig(g.config.Change)
 		go g.acceptClients()
 		return nil, gnet.None
 	case ownerMember:
--- a/gateway/migration_test.go
+++ b/gateway/migration_test.go
@@ -13,31 +13,31 @@
 // newShape makes the settings of a gateway for a deployment of the new build: servers that answer however old their
 // data are, positions from probes alone, a list whose word on who runs binds nobody, declines without a time, and reads
 // that hold a replica up. Everything else is as in the old.
-var newShape = strings.NewReplacer(`"whenBehind":"await"`, `"whenBehind":"none"`, `"roleInList":"none"`, `"roleInList":"trailing"`,
+var newBuildSettings = strings.NewReplacer(`"whenBehind":"await"`, `"whenBehind":"none"`, `"roleInList":"none"`, `"roleInList":"trailing"`,
 	`"retryAfter":true`, `"retryAfter":false`, `"how":"answers"`, `"how":"probe"`, `"rules":{`, `"rules":{"softRemoval":true,`,
 	`"promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"any"`, `"promiseMs":4000,"hardLimitMs":8000,"worth":1,"name":"any"`)
 
 // tally is what clients of one kind of gateway saw.
-type tally struct{ asked, served, stale, overdue, unanswered int }
+type clientStats struct{ requested, served, stale, overdue, unanswered int }
 
 // sessionsAt has clients write and read, each session at its own gateway, and gives what they saw. They carry the
 // position of their last commit, as the servers tell it.
-func sessionsAt(f *fleet, g *standin.Group, mark string, clients, rounds int, half func()) (all tally) {
+func runSessions(f *fleet, g *standin.Group, prefix string, clients, rounds int, atHalf func()) (stats clientStats) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	for i := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			c := f.front.NewClient(fmt.Sprintf("%s%06d", mark, i), classes)
+			c := f.front.NewClient(fmt.Sprintf("%s%06d", prefix, i), classes)
 			defer c.Close()
 			written := ""
 			for k := range rounds {
 				if i == 0 && k == rounds/2 {
-					half()
+					atHalf()
 				}
 				value := fmt.Sprintf("%06d", k+1)
-				key := fmt.Sprintf("%s-%d-%d", mark, i, k)
+				key := fmt.Sprintf("%s-%d-%d", prefix, i, k)
 				w := c.Write(i%2, key, value)
 				if w.Err == nil && w.Code == "" {
 					e, _ := g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" && e.Key == key })
@@ -46,41 +46,41 @@
 				r := c.Read(i % 2)
 				mu.Lock()
 				for _, a := range []standin.Response{w, r} {
-					all.asked++
+					stats.requested++
 					switch {
 					case a.Err != nil:
-						all.unanswered++
+						stats.unanswered++
 					case a.Code == "":
-						all.served++
+						stats.served++
 					}
 					if a.Latency > c.Timeout+50*time.Millisecond {
-						all.overdue++
+						stats.overdue++
 					}
 				}
 				if w.Err == nil && w.Code == "" {
 					written = value
 				}
 				if r.Err == nil && r.Code == "" && r.Value < written {
-					all.stale++
+					stats.stale++
 				}
 				mu.Unlock()
 			}
 		}()
 	}
 	wg.Wait()
-	return all
+	return stats
 }
 
 // During a move gateways of both shapes stand before the same servers. Each kind must have nine of ten txns served,
 // neither breaks a rule for the other, and what binds one (a list that calls everybody gone) does not stop the other.
-func TestGatewaysOfBothShapes(t *testing.T) {
+func TestOldAndNewBuildTogether(t *testing.T) {
 	g, members := group(20*time.Millisecond, 3)
 	g.ReplicaWait = 20 * time.Millisecond
 	before := newFleet(0, "", members...)
 	before.add(2)
 	defer before.stop()
 	after := newFleet(0, strings.Replace(covered, "key \"1\"", "positions = true\n    key \"1\"", 1), members...)
-	after.settings = newShape.Replace(settings)
+	after.settings = newBuildSettings.Replace(settings)
 	after.add(2)
 	defer after.stop()
 
@@ -90,29 +90,29 @@
 		}
 		return all
 	}
-	kinds := []*fleet{before, after}
-	var told time.Time
-	tallies := make([]tally, 2)
+	fleets := []*fleet{before, after}
+	var drainedAt time.Time
+	stats := make([]clientStats, 2)
 	var wg sync.WaitGroup
-	for i, f := range kinds {
+	for i, f := range fleets {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			tallies[i] = sessionsAt(f, g, [...]string{"aa", "bb"}[i], 8, 30, func() {
+			stats[i] = runSessions(f, g, [...]string{"aa", "bb"}[i], 8, 30, func() {
 				if i == 0 { // r1 drains for both kinds
-					for _, f := range kinds {
+					for _, f := range fleets {
 						f.list.SetHosts(hosts("active", "leaving", "active", "active")...)
 						f.list.AwaitDeliveredTo(2)
 					}
-					told = time.Now()
+					drainedAt = time.Now()
 				}
 			})
 		}()
 	}
 	wg.Wait()
-	for i, s := range tallies {
+	for i, s := range stats {
 		t.Logf("%s shape: %+v", [...]string{"old", "new"}[i], s)
-		if s.served < s.asked*9/10 || s.stale+s.overdue+s.unanswered > 0 {
+		if s.served < s.requested*9/10 || s.stale+s.overdue+s.unanswered > 0 {
 			t.Errorf("kind %d: %+v", i, s)
 		}
 	}
@@ -124,14 +124,14 @@
 			}
 		}
 		// 250 ms of grace, and 50 ms as on sockets everywhere.
-		if e.Member == "r1" && (e.Kind == "read" || e.Kind == "turned away") && e.At.After(told.Add(300*time.Millisecond)) {
-			t.Errorf("%s at a draining member, %v after all were told", e.Kind, e.At.Sub(told))
+		if e.Member == "r1" && (e.Kind == "read" || e.Kind == "turned away") && e.At.After(drainedAt.Add(300*time.Millisecond)) {
+			t.Errorf("%s at a draining member, %v after all were told", e.Kind, e.At.Sub(drainedAt))
 		}
 	}
 
 	// The list calls all gone. In the old shape that binds; in the new one the servers that serve go on to be used, but
 	// for the one that was seen to drain.
-	for _, f := range kinds {
+	for _, f := range fleets {
 		f.list.SetHosts([]standin.Host{}...)
 		f.list.AwaitDeliveredTo(2)
 	}
@@ -165,7 +165,7 @@
 		}
 	}
 	// Back: the list is right again, and the old shape serves as before.
-	for _, f := range kinds {
+	for _, f := range fleets {
 		f.list.SetHosts(hosts("active", "leaving", "active", "active")...)
 		f.list.AwaitDeliveredTo(2)
 	}
@@ -176,11 +176,11 @@
 
 // A gateway that has not heard of a replica believes what another one tells: its first read goes there, and nobody is
 // probed. Without positions it has to probe.
-func TestPositionsAreTold(t *testing.T) {
+func TestPositionsAreShared(t *testing.T) {
 	for _, positions := range []string{"true", "false"} {
 		g, members := group(0, 1)
 		f := newFleet(0, strings.NewReplacer("tokens", "source = \"own\"\n  tokens", "key \"1\"", "positions = "+positions+"\n    key \"1\"").Replace(covered), members...)
-		f.settings = newShape.Replace(settings)
+		f.settings = newBuildSettings.Replace(settings)
 		f.add(2)
 		c := f.front.NewClient("dd000001", classes)
 		c.Write(0, "dd", "v")
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -49,16 +49,16 @@
 		}
 		return at
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
 	until(func() bool { return reads(1)["r2"] == 1 }) // the list has been told; nothing tells when the gateway has read it
 	if at := reads(30); at["r2"] != 30 {
 		t.Fatal("reads leave their pool", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "near", Types: []string{"any"}, Zones: []string{"a"}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "near", Types: []string{"any"}, Zones: []string{"a"}, RetryRatio: -1}}}, 0)
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("reads leave their pool", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
 	hosts[2].Health = "leaving"
 	list.SetHosts(append(hosts, standin.NewGroup(5).NewMember("q", true).ListEntry("active"))...)
 	list.AwaitDelivered()
@@ -66,7 +66,7 @@
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("a pool goes before a drain", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "other", Groups: []int{5}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "other", Groups: []int{5}, RetryRatio: -1}}}, 0)
 	if a := c.Read(0); a.Code == "" {
 		t.Fatal("a route goes to a group that is not of its pool")
 	}
@@ -92,14 +92,14 @@
 		return "served"
 	}
 	got := []string{ask(), ask()}
-	changed(t, g, bound(3, "warn"), 0)
+	applyAndAwait(t, g, bound(3, "warn"), 0)
 	got = append(got, ask(), ask())
-	changed(t, g, bound(2, "warn"), 0)
+	applyAndAwait(t, g, bound(2, "warn"), 0)
 	got = append(got, all[0].Read(0).String(), ask())
 	all[0].Close()
 	all[1].Close()
 	until(func() bool { return ask() == "served" })
-	changed(t, g, bound(100, ""), time.Hour)
+	applyAndAwait(t, g, bound(100, ""), time.Hour)
 	if s := fmt.Sprint(got); s != "[served served served refused served  refused]" {
 		t.Fatal(s)
 	}
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -23,7 +23,7 @@
 	on   []*atomic.Bool // by gateway
 }
 
-func (u *union) flood(clients int) *flood {
+func (u *agreementFleet) flood(clients int) *flood {
 	f := &flood{stop: make(chan struct{})}
 	for i := range u.gateways {
 		f.on = append(f.on, new(atomic.Bool))
@@ -70,7 +70,7 @@
 }
 
 // reads are when the stand-ins served reads, in order.
-func (u *union) reads() (at []time.Time) {
+func (u *agreementFleet) reads() (at []time.Time) {
 	for _, e := range u.group.Events() {
 		if e.Kind == "read" {
 			at = append(at, e.At)
@@ -80,7 +80,7 @@
 }
 
 // within holds what the stand-ins served against a bound: over no span between two reads is it passed.
-func (u *union) within(rate, burst float64) {
+func (u *agreementFleet) within(rate, burst float64) {
 	u.t.Helper()
 	all := u.reads()
 	tokens, worst := burst, -burst
@@ -101,12 +101,12 @@
 // still for twice a lease and wakes under load, while who keeps the book is killed, while all but two are. What the
 // stand-ins did never passes it, and where it is asked for it is used.
 func TestRateOfTheFleet(t *testing.T) {
-	u := newUnion(t, 5, 3)
+	u := newAgreementFleet(t, 5, 3)
 	const rate, burst = 100, 30
 	if said := u.apply(3, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\ntenant \"t\" {\n  fleet = true\n  rate  = %d\n  burst = %d\n}\n", rate, burst)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3, 4)
+	u.awaitVersion(1, 0, 1, 2, 3, 4)
 	f := u.flood(6)
 	used := func(what string, least float64, span time.Duration, gateways ...int) {
 		t.Helper()
@@ -125,7 +125,7 @@
 		at := -1
 		u.awaitFor(3*soon, "somebody keeps the book", func() bool {
 			for i, p := range u.gateways {
-				if p.cmd != nil && strings.Contains(u.said(i, "fleet", "shares"), "not lent") {
+				if p.cmd != nil && strings.Contains(u.command(i, "fleet", "shares"), "not lent") {
 					at = i
 					return true
 				}
@@ -137,7 +137,7 @@
 	used("through one", 0.75, 2*time.Second, 4)
 	used("through all", 0.75, 2*time.Second, 0, 1, 2, 3, 4)
 	k := keeper()
-	if said := u.said(k, "metrics"); !strings.Contains(said, `magpieglade_bound_amount{bound="t, rate"} 100`) || !strings.Contains(said, `magpieglade_bound_lent{bound="t, rate"}`) ||
+	if said := u.command(k, "metrics"); !strings.Contains(said, `magpieglade_bound_amount{bound="t, rate"} 100`) || !strings.Contains(said, `magpieglade_bound_lent{bound="t, rate"}`) ||
 		!strings.Contains(said, "magpieglade_fleet_version_in_force 1") {
 		t.Fatal(said)
 	}
@@ -148,12 +148,12 @@
 		return 3
 	}
 	cut := other(k)
-	u.wire.Isolate(cut, true)
+	u.network.Isolate(cut, true)
 	used("one is cut off", 0.6, 3*time.Second, 0, 1, 2, 3, 4)
-	u.wire.Isolate(cut, false)
+	u.network.Isolate(cut, false)
 	k = keeper()
 	still := other(k)
-	u.gateways[still].halt()
+	u.gateways[still].pause()
 	used("one stands still", 0.6, 4*time.Second, 0, 1, 2, 3, 4)
 	must(u.gateways[still].cmd.Process.Signal(syscall.SIGCONT))
 	used("it goes on", 0.75, time.Second, 0, 1, 2, 3, 4)
@@ -176,7 +176,7 @@
 // at once so many are served at a time at the stand-ins and no more, also while a gateway that holds a part is killed, whose
 // part others have once its lease has run out; so many clients are let in and no more.
 func TestLevelsOfTheFleet(t *testing.T) {
-	u := newUnion(t, 4, 3)
+	u := newAgreementFleet(t, 4, 3)
 	const inFlight, connections, span = 12, 8, 40 * time.Millisecond
 	for _, m := range u.members {
 		m.SetDelay(span)
@@ -185,7 +185,7 @@
 		inFlight, connections)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3)
+	u.awaitVersion(1, 0, 1, 2, 3)
 	f := u.flood(10)
 	rate := func(what string, least float64, gateways ...int) {
 		t.Helper()
@@ -264,12 +264,12 @@
 // A mass restart: of nine gateways seven are killed at once, among them one that votes, and started again at once. The two that
 // are left have the bound to themselves within some seconds, nine share it again, and it is never passed.
 func TestRateThroughAMassRestart(t *testing.T) {
-	u := newUnion(t, 9, 3)
+	u := newAgreementFleet(t, 9, 3)
 	const rate, burst = 120, 40
 	if said := u.apply(5, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\ntenant \"t\" {\n  fleet = true\n  rate  = %d\n  burst = %d\n}\n", rate, burst)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+	u.awaitVersion(1, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	f := u.flood(3)
 	used := func(what string, least float64, gateways ...int) {
 		t.Helper()
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -51,12 +51,12 @@
 		return
 	}
 	var all []quota.Limit
-	for _, x := range []*generation{gs.inForce, gs.told} {
+	for _, x := range []*generation{gs.inForce, gs.pending} {
 		if x == nil {
 			continue
 		}
 		var bounds []quota.Limit
-		x.fleet, bounds = fleetBoundsOf(x.table)
+		x.fleetLimits, bounds = fleetBoundsOf(x.table)
 		for _, b := range bounds {
 			i := slices.IndexFunc(all, func(o quota.Limit) bool { return o.Key == b.Key })
 			if i < 0 {
@@ -84,11 +84,11 @@
 
 // boundsOf are the fleet's bounds that a txn counts against: its tenant's, and that of a version that comes next.
 func (gs *generations) boundsOf(t *txn) (all []*fleetBounds) {
-	if n := t.route.Tenant; n >= 0 && int(n) < len(gs.inForce.fleet) && gs.inForce.fleet[n] != nil && t.generation == gs.inForce {
-		all = append(all, gs.inForce.fleet[n])
+	if n := t.route.Tenant; n >= 0 && int(n) < len(gs.inForce.fleetLimits) && gs.inForce.fleetLimits[n] != nil && t.generation == gs.inForce {
+		all = append(all, gs.inForce.fleetLimits[n])
 	}
-	if gs.told != nil && t.alsoTenant >= 0 && int(t.alsoTenant) < len(gs.told.fleet) {
-		if b := gs.told.fleet[t.alsoTenant]; b != nil && (len(all) == 0 || all[0].tenant != b.tenant) {
+	if gs.pending != nil && t.alsoTenant >= 0 && int(t.alsoTenant) < len(gs.pending.fleetLimits) {
+		if b := gs.pending.fleetLimits[t.alsoTenant]; b != nil && (len(all) == 0 || all[0].tenant != b.tenant) {
 			all = append(all, b)
 		}
 	}
@@ -98,7 +98,7 @@
 // mayOfFleet tells whether a txn may begin by the fleet's bounds; first that an answer is on its way which may let it.
 func (gs *generations) mayOfFleet(t *txn) (why routes.RejectReason, after int64, first bool) {
 	q := gs.g.quotas
-	if q == nil || len(gs.inForce.fleet) == 0 && gs.told == nil {
+	if q == nil || len(gs.inForce.fleetLimits) == 0 && gs.pending == nil {
 		return routes.Allowed, 0, false
 	}
 	t.bounds = gs.boundsOf(t)
@@ -148,10 +148,10 @@
 
 // mayConnect tells whether a client of a tenant may be let in by the fleet's bound, and counts it; first is as above.
 func (gs *generations) mayConnect(c *client, tenant int32) (ok, first bool) {
-	if int(tenant) >= len(gs.inForce.fleet) || gs.inForce.fleet[tenant] == nil || gs.inForce.fleet[tenant].connects == 0 {
+	if int(tenant) >= len(gs.inForce.fleetLimits) || gs.inForce.fleetLimits[tenant] == nil || gs.inForce.fleetLimits[tenant].connects == 0 {
 		return true, false
 	}
-	q, key := gs.g.quotas, gs.inForce.fleet[tenant].connects
+	q, key := gs.g.quotas, gs.inForce.fleetLimits[tenant].connects
 	q.UpdateClock()
 	q.RequestRound()
 	if ok, _, first = q.Module.CanBegin(key, 1); ok {
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -50,7 +50,7 @@
 
 // held takes the books of what this gateway holds; a new one is read beside the loop.
 func (r *reserved) held() {
-	m := r.g.agreed.f.Manifest()
+	m := r.g.agreed.fleet.Manifest()
 	if m.Revision == r.stamp {
 		return
 	}
@@ -85,7 +85,7 @@
 		return
 	}
 	r.reading[d] = true
-	text := r.g.agreed.f.Text(d)
+	text := r.g.agreed.fleet.Text(d)
 	go func() {
 		b, err := contracts.DecodeBook(text)
 		r.g.post(func() {
@@ -247,7 +247,7 @@
 func (r *reserved) fleet() contracts.Fleet {
 	f := contracts.Fleet{}
 	for _, h := range r.g.discovery.list.hosts {
-		if r.g.generations.health(&h.entry) != "active" {
+		if r.g.generations.memberHealth(&h.entry) != "active" {
 			continue
 		}
 		if f[h.entry.Block] == nil {
@@ -286,7 +286,7 @@
 			if v.ProposedAt = w.At; w.ChangesReservations(b) {
 				v.Conflicts = []string{"a reserved share"}
 			}
-			_, err = g.ask(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &v}, text, nil })
+			_, err = g.proposeAndWait(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &v}, text, nil })
 		}
 		if err == nil || !errors.Is(err, errNoBook) && !strings.Contains(err.Error(), "it follows version") {
 			return err
--- a/gateway/reserved_test.go
+++ b/gateway/reserved_test.go
@@ -20,7 +20,7 @@
 	served, declined, anything atomic.Int64
 }
 
-func (u *union) guests(user string, gateway, n int) *guests {
+func (u *agreementFleet) guests(user string, gateway, n int) *guests {
 	g := &guests{stop: make(chan struct{})}
 	for i := range n {
 		g.wg.Add(1)
@@ -61,22 +61,22 @@
 // what the stand-ins served, also after a gateway that does not vote was killed a moment after its last report and all that
 // vote were killed one after another.
 func TestUsageAddsUp(t *testing.T) {
-	u := newUnion(t, 5, 3)
+	u := newAgreementFleet(t, 5, 3)
 	rules := "in_flight = 20\nroute \"tv\" {\n  users  = [\"tv\"]\n  tenant = \"tv\"\n}\ntenant \"tv\" {}\ntenant \"others\" {}\n"
 	if said := u.apply(3, rules); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3, 4)
+	u.awaitVersion(1, 0, 1, 2, 3, 4)
 	path := filepath.Join(u.dir, "now.hcl")
 	must(os.WriteFile(path, []byte(fmt.Sprintf("capacity {\n  group \"0\" {\n    reads = 1000\n    writes = 40\n  }\n}\ncontract \"now\" {\n  tenant = \"tv\"\n  reads = 500\n  in_flight = 12\n  window {\n    zone = \"UTC\"\n    start = %q\n    length = \"2h\"\n  }\n}\n",
 		time.Now().UTC().Add(-30*time.Minute).Format("2006-01-02 15:04"))), 0o600))
 	for _, w := range [][]string{{"capacity", path}, {"draft", path}, {"quote", "now"}, {"book", "now"}} {
-		if said := u.said(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
+		if said := u.command(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
 			t.Fatal(w, said)
 		}
 	}
 	for i := range u.gateways {
-		u.await("room is held", func() bool { return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12") })
+		u.await("room is held", func() bool { return strings.Contains(u.command(i, "contracts", "list"), "held here now: 12") })
 	}
 	reads := len(u.reads())
 	asked, served := int64(0), int64(0)
@@ -98,7 +98,7 @@
 		t.Fatalf("%d were served at the stand-ins, %d were told so", n, served)
 	}
 	stated := func(i int) (got, inTime int64) {
-		for _, line := range strings.Split(u.said(i, "contracts", "statement", "now", "--csv"), "\n") {
+		for _, line := range strings.Split(u.command(i, "contracts", "statement", "now", "--csv"), "\n") {
 			if f := strings.Split(line, ","); len(f) > 6 && f[0] == "now" {
 				var a, b int64
 				_, _ = fmt.Sscan(f[5]+" "+f[6], &a, &b)
@@ -118,15 +118,15 @@
 	}
 	adds("all is counted once", 0, 1, 2)
 	t.Logf("%d asked, %d served, as stated at each that votes", asked, served)
-	if said := u.said(4, "contracts", "usage"); !strings.Contains(said, "this gateway alone") {
+	if said := u.command(4, "contracts", "usage"); !strings.Contains(said, "this gateway alone") {
 		t.Fatal(said)
 	}
 	page := filepath.Join(u.dir, "page.html")
-	u.said(0, "contracts", "statement", "now", "--html", page)
+	u.command(0, "contracts", "statement", "now", "--html", page)
 	if text, err := os.ReadFile(page); err != nil || !strings.Contains(string(text), "<h1>now: what was kept</h1>") {
 		t.Fatal(err, string(text))
 	}
-	if said := u.said(0, "metrics"); !strings.Contains(said, fmt.Sprintf("magpieglade_contract_txns{contract=\"now\",outcome=\"asked\"} %d", asked)) {
+	if said := u.command(0, "metrics"); !strings.Contains(said, fmt.Sprintf("magpieglade_contract_txns{contract=\"now\",outcome=\"asked\"} %d", asked)) {
 		t.Fatal(said)
 	}
 	u.gateways[4].kill()
@@ -144,7 +144,7 @@
 // are killed, and the book is what it was.
 func TestContracts(t *testing.T) {
 	t.Parallel()
-	u := newUnion(t, 5, 3)
+	u := newAgreementFleet(t, 5, 3)
 	all := []int{0, 1, 2, 3, 4}
 	for _, m := range u.members {
 		m.SetDelay(20 * time.Millisecond)
@@ -153,7 +153,7 @@
 	if said := u.apply(3, rules); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, all...)
+	u.awaitVersion(1, all...)
 	start := time.Now().UTC().Add(90 * time.Second).Truncate(time.Minute)
 	path := filepath.Join(u.dir, "peak.hcl")
 	text := "capacity {\n  floor = 0.2\n  group \"0\" {\n    reads  = 100\n    writes = 40\n  }\n}\n"
@@ -162,7 +162,7 @@
 	}
 	must(os.WriteFile(path, []byte(text), 0o600))
 	for _, w := range [][]string{{"capacity", path}, {"draft", path}, {"quote", "final"}, {"quote", "gala"}} {
-		if said := u.said(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
+		if said := u.command(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
 			t.Fatal(w, said)
 		}
 	}
@@ -191,7 +191,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			said[i] = u.said(3+i, "contracts", "book", name)
+			said[i] = u.command(3+i, "contracts", "book", name)
 		}()
 	}
 	wg.Wait()
@@ -200,7 +200,7 @@
 	}
 	for _, i := range all {
 		u.await("room is held at each gateway", func() bool {
-			return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12 in flight for tv")
+			return strings.Contains(u.command(i, "contracts", "list"), "held here now: 12 in flight for tv")
 		})
 	}
 	time.Sleep(300 * time.Millisecond) // what was lent has ended
@@ -214,17 +214,17 @@
 	at := u.leader(0, 1, 2)
 	u.gateways[at].kill()
 	cut := 4
-	u.wire.Isolate(cut, true)
+	u.network.Isolate(cut, true)
 	time.Sleep(4 * time.Second) // past its lease
 	through, _ := served(3, time.Second)
 	t.Logf("through another gateway with the leader killed: %.0f", through)
 	if through < 0.4*alone {
 		t.Fatal(through, alone)
 	}
-	if said := u.said(cut, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
+	if said := u.command(cut, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
 		t.Fatal("a gateway that is cut off holds no room: ", said)
 	}
-	u.wire.Isolate(cut, false)
+	u.network.Isolate(cut, false)
 	for _, f := range flood {
 		f.end()
 	}
@@ -233,13 +233,13 @@
 	// All are killed, and start again.
 	u.awaitFor(2*soon, "all may act", func() bool {
 		for _, i := range all {
-			if !strings.Contains(u.said(i, "fleet", "status"), "may act") {
+			if !strings.Contains(u.command(i, "fleet", "status"), "may act") {
 				return false
 			}
 		}
 		return true
 	})
-	book := u.said(0, "contracts", "history", "final") + u.said(0, "contracts", "history", "gala")
+	book := u.command(0, "contracts", "history", "final") + u.command(0, "contracts", "history", "gala")
 	for _, p := range u.gateways {
 		p.kill()
 	}
@@ -248,7 +248,7 @@
 	}
 	for _, i := range all {
 		u.awaitFor(2*soon, "the book is what it was", func() bool {
-			return u.said(i, "contracts", "history", "final")+u.said(i, "contracts", "history", "gala") == book && strings.Contains(u.said(i, "contracts", "list"), "held here now: 12 in flight for tv")
+			return u.command(i, "contracts", "history", "final")+u.command(i, "contracts", "history", "gala") == book && strings.Contains(u.command(i, "contracts", "list"), "held here now: 12 in flight for tv")
 		})
 	}
 	// A member leaves for good: what can't be kept by the others is told, and stays booked.
@@ -260,7 +260,7 @@
 	for _, p := range u.gateways {
 		p.logged("contracts: at risk")
 	}
-	if said := u.said(1, "contracts", "list"); !strings.Contains(said, "at risk from") || !strings.Contains(said, "group 0 lacks 50 reads a second") {
+	if said := u.command(1, "contracts", "list"); !strings.Contains(said, "at risk from") || !strings.Contains(said, "group 0 lacks 50 reads a second") {
 		t.Fatal(said)
 	}
 	// Cancelled, the room is nobody's.
@@ -268,8 +268,8 @@
 	if strings.Contains(said[1], "is booked") {
 		won = "gala"
 	}
-	u.awaitFor(2*soon, "it is cancelled", func() bool { return strings.Contains(u.said(2, "contracts", "cancel", won), "is cancelled") })
+	u.awaitFor(2*soon, "it is cancelled", func() bool { return strings.Contains(u.command(2, "contracts", "cancel", won), "is cancelled") })
 	for _, i := range all {
-		u.await("no room is held", func() bool { return !strings.Contains(u.said(i, "contracts", "list"), "held here now") })
+		u.await("no room is held", func() bool { return !strings.Contains(u.command(i, "contracts", "list"), "held here now") })
 	}
 }
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -114,7 +114,7 @@
 		g.rollBack(t.id)
 		return
 	}
-	g.generations.bind(t)
+	g.generations.restrictReads(t)
 }
 
 // Refuse declines a read.
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -43,7 +43,7 @@
 }
 
 // leaves takes it back.
-func (cs *clients) leaves(c *client) {
+func (cs *clients) releaseConnection(c *client) {
 	if c.connects != 0 {
 		cs.g.quotas.Module.End(c.connects, 1)
 		c.connects = 0
@@ -56,7 +56,7 @@
 
 // recount counts all clients against the tenants of a generation that comes in force. Who is there stays, also past a
 // new bound.
-func (cs *clients) recount(x *generation) {
+func (cs *clients) recountConnections(x *generation) {
 	for _, ref := range cs.open.Refs() {
 		c := cs.open.Get(ref)
 		if c.connects != 0 {
@@ -69,8 +69,8 @@
 		if n := cs.tenantOf(x, c); n >= 0 {
 			x.shares.AddConnections(n, 1)
 			c.tenant = n + 1
-			if int(n) < len(x.fleet) && x.fleet[n] != nil && x.fleet[n].connects != 0 {
-				c.connects = x.fleet[n].connects
+			if int(n) < len(x.fleetLimits) && x.fleetLimits[n] != nil && x.fleetLimits[n].connects != 0 {
+				c.connects = x.fleetLimits[n].connects
 				cs.g.quotas.Module.AddExisting(c.connects, 1)
 			}
 		}
@@ -78,33 +78,33 @@
 }
 
 // everything is a level below all: what is logged is then for the handler to say.
-const everything = slog.Level(math.MinInt32)
+const levelAll = slog.Level(math.MinInt32)
 
 // levelled is a handler that takes no less than a level, which may change at any time.
-type levelled struct {
+type levelHandler struct {
 	slog.Handler
-	least *slog.LevelVar
+	minLevel *slog.LevelVar
 }
 
 // Enabled is for slog.
-func (l levelled) Enabled(ctx context.Context, at slog.Level) bool {
-	return at >= l.least.Level() && l.Handler.Enabled(ctx, at)
+func (l levelHandler) Enabled(ctx context.Context, at slog.Level) bool {
+	return at >= l.minLevel.Level() && l.Handler.Enabled(ctx, at)
 }
 
 // WithAttrs is for slog.
-func (l levelled) WithAttrs(all []slog.Attr) slog.Handler {
-	return levelled{l.Handler.WithAttrs(all), l.least}
+func (l levelHandler) WithAttrs(all []slog.Attr) slog.Handler {
+	return levelHandler{l.Handler.WithAttrs(all), l.minLevel}
 }
 
 // WithGroup is for slog.
-func (l levelled) WithGroup(name string) slog.Handler {
-	return levelled{l.Handler.WithGroup(name), l.least}
+func (l levelHandler) WithGroup(name string) slog.Handler {
+	return levelHandler{l.Handler.WithGroup(name), l.minLevel}
 }
 
 // levelOf is the least level that a document has logged.
-func levelOf(d *routes.Document) slog.Level {
+func minLogLevel(d *routes.Document) slog.Level {
 	if d == nil || d.LogLevel == "" {
-		return everything
+		return levelAll
 	}
 	var at slog.Level
 	_ = at.UnmarshalText([]byte(d.LogLevel)) // it was checked
--- a/gateway/transcript_test.go
+++ b/gateway/transcript_test.go
@@ -14,7 +14,7 @@
 // What an operator says to a fleet of processes and is told, and what a client gets: read and approved by a person, under
 // testdata. Times, addresses, names of machines and what is left of a lease are made alike. `-update` writes it anew.
 func TestTranscriptOfProcesses(t *testing.T) {
-	u := newUnion(t, 3, 1)
+	u := newAgreementFleet(t, 3, 1)
 	var out strings.Builder
 	alike := []struct {
 		at *regexp.Regexp
@@ -32,7 +32,7 @@
 		fmt.Fprintf(&out, "%s> %s\n%s\n\n", who, what, strings.TrimSpace(said))
 	}
 	say := func(gateway int, args ...string) {
-		tell(fmt.Sprint("n", gateway), strings.Join(args, " "), u.said(gateway, args...))
+		tell(fmt.Sprint("n", gateway), strings.Join(args, " "), u.command(gateway, args...))
 	}
 	apply := func(gateway int, text string) {
 		tell(fmt.Sprint("n", gateway), "config apply:\n"+strings.TrimSpace(text), u.apply(gateway, text))
@@ -44,31 +44,31 @@
 		tell(fmt.Sprint("a client at n", gateway), "a read of type any", strings.TrimSpace(a.String()))
 	}
 	whole := func(n int) {
-		u.await("all are seen", func() bool { return strings.Count(u.said(0, "fleet", "status"), " all") == n })
+		u.await("all are seen", func() bool { return strings.Count(u.command(0, "fleet", "status"), " all") == n })
 	}
 	whole(3)
 	say(0, "fleet", "status")
-	apply(1, moves(1))
-	u.holds(1, 0, 1, 2)
+	apply(1, conflictingChange(1))
+	u.awaitVersion(1, 0, 1, 2)
 	say(2, "config", "history")
 	read(2)
 	apply(2, "route \"moved\" {\n  types = [\"none\"]\n}\n")
-	u.wire.Isolate(2, true)
-	u.await("n2 is careful", func() bool { return strings.Contains(u.said(2, "fleet", "status"), "careful") })
+	u.network.Isolate(2, true)
+	u.await("n2 is careful", func() bool { return strings.Contains(u.command(2, "fleet", "status"), "careful") })
 	say(2, "fleet", "status")
 	read(2)
-	apply(0, moves(2))
-	u.holds(2, 0, 1)
+	apply(0, conflictingChange(2))
+	u.awaitVersion(2, 0, 1)
 	read(1)
-	u.wire.Isolate(2, false)
-	u.holds(2, 2)
+	u.network.Isolate(2, false)
+	u.awaitVersion(2, 2)
 	read(2)
 	say(0, "config", "restore", "1")
-	u.holds(3, 0, 1, 2)
+	u.awaitVersion(3, 0, 1, 2)
 	say(0, "config", "history")
 	say(0, "fleet", "evict", "n9")
 	say(0, "fleet", "evict", "n2")
-	u.await("n2 is careful", func() bool { return strings.Contains(u.said(2, "fleet", "status"), "careful") })
+	u.await("n2 is careful", func() bool { return strings.Contains(u.command(2, "fleet", "status"), "careful") })
 	say(0, "fleet", "leave")
 	whole(2)
 	say(0, "fleet", "status")
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -71,7 +71,7 @@
 		return "id belongs to an open txn"
 	}
 	t := txn{id: comment.ID, client: ref, size: size, comment: comment, arrived: g.clock.now()}
-	why, after := g.generations.arrive(&t, g.routed(c, class, text))
+	why, after := g.generations.admit(&t, g.routed(c, class, text))
 	if why == routes.WrongGroup {
 		return why.String()
 	}
@@ -142,7 +142,7 @@
 		g.settled(c.txn, true)
 		return err.Error()
 	}
-	g.generations.bind(held)
+	g.generations.restrictReads(held)
 	if g.leaving {
 		g.module.LimitExpiry(t.id, g.kill)
 	}
@@ -198,7 +198,7 @@
 		return
 	}
 	t.answered = true
-	g.generations.served(t, !t.failed)
+	g.generations.recordOutcome(t, !t.failed)
 	if g.reserved != nil {
 		g.reserved.count(t, !t.failed)
 	}
@@ -302,7 +302,7 @@
 	}
 	no := len(t.subs)
 	t.out++
-	if !t.answered && !g.generations.mayRepeat(t, no) { // nothing of a repeatable txn is lost by coming again
+	if !t.answered && !g.generations.allowAttempt(t, no) { // nothing of a repeatable txn is lost by coming again
 		g.decline(id, 0)
 		if t = g.txns.Get(ref); t == nil {
 			return
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -47,14 +47,14 @@
 }
 
 // ReceiveCounts takes what another gateway tells.
-func (a *agreed) ReceiveCounts(from agreement.ID, all []contracts.Count, asks bool) {
+func (a *fleetAgreement) ReceiveCounts(from agreement.ID, all []contracts.Count, asks bool) {
 	r := a.g.reserved
 	if r == nil || r.account == nil {
 		return
 	}
 	r.account.Merge(all, r.unix())
 	if asks {
-		a.f.SendCounts(from, r.account.All(), false)
+		a.fleet.SendCounts(from, r.account.All(), false)
 	}
 }
 
@@ -62,11 +62,11 @@
 
 // opens begins the account, with what a former run kept.
 func (r *reserved) opens() error {
-	kept, err := r.g.agreed.f.LoadCounts()
+	kept, err := r.g.agreed.fleet.LoadCounts()
 	if err != nil {
 		return fmt.Errorf("the account of contracts can't be read, move it away: %w", err)
 	}
-	r.account = contracts.NewAccount(uint64(r.g.agreed.f.Self()), r.g.agreed.f.Epoch(), kept)
+	r.account = contracts.NewAccount(uint64(r.g.agreed.fleet.Self()), r.g.agreed.fleet.Epoch(), kept)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 			len(c.types) > 0 && !slices.Contains(c.types, r.g.names.Classes[t.class].Name) {
 			continue
 		}
-		aim := r.g.generations.aimOf(t)
+		aim := r.g.generations.targetLatency(t)
 		if c.aim > 0 {
 			aim = c.aim
 		}
@@ -137,7 +137,7 @@
 		return
 	}
 	r.reportAt = now + decide.Nanos(contracts.ReportInterval)
-	f := r.g.agreed.f
+	f := r.g.agreed.fleet
 	others, votes := f.Voters()
 	all := r.account.Report(r.unix(), !votes)
 	// One that votes and has started asks the others: what it kept on its disk may lack the last seconds.
@@ -181,7 +181,7 @@
 		if c == nil {
 			return fmt.Errorf("there is no contract %q", name)
 		}
-		_, whole = g.agreed.f.Voters()
+		_, whole = g.agreed.fleet.Voters()
 		all = g.reserved.account.Statements(c, from, to, g.reserved.unix())
 		return nil
 	})
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -139,8 +139,8 @@
 		if q.Watch < 0 {
 			q.Watch = int64(f.Watch)
 		}
-		no, findings, err := g.Apply(r.Context(), gateway.Change{Document: f.Document, Digest: f.Digest, Text: []byte(q.Text), Watch: q.Watch, Again: q.Again,
-			Who: q.Who, Why: q.Why})
+		no, findings, err := g.Apply(r.Context(), gateway.Change{Document: f.Document, Digest: f.Digest, Text: []byte(q.Text), WatchDuration: q.Watch, Reapply: q.Again,
+			Author: q.Who, Reason: q.Why})
 		reply := Reply{Generation: no}
 		for _, x := range findings {
 			reply.Findings = append(reply.Findings, x.Error())
@@ -151,7 +151,7 @@
 		return q, json.NewDecoder(io.LimitReader(r.Body, mostText)).Decode(&q)
 	}
 	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, r *http.Request) {
-		s, err := g.Fleet(r.Context(), r.URL.Query().Has("all"))
+		s, err := g.FleetStatus(r.Context(), r.URL.Query().Has("all"))
 		if err == nil && s == nil {
 			err = errors.New("this gateway agrees on nothing with others: its operator's file has no block agreement")
 		}
@@ -197,14 +197,14 @@
 		answer(w, Reply{}, err)
 	})
 	mux.Handle("GET /metrics", metricsOf(g))
-	mux.HandleFunc("POST /found", func(w http.ResponseWriter, r *http.Request) { answer(w, Reply{}, g.FoundFleet(r.Context())) })
+	mux.HandleFunc("POST /found", func(w http.ResponseWriter, r *http.Request) { answer(w, Reply{}, g.BootstrapFleet(r.Context())) })
 	mux.HandleFunc("POST /wish", func(w http.ResponseWriter, r *http.Request) {
 		q, err := asked(r)
 		if err == nil && q.Wish == nil {
 			err = errors.New("nothing is asked for")
 		}
 		if err == nil {
-			err = g.AskFleet(r.Context(), *q.Wish)
+			err = g.ProposeToFleet(r.Context(), *q.Wish)
 		}
 		answer(w, Reply{}, err)
 	})
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -34,36 +34,36 @@
 type figure struct {
 	desc *prometheus.Desc
 	kind prometheus.ValueType
-	of   func(*gateway.Figures) (value float64, ok bool)
+	of   func(*gateway.Stats) (value float64, ok bool)
 }
 
 func figuresOf(g *gateway.Gateway) *figures {
 	f := &figures{g: g}
-	add := func(name, help string, kind prometheus.ValueType, of func(*gateway.Figures) (float64, bool)) {
+	add := func(name, help string, kind prometheus.ValueType, of func(*gateway.Stats) (float64, bool)) {
 		f.all = append(f.all, figure{prometheus.NewDesc("magpieglade_"+name, help, nil, nil), kind, of})
 	}
-	count := func(name, help string, of func(*gateway.Figures) int) {
-		add(name, help, prometheus.CounterValue, func(x *gateway.Figures) (float64, bool) { return float64(of(x)), true })
+	count := func(name, help string, of func(*gateway.Stats) int) {
+		add(name, help, prometheus.CounterValue, func(x *gateway.Stats) (float64, bool) { return float64(of(x)), true })
 	}
-	count("txns_taken_total", "Txns taken from clients.", func(x *gateway.Figures) int { return x.Taken })
-	count("txns_declined_total", "Txns declined.", func(x *gateway.Figures) int { return x.Declined })
-	count("txns_rolled_back_total", "Txns rolled back.", func(x *gateway.Figures) int { return x.RolledBack })
-	count("txns_withdrawn_total", "Txns whose client went away.", func(x *gateway.Figures) int { return x.Withdrawn })
-	count("txns_unagreed_total", "Of those declined, such that the fleet's agreement did not let this gateway decide.", func(x *gateway.Figures) int { return x.Unagreed })
-	gauge := func(name, help string, of func(*gateway.Figures) float64) {
-		add(name, help, prometheus.GaugeValue, func(x *gateway.Figures) (float64, bool) {
+	count("txns_taken_total", "Txns taken from clients.", func(x *gateway.Stats) int { return x.Accepted })
+	count("txns_declined_total", "Txns declined.", func(x *gateway.Stats) int { return x.Rejected })
+	count("txns_rolled_back_total", "Txns rolled back.", func(x *gateway.Stats) int { return x.RolledBack })
+	count("txns_withdrawn_total", "Txns whose client went away.", func(x *gateway.Stats) int { return x.Withdrawn })
+	count("txns_unagreed_total", "Of those declined, such that the fleet's agreement did not let this gateway decide.", func(x *gateway.Stats) int { return x.NoAgreement })
+	gauge := func(name, help string, of func(*gateway.Stats) float64) {
+		add(name, help, prometheus.GaugeValue, func(x *gateway.Stats) (float64, bool) {
 			if x.Fleet == nil {
 				return 0, false
 			}
 			return of(x), true
 		})
 	}
-	gauge("fleet_lease_left_seconds", "For how long this gateway may act on what it holds; below 0 it is careful.", func(x *gateway.Figures) float64 { return float64(x.Fleet.LeaseRemaining) / 1e9 })
-	gauge("fleet_stated_seconds", "For how long versions may contradict each other at most.", func(x *gateway.Figures) float64 { return float64(x.Fleet.MaxDivergence) / 1e9 })
-	gauge("fleet_gateways", "Gateways in the list.", func(x *gateway.Figures) float64 { return float64(len(x.Fleet.Manifest.Gateways)) })
-	gauge("fleet_term", "Term of the log, at a gateway that votes.", func(x *gateway.Figures) float64 { return float64(x.Fleet.Term) })
-	version := func(next bool) func(*gateway.Figures) float64 {
-		return func(x *gateway.Figures) float64 {
+	gauge("fleet_lease_left_seconds", "For how long this gateway may act on what it holds; below 0 it is careful.", func(x *gateway.Stats) float64 { return float64(x.Fleet.LeaseRemaining) / 1e9 })
+	gauge("fleet_stated_seconds", "For how long versions may contradict each other at most.", func(x *gateway.Stats) float64 { return float64(x.Fleet.MaxDivergence) / 1e9 })
+	gauge("fleet_gateways", "Gateways in the list.", func(x *gateway.Stats) float64 { return float64(len(x.Fleet.Manifest.Gateways)) })
+	gauge("fleet_term", "Term of the log, at a gateway that votes.", func(x *gateway.Stats) float64 { return float64(x.Fleet.Term) })
+	version := func(next bool) func(*gateway.Stats) float64 {
+		return func(x *gateway.Stats) float64 {
 			for _, s := range x.Fleet.Manifest.Subjects {
 				if s.Name != gateway.SubjectRoutes {
 					continue
@@ -120,7 +120,7 @@
 func (f *figures) Collect(to chan<- prometheus.Metric) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	defer cancel()
-	now, err := f.g.Figures(ctx)
+	now, err := f.g.Stats(ctx)
 	if err != nil {
 		return
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -48,10 +48,10 @@
 	}
 	c.Coordination = f.Coordination
 	if f.Document != nil {
-		c.Change = &gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, Watch: int64(f.Watch)}
+		c.Change = &gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.Watch)}
 	}
 	if f.Changes != "" {
-		c.Changes = &gateway.ChangeFolder{Path: f.Changes, Parse: parserOf("kept change")}
+		c.Changes = &gateway.ChangeStore{Path: f.Changes, Parse: parserOf("kept change")}
 	}
 }
 
