--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -13,36 +13,38 @@
 	"magpieglade/routes"
 )
 
-// SubjectRoutes is the subject of the operator's routes, tenants, limits and members by hand.
+// SubjectRoutes is the agreement subject that holds the operator's routes, tenants and limits, and the members that the
+// operator excludes or drains.
 const SubjectRoutes = "routes"
 
-// askPatience is how long a wish of an operator may take: some elections, within what the control socket waits.
+// proposalTimeout covers several elections and is shorter than the control socket's own timeout.
 const proposalTimeout = 9 * time.Second
 
-// surveyLook is how often it is looked whether a survey is over.
+// surveyPollInterval is how often FleetStatus checks whether a survey has finished.
 const surveyPollInterval = 5 * time.Millisecond
 
-// agreed is the gateway's part of what the fleet agrees on. It belongs to the loop.
+// fleetAgreement connects the gateway to the fleet's agreement and implements fleet.Host. Only the event loop uses it.
 type fleetAgreement struct {
 	g              *Gateway
 	fleet          *fleet.Fleet
-	hasManifest    bool      // it has held something since its start
-	reportedEnded  bool      // it was taken out, and has said that it answers no session's write
-	loggedVersions [2]uint64 // versions, as logged: in force and next
-	leaseExpired   bool      // as logged
+	hasManifest    bool      // a manifest was adopted since the start
+	reportedEnded  bool      // after its removal it has proposed ProcessEnded
+	loggedVersions [2]uint64 // the last logged versions: in force and next
+	leaseExpired   bool      // the last logged state
 	onOutcome      map[uint64]func(agreement.Outcome)
 	prepared       *preparedManifest
-	generations    map[agreement.Digest]*generation // by their texts, those that are alive
-	previous       *generation                      // that was in force before the one that is
+	generations    map[agreement.Digest]*generation // by digest of their text: the one in force and the next
+	previous       *generation                      // was in force before the current one
 }
 
-// prepared is a manifest whose texts are compiled, and which is not yet in force here.
+// preparedManifest is a manifest whose texts are compiled and which is not yet in force on this gateway.
 type preparedManifest struct {
 	revision      uint64
 	inForce, next *generation
 	staged        bool
 }
 
+// openFleetAgreement opens the agreement's folder and joins the fleet.
 func openFleetAgreement(g *Gateway, seed uint64) (*fleetAgreement, error) {
 	a := &fleetAgreement{g: g, onOutcome: map[uint64]func(agreement.Outcome){}, generations: map[agreement.Digest]*generation{}}
 	var err error
@@ -50,21 +52,21 @@
 	return a, err
 }
 
-// Post, Now, WakeAfter and Logger are for fleet.Host.
+// Post runs f on the event loop.
 func (a *fleetAgreement) Post(f func()) { a.g.post(f) }
 
-// Now is the gateway's clock.
+// Now returns the gateway's monotonic time.
 func (a *fleetAgreement) Now() int64 { return int64(a.g.clock.now()) }
 
-// WakeAfter has a turn come.
+// WakeAfter schedules a wake-up of the event loop.
 func (a *fleetAgreement) WakeAfter(delay int64) {
 	a.g.deadlines.Add(a.Now()+delay, due{kind: dueWake})
 }
 
-// Logger is the gateway's.
+// Logger returns the gateway's logger.
 func (a *fleetAgreement) Logger() *slog.Logger { return a.g.log }
 
-// Outcome tells whoever asked.
+// Outcome passes the result of a proposal to the callback that waits for it.
 func (a *fleetAgreement) Outcome(no uint64, o agreement.Outcome) {
 	if f := a.onOutcome[no]; f != nil {
 		delete(a.onOutcome, no)
@@ -72,7 +74,7 @@
 	}
 }
 
-// Prepare compiles what is new of a manifest beside the loop.
+// Prepare compiles the new texts of a manifest outside the event loop.
 func (a *fleetAgreement) Prepare(manifest *agreement.Manifest) {
 	prepared := &preparedManifest{revision: manifest.Revision}
 	type compileTask struct {
@@ -92,8 +94,8 @@
 			if x.v == nil {
 				continue
 			}
-			if s.Step > 0 { // of a version that is tried by steps one of both holds here, not both
-				if tries := s.InCanary(a.fleet.Self()); tries != (x.v == s.Next) {
+			if s.Step > 0 { // during a canary rollout only one of the two applies to this gateway
+				if inCanary := s.InCanary(a.fleet.Self()); inCanary != (x.v == s.Next) {
 					continue
 				}
 				x.to = &prepared.inForce
@@ -129,11 +131,11 @@
 			*t.to = x
 		}
 		a.g.post(func() {
-			if err != nil { // it stays with what it holds, and is careful once its lease has run out
+			if err != nil { // the gateway keeps its current version; once its lease has expired it rejects what needs an agreement
 				a.g.log.Error("a version of the fleet can't be taken by this gateway", "why", err)
 				return
 			}
-			if !a.fleet.IsPending(prepared.revision) { // it took longer than what came after it
+			if !a.fleet.IsPending(prepared.revision) { // a newer manifest arrived in the meantime
 				return
 			}
 			for d, x := range compiled {
@@ -144,6 +146,7 @@
 	}()
 }
 
+// digestOf shortens a digest to a non-zero number.
 func digestOf(d agreement.Digest) (n uint64) {
 	for _, b := range d[:8] {
 		n = n<<8 | uint64(b)
@@ -151,29 +154,29 @@
 	return max(1, n)
 }
 
-// carryOut puts what was prepared in force, and does what the module decides.
+// processDecisions puts a prepared manifest in force and processes the decisions of the agreement module.
 func (a *fleetAgreement) processDecisions() {
 	a.fleet.ProcessDecisions()
 	gs := a.g.generations
 	if p := a.prepared; p != nil && !a.fleet.IsPending(p.revision) {
 		a.prepared = nil
 	} else if p != nil {
-		want := p.inForce
-		if want == nil {
-			want = gs.byNo[0]
+		target := p.inForce
+		if target == nil {
+			target = gs.byNo[0]
 		}
-		if gs.inForce != want && !p.staged {
+		if gs.inForce != target && !p.staged {
 			p.staged = true
-			if want.no != 0 && gs.byNo[want.no] == nil || want.no == 0 && p.inForce != nil {
+			if target.no != 0 && gs.byNo[target.no] == nil || target.no == 0 && p.inForce != nil {
 				a.previous = gs.inForce
-				_ = gs.module.KeepWithReason(rollout.ByFleet) // what is still watched is over: the fleet has gone on
-				if _, err := gs.stage(want, Change{Digest: want.digest, WatchDuration: want.watchDuration, Reapply: true}); err != nil {
+				_ = gs.module.KeepWithReason(rollout.ByFleet) // the fleet has moved on: end the watch of the former version
+				if _, err := gs.stage(target, Change{Digest: target.digest, WatchDuration: target.watchDuration, Reapply: true}); err != nil {
 					a.g.log.Error("a version of the fleet is not taken", "why", err)
 				}
 			}
 			gs.processDecisions()
 		}
-		if gs.inForce == want {
+		if gs.inForce == target {
 			gs.setPending(p.next)
 			a.prepared = nil
 			if a.g.sessions != nil {
@@ -186,14 +189,14 @@
 		}
 	}
 	a.reportEnded()
-	if careful := a.hasManifest && a.Now() >= a.fleet.LeaseUntil(); careful != a.leaseExpired {
-		a.leaseExpired = careful
-		a.g.log.Info("agreement", "careful", careful, "version", a.versionInForce())
+	if leaseExpired := a.hasManifest && a.Now() >= a.fleet.LeaseUntil(); leaseExpired != a.leaseExpired {
+		a.leaseExpired = leaseExpired
+		a.g.log.Info("agreement", "careful", leaseExpired, "version", a.versionInForce())
 	}
 }
 
-// ends says, once it was taken out of the list and answers no session's write any more, that it has ended to the others:
-// until then they ask it what it noted. It comes back into the list by a start alone.
+// reportEnded proposes ProcessEnded once this gateway was removed from the list and has no unanswered write of a session.
+// Until then the other gateways query it for the writes that it recorded. Only a restart brings it back into the list.
 func (a *fleetAgreement) reportEnded() {
 	if a.reportedEnded || !a.fleet.Removed() {
 		return
@@ -211,6 +214,7 @@
 	a.onOutcome[no] = func(o agreement.Outcome) { a.reportedEnded = o.Done || !o.Retry }
 }
 
+// logVersions logs the versions in force and next when they have changed.
 func (a *fleetAgreement) logVersions(p *preparedManifest) {
 	if !a.hasManifest {
 		a.hasManifest = true
@@ -227,7 +231,7 @@
 
 func (a *fleetAgreement) versionInForce() uint64 { return a.g.generations.inForce.fleetVersion }
 
-// forget drops what is no longer alive.
+// dropUnused removes the generations that are neither in force nor next.
 func (a *fleetAgreement) dropUnused(p *preparedManifest) {
 	for d, x := range a.generations {
 		if x != p.inForce && x != p.next {
@@ -236,44 +240,45 @@
 	}
 }
 
-// may tells whether a txn may be decided by the version in force: whether this gateway may act on it, and, where another
-// one is on its way, whether both come to the same. It looks at the clock itself: a gateway that stood still is careful
-// from its first decision on.
-func (a *fleetAgreement) checkLease(t *txn, x *routes.Txn, group int) (routes.RejectReason, int64) {
-	stated := a.fleet.Config().Agreement.MaxDivergence()
+// checkLease decides whether a txn may be decided by the version in force. Unless its tenant is served without an
+// agreement, a pending version must have the same outcome for the txn, and if either version has a route for it, the lease
+// must be valid. checkLease reads the clock itself, so that a gateway that was suspended notices an expired lease on its
+// first decision.
+func (a *fleetAgreement) checkLease(t *txn, request *routes.Txn, group int) (routes.RejectReason, int64) {
+	maxDivergence := a.fleet.Config().Agreement.MaxDivergence()
 	gs := a.g.generations
-	usual := a.fleet.Config().ServeWithoutAgreement
+	servesByDefault := a.fleet.Config().ServeWithoutAgreement
 	if !a.hasManifest {
-		if usual {
+		if servesByDefault {
 			return routes.Allowed, 0
 		}
 		a.g.counts.unagreed++
-		return routes.AgreementUnavailable, stated
+		return routes.AgreementUnavailable, maxDivergence
 	}
-	alike, ruled := true, t.route.Route >= 0
-	if n := gs.pending; n != nil {
-		y := routes.Match{Route: -1, Type: int32(x.Type), Tenant: -1}
-		if n.table != nil {
-			y = n.table.Lookup(x)
+	sameOutcome, routed := true, t.route.Route >= 0
+	if next := gs.pending; next != nil {
+		nextMatch := routes.Match{Route: -1, Type: int32(request.Type), Tenant: -1}
+		if next.table != nil {
+			nextMatch = next.table.Lookup(request)
 		}
-		alike, ruled = routes.SameOutcome(gs.inForce.table, t.route, n.table, y, group), ruled || y.Route >= 0
-		t.alsoTenant = y.Tenant
+		sameOutcome, routed = routes.SameOutcome(gs.inForce.table, t.route, next.table, nextMatch, group), routed || nextMatch.Route >= 0
+		t.alsoTenant = nextMatch.Tenant
 	}
-	if alike && (!ruled || a.Now() < a.fleet.LeaseUntil()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, usual) {
+	if sameOutcome && (!routed || a.Now() < a.fleet.LeaseUntil()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, servesByDefault) {
 		return routes.Allowed, 0
 	}
 	a.g.counts.unagreed++
-	return routes.AgreementUnavailable, stated
+	return routes.AgreementUnavailable, maxDivergence
 }
 
-// Figures are what a gateway counts, and how it stands to its fleet, nil where it agrees on nothing.
+// Stats holds a gateway's counters and its status in the fleet; Fleet is nil without an agreement.
 type Stats struct {
-	Accepted, Rejected, RolledBack, Withdrawn, NoAgreement int // txns of its whole life
+	Accepted, Rejected, RolledBack, Withdrawn, NoAgreement int // txns since the start
 	Outcomes                                               Outcomes
 	Fleet                                                  *fleet.Status
 }
 
-// Figures tells them.
+// Stats returns a snapshot of the counters.
 func (g *Gateway) Stats(ctx context.Context) (*Stats, error) {
 	var stats Stats
 	err := g.inLoop(ctx, func() error {
@@ -288,24 +293,24 @@
 	return &stats, err
 }
 
-// ready tells whether clients may come: not before it knows what holds, or has asked for it long enough.
+// ready reports whether clients may connect: once the agreed version is known, or the startup wait has passed.
 func (a *fleetAgreement) ready() bool {
 	known := a.hasManifest && (a.g.sessions == nil || a.g.sessions.Module.AcceptsSessionWrites())
 	return known || a.fleet.Config().ServeWithoutAgreement || a.g.clock.passed() > time.Duration(a.fleet.Config().Agreement.StartupWait())
 }
 
-// ask has the fleet agree on something and waits for what becomes of it.
+// proposeAndWait submits a proposal to the fleet and waits for its outcome.
 func (g *Gateway) proposeAndWait(ctx context.Context, f func() (agreement.Proposal, []byte, error)) (o agreement.Outcome, err error) {
 	done := make(chan agreement.Outcome, 1)
 	err = g.inLoop(ctx, func() error {
 		if g.agreed == nil {
 			return errors.New("this gateway agrees on nothing with others: its operator's file has no block agreement")
 		}
-		w, text, err := f()
+		proposal, text, err := f()
 		if err != nil {
 			return err
 		}
-		no, err := g.agreed.fleet.Propose(w, text, proposalTimeout)
+		no, err := g.agreed.fleet.Propose(proposal, text, proposalTimeout)
 		if err == nil {
 			g.agreed.onOutcome[no] = func(o agreement.Outcome) { done <- o }
 		}
@@ -325,19 +330,19 @@
 	return o, nil
 }
 
-// propose has the fleet agree on a change as the version that follows the one held here.
+// versionProposal makes a change the version that follows the last one known here.
 func (a *fleetAgreement) versionProposal(c Change) (agreement.Proposal, []byte, error) {
-	v := agreement.Version{Subject: SubjectRoutes, Author: c.Author, ProposedAt: time.Now().UnixNano(), Reason: c.Reason, FormatVersion: c.Document.RequiredFormat(), WatchDuration: c.WatchDuration}
-	var before *routes.Document
+	version := agreement.Version{Subject: SubjectRoutes, Author: c.Author, ProposedAt: time.Now().UnixNano(), Reason: c.Reason, FormatVersion: c.Document.RequiredFormat(), WatchDuration: c.WatchDuration}
+	var previous *routes.Document
 	for _, s := range a.fleet.Manifest().Subjects {
 		if s.Name != SubjectRoutes {
 			continue
 		}
-		v.Predecessor = s.LastVersion
+		version.Predecessor = s.LastVersion
 		for _, x := range []*agreement.Version{s.InForce, s.Next} {
 			if x != nil {
 				if g := a.generations[x.Digest]; g != nil {
-					before = g.document
+					previous = g.document
 				}
 			}
 		}
@@ -345,13 +350,13 @@
 	if !a.hasManifest {
 		return agreement.Proposal{}, nil, errors.New("this gateway does not hold what the fleet agreed on yet")
 	}
-	if v.Conflicts = routes.Conflicts(before, c.Document); len(v.Conflicts) == 0 {
-		v.CanaryFraction = a.fleet.Config().CanaryFraction
+	if version.Conflicts = routes.Conflicts(previous, c.Document); len(version.Conflicts) == 0 {
+		version.CanaryFraction = a.fleet.Config().CanaryFraction
 	}
-	return agreement.Proposal{Version: &v}, c.Text, nil
+	return agreement.Proposal{Version: &version}, c.Text, nil
 }
 
-// tries tells whether a version is tried here by steps.
+// inCanary reports whether this gateway runs a version as part of its canary rollout.
 func (a *fleetAgreement) inCanary(x *generation) bool {
 	for _, s := range a.fleet.Manifest().Subjects {
 		if s.Name == SubjectRoutes && s.InCanary(a.fleet.Self()) && s.Next.No == x.fleetVersion {
@@ -361,36 +366,37 @@
 	return false
 }
 
-// kept tells that the watch of a version is over, and that it is well.
+// reportHealthy reports that the watch of a version ended and the version is healthy.
 func (a *fleetAgreement) reportHealthy(x *generation) {
 	if x != nil && x.fleetVersion != 0 {
 		a.fleet.ReportHealthy(x.fleetVersion)
 	}
 }
 
-// nothing is the text of all as the platform says.
+// emptyDocument is the text of a document without rules, under which the platform's settings apply. It is
+// sent to the fleet and stored.
 const emptyDocument = "# all is as the platform says\n"
 
-// undo has the fleet agree on what was in force before a version, as this gateway's health speaks against that one, or an
-// operator does. Until it is agreed the version stays: two gateways act on one.
+// proposeUndo proposes to revert a version, because the health of this gateway worsened under it or an operator asks for
+// it. The version stays in force until that is agreed on, so that no two gateways act on different versions.
 func (a *fleetAgreement) proposeUndo(x *generation) {
-	text, before := []byte(emptyDocument), (*routes.Document)(nil)
+	text, previous := []byte(emptyDocument), (*routes.Document)(nil)
 	if a.previous != nil && a.previous.text != nil {
-		text, before = a.previous.text, a.previous.document
+		text, previous = a.previous.text, a.previous.document
 	}
-	why := "watched"
-	if all := a.g.generations.module.Status().Finished; len(all) > 0 {
-		why = string(all[len(all)-1].Why) + all[len(all)-1].Text
+	reason := "watched"
+	if finished := a.g.generations.module.Status().Finished; len(finished) > 0 {
+		reason = string(finished[len(finished)-1].Why) + finished[len(finished)-1].Text
 	}
-	wish := agreement.Proposal{Abort: &agreement.Abort{Subject: SubjectRoutes, No: x.fleetVersion, Reason: "gateway " + a.g.config.Name + ": " + why}}
-	v := agreement.Version{Subject: SubjectRoutes, Predecessor: x.fleetVersion, Reverts: x.fleetVersion, Author: "gateway " + a.g.config.Name,
-		ProposedAt: time.Now().UnixNano(), Reason: why, FormatVersion: before.RequiredFormat(), Conflicts: routes.Conflicts(x.document, before)}
+	proposal := agreement.Proposal{Abort: &agreement.Abort{Subject: SubjectRoutes, No: x.fleetVersion, Reason: "gateway " + a.g.config.Name + ": " + reason}}
+	version := agreement.Version{Subject: SubjectRoutes, Predecessor: x.fleetVersion, Reverts: x.fleetVersion, Author: "gateway " + a.g.config.Name,
+		ProposedAt: time.Now().UnixNano(), Reason: reason, FormatVersion: previous.RequiredFormat(), Conflicts: routes.Conflicts(x.document, previous)}
 	if !a.inCanary(x) {
-		wish = agreement.Proposal{Version: &v}
+		proposal = agreement.Proposal{Version: &version}
 	} else {
 		text = nil
 	}
-	no, err := a.fleet.Propose(wish, text, proposalTimeout)
+	no, err := a.fleet.Propose(proposal, text, proposalTimeout)
 	if err != nil {
 		a.g.log.Error("a version is not undone", "version", x.fleetVersion, "why", err)
 		return
@@ -400,7 +406,7 @@
 	}
 }
 
-// FoundFleet begins a fleet with this gateway as its one voter.
+// BootstrapFleet starts a new fleet with this gateway as its only voter.
 func (g *Gateway) BootstrapFleet(ctx context.Context) error {
 	return g.inLoop(ctx, func() error {
 		if g.agreed == nil {
@@ -410,14 +416,14 @@
 	})
 }
 
-// AskFleet has the fleet take a gateway out of its list, or let one vote or no longer.
-func (g *Gateway) ProposeToFleet(ctx context.Context, w agreement.Proposal) error {
-	_, err := g.proposeAndWait(ctx, func() (agreement.Proposal, []byte, error) { return w, nil, nil })
+// ProposeToFleet proposes to remove a gateway from the list, or to add or remove a voter.
+func (g *Gateway) ProposeToFleet(ctx context.Context, proposal agreement.Proposal) error {
+	_, err := g.proposeAndWait(ctx, func() (agreement.Proposal, []byte, error) { return proposal, nil, nil })
 	return err
 }
 
-// Fleet tells how this gateway stands to the fleet, nil where it agrees on nothing; with all also what voters know of the
-// other gateways, which takes some ways there and back.
+// FleetStatus returns this gateway's status in the fleet, nil without an agreement. With a survey it also returns what the
+// voters know of the other gateways, which takes several round trips.
 func (g *Gateway) FleetStatus(ctx context.Context, withSurvey bool) (status *fleet.Status, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.agreed != nil {
@@ -439,7 +445,7 @@
 	return status, err
 }
 
-// Restore has the fleet agree on the text of a former version again.
+// Restore proposes the text of a former version as a new version.
 func (g *Gateway) Restore(ctx context.Context, no uint64, who string) (rollout.Generation, error) {
 	var text []byte
 	err := g.inLoop(ctx, func() error {
--- a/gateway/config.go
+++ b/gateway/config.go
@@ -17,7 +17,7 @@
 	"magpieglade/routes"
 )
 
-// Config is what the platform tells a gateway.
+// Config is a gateway's configuration: the platform's file, and what the operator's file and an embedder add.
 type Config struct {
 	Name      string         `json:"name"`
 	Listen    netip.AddrPort `json:"listen"`
@@ -27,29 +27,28 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	KnownHosts *httpwire.List  `json:"known"`    // the list as last held
-	Settings   json.RawMessage `json:"settings"` // what the module reads, and a few names that the sockets need
+	KnownHosts *httpwire.List  `json:"known"`    // the last known member list
+	Settings   json.RawMessage `json:"settings"` // settings of the decision module; the gateway reads a few names from them
 
-	// What the operator's own file says, see deploy/; the platform does not know it.
-	Log          *slog.Logger                                `json:"-"` // nil is the default
+	// Set from the operator's file (see deploy/) or by an embedder; not part of the platform's file.
+	Log          *slog.Logger                                `json:"-"` // nil uses the default logger
 	Sessions     *fleet.SessionConfig                        `json:"-"`
-	Change       *Change                                     `json:"-"` // applied at the start, and kept at once unless another was kept before
-	Changes      *ChangeStore                                `json:"-"` // nil where changes do not outlive the process
-	Agreement    *fleet.Config                               `json:"-"` // nil where gateways agree on nothing
-	Coordination *fleet.CoordinationConfig                   `json:"-"` // what many gateways choose together; nil where each does for itself
-	Parse        func(text []byte) (*routes.Document, error) `json:"-"` // of a version that was agreed on
-	Elapsed      func() time.Duration                        `json:"-"` // since some moment, never back; nil is the system's clock
-	Network      Network                                     `json:"-"` // nil is the operating system's
-	ClockError   time.Duration                               `json:"-"` // how far the clocks of machines may differ; positions up to this far ahead are believed
+	Change       *Change                                     `json:"-"` // applied at the start, and kept at once unless another change was kept before
+	Changes      *ChangeStore                                `json:"-"` // nil if changes are not kept across restarts
+	Agreement    *fleet.Config                               `json:"-"` // nil without an agreement between gateways
+	Coordination *fleet.CoordinationConfig                   `json:"-"` // decisions that gateways coordinate; nil if each decides alone
+	Parse        func(text []byte) (*routes.Document, error) `json:"-"` // parses a version that was agreed on
+	Elapsed      func() time.Duration                        `json:"-"` // a monotonic clock; nil uses the system's
+	Network      Network                                     `json:"-"` // nil uses the operating system's
+	ClockError   time.Duration                               `json:"-"` // maximum clock difference between machines; positions up to this far in the future are accepted
 }
 
-// FromEnvironment reads the file that EDGE_CONFIG names; of the other EDGE variables EDGE_DISCOVERY stands for what the file
-// lacks, the others go before what it says. Both are the same when a process is started: where they differ the file was
-// written anew since, and the signal to read it may have come before the process could handle one.
+// FromEnvironment reads the file that EDGE_CONFIG names. EDGE_DISCOVERY is used only if the file has no discovery address;
+// the other EDGE variables override the file. The variables and the file agree when a process is started: where they
+// differ, the file was rewritten since, and the reload signal may have come before the process could handle it.
 func FromEnvironment() (Config, error) { return fromEnvironment(true) }
 
-// FromFile reads the file again, for Reload: EDGE_DISCOVERY is of the time of the start, and the file goes
-// before it.
+// FromFile reads the file again, for Reload. It ignores EDGE_DISCOVERY, which dates from the start of the process.
 func FromFile() (Config, error) { return fromEnvironment(false) }
 
 func fromEnvironment(atStart bool) (c Config, err error) {
@@ -81,7 +80,7 @@
 	return c, nil
 }
 
-// readFile reads a whole file, again while that fails for want of something of this machine.
+// readFile reads a whole file and retries while it fails for a local reason, such as a lack of descriptors or memory.
 func readFile(path string) (text []byte, err error) {
 	failed := false
 	err = neterr.Retry(startPatience, func() (err error) {
@@ -95,7 +94,8 @@
 	return text, err
 }
 
-// names is what the sockets need of the settings: names that stand for the module's numbers.
+// platformSettings is the part of the settings that the gateway itself needs: names for the decision module's indexes,
+// and limits.
 type platformSettings struct {
 	Classes []struct {
 		Name      string
@@ -121,7 +121,7 @@
 	MachineTypes, Zones []string
 }
 
-// check names the first value that is lacking or wrong.
+// validate returns an error that names the first missing or invalid value.
 func (c *Config) validate() (seed uint64, n platformSettings, err error) {
 	invalid := func(name string) (uint64, platformSettings, error) {
 		return 0, n, fmt.Errorf("configuration: %s is lacking or out of range", name)
@@ -169,7 +169,7 @@
 	}
 	if c.Sessions != nil {
 		if c.Sessions.Session.DynamicMembership = c.Agreement != nil; c.Agreement != nil {
-			c.Sessions.Keys = nil // one address, one set of keys
+			c.Sessions.Keys = nil // both share one address, so they share the keys
 			for _, k := range c.Agreement.Keys {
 				c.Sessions.Keys = append(c.Sessions.Keys, fleet.PeerKey{ID: k.ID, Secret: k.Secret})
 			}
@@ -196,8 +196,8 @@
 	return seed, n, nil
 }
 
-// forModule gives the settings with positions counted from the clock's zero, as this gateway tells them to the
-// module, and with limits.peers as the operator has it: what the platform allows is not yet wished for.
+// moduleSettings returns the settings for the decision module: positions count from the clock's zero, as this gateway
+// reports them, and limits.peers is true only if the operator enables peers, since the platform merely permits them.
 func moduleSettings(settings json.RawMessage, peers bool) ([]byte, error) {
 	var all, family, limits map[string]json.RawMessage
 	if err := json.Unmarshal(settings, &all); err != nil {
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -15,31 +15,31 @@
 	"magpieglade/routes"
 )
 
-// generations are the configurations that txns run under: the one in force, and older ones until their last txn has
-// ended. They belong to the loop.
+// generations holds the configurations that txns run under: the one in force, and older ones until their last txn has
+// ended. Only the event loop uses it.
 type generations struct {
 	g       *Gateway
 	module  *rollout.Rollout
 	lastNo  rollout.Generation
 	inForce *generation
-	pending *generation                        // one that the fleet agreed on and that is not in force: both bind; nil is none
-	saving  bool                               // the module's decisions wait until what it said is on the disk
-	byNo    map[rollout.Generation]*generation // in force, kept, staged, or with txns under way
+	pending *generation                        // agreed on by the fleet but not yet in force: the limits of both apply; nil if there is none
+	saving  bool                               // the module's decisions wait until its state is on disk
+	byNo    map[rollout.Generation]*generation // in force, kept, staged, or with txns in flight
 }
 
-// generation is one configuration. A txn is bound to the one that it arrived under, for good.
+// generation is one configuration. A txn keeps the one that was in force when it arrived.
 type generation struct {
 	no             rollout.Generation
 	document       *routes.Document
 	text           []byte
 	digest         uint64
-	table          *routes.Table // nil for generation 0: all is as the platform says
+	table          *routes.Table // nil for generation 0: the platform's settings apply
 	shares         *routes.Shares
 	retryBudgets   *routes.RetryBudgets
 	openTxns       int
-	fleetVersion   uint64          // that the fleet gave it, 0 for none
-	watchDuration  int64           // for which that one is watched
-	fleetLimits    []*fleetBounds  // by tenant; nil for one whose bounds are each gateway's own
+	fleetVersion   uint64          // assigned by the fleet, 0 for none
+	watchDuration  int64           // of the fleet's version, in nanoseconds
+	fleetLimits    []*fleetBounds  // by tenant; nil for a tenant whose limits are per gateway
 	blockedMembers map[string]bool // members that it excludes or drains
 }
 
@@ -49,7 +49,7 @@
 		byNo: map[rollout.Generation]*generation{0: zero}}
 }
 
-// start applies what the operator's file says at the start. What is wrong with it leaves all as the platform says.
+// applyStartConfig applies the change of the operator's file at the start. If it is invalid, the platform's settings apply.
 func (gs *generations) applyStartConfig(c *Change) {
 	if gs.g.agreed != nil {
 		if c != nil {
@@ -60,7 +60,7 @@
 	watchDuration, keptDigest := int64(0), uint64(0)
 	if gs.g.config.Changes != nil {
 		if keptDigest = gs.restoreKept(); keptDigest != 0 && c != nil {
-			watchDuration = c.WatchDuration // it is not the first: it is watched like any
+			watchDuration = c.WatchDuration // not the first change, so it is watched like any other
 		}
 	}
 	if c == nil || keptDigest != 0 && c.Digest == keptDigest {
@@ -77,29 +77,29 @@
 		gs.g.log.Warn("operator's file", "finding", f.Error())
 	}
 	if err != nil {
-		gs.g.log.Error("routes and limits are not applied, all is as the platform says", "why", err)
+		gs.g.log.Error("routes and limits are not applied, the platform's settings apply", "why", err)
 	}
 }
 
-// Change is a new configuration of routes, tenants and members by hand.
+// Change is a new configuration of routes, tenants, and members that the operator excludes or drains.
 type Change struct {
-	Document       *routes.Document // nil is all as the platform says
-	Digest         uint64           // the same for the same text
-	Text           []byte           // that says the same, for Config.Changes
-	WatchDuration  int64            // nanoseconds in which it is undone if health worsens; 0 keeps it at once
-	Reapply        bool             // also if it was undone before
-	LocalOnly      bool             // for this gateway, which is refused where the fleet agrees on changes
-	Author, Reason string           // where the fleet agrees on changes: who wants it and what for
+	Document       *routes.Document // nil restores the platform's settings
+	Digest         uint64           // equal for equal texts
+	Text           []byte           // source of Document, stored by Config.Changes
+	WatchDuration  int64            // nanoseconds during which worse health undoes it; 0 keeps it at once
+	Reapply        bool             // accept it although it was undone before
+	LocalOnly      bool             // for this gateway only; rejected where the fleet agrees on changes
+	Author, Reason string           // recorded in the version where the fleet agrees on changes
 }
 
-// Apply checks a change and stages it; it is applied, watched, and kept or undone by what Status tells later. Findings
-// that are warnings do not refuse it. It may be called at any time from any goroutine, and waits until Run has begun.
+// Apply checks a change and stages it. It is then applied, watched, and kept or undone; Status shows the progress.
+// Findings that are warnings do not reject it. Apply is safe for concurrent use and waits until Run has started.
 func (g *Gateway) Apply(ctx context.Context, c Change) (no rollout.Generation, findings []routes.Finding, err error) {
 	var environment *routes.Environment
 	if err = g.inLoop(ctx, func() error { environment = g.generations.environment(); return nil }); err != nil {
 		return 0, nil, err
 	}
-	x, findings, err := compileChange(c, environment) // beside the loop: a large document takes long
+	x, findings, err := compileChange(c, environment) // outside the event loop: compiling a large document takes long
 	if err != nil {
 		return 0, findings, err
 	}
@@ -120,22 +120,22 @@
 	return no, findings, err
 }
 
-// Keep keeps the watched change by hand; Undo undoes it, or drops the staged one.
+// Keep keeps the watched change without waiting for the end of its watch.
 func (g *Gateway) Keep(ctx context.Context) error {
 	return g.inLoop(ctx, g.generations.module.KeepNow)
 }
 
-// Undo undoes the watched change by hand, or drops the staged one.
+// Undo undoes the watched change, or drops the staged one.
 func (g *Gateway) Undo(ctx context.Context) error {
 	return g.inLoop(ctx, g.generations.module.UndoNow)
 }
 
-// Status tells where changes stand.
+// Status returns the progress of changes.
 func (g *Gateway) Status(ctx context.Context) (s rollout.Status, err error) {
 	err = g.inLoop(ctx, func() error {
 		s = g.generations.module.Status()
 		s.Finished = slices.Clone(s.Finished)
-		if now := g.generations.inForce.no; now != s.InForce { // it waits until it is saved
+		if now := g.generations.inForce.no; now != s.InForce { // the change waits until its state is saved
 			s.Stage, s.Staged, s.InForce = rollout.Staged, s.InForce, now
 		}
 		return nil
@@ -143,7 +143,8 @@
 	return s, err
 }
 
-// InForce gives the text of the generation in force; none is of one that came without a text, or of all as the platform says.
+// InForce returns the number and text of the generation in force. The text is empty if the change came without one or
+// if the platform's settings apply.
 func (g *Gateway) InForce(ctx context.Context) (no rollout.Generation, text []byte, err error) {
 	err = g.inLoop(ctx, func() error {
 		no, text = g.generations.inForce.no, g.generations.inForce.text
@@ -152,7 +153,7 @@
 	return no, text, err
 }
 
-// inLoop runs something on the loop and waits for it.
+// inLoop runs f on the event loop and waits for it.
 func (g *Gateway) inLoop(ctx context.Context, f func() error) error {
 	select {
 	case <-g.started:
@@ -172,7 +173,7 @@
 	}
 }
 
-// world is what a document is checked against now.
+// environment returns the types, zones and members that a document is checked against.
 func (gs *generations) environment() *routes.Environment {
 	g := gs.g
 	environment := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.all}
@@ -189,7 +190,7 @@
 	return environment
 }
 
-// compiled is a change that has passed the checks.
+// compileChange checks a change and compiles its document.
 func compileChange(c Change, environment *routes.Environment) (compiled *generation, findings []routes.Finding, err error) {
 	compiled = &generation{document: c.Document, text: c.Text, digest: c.Digest, blockedMembers: blockedBy(c.Document)}
 	if c.Document != nil {
@@ -200,7 +201,7 @@
 	return compiled, findings, nil
 }
 
-// propose stages a change.
+// stage gives a compiled change the next number and stages it.
 func (gs *generations) stage(x *generation, c Change) (rollout.Generation, error) {
 	x.no = gs.lastNo + 1
 	change := rollout.Change{Generation: x.no, Digest: c.Digest, WatchDuration: c.WatchDuration, Reapply: c.Reapply}
@@ -212,7 +213,7 @@
 	return x.no, nil
 }
 
-// carryOut does what the module decides until there is nothing left.
+// processDecisions carries out the module's decisions until none is left or one waits for the disk.
 func (gs *generations) processDecisions() {
 	gs.module.Clock(int64(gs.g.clock.now()))
 	for !gs.saving {
@@ -222,7 +223,7 @@
 		}
 		switch d.Kind {
 		case rollout.Undo:
-			if gs.g.agreed != nil { // all undo it, or none
+			if gs.g.agreed != nil { // all gateways undo it, or none does
 				gs.g.agreed.proposeUndo(gs.inForce)
 				continue
 			}
@@ -244,8 +245,8 @@
 	}
 }
 
-// enter puts a generation in force, for all that arrives from now on, at this one point of the loop. What is under
-// way counts against the shares of its tenants, by name, whatever generation began it.
+// activate puts a generation in force for every txn that arrives from now on, in one step of the event loop. Txns in
+// flight count against the shares of the tenant with the same name, whichever generation they started under.
 func (gs *generations) activate(x *generation) {
 	now := int64(gs.g.clock.now())
 	blockedBefore := gs.blockedMembers()
@@ -273,8 +274,8 @@
 	gs.g.least.Set(minLogLevel(x.document))
 }
 
-// tell has another generation bind beside the one in force: what it takes away is taken at once, what it gives waits
-// until it is in force. nil ends that.
+// setPending applies another generation's restrictions beside the one in force: what it takes away is taken at once, what
+// it grants waits until it is in force. nil ends that.
 func (gs *generations) setPending(x *generation) {
 	if x == gs.pending {
 		return
@@ -296,7 +297,7 @@
 	gs.reportBlockChanges(blockedBefore)
 }
 
-// tenantIn is a txn's tenant in another table, by its name; below 0 is none.
+// tenantIn returns the index of a txn's tenant in another generation's table, by name; negative if there is none.
 func (gs *generations) tenantIn(x *generation, t *txn) int32 {
 	if t.generation.table == nil || t.route.Tenant < 0 {
 		return -1
@@ -305,13 +306,13 @@
 	return int32(slices.IndexFunc(x.table.Tenants, func(n routes.Tenant) bool { return n.Name == name }))
 }
 
-// carry counts a txn of another generation against the tenant of its name, if there is one.
+// carryOver counts a txn of another generation against the tenant with the same name, if there is one.
 func (gs *generations) carryOver(x *generation, t *txn) {
 	t.shares, t.tenant = x.shares, gs.tenantIn(x, t)
 	x.shares.CarryOver(t.tenant, int64(t.size))
 }
 
-// bars are the members that get nothing new by what is in force, or by what comes next.
+// blockedMembers returns the members that get no new work under the generation in force or the pending one.
 func (gs *generations) blockedMembers() map[string]bool {
 	if gs.pending == nil {
 		return gs.inForce.blockedMembers
@@ -324,7 +325,8 @@
 	return blocked
 }
 
-// listed tells the module of members whose bar has changed. A drain of the list's goes before any table.
+// reportBlockChanges reports to the module the members that became blocked or unblocked. A drain in the member list takes
+// precedence over any table.
 func (gs *generations) reportBlockChanges(blockedBefore map[string]bool) {
 	changed, blockedAfter := false, gs.blockedMembers()
 	for _, h := range gs.g.discovery.list.hosts {
@@ -338,7 +340,7 @@
 	}
 }
 
-// health is what the list says of a host, or the generation in force does.
+// memberHealth returns a host's health by the member list, or "leaving" if a generation blocks it.
 func (gs *generations) memberHealth(e *httpwire.Host) string {
 	if e.Health == "active" && (gs.inForce.blockedMembers[e.Host] || gs.pending != nil && gs.pending.blockedMembers[e.Host]) {
 		return "leaving"
@@ -346,7 +348,7 @@
 	return e.Health
 }
 
-// forget drops generations that nothing needs any more.
+// dropUnused removes generations that nothing refers to any more.
 func (gs *generations) dropUnused() {
 	s := gs.module.Status()
 	for no, x := range gs.byNo {
@@ -356,7 +358,7 @@
 	}
 }
 
-// arrive binds a txn to the generation in force. why is why it is refused, with when to come back.
+// admit binds a txn to the generation in force. It returns why the txn is rejected, if it is, and when to retry.
 func (gs *generations) admit(t *txn, request *routes.Txn) (reason routes.RejectReason, retryAfter int64) {
 	t.generation = gs.inForce
 	t.route = routes.Match{Route: -1, Type: int32(request.Type), Tenant: -1}
@@ -388,7 +390,7 @@
 	return routes.Allowed, 0
 }
 
-// begin counts a txn that arrive allowed; end takes it back, once.
+// begin counts a txn that admit allowed.
 func (gs *generations) begin(t *txn) {
 	t.generation.openTxns++
 	t.counted = true
@@ -401,6 +403,7 @@
 	gs.beginOfFleet(t)
 }
 
+// end takes back what begin counted; further calls do nothing.
 func (gs *generations) end(t *txn) {
 	if !t.counted {
 		return
@@ -418,7 +421,7 @@
 	}
 }
 
-// bind tells the module what a txn's route says of it, once it has arrived.
+// restrictReads reports to the module the zones and target latency that a txn's route sets, after the txn has arrived.
 func (gs *generations) restrictReads(t *txn) {
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return
@@ -428,7 +431,7 @@
 	}
 }
 
-// aimOf is a txn's SLA time: the txn type's, or its route's if that is shorter.
+// targetLatency returns a txn's target latency: its type's, or its route's if that is shorter.
 func (gs *generations) targetLatency(t *txn) decide.Nanos {
 	target := decide.Millis(gs.g.names.Classes[t.class].PromiseMs)
 	if t.generation != nil && t.generation.table != nil && t.route.Route >= 0 {
@@ -439,7 +442,7 @@
 	return target
 }
 
-// served tells of a txn's end for the health of its route.
+// recordOutcome records the end of a txn for the health of its route.
 func (gs *generations) recordOutcome(t *txn, committed bool) {
 	class := &gs.g.names.Classes[t.class]
 	servedValue := 0.0
@@ -455,7 +458,8 @@
 	gs.module.RecordTxn(route, class.Worth, servedValue)
 }
 
-// mayRepeat tells whether a repeatable txn may be sent once more, by its route's budget.
+// allowAttempt reports whether a txn may be sent: a first attempt always, the retry of a repeatable txn if its route's
+// retry budget allows it.
 func (gs *generations) allowAttempt(t *txn, attempt int) bool {
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return true
--- a/gateway/kept.go
+++ b/gateway/kept.go
@@ -16,33 +16,33 @@
 	"magpieglade/routes"
 )
 
-// ChangeFolder says where changes outlive the process.
+// ChangeStore keeps changes across restarts in a file of a folder.
 type ChangeStore struct {
 	Path  string
-	Parse func(text []byte) (*routes.Document, error) // of a change's text
+	Parse func(text []byte) (*routes.Document, error) // parses the text of a change
 }
 
-// keptFile is the one file of the folder: a checksum in hexadecimal, a line's end, and this as JSON. It is replaced as
-// a whole, so that any end of the process leaves the former or the new one.
+// changeFile is the only file of the folder: a checksum in hexadecimal, a newline, and this struct as JSON. It is replaced
+// atomically, so that a crash leaves either the former or the new file.
 type changeFile struct {
-	Form   int
-	State  rollout.State
-	Next   rollout.Generation // the highest number that was given
-	Digest uint64             // of the kept text
-	Text   []byte             // of the kept change; nil is all as the platform says
+	FormatVersion  int `json:"Form"`
+	State          rollout.State
+	LastGeneration rollout.Generation `json:"Next"` // the highest number assigned so far
+	Digest         uint64             // of Text
+	Text           []byte             // of the kept change; nil if the platform's settings apply
 }
 
 const changeFileFormat = 1
 
-var errDamagedChangeFile = errors.New("the file of kept changes is damaged or of another version")
+var errDamagedChangeFile = errors.New("the file of kept changes is damaged or has another format version")
 
 func (f *ChangeStore) file() string { return filepath.Join(f.Path, "kept.json") }
 
-// read gives what the last run left; nothing at a first start.
+// load returns the saved state, an empty one if there is no file yet.
 func (f *ChangeStore) load() (k changeFile, err error) {
 	text, err := os.ReadFile(f.file())
 	if errors.Is(err, fs.ErrNotExist) {
-		return changeFile{Form: changeFileFormat}, nil
+		return changeFile{FormatVersion: changeFileFormat}, nil
 	}
 	if err != nil {
 		return k, err
@@ -51,19 +51,20 @@
 	if !ok || string(sum) != checksum(body) {
 		return k, errDamagedChangeFile
 	}
-	if err := json.Unmarshal(body, &k); err != nil || k.Form != changeFileFormat {
+	if err := json.Unmarshal(body, &k); err != nil || k.FormatVersion != changeFileFormat {
 		return k, errDamagedChangeFile
 	}
 	return k, nil
 }
 
+// checksum returns the CRC-32C of body in hexadecimal.
 func checksum(body []byte) string {
 	return fmt.Sprintf("%08x", crc32.Checksum(body, crc32.MakeTable(crc32.Castagnoli)))
 }
 
-// write replaces the file; it is on the disk when it returns.
+// save replaces the file; it is on disk when save returns.
 func (f *ChangeStore) save(k changeFile) error {
-	k.Form = changeFileFormat
+	k.FormatVersion = changeFileFormat
 	body, err := json.Marshal(k)
 	if err != nil {
 		return err
@@ -74,13 +75,13 @@
 	return renameio.WriteFile(f.file(), append([]byte(checksum(body)+"\n"), body...), 0o600)
 }
 
-// recall puts the last kept change in force at the start; without one that can be read and still passes the checks all
-// is as the platform says. It gives the digest of what it put in force.
+// restoreKept puts the last kept change in force at the start. If it can't be read or no longer passes the checks, the
+// platform's settings apply. It returns the digest of what it put in force.
 func (gs *generations) restoreKept() (digest uint64) {
 	f := gs.g.config.Changes
 	k, err := f.load()
 	if err != nil {
-		gs.g.log.Error("kept changes are not read, all is as the platform says", "why", err)
+		gs.g.log.Error("kept changes are not read, the platform's settings apply", "why", err)
 		return 0
 	}
 	kept := &generation{no: k.State.Kept, text: k.Text, digest: k.Digest}
@@ -94,14 +95,14 @@
 			}
 		}
 		if err != nil {
-			gs.g.log.Error("the kept change is not applied, all is as the platform says", "generation", k.State.Kept, "why", err)
+			gs.g.log.Error("the kept change is not applied, the platform's settings apply", "generation", k.State.Kept, "why", err)
 			k.State.Kept = 0
 			kept = gs.byNo[0]
 		}
 	}
 	kept.blockedMembers = blockedBy(kept.document)
 	gs.byNo[kept.no] = kept
-	gs.lastNo = max(k.Next, k.State.Kept)
+	gs.lastNo = max(k.LastGeneration, k.State.Kept)
 	gs.module = rollout.New(k.State)
 	gs.module.Clock(int64(gs.g.clock.now()))
 	gs.activate(kept)
@@ -109,13 +110,13 @@
 	return kept.digest
 }
 
-// save writes what a restart needs, beside the loop, which goes on with the module's decisions once it is written.
+// saveState writes what a restart needs, outside the event loop. The module's decisions wait until it is written.
 func (gs *generations) saveState() {
 	f := gs.g.config.Changes
 	if f == nil {
 		return
 	}
-	k := changeFile{State: gs.module.State(), Next: gs.lastNo}
+	k := changeFile{State: gs.module.State(), LastGeneration: gs.lastNo}
 	if kept := gs.byNo[k.State.Kept]; kept != nil {
 		k.Text, k.Digest = kept.text, kept.digest
 	}
@@ -126,7 +127,7 @@
 	}()
 }
 
-// saved goes on. A change that a restart would not know of is not left in force.
+// stateSaved lets the decisions continue. If the write failed, the change is undone: a restart would not know of it.
 func (gs *generations) stateSaved(err error) {
 	gs.saving = false
 	if err == nil {
@@ -137,6 +138,7 @@
 	_ = gs.module.UndoNow()
 }
 
+// blockedBy returns the members that a document excludes or drains.
 func blockedBy(d *routes.Document) map[string]bool {
 	blocked := map[string]bool{}
 	if d != nil {
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -9,10 +9,10 @@
 	"magpieglade/routes"
 )
 
-// What a generation says of connections and of the log is in force with it.
+// Connection limits and the log level of a generation take effect together with it.
 
-// tenantOf is whose connections a client counts against, below 0 for nobody's: the tenant of the first route that goes by
-// users, databases and networks alone and matches.
+// tenantOf returns the tenant that a client's connection counts against, negative if none: the tenant of the first
+// matching route whose conditions are only users, databases and networks.
 func (cs *clients) tenantOf(x *generation, c *client) int32 {
 	if x.table == nil {
 		return -1
@@ -24,7 +24,8 @@
 	return x.table.ConnectionTenant(t)
 }
 
-// admit counts a client that has told its names against its tenant; ok is false where that may have no more.
+// admit counts a client against its tenant once its user and database are known; ok is false if the tenant has reached its
+// limit. first is as for mayConnect.
 func (cs *clients) admit(c *client) (ok, first bool) {
 	x := cs.g.generations.inForce
 	n := cs.tenantOf(x, c)
@@ -42,7 +43,7 @@
 	return true, false
 }
 
-// leaves takes it back.
+// releaseConnection takes back what admit counted.
 func (cs *clients) releaseConnection(c *client) {
 	if c.connects != 0 {
 		cs.g.quotas.Module.End(c.connects, 1)
@@ -54,8 +55,8 @@
 	}
 }
 
-// recount counts all clients against the tenants of a generation that comes in force. Who is there stays, also past a
-// new bound.
+// recountConnections counts all clients against the tenants of a generation that comes into force. Connected clients stay,
+// even beyond a new limit.
 func (cs *clients) recountConnections(x *generation) {
 	for _, ref := range cs.open.Refs() {
 		c := cs.open.Get(ref)
@@ -77,36 +78,36 @@
 	}
 }
 
-// everything is a level below all: what is logged is then for the handler to say.
+// levelAll is below every level, so that the wrapped handler alone decides what is logged.
 const levelAll = slog.Level(math.MinInt32)
 
-// levelled is a handler that takes no less than a level, which may change at any time.
+// levelHandler drops records below a level that may change at any time.
 type levelHandler struct {
 	slog.Handler
 	minLevel *slog.LevelVar
 }
 
-// Enabled is for slog.
+// Enabled implements slog.Handler.
 func (l levelHandler) Enabled(ctx context.Context, at slog.Level) bool {
 	return at >= l.minLevel.Level() && l.Handler.Enabled(ctx, at)
 }
 
-// WithAttrs is for slog.
+// WithAttrs implements slog.Handler.
 func (l levelHandler) WithAttrs(all []slog.Attr) slog.Handler {
 	return levelHandler{l.Handler.WithAttrs(all), l.minLevel}
 }
 
-// WithGroup is for slog.
+// WithGroup implements slog.Handler.
 func (l levelHandler) WithGroup(name string) slog.Handler {
 	return levelHandler{l.Handler.WithGroup(name), l.minLevel}
 }
 
-// levelOf is the least level that a document has logged.
+// minLogLevel returns the minimum level that a document sets for the log.
 func minLogLevel(d *routes.Document) slog.Level {
 	if d == nil || d.LogLevel == "" {
 		return levelAll
 	}
 	var at slog.Level
-	_ = at.UnmarshalText([]byte(d.LogLevel)) // it was checked
+	_ = at.UnmarshalText([]byte(d.LogLevel)) // validated with the document
 	return at
 }
