--- a/gateway/agreed_test.go
+++ b/gateway/agreed_test.go
@@ -14,7 +14,7 @@
 	"magpieglade/standin"
 )
 
-// agreeing is an operator's file for gateways that agree on one version; the wire stands between them.
+// agreementOperatorFile is an operator's file for gateways that agree on one version over the simulated network.
 const agreementOperatorFile = `
 control = "%DIR%.sock"
 agreement {
@@ -26,7 +26,7 @@
 }
 `
 
-// union is a fleet that agrees, with the network between its gateways.
+// agreementFleet is a fleet with an agreement, and the simulated network between its gateways.
 type agreementFleet struct {
 	*fleet
 	network *standin.Network
@@ -36,19 +36,23 @@
 	group   *standin.Group
 }
 
+// newAgreementFleet starts n gateways and makes the first ones voters; it returns once all may act.
 func newAgreementFleet(t testing.TB, n, voters int) *agreementFleet {
 	return newAgreementFleetWith(t, n, voters, agreementOperatorFile)
 }
 
+// newAgreementFleetWith does the same with another operator's file.
 func newAgreementFleetWith(t testing.TB, n, voters int, operator string) *agreementFleet {
 	return newSkewedAgreementFleet(t, n, voters, operator, nil)
 }
 
+// newSkewedAgreementFleet also sets the clock rate and disk delay of each process; setSkew may be nil.
 func newSkewedAgreementFleet(t testing.TB, n, voters int, operator string, setSkew func(*process)) *agreementFleet {
 	g, members := group(0, 2)
 	return newAgreementFleetForGroup(t, n, voters, operator, setSkew, g, members)
 }
 
+// newAgreementFleetForGroup puts the fleet in front of an existing group of members.
 func newAgreementFleetForGroup(t testing.TB, n, voters int, operator string, setSkew func(*process), g *standin.Group, members []*standin.Member) *agreementFleet {
 	u := &agreementFleet{network: standin.NewNetwork(1), voters: voters, t: t, members: members, group: g}
 	u.fleet = newFleet(0, operator, members...)
@@ -62,7 +66,7 @@
 	}
 	u.fleet.add(n)
 	t.Cleanup(func() {
-		if t.Failed() { // one that hangs tells where
+		if t.Failed() { // print the stacks of a process that hangs
 			for _, p := range u.gateways {
 				if p.cmd != nil {
 					_ = p.cmd.Process.Signal(syscall.SIGQUIT)
@@ -91,6 +95,7 @@
 	return u
 }
 
+// command runs a command of the program against the control socket of a gateway and returns its output.
 func (u *agreementFleet) command(index int, args ...string) string {
 	return runProgram(append(args, "--control", filepath.Join(u.dir, fmt.Sprintf("ledger%d.sock", index)))...)
 }
@@ -100,7 +105,7 @@
 	u.awaitFor(soon, what, condition)
 }
 
-// awaitFor is for what takes an election, another keeper and its quiet.
+// awaitFor is for conditions that take an election, a new allocator and its quiet period.
 func (u *agreementFleet) awaitFor(timeout time.Duration, what string, condition func() bool) {
 	u.t.Helper()
 	for began := time.Now(); !condition(); time.Sleep(20 * time.Millisecond) {
@@ -110,25 +115,25 @@
 	}
 }
 
-// apply has a gateway ask for a change; it gives what the command said.
+// apply proposes a change at a gateway and returns the command's output.
 func (u *agreementFleet) apply(gateway int, text string) string {
 	path := filepath.Join(u.dir, fmt.Sprintf("change%d.hcl", gateway))
 	must(os.WriteFile(path, []byte(text), 0o600))
 	return u.command(gateway, "config", "apply", "--why", "a test", path)
 }
 
-// awaitVersion waits until some gateways act on a version.
+// awaitVersion waits until the given gateways act on a version and no other is pending.
 func (u *agreementFleet) awaitVersion(version int, gateways ...int) {
 	u.t.Helper()
 	for _, i := range gateways {
 		u.await(fmt.Sprintf("gateway %d acts on version %d", i, version), func() bool {
-			said := u.command(i, "fleet", "status")
-			return strings.Contains(said, fmt.Sprintf("routes: version %d (", version)) && !strings.Contains(said, "next version") && !strings.Contains(said, "tries version") && strings.Contains(said, "may act")
+			output := u.command(i, "fleet", "status")
+			return strings.Contains(output, fmt.Sprintf("routes: version %d (", version)) && !strings.Contains(output, "next version") && !strings.Contains(output, "tries version") && strings.Contains(output, "may act")
 		})
 	}
 }
 
-// halt stops a process as it stands, and waits until all of its threads do.
+// pause stops a process with SIGSTOP and waits until all of its threads have stopped.
 func (p *process) pause() {
 	must(p.cmd.Process.Signal(syscall.SIGSTOP))
 	until(func() bool {
@@ -144,15 +149,15 @@
 	})
 }
 
-// leader is who leads as a voter knows it.
+// leader waits until one of the voters knows the leader, and returns its index.
 func (u *agreementFleet) leader(voters ...int) int {
 	u.t.Helper()
 	leader := -1
 	u.await("somebody leads", func() bool {
 		for _, i := range voters {
 			var name string
-			said := u.command(i, "fleet", "status")
-			if _, after, ok := strings.Cut(said, "votes; "); ok {
+			output := u.command(i, "fleet", "status")
+			if _, after, ok := strings.Cut(output, "votes; "); ok {
 				if n, _ := fmt.Sscanf(after, "%s leads", &name); n == 1 && strings.HasPrefix(name, "n") {
 					if k, _ := fmt.Sscanf(name, "n%d", &leader); k == 1 {
 						return true
@@ -165,12 +170,12 @@
 	return leader
 }
 
-// moves is a change that the others contradict: reads are run as another tenant's, which may have none.
+// conflictingChange is a change that conflicts with those of other numbers: it assigns reads to another tenant.
 func conflictingChange(n int) string {
 	return fmt.Sprintf("route \"moved\" {\n  types  = [\"any\"]\n  tenant = \"t%d\"\n}\ntenant \"t%d\" {\n  in_flight = 50\n}\n", n, n)
 }
 
-// load asks all gateways for reads and writes until it is ended, and tells what was not right.
+// backgroundReads sends reads to all gateways until finish, and collects unexpected responses.
 type backgroundReads struct {
 	stop               chan struct{}
 	wg                 sync.WaitGroup
@@ -215,6 +220,7 @@
 	return l
 }
 
+// finish stops the reads and fails the test if a response was unexpected or nothing was served.
 func (l *backgroundReads) finish(t testing.TB) {
 	t.Helper()
 	close(l.stop)
@@ -225,10 +231,11 @@
 	}
 }
 
-// A fleet of five, three of which vote, under load and a network that loses and repeats, while what can fail fails: after
-// each there is one history, and the next change comes in force at all that can be reached.
+// Five gateways, three of them voters, run under load on a network that loses and duplicates messages. After each fault
+// (a paused gateway, a killed leader, partitions, concurrent proposals, killed voters, a lost disk) the next change must
+// come into force at all reachable gateways, and the voters must have one history.
 func TestAgreementUnderFaults(t *testing.T) {
-	t.Parallel() // it waits for events nearly all of its time
+	t.Parallel() // it mostly waits for events
 	u := newAgreementFleet(t, 5, 3)
 	l := u.startReads()
 	u.network.SetFaults(0.05, 0.05, 5*time.Millisecond)
@@ -242,8 +249,8 @@
 	applyVersion(4, 1)
 	u.awaitVersion(1, all...)
 
-	// One is stopped, as somebody is in any fleet: it holds nobody up. A txn that waits at it while the others move its
-	// tenant is not served by former rules when it goes on, not even as the first thing that it does.
+	// A paused gateway must not delay the others. A txn that waits at it while the others assign it to another tenant must
+	// not be served by the former version when the process continues, even as its first action.
 	c := u.front.NewClient("ca00", standin.TxnTypes{Read: "any", Write: "keyed"})
 	c.Timeout = 30 * time.Second
 	if a := c.Read(4); a.Code != "" || a.Err != nil {
@@ -263,7 +270,7 @@
 	c.Close()
 	u.awaitVersion(4, 4)
 
-	// The leader is killed with a change half-way: another one goes on with it.
+	// The leader is killed while a change is being rolled out: a new leader completes it.
 	leader := u.leader(0, 1, 2)
 	applyVersion(3, 5)
 	u.gateways[leader].kill()
@@ -277,11 +284,12 @@
 	u.gateways[leader].start()
 	u.awaitVersion(5, leader)
 
-	// Cut off from the others but not from its clients: it is careful, and takes what holds when it is back.
+	// A gateway that is partitioned from the others but not from its clients rejects what a new version may change once its
+	// lease has expired, and adopts the version in force when it is reconnected.
 	c = u.front.NewClient("ca01", standin.TxnTypes{Read: "any", Write: "keyed"})
 	last, ended := time.Now(), make(chan struct{})
 	u.network.Isolate(3, true)
-	go func() { // until it declines what a change may have moved
+	go func() { // until it rejects what a change may have affected
 		defer close(ended)
 		for a := c.Read(3); a.Code == "" && a.Err == nil; a = c.Read(3) {
 			last = time.Now()
@@ -305,25 +313,25 @@
 		t.Fatalf("a txn of the ordinary path, at a gateway that can't renew: %v", a)
 	}
 	c.Close()
-	if said := u.command(3, "metrics"); !strings.Contains(said, "magpieglade_fleet_version_in_force 5") || strings.Contains(said, "txns_unagreed_total 0") ||
-		!strings.Contains(said, "magpieglade_fleet_lease_left_seconds -") {
-		t.Fatal(said)
+	if output := u.command(3, "metrics"); !strings.Contains(output, "magpieglade_fleet_version_in_force 5") || strings.Contains(output, "txns_unagreed_total 0") ||
+		!strings.Contains(output, "magpieglade_fleet_lease_left_seconds -") {
+		t.Fatal(output)
 	}
 	u.network.Isolate(3, false)
 	u.awaitVersion(6, all...)
 
-	// Two operators at once: one wins, the other is told by whom.
-	said := make(chan string, 2)
+	// Two operators propose at once: one succeeds, the other's error names the winning version.
+	output := make(chan string, 2)
 	for i := range 2 {
-		go func() { said <- u.apply(3+i, conflictingChange(70+i)) }()
+		go func() { output <- u.apply(3+i, conflictingChange(70+i)) }()
 	}
-	first, second := <-said, <-said
+	first, second := <-output, <-output
 	if strings.Contains(first, "agreed on") == strings.Contains(second, "agreed on") || !strings.Contains(first+second, "put version 7") {
 		t.Fatalf("two operators: %s / %s", first, second)
 	}
 	u.awaitVersion(7, all...)
 
-	// All that vote are killed and started again.
+	// All voters are killed and restarted.
 	for i := range 3 {
 		u.gateways[i].kill()
 	}
@@ -334,7 +342,7 @@
 	applyVersion(2, 8)
 	u.awaitVersion(8, all...)
 
-	// A voter that lost its disk comes back as another gateway, and votes once it is let.
+	// A voter that lost its disk rejoins as a new gateway, and votes once it was added as a voter again.
 	u.gateways[1].kill()
 	must(os.RemoveAll(filepath.Join(u.dir, "ledger1")))
 	u.gateways[1].start()
@@ -343,7 +351,7 @@
 	u.command(0, "fleet", "voters", "--add", "n1")
 	u.await("three vote", func() bool { return strings.Contains(u.command(1, "fleet", "status"), "votes; n") })
 
-	// A voter that hears all and is heard by none: the others go on without it, another one leads if it did.
+	// A voter that receives messages but whose own are lost: the others continue without it, with a new leader if it led.
 	for i := range all {
 		u.network.Block(2, i, true)
 	}
@@ -355,30 +363,31 @@
 	u.awaitVersion(9, all...)
 	u.network.SetFaults(0, 0, 0)
 	l.finish(t)
-	u.await("one history", func() bool { // once the log has reached all that vote
+	u.await("one history", func() bool { // once the log has reached all voters
 		history := u.command(0, "config", "history")
 		return history == u.command(1, "config", "history") && history == u.command(2, "config", "history")
 	})
 }
 
-// What one gateway's health speaks against, or an operator undoes, is undone by all: its former text is the next version.
+// A version under which one gateway's health worsens, or that an operator undoes, is undone by all gateways: the former
+// text becomes the next version.
 func TestWorseVersionIsUndoneByAllGateways(t *testing.T) {
 	u := newAgreementFleet(t, 3, 1)
 	l := u.startReads()
 	defer l.finish(t)
-	for i := range u.gateways { // each has a time before that it judges by
+	for i := range u.gateways { // each gateway has a baseline to compare with
 		u.await("health is known", func() bool { return strings.Contains(u.command(i, "config", "status"), "spread") })
 	}
-	if said := u.apply(1, "watch = \"20s\"\nroute \"bad\" {\n  types = [\"any\"]\n  expiry = \"1ms\"\n}\n"); !strings.Contains(said, "version 1 is agreed on") {
-		t.Fatal(said)
+	if output := u.apply(1, "watch = \"20s\"\nroute \"bad\" {\n  types = [\"any\"]\n  expiry = \"1ms\"\n}\n"); !strings.Contains(output, "version 1 is agreed on") {
+		t.Fatal(output)
 	}
 	u.awaitVersion(2, 0, 1, 2)
 	history := u.command(0, "config", "history")
 	if !strings.Contains(history, "gateway n") || !strings.Contains(history, "health worsened") {
 		t.Fatal(history)
 	}
-	if said := u.apply(2, "watch = \"1m\"\n"+conflictingChange(3)); !strings.Contains(said, "version 3 is agreed on") {
-		t.Fatal(said)
+	if output := u.apply(2, "watch = \"1m\"\n"+conflictingChange(3)); !strings.Contains(output, "version 3 is agreed on") {
+		t.Fatal(output)
 	}
 	u.awaitVersion(3, 0, 1, 2)
 	u.command(1, "config", "undo")
@@ -386,14 +395,14 @@
 	if history := u.command(0, "config", "history"); !strings.Contains(history, "by hand") {
 		t.Fatal(history)
 	}
-	if said := u.command(0, "config", "restore", "3"); !strings.Contains(said, "version 5 is agreed on, with the text of version 3") {
-		t.Fatal(said)
+	if output := u.command(0, "config", "restore", "3"); !strings.Contains(output, "version 5 is agreed on, with the text of version 3") {
+		t.Fatal(output)
 	}
 	u.awaitVersion(5, 0, 1, 2)
 }
 
-// What the agreement costs a txn: processor time of one gateway, which votes, without it, with it, and with a route that
-// rules the txns. Run by hand: -bench Agreed -benchtime 1x.
+// Measures the cost of the agreement per txn: CPU time of one gateway, a voter, without the agreement, with it, and with a
+// route that matches the txns. Run it with -bench Agreement -benchtime 1x.
 func BenchmarkAgreement(b *testing.B) {
 	for _, name := range []string{"off", "on", "ruled"} {
 		b.Run(name, func(b *testing.B) {
@@ -434,7 +443,7 @@
 	}
 }
 
-// spentBy is a process's processor time so far, in steps of 10 ms.
+// cpuTime returns the CPU time of a process so far, with a resolution of 10 ms.
 func cpuTime(p *process) time.Duration {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	must(err)
@@ -446,8 +455,8 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// A version that contradicts nothing goes to the gateway that was asked, to a share, to all, each watching it; one that is
-// not well with who tries it is dropped, and nobody else has it.
+// A version without conflicts is rolled out in steps, each of them watched: to the gateway that proposed it, to a fraction
+// of the fleet, to all. A version that is undone during a step is aborted and never reaches the other gateways.
 func TestVersionRollsOutInSteps(t *testing.T) {
 	u := newAgreementFleetWith(t, 3, 1, strings.Replace(agreementOperatorFile, "folder ", "share   = 0.5\n  folder ", 1))
 	l := u.startReads()
@@ -458,23 +467,23 @@
 	for i := range u.gateways {
 		u.await("health is known", func() bool { return strings.Contains(u.command(i, "config", "status"), "spread") })
 	}
-	if said := u.apply(0, route("0.1", "0s")); !strings.Contains(said, "version 1 is agreed on") {
-		t.Fatal(said)
+	if output := u.apply(0, route("0.1", "0s")); !strings.Contains(output, "version 1 is agreed on") {
+		t.Fatal(output)
 	}
 	u.awaitVersion(1, 0, 1, 2)
-	if said := u.apply(1, route("0.2", "1m")); !strings.Contains(said, "version 2 is agreed on") {
-		t.Fatal(said)
+	if output := u.apply(1, route("0.2", "1m")); !strings.Contains(output, "version 2 is agreed on") {
+		t.Fatal(output)
 	}
 	u.await("its asker tries it", func() bool { return strings.Contains(u.command(1, "fleet", "status"), "here too") })
-	if said := u.command(0, "fleet", "status"); !strings.Contains(said, "step 1 of 2 tries version 2") || !strings.Contains(said, "elsewhere") {
-		t.Fatal(said)
+	if output := u.command(0, "fleet", "status"); !strings.Contains(output, "step 1 of 2 tries version 2") || !strings.Contains(output, "elsewhere") {
+		t.Fatal(output)
 	}
 	u.command(1, "config", "undo")
 	u.await("it is dropped", func() bool {
 		return strings.Contains(u.command(0, "config", "history"), "dropped: gateway n1: by hand")
 	})
-	if said := u.apply(2, route("0.3", "2s")); !strings.Contains(said, "version 3 is agreed on") {
-		t.Fatal(said)
+	if output := u.apply(2, route("0.3", "2s")); !strings.Contains(output, "version 3 is agreed on") {
+		t.Fatal(output)
 	}
 	u.awaitVersion(3, 0, 1, 2)
 }
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -24,8 +24,8 @@
 	diskDelayVariable = "MAGPIEGLADE_TEST_DISK"
 )
 
-// skewed is a gateway in a process of its own, as an embedder runs one, whose clock runs at another rate and whose disk
-// takes its time: neither can be had of the machine without privileges.
+// runSkewedGateway is the main function of a process that embeds a gateway with a different clock rate and a slow disk,
+// neither of which the operating system provides without privileges.
 func runSkewedGateway() {
 	rate, err := strconv.ParseFloat(os.Getenv(clockRateVariable), 64)
 	must(err)
@@ -50,7 +50,7 @@
 	os.Exit(0)
 }
 
-// slowDisk is the operating system's, but what is to be on it takes up to a time by chance.
+// slowDisk is the operating system's file system, with a random delay of up to maxDelay in each Sync.
 type slowDisk struct {
 	store.FileSystem
 	maxDelay time.Duration
@@ -71,11 +71,11 @@
 	return f.File.Sync()
 }
 
-// Five processes whose clocks run up to 1.6% apart, which is what clock_error allows for, three of them with disks
-// that take up to 300 ms: one after another is cut off while it serves and a change that contradicts is agreed on. None
-// acts on the former version past the stated time, the one whose clock runs slowest neither, and all come to hold the last.
+// Five processes run with clock rates up to 1.6% apart, which clock_error allows for, three of them with disks that take up
+// to 300 ms. One after another is partitioned while it serves and a conflicting change is agreed on. None, not even the one
+// with the slowest clock, may act on the former version beyond the stated time, and all must adopt the last version.
 func TestAgreementWithClockSkew(t *testing.T) {
-	t.Parallel() // it waits for events nearly all of its time
+	t.Parallel() // it mostly waits for events
 	rates := []float64{1.008, 0.992, 1, 1.004, 0.992}
 	u := newSkewedAgreementFleet(t, 5, 3, agreementOperatorFile, func(p *process) {
 		p.rate = rates[p.no]
@@ -94,7 +94,7 @@
 	}
 	change(1, 4)
 	u.awaitVersion(1, all...)
-	for i, isolated := range []int{4, 3, 1} { // slow, quick, a slow one that votes
+	for i, isolated := range []int{4, 3, 1} { // a slow clock, a fast one, a slow one of a voter
 		no := i + 2
 		c := u.front.NewClient(fmt.Sprintf("%08x", 0xcb00+i), standin.TxnTypes{Read: "any", Write: "keyed"})
 		if a := c.Read(isolated); a.Code != "" || a.Err != nil {
--- a/gateway/control_test.go
+++ b/gateway/control_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// command runs one of the program's own and gives what it says.
+// runProgram runs a command of the program and returns its output, with the exit status if it fails.
 func runProgram(args ...string) string {
 	out, err := exec.Command(program, args...).CombinedOutput()
 	text := strings.TrimSpace(string(out))
@@ -19,8 +19,8 @@
 	return text
 }
 
-// An operator changes a running gateway by the command line. It is killed while a change is watched: the last kept one
-// is in force after the restart, and the change is not applied again unless it is asked for.
+// An operator changes a running gateway by the command line. The gateway is killed while a change is watched: after the
+// restart the last kept change is in force, and the watched one is only applied again with --again.
 func Example_control() {
 	_, members := group(0, 1)
 	f := newFleet(1, "control = \"%DIR%.sock\"\nchanges = \"%DIR%\"\n", members...)
@@ -36,8 +36,8 @@
 	next := file("next.hcl", "route \"all\" {\n  expiry = \"600ms\"\n}\n")
 	bad := file("bad.hcl", "route \"r\" {\n  types = [\"none\"]\n}\n")
 	runConfig := func(args ...string) {
-		said := runProgram(append(append([]string{"config"}, args...), "--control", socket)...)
-		for _, line := range strings.Split(strings.ReplaceAll(said, f.dir+"/", ""), "\n") {
+		output := runProgram(append(append([]string{"config"}, args...), "--control", socket)...)
+		for _, line := range strings.Split(strings.ReplaceAll(output, f.dir+"/", ""), "\n") {
 			fmt.Println(strings.TrimSpace(line))
 		}
 	}
@@ -102,7 +102,7 @@
 	// 4           true   by hand                                 nothing judged, health not known yet
 }
 
-// A gateway is killed at any moment of a stream of changes: it always starts, with a change that was kept.
+// A gateway is killed at different moments of a series of changes: it must always start, with a change that was kept.
 func Example_killedWhileChanging() {
 	_, members := group(0, 1)
 	f := newFleet(1, "control = \"%DIR%.sock\"\nchanges = \"%DIR%\"\n", members...)
@@ -114,7 +114,7 @@
 		must(os.WriteFile(path, fmt.Appendf(nil, "route \"all\" {\n  expiry = \"%dms\"\n}\n", 500+i), 0o600))
 		done := make(chan string, 1)
 		go func() { done <- runProgram("config", "apply", path, "--watch", "0s", "--control", socket) }()
-		time.Sleep(time.Duration(i) * time.Millisecond) // whenever that is
+		time.Sleep(time.Duration(i) * time.Millisecond) // a different point of the change in each round
 		p.kill()
 		<-done
 		p.start()
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -458,8 +458,8 @@
 	gs.module.RecordTxn(route, class.Worth, servedValue)
 }
 
-// allowAttempt reports whether a txn may be sent: a first attempt always, the retry of a repeatable txn if its route's
-// retry budget allows it.
+// allowAttempt reports whether a txn may be sent. Only retries of repeatable txns are limited, by the retry budget of
+// their route.
 func (gs *generations) allowAttempt(t *txn, attempt int) bool {
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return true
--- a/gateway/generations_test.go
+++ b/gateway/generations_test.go
@@ -19,7 +19,7 @@
 
 var bg = context.Background()
 
-// changed applies a document and waits until it is in force.
+// applyAndAwait applies a document and waits until it is in force or was dropped.
 func applyAndAwait(t testing.TB, g *gateway.Gateway, d *routes.Document, watch time.Duration) rollout.Generation {
 	t.Helper()
 	no, findings, err := g.Apply(bg, gateway.Change{Document: d, Digest: uint64(time.Now().UnixNano()), WatchDuration: int64(watch)})
@@ -34,18 +34,18 @@
 	return no
 }
 
-// expiring is a document under which each txn may take so long, which members are told.
+// documentWithExpiry is a document that limits the duration of each txn, which members receive as a timeout.
 func documentWithExpiry(after time.Duration) *routes.Document {
 	return &routes.Document{Routes: []routes.Route{{Name: "all", Expiry: int64(after), RetryRatio: -1}}}
 }
 
-// Hundreds of changes under load: each txn goes by the generation that was in force when it arrived, whole. A txn that
-// was sent after a change was in force never goes by an older one.
+// Applies hundreds of changes under load: each txn runs entirely under the generation that was in force when it arrived,
+// and a txn that was sent after a change came into force never runs under an older one.
 func TestTxnRunsUnderOneGeneration(t *testing.T) {
 	g0, members := group(0, 1)
 	address, g, _ := embeddedWith(t, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
 	front := standin.NewClientPool(address)
-	var inForce atomic.Int64 // the least expiry that a txn may still go by, in ms: those in force before and after
+	var inForce atomic.Int64 // expiry of the last change, in ms
 	var wg sync.WaitGroup
 	done := make(chan struct{})
 	var unserved, requested atomic.Int64
@@ -75,7 +75,7 @@
 		span := expiries[k%3]
 		applyAndAwait(t, g, documentWithExpiry(span), 0)
 		inForce.Store(span.Milliseconds())
-		// What this client sends now arrives under the new one.
+		// What this client sends now arrives under the new generation.
 		c := front.NewClient("cafe", classes)
 		c.Timeout = 900 * time.Millisecond
 		c.Read(0)
@@ -102,13 +102,13 @@
 	}
 }
 
-// A change takes out a member that has a txn in flight: that one ends there, nothing new goes there, and its
-// connections are given back. Undone, it gets work again; unless the list drains it meanwhile, which goes first.
+// A change excludes a member with txns in flight: these end there, no new work goes there, and its connections are
+// closed. After an undo the member gets work again, unless the member list drains it meanwhile, which takes precedence.
 func TestRemovalAndUndo(t *testing.T) {
 	g0, members := group(0, 2)
 	removed := members[2]
 	address, g, list := embeddedWith(t, func(c *gateway.Config) {
-		c.Log = slog.New(slog.DiscardHandler) // and reads that are never sent twice, however long their member holds them
+		c.Log = slog.New(slog.DiscardHandler) // the type "single" adds reads that are never sent twice, however long their member holds them
 		c.Settings = []byte(strings.NewReplacer(`"name":"once"}]`, `"name":"once"},
 		 {"effect":"once","promiseMs":1000,"hardLimitMs":60000,"worth":1,"name":"single"}]`,
 			`"mutate","mutate"]`, `"mutate","mutate","eventual"]`, `[0,0,0,0]`, `[0,0,0,0,0]`).Replace(string(c.Settings)))
@@ -116,7 +116,7 @@
 	front := standin.NewClientPool(address)
 	list.AwaitDelivered()
 	for _, m := range members {
-		m.SetDelay(20 * time.Millisecond) // so that what comes at once is spread
+		m.SetDelay(20 * time.Millisecond) // so that simultaneous reads are spread over the members
 	}
 	reads := func(n int) (at map[string]int) {
 		at = map[string]int{}
@@ -171,7 +171,8 @@
 	}
 }
 
-// A bad table under load is undone by itself, and the former behaviour is back; it is not taken a second time.
+// A table that worsens health under load is undone automatically, the former behaviour is restored, and the same change is
+// not accepted a second time.
 func TestBadTableIsUndone(t *testing.T) {
 	_, members := group(0, 1)
 	for _, m := range members {
@@ -200,7 +201,7 @@
 	}
 	defer wg.Wait()
 	defer close(done)
-	until(func() bool { // it knows the time before
+	until(func() bool { // the health baseline is known
 		s, err := g.Status(bg)
 		must(err)
 		return strings.HasPrefix(s.Health, "health 0.9") || strings.HasPrefix(s.Health, "health 1")
@@ -227,7 +228,7 @@
 	}
 }
 
-// One tenant floods; the other is served as without it, and the flood is told when to come back.
+// One tenant floods the gateway: the other is served as without the flood, and txns of the flood are rejected.
 func TestTenantFloodIsIsolated(t *testing.T) {
 	_, members := group(0, 1)
 	for _, m := range members {
@@ -284,13 +285,13 @@
 	wg.Wait()
 	t.Logf("calm tenant: alone %d of 50, median %v, 9 in 10 by %v; beside the flood %d, %v, %v; of the flood %d served, %d refused", alone,
 		before[25], before[45], ok, beside[25], beside[45], served.Load(), rejected.Load())
-	if ok < 49 { // the first may come before anything has ended
+	if ok < 49 { // the first may arrive before any txn has ended
 		t.Fatalf("%d of 50 of the calm tenant are served beside %d of the flood, %d refused", ok, served.Load(), rejected.Load())
 	}
 }
 
-// How long it takes from asking for a change until it is in force, and until it is undone by hand, with eight clients
-// at work.
+// Measures the time from a change until it is in force, and from an undo until the former generation is, with eight
+// clients sending reads.
 func BenchmarkApply(b *testing.B) {
 	_, members := group(0, 1)
 	address, g, _ := embeddedWith(b, func(c *gateway.Config) { c.Log = slog.New(slog.DiscardHandler) }, members...)
--- a/gateway/migration_test.go
+++ b/gateway/migration_test.go
@@ -10,18 +10,18 @@
 	"magpieglade/standin"
 )
 
-// newShape makes the settings of a gateway for a deployment of the new build: servers that answer however old their
-// data are, positions from probes alone, a list whose word on who runs binds nobody, declines without a time, and reads
-// that hold a replica up. Everything else is as in the old.
+// newBuildSettings turns settings into those of a deployment of the new build: servers answer however old their data is,
+// positions come from probes alone, the member list isn't authoritative about who runs, rejections carry no retry time, and
+// reads delay a replica. Everything else is as in the old build.
 var newBuildSettings = strings.NewReplacer(`"whenBehind":"await"`, `"whenBehind":"none"`, `"roleInList":"none"`, `"roleInList":"trailing"`,
 	`"retryAfter":true`, `"retryAfter":false`, `"how":"answers"`, `"how":"probe"`, `"rules":{`, `"rules":{"softRemoval":true,`,
 	`"promiseMs":300,"hardLimitMs":1000,"worth":1,"name":"any"`, `"promiseMs":4000,"hardLimitMs":8000,"worth":1,"name":"any"`)
 
-// tally is what clients of one kind of gateway saw.
+// clientStats counts what clients of one build of gateway observed.
 type clientStats struct{ requested, served, stale, overdue, unanswered int }
 
-// sessionsAt has clients write and read, each session at its own gateway, and gives what they saw. They carry the
-// position of their last commit, as the servers tell it.
+// runSessions has clients write and read, each session at its own gateway, and returns what they observed. Each read
+// carries the position of the session's last commit, as reported by the servers. atHalf runs in the middle.
 func runSessions(f *fleet, g *standin.Group, prefix string, clients, rounds int, atHalf func()) (stats clientStats) {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -71,8 +71,9 @@
 	return stats
 }
 
-// During a move gateways of both shapes stand before the same servers. Each kind must have nine of ten txns served,
-// neither breaks a rule for the other, and what binds one (a list that calls everybody gone) does not stop the other.
+// During a migration gateways of the old and the new build share the same servers. Each build must have nine of ten txns
+// served, neither may break a guarantee of the other, and an empty member list, which is binding for the old build, must
+// not stop the new one.
 func TestOldAndNewBuildTogether(t *testing.T) {
 	g, members := group(20*time.Millisecond, 3)
 	g.ReplicaWait = 20 * time.Millisecond
@@ -99,7 +100,7 @@
 		go func() {
 			defer wg.Done()
 			stats[i] = runSessions(f, g, [...]string{"aa", "bb"}[i], 8, 30, func() {
-				if i == 0 { // r1 drains for both kinds
+				if i == 0 { // r1 drains for both builds
 					for _, f := range fleets {
 						f.list.SetHosts(hosts("active", "leaving", "active", "active")...)
 						f.list.AwaitDeliveredTo(2)
@@ -111,9 +112,9 @@
 	}
 	wg.Wait()
 	for i, s := range stats {
-		t.Logf("%s shape: %+v", [...]string{"old", "new"}[i], s)
+		t.Logf("%s build: %+v", [...]string{"old", "new"}[i], s)
 		if s.served < s.requested*9/10 || s.stale+s.overdue+s.unanswered > 0 {
-			t.Errorf("kind %d: %+v", i, s)
+			t.Errorf("build %d: %+v", i, s)
 		}
 	}
 	writes := map[string]int{}
@@ -123,14 +124,14 @@
 				t.Errorf("%s took effect twice", e.Key)
 			}
 		}
-		// 250 ms of grace, and 50 ms as on sockets everywhere.
+		// 250 ms of grace period, and the 50 ms tolerance of all socket tests.
 		if e.Member == "r1" && (e.Kind == "read" || e.Kind == "turned away") && e.At.After(drainedAt.Add(300*time.Millisecond)) {
 			t.Errorf("%s at a draining member, %v after all were told", e.Kind, e.At.Sub(drainedAt))
 		}
 	}
 
-	// The list calls all gone. In the old shape that binds; in the new one the servers that serve go on to be used, but
-	// for the one that was seen to drain.
+	// The member list becomes empty. That is binding for the old build; the new one continues to use the servers that
+	// respond, except for the one that was seen draining.
 	for _, f := range fleets {
 		f.list.SetHosts([]standin.Host{}...)
 		f.list.AwaitDeliveredTo(2)
@@ -138,10 +139,10 @@
 	old, fresh := before.front.NewClient("cc000001", classes), after.front.NewClient("cc000002", classes)
 	defer old.Close()
 	defer fresh.Close()
-	// It was told, and reads what it was told when its loop comes to it.
+	// The list was delivered; the gateway applies it when its event loop reads it.
 	for end := time.Now().Add(soon); old.Read(0).Code != "53300"; {
 		if time.Now().After(end) {
-			t.Fatal("old shape, nobody listed: still served")
+			t.Fatal("old build, nobody listed: still served")
 		}
 	}
 	from := len(g.Events())
@@ -152,11 +153,11 @@
 	for k := range 20 {
 		w := fresh.Write(0, fmt.Sprint("cc-", k), fmt.Sprint("v", k))
 		if w.Err != nil || w.Code != "" {
-			t.Fatalf("new shape, nobody listed: write %v", w)
+			t.Fatalf("new build, nobody listed: write %v", w)
 		}
 		fresh.MinPosition = position(fmt.Sprint("cc-", k))
 		if r := fresh.Read(0); r.Value != fmt.Sprint("v", k) {
-			t.Errorf("new shape, nobody listed: read %v", r)
+			t.Errorf("new build, nobody listed: read %v", r)
 		}
 	}
 	for _, e := range g.Events()[from:] {
@@ -164,18 +165,18 @@
 			t.Errorf("%s at a member that was seen to drain", e.Kind)
 		}
 	}
-	// Back: the list is right again, and the old shape serves as before.
+	// The list is complete again, and the old build serves as before.
 	for _, f := range fleets {
 		f.list.SetHosts(hosts("active", "leaving", "active", "active")...)
 		f.list.AwaitDeliveredTo(2)
 	}
 	if a := persist(old, 0); a.Code != "" {
-		t.Errorf("old shape, list right again: %v", a)
+		t.Errorf("old build, list right again: %v", a)
 	}
 }
 
-// A gateway that has not heard of a replica believes what another one tells: its first read goes there, and nobody is
-// probed. Without positions it has to probe.
+// A gateway without a position of its own for a replica uses the one that another gateway reports: its first read goes to
+// that replica without a probe. If positions aren't shared it has to probe.
 func TestPositionsAreShared(t *testing.T) {
 	for _, positions := range []string{"true", "false"} {
 		g, members := group(0, 1)
@@ -185,7 +186,7 @@
 		c := f.front.NewClient("dd000001", classes)
 		c.Write(0, "dd", "v")
 		e, _ := g.AwaitEvent(0, func(e standin.Event) bool { return e.Kind == "write" })
-		for range 20 { // of no session, so any replica will do, and its answer tells where it stands
+		for range 20 { // without a session, so any replica may answer, and the response carries its position
 			c.Read(0)
 		}
 		from := len(g.Events())
