--- a/gateway/config.go
+++ b/gateway/config.go
@@ -98,13 +98,13 @@
 // and limits.
 type platformSettings struct {
 	Classes []struct {
-		Name      string
-		HardLimit float64 `json:"hardLimitMs"`
-		Effect    string
-		Window    float64 `json:"windowMs"`
-		PromiseMs float64
-		Worth     float64
-		LateValue float64
+		Name            string
+		HardLimit       float64 `json:"hardLimitMs"`
+		Effect          string
+		Window          float64 `json:"windowMs"`
+		TargetLatencyMs float64 `json:"PromiseMs"`
+		Value           float64 `json:"Worth"`
+		LateValue       float64
 	}
 	FamilyInfo struct {
 		Consistency []string
@@ -122,9 +122,9 @@
 }
 
 // validate returns an error that names the first missing or invalid value.
-func (c *Config) validate() (seed uint64, n platformSettings, err error) {
+func (c *Config) validate() (seed uint64, settings platformSettings, err error) {
 	invalid := func(name string) (uint64, platformSettings, error) {
-		return 0, n, fmt.Errorf("configuration: %s is lacking or out of range", name)
+		return 0, settings, fmt.Errorf("configuration: %s is lacking or out of range", name)
 	}
 	if !c.Listen.IsValid() || !c.Listen.Addr().Is4() {
 		return invalid("listen")
@@ -144,24 +144,24 @@
 	if len(c.Settings) == 0 {
 		return invalid("settings")
 	}
-	if err := json.Unmarshal(c.Settings, &n); err != nil {
-		return 0, n, fmt.Errorf("configuration: settings: %w", err)
+	if err := json.Unmarshal(c.Settings, &settings); err != nil {
+		return 0, settings, fmt.Errorf("configuration: settings: %w", err)
 	}
-	if n.Limits.ConnectTimeoutMs <= 0 {
+	if settings.Limits.ConnectTimeoutMs <= 0 {
 		return invalid("settings.limits.connectTimeoutMs")
 	}
-	if n.Limits.KeepaliveMs <= 0 {
+	if settings.Limits.KeepaliveMs <= 0 {
 		return invalid("settings.limits.keepaliveMs")
 	}
-	if len(n.FamilyInfo.Consistency) != len(n.Classes) {
+	if len(settings.FamilyInfo.Consistency) != len(settings.Classes) {
 		return invalid("settings.familyInfo.consistency")
 	}
 	if c.Coordination != nil {
 		if c.Agreement == nil {
-			return 0, n, errors.New("configuration: coordination needs an agreement on the list of gateways")
+			return 0, settings, errors.New("configuration: coordination needs an agreement on the list of gateways")
 		}
 		if err := c.Coordination.Validate(); err != nil {
-			return 0, n, fmt.Errorf("configuration: %w", err)
+			return 0, settings, fmt.Errorf("configuration: %w", err)
 		}
 	}
 	if c.ClockError < 0 {
@@ -174,12 +174,12 @@
 				c.Sessions.Keys = append(c.Sessions.Keys, fleet.PeerKey{ID: k.ID, Secret: k.Secret})
 			}
 		}
-		if err := c.Sessions.Validate(n.LoadReport.How != "none" && slices.Contains(n.LoadReport.Fields, "x0") && n.Limits.Probes); err != nil {
-			return 0, n, fmt.Errorf("configuration: %w", err)
+		if err := c.Sessions.Validate(settings.LoadReport.How != "none" && slices.Contains(settings.LoadReport.Fields, "x0") && settings.Limits.Probes); err != nil {
+			return 0, settings, fmt.Errorf("configuration: %w", err)
 		}
 	}
 	if c.Agreement == nil && c.Change != nil && c.Change.Document.RequiredFormat() > 1 {
-		return 0, n, errors.New("configuration: a tenant's bounds are of the fleet (fleet = true), which needs the block agreement")
+		return 0, settings, errors.New("configuration: a tenant's bounds are of the fleet (fleet = true), which needs the block agreement")
 	}
 	if c.Agreement != nil {
 		err := c.Agreement.Validate()
@@ -190,10 +190,10 @@
 			err = errors.New("agreement: sessions listen at another address")
 		}
 		if err != nil {
-			return 0, n, fmt.Errorf("configuration: %w", err)
+			return 0, settings, fmt.Errorf("configuration: %w", err)
 		}
 	}
-	return seed, n, nil
+	return seed, settings, nil
 }
 
 // moduleSettings returns the settings for the decision module: positions count from the clock's zero, as this gateway
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -179,7 +179,7 @@
 	environment := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.all}
 	for i := range g.names.Classes {
 		c := &g.names.Classes[i]
-		environment.Types = append(environment.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.PromiseMs)), Effect: c.Effect,
+		environment.Types = append(environment.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.TargetLatencyMs)), Effect: c.Effect,
 			Need: g.names.FamilyInfo.Consistency[i], Window: int64(decide.Millis(c.Window))})
 	}
 	for _, h := range g.discovery.list.hosts {
@@ -427,13 +427,13 @@
 		return
 	}
 	if target := t.generation.table.Routes[t.route.Route].TargetLatency; t.route.Zones != 0 || target > 0 {
-		gs.g.module.RestrictReads(t.id, t.route.Zones, cmp.Or(decide.Nanos(target), decide.Millis(gs.g.names.Classes[t.class].PromiseMs)))
+		gs.g.module.RestrictReads(t.id, t.route.Zones, cmp.Or(decide.Nanos(target), decide.Millis(gs.g.names.Classes[t.class].TargetLatencyMs)))
 	}
 }
 
 // targetLatency returns a txn's target latency: its type's, or its route's if that is shorter.
 func (gs *generations) targetLatency(t *txn) decide.Nanos {
-	target := decide.Millis(gs.g.names.Classes[t.class].PromiseMs)
+	target := decide.Millis(gs.g.names.Classes[t.class].TargetLatencyMs)
 	if t.generation != nil && t.generation.table != nil && t.route.Route >= 0 {
 		if routeTarget := t.generation.table.Routes[t.route.Route].TargetLatency; routeTarget > 0 {
 			target = min(target, decide.Nanos(routeTarget))
@@ -447,15 +447,15 @@
 	class := &gs.g.names.Classes[t.class]
 	servedValue := 0.0
 	if latency := gs.g.clock.now() - t.arrived; committed && latency <= gs.targetLatency(t) {
-		servedValue = class.Worth
+		servedValue = class.Value
 	} else if committed {
-		servedValue = class.Worth * class.LateValue
+		servedValue = class.Value * class.LateValue
 	}
 	route := int32(-1)
 	if t.generation == gs.inForce {
 		route = t.route.Route
 	}
-	gs.module.RecordTxn(route, class.Worth, servedValue)
+	gs.module.RecordTxn(route, class.Value, servedValue)
 }
 
 // allowAttempt reports whether a txn may be sent. Only retries of repeatable txns are limited, by the retry budget of
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -28,18 +28,18 @@
 // limit. first is that of mayConnect.
 func (cs *clients) admit(c *client) (ok, first bool) {
 	x := cs.g.generations.inForce
-	n := cs.tenantOf(x, c)
-	if n < 0 {
+	tenant := cs.tenantOf(x, c)
+	if tenant < 0 {
 		return true, false
 	}
-	if !x.shares.CanConnect(n) {
+	if !x.shares.CanConnect(tenant) {
 		return false, false
 	}
-	if ok, first = cs.g.generations.mayConnect(c, n); !ok {
+	if ok, first = cs.g.generations.mayConnect(c, tenant); !ok {
 		return false, first
 	}
-	x.shares.AddConnections(n, 1)
-	c.tenant = n + 1
+	x.shares.AddConnections(tenant, 1)
+	c.tenant = tenant + 1
 	return true, false
 }
 
@@ -67,11 +67,11 @@
 		if c.tenant = 0; !c.admitted {
 			continue
 		}
-		if n := cs.tenantOf(x, c); n >= 0 {
-			x.shares.AddConnections(n, 1)
-			c.tenant = n + 1
-			if int(n) < len(x.fleetLimits) && x.fleetLimits[n] != nil && x.fleetLimits[n].connects != 0 {
-				c.connects = x.fleetLimits[n].connects
+		if tenant := cs.tenantOf(x, c); tenant >= 0 {
+			x.shares.AddConnections(tenant, 1)
+			c.tenant = tenant + 1
+			if int(tenant) < len(x.fleetLimits) && x.fleetLimits[tenant] != nil && x.fleetLimits[tenant].connects != 0 {
+				c.connects = x.fleetLimits[tenant].connects
 				cs.g.quotas.Module.AddExisting(c.connects, 1)
 			}
 		}
