--- a/gateway/agreed_test.go
+++ b/gateway/agreed_test.go
@@ -89,7 +89,7 @@
 		u.command(0, "fleet", "voters", "--add", fmt.Sprint("n", i))
 	}
 	for i := range u.gateways {
-		u.await("it may act", func() bool { return strings.Contains(u.command(i, "fleet", "status"), "may act") })
+		u.await("the gateway may act", func() bool { return strings.Contains(u.command(i, "fleet", "status"), "may act") })
 	}
 	u.await("all vote", func() bool { return strings.Count(u.command(0, "fleet", "status"), "true") == voters })
 	return u
@@ -153,7 +153,7 @@
 func (u *agreementFleet) leader(voters ...int) int {
 	u.t.Helper()
 	leader := -1
-	u.await("somebody leads", func() bool {
+	u.await("a leader is known", func() bool {
 		for _, i := range voters {
 			var name string
 			output := u.command(i, "fleet", "status")
@@ -225,7 +225,7 @@
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
-	t.Logf("%d served, %d declined, %d without an answer", l.served.Load(), l.rejected.Load(), l.unanswered.Load())
+	t.Logf("%d served, %d rejected, %d without a response", l.served.Load(), l.rejected.Load(), l.unanswered.Load())
 	if len(l.unexpected) > 0 || l.served.Load() == 0 {
 		t.Fatalf("%d served, %v", l.served.Load(), l.unexpected)
 	}
@@ -265,7 +265,7 @@
 	}
 	must(u.gateways[4].cmd.Process.Signal(syscall.SIGCONT))
 	if a := <-waited; a.Code != "53300" {
-		t.Fatalf("a gateway that stood still served by former rules: %v", a)
+		t.Fatalf("a paused gateway served by the former version: %v", a)
 	}
 	c.Close()
 	u.awaitVersion(4, 4)
@@ -300,17 +300,17 @@
 	u.awaitVersion(6, 0, 1, 2, 4)
 	<-ended
 	if d := last.Sub(agreed); d > 3*time.Second {
-		t.Fatalf("acted on a former version for %v", d)
+		t.Fatalf("acted on the former version for %v", d)
 	} else {
-		t.Logf("a gateway that was cut off acted on the former version for %v, 3s are stated", max(0, d))
+		t.Logf("a partitioned gateway acted on the former version for %v, the stated limit is 3s", max(0, d))
 	}
-	u.await("it is careful", func() bool { return strings.Contains(u.command(3, "fleet", "status"), "careful") })
+	u.await("its lease has expired", func() bool { return strings.Contains(u.command(3, "fleet", "status"), "careful") })
 	if a := c.Read(3); a.Code != "53300" || a.RetryAfter == "" {
-		t.Fatalf("a txn that the versions do not share, at a gateway that can't renew: %v", a)
+		t.Fatalf("a txn with different outcomes under the two versions, at a gateway without a lease: %v", a)
 	}
 	c.Types.Read = "session"
 	if a := c.Read(3); a.Code != "" || a.Err != nil {
-		t.Fatalf("a txn of the ordinary path, at a gateway that can't renew: %v", a)
+		t.Fatalf("a txn without a route, at a gateway without a lease: %v", a)
 	}
 	c.Close()
 	if output := u.command(3, "metrics"); !strings.Contains(output, "magpieglade_fleet_version_in_force 5") || strings.Contains(output, "txns_unagreed_total 0") ||
@@ -474,12 +474,12 @@
 	if output := u.apply(1, route("0.2", "1m")); !strings.Contains(output, "version 2 is agreed on") {
 		t.Fatal(output)
 	}
-	u.await("its asker tries it", func() bool { return strings.Contains(u.command(1, "fleet", "status"), "here too") })
+	u.await("the proposing gateway runs it as a canary", func() bool { return strings.Contains(u.command(1, "fleet", "status"), "here too") })
 	if output := u.command(0, "fleet", "status"); !strings.Contains(output, "step 1 of 2 tries version 2") || !strings.Contains(output, "elsewhere") {
 		t.Fatal(output)
 	}
 	u.command(1, "config", "undo")
-	u.await("it is dropped", func() bool {
+	u.await("the version is aborted", func() bool {
 		return strings.Contains(u.command(0, "config", "history"), "dropped: gateway n1: by hand")
 	})
 	if output := u.apply(2, route("0.3", "2s")); !strings.Contains(output, "version 3 is agreed on") {
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -123,9 +123,9 @@
 		u.awaitVersion(no, all...)
 		c.Close()
 	}
-	t.Logf("acted on a former version for %v at the most, 3s are stated", max(0, longest))
+	t.Logf("acted on the former version for at most %v, the stated limit is 3s", max(0, longest))
 	if longest > 3*time.Second {
-		t.Fatal("acted on a former version for ", longest)
+		t.Fatal("acted on the former version for ", longest)
 	}
 	l.finish(t)
 	u.await("one history", func() bool {
--- a/gateway/generations_test.go
+++ b/gateway/generations_test.go
@@ -97,7 +97,7 @@
 			near = near || e.Timeout <= s && e.Timeout > s-100*time.Millisecond
 		}
 		if e.Kind == "read" && !near {
-			t.Fatalf("a read goes by no generation: %v", e.Timeout)
+			t.Fatalf("a read ran under no generation: %v", e.Timeout)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 		return at
 	}
 	if at := reads(20); at[removed.Name] == 0 {
-		t.Fatal("the member gets nothing to begin with", at)
+		t.Fatal("the member gets no reads before the change", at)
 	}
 	removed.SetHung(true)
 	got := make(chan map[string]int)
@@ -152,7 +152,7 @@
 	applyAndAwait(t, g, &routes.Document{Excluded: []routes.Member{{Name: removed.Name}}}, time.Hour)
 	removed.SetHung(false)
 	if at := <-got; at[removed.Name] == 0 {
-		t.Fatal("what was in flight did not end where it was", at)
+		t.Fatal("reads in flight did not end at their member", at)
 	}
 	if at := reads(20); at[removed.Name] != 0 {
 		t.Fatal("an excluded member gets work", at)
@@ -160,14 +160,14 @@
 	until(func() bool { return removed.Connections() == 0 })
 	must(g.Undo(bg))
 	if at := reads(40); at[removed.Name] == 0 {
-		t.Fatal("it gets nothing after the undo", at)
+		t.Fatal("the member gets no reads after the undo", at)
 	}
 	applyAndAwait(t, g, &routes.Document{Excluded: []routes.Member{{Name: removed.Name}}}, time.Hour)
 	list.SetHosts(members[0].ListEntry("active"), members[1].ListEntry("active"), removed.ListEntry("leaving"))
 	list.AwaitRead()
 	must(g.Undo(bg))
 	if at := reads(20); at[removed.Name] != 0 {
-		t.Fatal("an undo ends a drain of the list's", at)
+		t.Fatal("an undo ended a drain of the member list", at)
 	}
 }
 
@@ -283,10 +283,10 @@
 	ok, beside := readCalm()
 	close(done)
 	wg.Wait()
-	t.Logf("calm tenant: alone %d of 50, median %v, 9 in 10 by %v; beside the flood %d, %v, %v; of the flood %d served, %d refused", alone,
+	t.Logf("calm tenant: alone %d of 50, median %v, 9 in 10 by %v; beside the flood %d, %v, %v; of the flood %d served, %d rejected", alone,
 		before[25], before[45], ok, beside[25], beside[45], served.Load(), rejected.Load())
 	if ok < 49 { // the first may arrive before any txn has ended
-		t.Fatalf("%d of 50 of the calm tenant are served beside %d of the flood, %d refused", ok, served.Load(), rejected.Load())
+		t.Fatalf("%d of 50 of the calm tenant are served beside %d of the flood, %d rejected", ok, served.Load(), rejected.Load())
 	}
 }
 
--- a/gateway/migration_test.go
+++ b/gateway/migration_test.go
@@ -162,7 +162,7 @@
 	}
 	for _, e := range g.Events()[from:] {
 		if e.Member == "r1" && e.Kind != "probe" {
-			t.Errorf("%s at a member that was seen to drain", e.Kind)
+			t.Errorf("%s at a member that was seen draining", e.Kind)
 		}
 	}
 	// The list is complete again, and the old build serves as before.
