--- a/gateway/agreed.go
+++ b/gateway/agreed.go
@@ -13,137 +13,140 @@
 	"magpieglade/routes"
 )
 
-// SubjectRoutes is the subject of the operator's routes, tenants, limits and members by hand.
+// SubjectRoutes is the agreement subject that holds the operator's routes, tenants and limits, and the members that the
+// operator excludes or drains.
 const SubjectRoutes = "routes"
 
-// askPatience is how long a wish of an operator may take: some elections, within what the control socket waits.
-const askPatience = 9 * time.Second
-
-// surveyLook is how often it is looked whether a survey is over.
-const surveyLook = 5 * time.Millisecond
-
-// agreed is the gateway's part of what the fleet agrees on. It belongs to the loop.
-type agreed struct {
-	g         *Gateway
-	f         *fleet.Fleet
-	held      bool      // it has held something since its start
-	saidEnded bool      // it was taken out, and has said that it answers no session's write
-	logged    [2]uint64 // versions, as logged: in force and next
-	careful   bool      // as logged
-	waits     map[uint64]func(agreement.Outcome)
-	prepared  *prepared
-	known     map[agreement.Digest]*generation // by their texts, those that are alive
-	former    *generation                      // that was in force before the one that is
+// proposalTimeout covers several elections and is shorter than the control socket's own timeout.
+const proposalTimeout = 9 * time.Second
+
+// surveyPollInterval is how often FleetStatus checks whether a survey has finished.
+const surveyPollInterval = 5 * time.Millisecond
+
+// fleetAgreement connects the gateway to the fleet's agreement and implements fleet.Host. Only the event loop uses it.
+type fleetAgreement struct {
+	g              *Gateway
+	fleet          *fleet.Fleet
+	hasManifest    bool      // a manifest was adopted since the start
+	reportedEnded  bool      // after its removal it has proposed ProcessEnded
+	loggedVersions [2]uint64 // the last logged versions: in force and next
+	leaseExpired   bool      // the last logged state
+	onOutcome      map[uint64]func(agreement.Outcome)
+	prepared       *preparedManifest
+	generations    map[agreement.Digest]*generation // by digest of their text: the one in force and the next
+	previous       *generation                      // was in force before the current one
 }
 
-// prepared is a manifest whose texts are compiled, and which is not yet in force here.
-type prepared struct {
-	stamp         uint64
+// preparedManifest is a manifest whose texts are compiled and which is not yet in force on this gateway.
+type preparedManifest struct {
+	revision      uint64
 	inForce, next *generation
 	staged        bool
 }
 
-func openAgreed(g *Gateway, seed uint64) (*agreed, error) {
-	a := &agreed{g: g, waits: map[uint64]func(agreement.Outcome){}, known: map[agreement.Digest]*generation{}}
+// openFleetAgreement opens the agreement's folder and joins the fleet.
+func openFleetAgreement(g *Gateway, seed uint64) (*fleetAgreement, error) {
+	a := &fleetAgreement{g: g, onOutcome: map[uint64]func(agreement.Outcome){}, generations: map[agreement.Digest]*generation{}}
 	var err error
-	a.f, err = fleet.Open(g.config.Agreement, a, g.peerLink, seed)
+	a.fleet, err = fleet.Open(g.config.Agreement, a, g.peerLink, seed)
 	return a, err
 }
 
-// Post, Now, WakeAfter and Logger are for fleet.Host.
-func (a *agreed) Post(f func()) { a.g.post(f) }
+// Post runs f on the event loop.
+func (a *fleetAgreement) Post(f func()) { a.g.post(f) }
 
-// Now is the gateway's clock.
-func (a *agreed) Now() int64 { return int64(a.g.clock.now()) }
+// Now returns the gateway's monotonic time.
+func (a *fleetAgreement) Now() int64 { return int64(a.g.clock.now()) }
 
-// WakeAfter has a turn come.
-func (a *agreed) WakeAfter(span int64) {
-	a.g.deadlines.Add(a.Now()+span, timerEvent{kind: timerWake})
+// WakeAfter schedules a wake-up of the event loop.
+func (a *fleetAgreement) WakeAfter(delay int64) {
+	a.g.deadlines.Add(a.Now()+delay, timerEvent{kind: timerWake})
 }
 
-// Logger is the gateway's.
-func (a *agreed) Logger() *slog.Logger { return a.g.log }
+// Logger returns the gateway's logger.
+func (a *fleetAgreement) Logger() *slog.Logger { return a.g.log }
 
-// Outcome tells whoever asked.
-func (a *agreed) Outcome(no uint64, o agreement.Outcome) {
-	if f := a.waits[no]; f != nil {
-		delete(a.waits, no)
+// Outcome passes the result of a proposal to the callback that waits for it.
+func (a *fleetAgreement) Outcome(no uint64, o agreement.Outcome) {
+	if f := a.onOutcome[no]; f != nil {
+		delete(a.onOutcome, no)
 		f(o)
 	}
 }
 
-// Prepare compiles what is new of a manifest beside the loop.
-func (a *agreed) Prepare(m *agreement.Manifest) {
-	p := &prepared{stamp: m.Revision}
-	type todo struct {
+// Prepare compiles the new texts of a manifest outside the event loop.
+func (a *fleetAgreement) Prepare(manifest *agreement.Manifest) {
+	prepared := &preparedManifest{revision: manifest.Revision}
+	type compileTask struct {
 		v    *agreement.Version
 		text []byte
 		to   **generation
 	}
-	var all []todo
-	for _, s := range m.Subjects {
+	var tasks []compileTask
+	for _, s := range manifest.Subjects {
 		if s.Name != SubjectRoutes {
 			continue
 		}
 		for _, x := range []struct {
 			v  *agreement.Version
 			to **generation
-		}{{s.InForce, &p.inForce}, {s.Next, &p.next}} {
+		}{{s.InForce, &prepared.inForce}, {s.Next, &prepared.next}} {
 			if x.v == nil {
 				continue
 			}
-			if s.Step > 0 { // of a version that is tried by steps one of both holds here, not both
-				if tries := s.InCanary(a.f.Self()); tries != (x.v == s.Next) {
+			if s.Step > 0 { // during a canary rollout only one of the two applies to this gateway
+				if inCanary := s.InCanary(a.fleet.Self()); inCanary != (x.v == s.Next) {
 					continue
 				}
-				x.to = &p.inForce
+				x.to = &prepared.inForce
 			}
-			if known := a.known[x.v.Digest]; known != nil {
+			if known := a.generations[x.v.Digest]; known != nil {
 				*x.to = known
 				continue
 			}
-			all = append(all, todo{x.v, a.f.Text(x.v.Digest), x.to})
+			tasks = append(tasks, compileTask{x.v, a.fleet.Text(x.v.Digest), x.to})
 		}
 	}
-	if len(all) == 0 {
-		a.prepared = p
+	if len(tasks) == 0 {
+		a.prepared = prepared
 		return
 	}
-	w := a.g.generations.world()
+	environment := a.g.generations.environment()
 	go func() {
-		made := map[agreement.Digest]*generation{}
+		compiled := map[agreement.Digest]*generation{}
 		var err error
-		for _, t := range all {
+		for _, t := range tasks {
 			var d *routes.Document
 			if d, err = a.g.config.Parse(t.text); err != nil {
 				break
 			}
 			var x *generation
 			var findings []routes.Finding
-			if x, findings, err = compiled(Change{Document: d, Digest: digestOf(t.v.Digest), Text: t.text}, w); err != nil {
+			if x, findings, err = compileChange(Change{Document: d, Digest: digestOf(t.v.Digest), Text: t.text}, environment); err != nil {
 				err = fmt.Errorf("%w: %v", err, findings)
 				break
 			}
-			x.version, x.watch = t.v.No, t.v.WatchDuration
-			made[t.v.Digest] = x
+			x.fleetVersion, x.watchDuration = t.v.No, t.v.WatchDuration
+			compiled[t.v.Digest] = x
 			*t.to = x
 		}
 		a.g.post(func() {
-			if err != nil { // it stays with what it holds, and is careful once its lease has run out
+			if err != nil { // the gateway keeps its current version; once its lease has expired it rejects what needs an agreement
 				a.g.log.Error("a version of the fleet can't be taken by this gateway", "why", err)
 				return
 			}
-			if !a.f.IsPending(p.stamp) { // it took longer than what came after it
+			if !a.fleet.IsPending(prepared.revision) { // a newer manifest arrived in the meantime
 				return
 			}
-			for d, x := range made {
-				a.known[d] = x
+			for d, x := range compiled {
+				a.generations[d] = x
 			}
-			a.prepared = p
+			a.prepared = prepared
 		})
 	}()
 }
 
+// digestOf shortens a digest to a non-zero number.
 func digestOf(d agreement.Digest) (n uint64) {
 	for _, b := range d[:8] {
 		n = n<<8 | uint64(b)
@@ -151,51 +154,51 @@
 	return max(1, n)
 }
 
-// carryOut puts what was prepared in force, and does what the module decides.
-func (a *agreed) carryOut() {
-	a.f.ProcessDecisions()
+// processDecisions puts a prepared manifest in force and processes the decisions of the agreement module.
+func (a *fleetAgreement) processDecisions() {
+	a.fleet.ProcessDecisions()
 	gs := a.g.generations
-	if p := a.prepared; p != nil && !a.f.IsPending(p.stamp) {
+	if p := a.prepared; p != nil && !a.fleet.IsPending(p.revision) {
 		a.prepared = nil
 	} else if p != nil {
-		want := p.inForce
-		if want == nil {
-			want = gs.all[0]
+		target := p.inForce
+		if target == nil {
+			target = gs.byNo[0]
 		}
-		if gs.inForce != want && !p.staged {
+		if gs.inForce != target && !p.staged {
 			p.staged = true
-			if want.no != 0 && gs.all[want.no] == nil || want.no == 0 && p.inForce != nil {
-				a.former = gs.inForce
-				_ = gs.module.KeepWithReason(rollout.ByFleet) // what is still watched is over: the fleet has gone on
-				if _, err := gs.propose(want, Change{Digest: want.digest, Watch: want.watch, Again: true}); err != nil {
+			if target.no != 0 && gs.byNo[target.no] == nil || target.no == 0 && p.inForce != nil {
+				a.previous = gs.inForce
+				_ = gs.module.KeepWithReason(rollout.ByFleet) // the fleet has moved on: end the watch of the former version
+				if _, err := gs.stage(target, Change{Digest: target.digest, WatchDuration: target.watchDuration, Reapply: true}); err != nil {
 					a.g.log.Error("a version of the fleet is not taken", "why", err)
 				}
 			}
-			gs.carryOut()
+			gs.processDecisions()
 		}
-		if gs.inForce == want {
-			gs.tell(p.next)
+		if gs.inForce == target {
+			gs.setPending(p.next)
 			a.prepared = nil
 			if a.g.sessions != nil {
-				a.g.sessions.SetMembership(a.f.Pending())
+				a.g.sessions.SetMembership(a.fleet.Pending())
 			}
-			a.f.Adopt(p.stamp)
-			a.forget(p)
-			a.log(p)
-			a.f.ProcessDecisions()
+			a.fleet.Adopt(p.revision)
+			a.dropUnused(p)
+			a.logVersions(p)
+			a.fleet.ProcessDecisions()
 		}
 	}
-	a.ends()
-	if careful := a.held && a.Now() >= a.f.LeaseUntil(); careful != a.careful {
-		a.careful = careful
-		a.g.log.Info("agreement", "careful", careful, "version", a.version())
+	a.reportEnded()
+	if leaseExpired := a.hasManifest && a.Now() >= a.fleet.LeaseUntil(); leaseExpired != a.leaseExpired {
+		a.leaseExpired = leaseExpired
+		a.g.log.Info("agreement", "careful", leaseExpired, "version", a.versionInForce())
 	}
 }
 
-// ends says, once it was taken out of the list and answers no session's write any more, that it has ended to the others:
-// until then they ask it what it noted. It comes back into the list by a start alone.
-func (a *agreed) ends() {
-	if a.saidEnded || !a.f.Removed() {
+// reportEnded proposes ProcessEnded once this gateway was removed from the list and has no unanswered write of a session.
+// Until then the other gateways query it for the writes that it recorded. Only a restart brings it back into the list.
+func (a *fleetAgreement) reportEnded() {
+	if a.reportedEnded || !a.fleet.Removed() {
 		return
 	}
 	for _, ref := range a.g.txns.Refs() {
@@ -203,111 +206,113 @@
 			return
 		}
 	}
-	no, err := a.f.Propose(agreement.Proposal{Leave: a.f.Self(), ProcessEnded: true}, nil, askPatience)
+	no, err := a.fleet.Propose(agreement.Proposal{Leave: a.fleet.Self(), ProcessEnded: true}, nil, proposalTimeout)
 	if err != nil {
 		return
 	}
-	a.saidEnded = true
-	a.waits[no] = func(o agreement.Outcome) { a.saidEnded = o.Done || !o.Retry }
+	a.reportedEnded = true
+	a.onOutcome[no] = func(o agreement.Outcome) { a.reportedEnded = o.Done || !o.Retry }
 }
 
-func (a *agreed) log(p *prepared) {
-	if !a.held {
-		a.held = true
+// logVersions logs the versions in force and next when they have changed.
+func (a *fleetAgreement) logVersions(p *preparedManifest) {
+	if !a.hasManifest {
+		a.hasManifest = true
 	}
 	next := uint64(0)
 	if p.next != nil {
-		next = p.next.version
+		next = p.next.fleetVersion
 	}
-	if now := [2]uint64{a.version(), next}; now != a.logged {
-		a.logged = now
+	if now := [2]uint64{a.versionInForce(), next}; now != a.loggedVersions {
+		a.loggedVersions = now
 		a.g.log.Info("version of the fleet", "in_force", now[0], "next", next)
 	}
 }
 
-func (a *agreed) version() uint64 { return a.g.generations.inForce.version }
+func (a *fleetAgreement) versionInForce() uint64 { return a.g.generations.inForce.fleetVersion }
 
-// forget drops what is no longer alive.
-func (a *agreed) forget(p *prepared) {
-	for d, x := range a.known {
+// dropUnused removes the generations that are neither in force nor next.
+func (a *fleetAgreement) dropUnused(p *preparedManifest) {
+	for d, x := range a.generations {
 		if x != p.inForce && x != p.next {
-			delete(a.known, d)
+			delete(a.generations, d)
 		}
 	}
 }
 
-// may tells whether a txn may be decided by the version in force: whether this gateway may act on it, and, where another
-// one is on its way, whether both come to the same. It looks at the clock itself: a gateway that stood still is careful
-// from its first decision on.
-func (a *agreed) may(t *txn, x *routes.Txn, group int) (routes.RejectReason, int64) {
-	stated := a.f.Config().Agreement.MaxDivergence()
+// checkLease decides whether a txn may be decided by the version in force. Unless its tenant is served without an
+// agreement, a pending version must have the same outcome for the txn, and if either version has a route for it, the lease
+// must be valid. checkLease reads the clock itself, so that a gateway that was suspended notices an expired lease on its
+// first decision.
+func (a *fleetAgreement) checkLease(t *txn, request *routes.Txn, group int) (routes.RejectReason, int64) {
+	maxDivergence := a.fleet.Config().Agreement.MaxDivergence()
 	gs := a.g.generations
-	usual := a.f.Config().ServeWithoutAgreement
-	if !a.held {
-		if usual {
+	servesByDefault := a.fleet.Config().ServeWithoutAgreement
+	if !a.hasManifest {
+		if servesByDefault {
 			return routes.Allowed, 0
 		}
 		a.g.counts.unagreed++
-		return routes.AgreementUnavailable, stated
+		return routes.AgreementUnavailable, maxDivergence
 	}
-	alike, ruled := true, t.route.Route >= 0
-	if n := gs.told; n != nil {
-		y := routes.Match{Route: -1, Type: int32(x.Type), Tenant: -1}
-		if n.table != nil {
-			y = n.table.Lookup(x)
+	sameOutcome, routed := true, t.route.Route >= 0
+	if next := gs.pending; next != nil {
+		nextMatch := routes.Match{Route: -1, Type: int32(request.Type), Tenant: -1}
+		if next.table != nil {
+			nextMatch = next.table.Lookup(request)
 		}
-		alike, ruled = routes.SameOutcome(gs.inForce.table, t.route, n.table, y, group), ruled || y.Route >= 0
-		t.nextTenant = y.Tenant
+		sameOutcome, routed = routes.SameOutcome(gs.inForce.table, t.route, next.table, nextMatch, group), routed || nextMatch.Route >= 0
+		t.nextTenant = nextMatch.Tenant
 	}
-	if alike && (!ruled || a.Now() < a.f.LeaseUntil()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, usual) {
+	if sameOutcome && (!routed || a.Now() < a.fleet.LeaseUntil()) || gs.inForce.table.ServesWithoutAgreement(t.route.Tenant, servesByDefault) {
 		return routes.Allowed, 0
 	}
 	a.g.counts.unagreed++
-	return routes.AgreementUnavailable, stated
+	return routes.AgreementUnavailable, maxDivergence
 }
 
-// Figures are what a gateway counts, and how it stands to its fleet, nil where it agrees on nothing.
-type Figures struct {
-	Taken, Declined, RolledBack, Withdrawn, Unagreed int // txns of its whole life
-	Outcomes                                         Outcomes
-	Fleet                                            *fleet.Status
+// Stats holds a gateway's counters and its status in the fleet; Fleet is nil without an agreement.
+type Stats struct {
+	Accepted, Rejected, RolledBack, Withdrawn, NoAgreement int // txns since the start
+	Outcomes                                               Outcomes
+	Fleet                                                  *fleet.Status
 }
 
-// Figures tells them.
-func (g *Gateway) Figures(ctx context.Context) (*Figures, error) {
-	var f Figures
+// Stats returns a snapshot of the counters.
+func (g *Gateway) Stats(ctx context.Context) (*Stats, error) {
+	var stats Stats
 	err := g.inLoop(ctx, func() error {
 		c := &g.counts
-		f = Figures{Taken: c.taken, Declined: c.declined, RolledBack: c.rolledBack, Withdrawn: c.withdrawn, Unagreed: c.unagreed, Outcomes: g.outcomes.snapshot()}
+		stats = Stats{Accepted: c.taken, Rejected: c.declined, RolledBack: c.rolledBack, Withdrawn: c.withdrawn, NoAgreement: c.unagreed, Outcomes: g.outcomes.snapshot()}
 		if g.agreement != nil {
-			s := g.agreement.f.Status()
-			f.Fleet = &s
+			s := g.agreement.fleet.Status()
+			stats.Fleet = &s
 		}
 		return nil
 	})
-	return &f, err
+	return &stats, err
 }
 
-// ready tells whether clients may come: not before it knows what holds, or has asked for it long enough.
-func (a *agreed) ready() bool {
-	known := a.held && (a.g.sessions == nil || a.g.sessions.Module.AcceptsSessionWrites())
-	return known || a.f.Config().ServeWithoutAgreement || a.g.clock.elapsed() > time.Duration(a.f.Config().Agreement.StartupWait())
+// ready reports whether clients may connect: once the agreed version is known, or the startup wait has passed.
+func (a *fleetAgreement) ready() bool {
+	known := a.hasManifest && (a.g.sessions == nil || a.g.sessions.Module.AcceptsSessionWrites())
+	return known || a.fleet.Config().ServeWithoutAgreement || a.g.clock.elapsed() > time.Duration(a.fleet.Config().Agreement.StartupWait())
 }
 
-// ask has the fleet agree on something and waits for what becomes of it.
-func (g *Gateway) ask(ctx context.Context, f func() (agreement.Proposal, []byte, error)) (o agreement.Outcome, err error) {
+// proposeAndWait submits a proposal to the fleet and waits for its outcome.
+func (g *Gateway) proposeAndWait(ctx context.Context, f func() (agreement.Proposal, []byte, error)) (o agreement.Outcome, err error) {
 	done := make(chan agreement.Outcome, 1)
 	err = g.inLoop(ctx, func() error {
 		if g.agreement == nil {
 			return errors.New("this gateway agrees on nothing with others: its operator's file has no block agreement")
 		}
-		w, text, err := f()
+		proposal, text, err := f()
 		if err != nil {
 			return err
 		}
-		no, err := g.agreement.f.Propose(w, text, askPatience)
+		no, err := g.agreement.fleet.Propose(proposal, text, proposalTimeout)
 		if err == nil {
-			g.agreement.waits[no] = func(o agreement.Outcome) { done <- o }
+			g.agreement.onOutcome[no] = func(o agreement.Outcome) { done <- o }
 		}
 		return err
 	})
@@ -325,130 +330,131 @@
 	return o, nil
 }
 
-// propose has the fleet agree on a change as the version that follows the one held here.
-func (a *agreed) propose(c Change) (agreement.Proposal, []byte, error) {
-	v := agreement.Version{Subject: SubjectRoutes, Author: c.Who, ProposedAt: time.Now().UnixNano(), Reason: c.Why, FormatVersion: c.Document.RequiredFormat(), WatchDuration: c.Watch}
-	var before *routes.Document
-	for _, s := range a.f.Manifest().Subjects {
+// versionProposal makes a change the version that follows the last one known here.
+func (a *fleetAgreement) versionProposal(c Change) (agreement.Proposal, []byte, error) {
+	version := agreement.Version{Subject: SubjectRoutes, Author: c.Author, ProposedAt: time.Now().UnixNano(), Reason: c.Reason, FormatVersion: c.Document.RequiredFormat(), WatchDuration: c.WatchDuration}
+	var previous *routes.Document
+	for _, s := range a.fleet.Manifest().Subjects {
 		if s.Name != SubjectRoutes {
 			continue
 		}
-		v.Predecessor = s.LastVersion
+		version.Predecessor = s.LastVersion
 		for _, x := range []*agreement.Version{s.InForce, s.Next} {
 			if x != nil {
-				if g := a.known[x.Digest]; g != nil {
-					before = g.document
+				if g := a.generations[x.Digest]; g != nil {
+					previous = g.document
 				}
 			}
 		}
 	}
-	if !a.held {
+	if !a.hasManifest {
 		return agreement.Proposal{}, nil, errors.New("this gateway does not hold what the fleet agreed on yet")
 	}
-	if v.Conflicts = routes.Conflicts(before, c.Document); len(v.Conflicts) == 0 {
-		v.CanaryFraction = a.f.Config().CanaryFraction
+	if version.Conflicts = routes.Conflicts(previous, c.Document); len(version.Conflicts) == 0 {
+		version.CanaryFraction = a.fleet.Config().CanaryFraction
 	}
-	return agreement.Proposal{Version: &v}, c.Text, nil
+	return agreement.Proposal{Version: &version}, c.Text, nil
 }
 
-// tries tells whether a version is tried here by steps.
-func (a *agreed) tries(x *generation) bool {
-	for _, s := range a.f.Manifest().Subjects {
-		if s.Name == SubjectRoutes && s.InCanary(a.f.Self()) && s.Next.No == x.version {
+// inCanary reports whether this gateway runs a version as part of its canary rollout.
+func (a *fleetAgreement) inCanary(x *generation) bool {
+	for _, s := range a.fleet.Manifest().Subjects {
+		if s.Name == SubjectRoutes && s.InCanary(a.fleet.Self()) && s.Next.No == x.fleetVersion {
 			return true
 		}
 	}
 	return false
 }
 
-// kept tells that the watch of a version is over, and that it is well.
-func (a *agreed) kept(x *generation) {
-	if x != nil && x.version != 0 {
-		a.f.ReportHealthy(x.version)
+// reportHealthy reports that the watch of a version ended and the version is healthy.
+func (a *fleetAgreement) reportHealthy(x *generation) {
+	if x != nil && x.fleetVersion != 0 {
+		a.fleet.ReportHealthy(x.fleetVersion)
 	}
 }
 
-// nothing is the text of all as the platform says.
-const nothing = "# all is as the platform says\n"
-
-// undo has the fleet agree on what was in force before a version, as this gateway's health speaks against that one, or an
-// operator does. Until it is agreed the version stays: two gateways act on one.
-func (a *agreed) undo(x *generation) {
-	text, before := []byte(nothing), (*routes.Document)(nil)
-	if a.former != nil && a.former.text != nil {
-		text, before = a.former.text, a.former.document
-	}
-	why := "watched"
-	if all := a.g.generations.module.Status().Finished; len(all) > 0 {
-		why = string(all[len(all)-1].Why) + all[len(all)-1].Text
-	}
-	wish := agreement.Proposal{Abort: &agreement.Abort{Subject: SubjectRoutes, No: x.version, Reason: "gateway " + a.g.config.Name + ": " + why}}
-	v := agreement.Version{Subject: SubjectRoutes, Predecessor: x.version, Reverts: x.version, Author: "gateway " + a.g.config.Name,
-		ProposedAt: time.Now().UnixNano(), Reason: why, FormatVersion: before.RequiredFormat(), Conflicts: routes.Conflicts(x.document, before)}
-	if !a.tries(x) {
-		wish = agreement.Proposal{Version: &v}
+// emptyDocument is the text of a document without rules, under which the platform's settings apply. It is
+// sent to the fleet and stored.
+const emptyDocument = "# all is as the platform says\n"
+
+// proposeUndo proposes to revert a version, because the health of this gateway worsened under it or an operator asks for
+// it. The version stays in force until that is agreed on, so that no two gateways act on different versions.
+func (a *fleetAgreement) proposeUndo(x *generation) {
+	text, previous := []byte(emptyDocument), (*routes.Document)(nil)
+	if a.previous != nil && a.previous.text != nil {
+		text, previous = a.previous.text, a.previous.document
+	}
+	reason := "watched"
+	if finished := a.g.generations.module.Status().Finished; len(finished) > 0 {
+		reason = string(finished[len(finished)-1].Why) + finished[len(finished)-1].Text
+	}
+	proposal := agreement.Proposal{Abort: &agreement.Abort{Subject: SubjectRoutes, No: x.fleetVersion, Reason: "gateway " + a.g.config.Name + ": " + reason}}
+	version := agreement.Version{Subject: SubjectRoutes, Predecessor: x.fleetVersion, Reverts: x.fleetVersion, Author: "gateway " + a.g.config.Name,
+		ProposedAt: time.Now().UnixNano(), Reason: reason, FormatVersion: previous.RequiredFormat(), Conflicts: routes.Conflicts(x.document, previous)}
+	if !a.inCanary(x) {
+		proposal = agreement.Proposal{Version: &version}
 	} else {
 		text = nil
 	}
-	no, err := a.f.Propose(wish, text, askPatience)
+	no, err := a.fleet.Propose(proposal, text, proposalTimeout)
 	if err != nil {
-		a.g.log.Error("a version is not undone", "version", x.version, "why", err)
+		a.g.log.Error("a version is not undone", "version", x.fleetVersion, "why", err)
 		return
 	}
-	a.waits[no] = func(o agreement.Outcome) {
-		a.g.log.Info("undo of a version", "version", x.version, "agreed", o.Done, "why", o.Reason)
+	a.onOutcome[no] = func(o agreement.Outcome) {
+		a.g.log.Info("undo of a version", "version", x.fleetVersion, "agreed", o.Done, "why", o.Reason)
 	}
 }
 
-// FoundFleet begins a fleet with this gateway as its one voter.
-func (g *Gateway) FoundFleet(ctx context.Context) error {
+// BootstrapFleet starts a new fleet with this gateway as its only voter.
+func (g *Gateway) BootstrapFleet(ctx context.Context) error {
 	return g.inLoop(ctx, func() error {
 		if g.agreement == nil {
 			return errors.New("its operator's file has no block agreement")
 		}
-		return g.agreement.f.Bootstrap()
+		return g.agreement.fleet.Bootstrap()
 	})
 }
 
-// AskFleet has the fleet take a gateway out of its list, or let one vote or no longer.
-func (g *Gateway) AskFleet(ctx context.Context, w agreement.Proposal) error {
-	_, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return w, nil, nil })
+// ProposeToFleet proposes to remove a gateway from the list, or to add or remove a voter.
+func (g *Gateway) ProposeToFleet(ctx context.Context, proposal agreement.Proposal) error {
+	_, err := g.proposeAndWait(ctx, func() (agreement.Proposal, []byte, error) { return proposal, nil, nil })
 	return err
 }
 
-// Fleet tells how this gateway stands to the fleet, nil where it agrees on nothing; with all also what voters know of the
-// other gateways, which takes some ways there and back.
-func (g *Gateway) Fleet(ctx context.Context, all bool) (s *fleet.Status, err error) {
+// FleetStatus returns this gateway's status in the fleet, nil without an agreement. With a survey it also returns what the
+// voters know of the other gateways, which takes several round trips.
+func (g *Gateway) FleetStatus(ctx context.Context, withSurvey bool) (status *fleet.Status, err error) {
 	err = g.inLoop(ctx, func() error {
 		if g.agreement != nil {
-			x := g.agreement.f.Status()
-			s = &x
-			if all {
-				g.agreement.f.Survey()
+			x := g.agreement.fleet.Status()
+			status = &x
+			if withSurvey {
+				g.agreement.fleet.Survey()
 			}
 		}
 		return nil
 	})
-	for over := !all || s == nil; !over && err == nil; {
-		time.Sleep(surveyLook)
+	for done := !withSurvey || status == nil; !done && err == nil; {
+		time.Sleep(surveyPollInterval)
 		err = g.inLoop(ctx, func() error {
-			s.Leases, over = g.agreement.f.SurveyResult()
+			status.Leases, done = g.agreement.fleet.SurveyResult()
 			return nil
 		})
 	}
-	return s, err
+	return status, err
 }
 
-// Restore has the fleet agree on the text of a former version again.
+// Restore proposes the text of a former version as a new version.
 func (g *Gateway) Restore(ctx context.Context, no uint64, who string) (rollout.Generation, error) {
 	var text []byte
 	err := g.inLoop(ctx, func() error {
 		if g.agreement == nil {
 			return errors.New("this gateway agrees on nothing with others")
 		}
-		for _, s := range g.agreement.f.Status().History {
+		for _, s := range g.agreement.fleet.Status().History {
 			if v := s.Version(no); s.Name == SubjectRoutes && v != nil {
-				text = g.agreement.f.Text(v.Digest)
+				text = g.agreement.fleet.Text(v.Digest)
 			}
 		}
 		if text == nil {
@@ -463,6 +469,6 @@
 	if err != nil {
 		return 0, err
 	}
-	n, _, err := g.Apply(ctx, Change{Document: d, Text: text, Who: who, Why: fmt.Sprintf("version %d again", no)})
+	n, _, err := g.Apply(ctx, Change{Document: d, Text: text, Author: who, Reason: fmt.Sprintf("version %d again", no)})
 	return n, err
 }
--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -255,7 +255,7 @@
 	}
 	cs.g.outcomes.clientsClosed[c.closeReason]++
 	cs.bufferedBytes -= c.bufferedBytes
-	cs.leaves(c)
+	cs.releaseConnection(c)
 	cs.leaveStage(c)
 	if !c.hasDescriptor {
 		cs.rejecting--
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -27,7 +27,7 @@
 
 func newCoordinator(g *Gateway) (x *coordinator, err error) {
 	x = &coordinator{g: g, memberNames: map[uint64]string{}, probeResults: map[uint64]decide.Result{}, primaries: map[int]uint64{}}
-	x.coordination, err = fleet.NewCoordination(g.agreement.f, g.config.Coordination, x, g.seed)
+	x.coordination, err = fleet.NewCoordination(g.agreement.fleet, g.config.Coordination, x, g.seed)
 	return x, err
 }
 
@@ -62,7 +62,7 @@
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
 		h := hosts[name]
 		x.memberNames[h.key] = name
-		if x.g.generations.health(&h.entry) != "active" {
+		if x.g.generations.memberHealth(&h.entry) != "active" {
 			continue
 		}
 		primary := h.entry.Mode == "read-write" || x.primaries[h.entry.Block] == h.key
--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -13,19 +13,19 @@
 )
 
 // coordinationView returns a gateway's view of the coordination, and the names of the members by key.
-func (u *union) coordinationView(gateway int) (v hosted.CoordinationView, names map[uint64]string) {
+func (u *agreementFleet) coordinationView(gateway int) (v hosted.CoordinationView, names map[uint64]string) {
 	var r struct {
 		Chosen *hosted.CoordinationView
 		Names  map[uint64]string
 	}
-	if err := json.Unmarshal([]byte(u.said(gateway, "fleet", "subsets", "--json")), &r); err != nil || r.Chosen == nil {
+	if err := json.Unmarshal([]byte(u.command(gateway, "fleet", "subsets", "--json")), &r); err != nil || r.Chosen == nil {
 		return v, nil
 	}
 	return *r.Chosen, r.Names
 }
 
 // gatewaysByMember counts, by member name, the gateways that report the member as assigned to them.
-func (u *union) gatewaysByMember(gateways ...int) map[string]int {
+func (u *agreementFleet) gatewaysByMember(gateways ...int) map[string]int {
 	all := map[string]int{}
 	for _, i := range gateways {
 		v, names := u.coordinationView(i)
@@ -44,10 +44,10 @@
 func TestSubsetsOfMembers(t *testing.T) {
 	t.Parallel() // it mostly waits for events
 	g, members := newGroup(0, 8)
-	operator := agreeing + "coordination {\n  subset      = 4\n  connections = 1\n  away        = 0\n}\n"
-	u := newUnionBefore(t, 8, 3, operator, nil, g, members)
+	operator := agreementOperatorFile + "coordination {\n  subset      = 4\n  connections = 1\n  away        = 0\n}\n"
+	u := newAgreementFleetForGroup(t, 8, 3, operator, nil, g, members)
 	all := []int{0, 1, 2, 3, 4, 5, 6, 7}
-	l := u.load()
+	l := u.startReads()
 	settled := func(gateways ...int) {
 		t.Helper()
 		u.await("the members are evenly assigned", func() bool {
@@ -124,7 +124,7 @@
 	g, members := newGroup(0, 4)
 	closedPort := freePort("tcp4", "127.0.0.4") // a port without a listener
 	var ownList *standin.List
-	u := newUnionBefore(t, 5, 3, agreeing+"coordination {}\n", func(p *process) {
+	u := newAgreementFleetForGroup(t, 5, 3, agreementOperatorFile+"coordination {}\n", func(p *process) {
 		if p.index == 3 {
 			var hosts []standin.Host
 			for _, m := range members {
@@ -136,7 +136,7 @@
 		}
 	}, g, members)
 	defer ownList.Close()
-	l := u.load()
+	l := u.startReads()
 	for _, m := range members { // concurrent reads use every member; if they were idle the fastest would get nearly all reads
 		m.SetDelay(5 * time.Millisecond)
 	}
@@ -171,7 +171,7 @@
 		u.await("each gateway has a report that the member is unhealthy", func() bool { return memberView(i, members[3].Name).Summary.UnhealthyReports >= 1 })
 	}
 	t.Logf("all gateways have a report after %v", time.Since(began).Round(10*time.Millisecond))
-	if said := u.said(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
+	if said := u.command(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
 		t.Fatal(said)
 	}
 	must(members[3].Start())
@@ -188,7 +188,7 @@
 	t.Parallel() // it mostly waits for events
 	calls := func(block string) int {
 		g, members := newGroup(0, 2)
-		u := newUnionBefore(t, 6, 3, agreeing+block, nil, g, members)
+		u := newAgreementFleetForGroup(t, 6, 3, agreementOperatorFile+block, nil, g, members)
 		u.list.AwaitDeliveredTo(6)
 		u.list.SetDown(true)
 		for _, p := range u.gateways {
@@ -212,18 +212,18 @@
 
 // stopAllowingErrors ends the load of a test whose members fail under txns: these may be rolled back or late, but not left
 // without an answer. At least one txn must have been served.
-func (l *load) stopAllowingErrors(t testing.TB) {
+func (l *backgroundReads) stopAllowingErrors(t testing.TB) {
 	t.Helper()
 	close(l.stop)
 	l.wg.Wait()
-	t.Logf("%d served, %d declined, %d without an answer, others %v", l.served.Load(), l.declined.Load(), l.others.Load(), l.wrong)
+	t.Logf("%d served, %d declined, %d without an answer, others %v", l.served.Load(), l.rejected.Load(), l.unanswered.Load(), l.unexpected)
 	if l.served.Load() == 0 {
 		t.Fatal("nothing is served")
 	}
 }
 
 // allGateways returns the indexes of all gateways.
-func (u *union) allGateways() (all []int) {
+func (u *agreementFleet) allGateways() (all []int) {
 	for i := range u.gateways {
 		all = append(all, i)
 	}
--- a/gateway/discovery.go
+++ b/gateway/discovery.go
@@ -318,7 +318,7 @@
 
 // queueCachedList queues the list of the last run as input for the module.
 func (ds *discoveryClient) queueCachedList() {
-	list := ds.g.config.Known
+	list := ds.g.config.KnownHosts
 	if list == nil {
 		list = &httpwire.List{}
 	}
@@ -376,7 +376,7 @@
 // applyHost passes an entry to the module, unless it is invalid, removed or assigned to other gateways.
 func (ds *discoveryClient) applyHost(e httpwire.Host) {
 	status := decide.Ready
-	switch ds.g.generations.health(&e) {
+	switch ds.g.generations.memberHealth(&e) {
 	case "active":
 	case "leaving":
 		status = decide.Draining
--- a/gateway/disk_test.go
+++ b/gateway/disk_test.go
@@ -22,18 +22,18 @@
 // Each gateway recovers by itself once there is space. Clients must get no wrong response meanwhile.
 func TestConfigChangesWithFullDisks(t *testing.T) {
 	t.Parallel() // it mostly waits for events
-	fleet := newUnion(t, 5, 3)
-	load := fleet.load()
+	fleet := newAgreementFleet(t, 5, 3)
+	load := fleet.startReads()
 	all := []int{0, 1, 2, 3, 4}
 	applyVersion := func(gateway, version int) {
 		t.Helper()
 		fleet.await(fmt.Sprintf("version %d is agreed on", version), func() bool {
-			output := fleet.apply(gateway, moves(version))
+			output := fleet.apply(gateway, conflictingChange(version))
 			return strings.Contains(output, fmt.Sprintf("version %d is agreed on", version))
 		})
 	}
 	applyVersion(4, 1)
-	fleet.holds(1, all...)
+	fleet.awaitVersion(1, all...)
 	leader := fleet.leader(0, 1, 2)
 	follower := (leader + 1) % 3
 	fleet.gateways[follower].setDiskFull(true)
@@ -44,15 +44,15 @@
 			others = append(others, i)
 		}
 	}
-	fleet.holds(2, others...)
+	fleet.awaitVersion(2, others...)
 	fleet.gateways[follower].awaitLog("the log is not kept")
 	fleet.gateways[follower].setDiskFull(false)
-	fleet.holds(2, follower)
+	fleet.awaitVersion(2, follower)
 
 	fleet.gateways[leader].setDiskFull(true)
-	output := fleet.apply(4, moves(3)) // the full leader cannot commit it, and whether another will is unknown
+	output := fleet.apply(4, conflictingChange(3)) // the full leader cannot commit it, and whether another will is unknown
 	fleet.await("another voter leads", func() bool { return fleet.leader(follower, 3-leader-follower) != leader })
-	if !strings.Contains(output, "version 3 is agreed on") && !strings.Contains(fleet.said(follower, "config", "history"), "\n3 ") {
+	if !strings.Contains(output, "version 3 is agreed on") && !strings.Contains(fleet.command(follower, "config", "history"), "\n3 ") {
 		applyVersion(4, 3)
 	}
 	others = others[:0]
@@ -61,14 +61,14 @@
 			others = append(others, i)
 		}
 	}
-	fleet.holds(3, others...)
+	fleet.awaitVersion(3, others...)
 	fleet.gateways[leader].setDiskFull(false)
-	fleet.holds(3, all...)
+	fleet.awaitVersion(3, all...)
 
 	for i := range 2 {
 		fleet.gateways[i].setDiskFull(true)
 	}
-	if output := fleet.apply(4, moves(4)); strings.Contains(output, "is agreed on") {
+	if output := fleet.apply(4, conflictingChange(4)); strings.Contains(output, "is agreed on") {
 		t.Fatal("agreed although two of three voters cannot save: ", output)
 	}
 	for i := range 2 {
@@ -80,16 +80,16 @@
 		held := map[int]int{}
 		for _, i := range all {
 			version := 0
-			output := fleet.said(i, "fleet", "status")
+			output := fleet.command(i, "fleet", "status")
 			_, after, _ := strings.Cut(output, "routes: version ")
 			if n, _ := fmt.Sscanf(after, "%d", &version); n == 1 && !strings.Contains(output, "next version") && strings.Contains(output, "may act") {
 				held[version]++
 			}
 		}
 		if held[3] == len(all) {
-			fleet.apply(4, moves(4))
+			fleet.apply(4, conflictingChange(4))
 		}
 		return len(held) == 1 && held[3] == 0 && held[0] == 0
 	})
-	load.end(t)
+	load.finish(t)
 }
--- a/gateway/fleet_test.go
+++ b/gateway/fleet_test.go
@@ -141,7 +141,7 @@
 	p.cmd = exec.Command(program, args...)
 	if p.clockRate != 0 {
 		p.cmd = exec.Command(os.Args[0])
-		p.env = []string{fmt.Sprintf("%s=%g", envRate, p.clockRate), fmt.Sprintf("%s=%v", envDisk, p.maxDiskDelay), "EDGE_OPERATOR=" + p.operatorFile}
+		p.env = []string{fmt.Sprintf("%s=%g", clockRateVariable, p.clockRate), fmt.Sprintf("%s=%v", diskDelayVariable, p.maxDiskDelay), "EDGE_OPERATOR=" + p.operatorFile}
 	}
 	p.cmd.Env = append(append(os.Environ(), "EDGE_CONFIG="+p.configFileName), p.env...)
 	pipe, err := p.cmd.StderrPipe()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -38,7 +38,7 @@
 type Gateway struct {
 	gnet.BuiltinEventEngine
 	config    Config
-	names     names
+	names     platformSettings
 	log       *slog.Logger
 	logLevel  *slog.LevelVar // set by the generation in force
 	module    *decide.Gateway
@@ -74,7 +74,7 @@
 	generations   *generations
 	sessions      *fleet.Sessions  // nil if not configured
 	quotas        *fleet.Quotas    // limits of the fleet, nil without an agreement
-	agreement     *agreed          // nil without an agreement between gateways
+	agreement     *fleetAgreement  // nil without an agreement between gateways
 	contracts     *contractManager // nil without an agreement
 	coordination  *coordinator     // nil if each gateway chooses members and probes on its own
 	peerLink      *fleet.Datagrams // datagrams of other gateways, nil if there are none
@@ -95,11 +95,11 @@
 
 // New checks the configuration and prepares a gateway; Run starts it.
 func New(c Config) (*Gateway, error) {
-	seed, n, err := c.check()
+	seed, n, err := c.validate()
 	if err != nil {
 		return nil, err
 	}
-	settings, err := forModule(c.Settings, c.Sessions != nil && c.Sessions.SharePositions || c.Coordination != nil && c.Coordination.Signals)
+	settings, err := moduleSettings(c.Settings, c.Sessions != nil && c.Sessions.SharePositions || c.Coordination != nil && c.Coordination.Signals)
 	if err != nil {
 		return nil, err
 	}
@@ -109,12 +109,12 @@
 	}
 	g := &Gateway{config: c, names: n, module: module, clock: newClock(c.Elapsed), started: make(chan struct{}), loopEnded: make(chan struct{}),
 		byID: map[uint64]slots.Ref{}, logLevel: new(slog.LevelVar), outcomes: newOutcomes()}
-	g.logLevel.Set(everything)
+	g.logLevel.Set(levelAll)
 	g.seed = seed
 	if g.network = c.Network; g.network == nil {
 		g.network = SystemNetwork{}
 	}
-	g.log = slog.New(levelled{cmp.Or(c.Log, slog.Default()).Handler(), g.logLevel}).With("gateway", c.Name)
+	g.log = slog.New(levelHandler{cmp.Or(c.Log, slog.Default()).Handler(), g.logLevel}).With("gateway", c.Name)
 	g.members = members{g: g, pools: map[decide.Server]*pool{}}
 	g.clients.cancelKeys = map[uint32]slots.Ref{}
 	g.clients.g, g.discovery.g, g.discovery.draining = g, g, map[decide.Server]bool{}
@@ -148,27 +148,27 @@
 	}
 	if g.config.Agreement != nil {
 		var err error
-		if g.agreement, err = openAgreed(g, g.seed); err != nil {
+		if g.agreement, err = openFleetAgreement(g, g.seed); err != nil {
 			return err
 		}
 		maxHardLimit := 0.0
 		for _, c := range g.names.Classes {
 			maxHardLimit = max(maxHardLimit, c.HardLimit)
 		}
-		if g.quotas, err = fleet.NewQuotas(g.agreement.f, int64(decide.Millis(maxHardLimit))); err != nil {
-			return errors.Join(err, g.agreement.f.Close())
+		if g.quotas, err = fleet.NewQuotas(g.agreement.fleet, int64(decide.Millis(maxHardLimit))); err != nil {
+			return errors.Join(err, g.agreement.fleet.Close())
 		}
 		g.contracts = &contractManager{g: g, books: map[agreement.Digest]*contracts.Book{}, decoding: map[agreement.Digest]bool{}}
 		if err := g.contracts.loadAccount(); err != nil {
-			return errors.Join(err, g.agreement.f.Close())
+			return errors.Join(err, g.agreement.fleet.Close())
 		}
 		if g.config.Coordination != nil {
 			if g.coordination, err = newCoordinator(g); err != nil {
-				return errors.Join(err, g.agreement.f.Close())
+				return errors.Join(err, g.agreement.fleet.Close())
 			}
 		}
 		defer func() {
-			if err := g.agreement.f.Close(); err != nil {
+			if err := g.agreement.fleet.Close(); err != nil {
 				g.log.Info("closing the log of the agreement failed", "why", err)
 			}
 		}()
@@ -176,7 +176,7 @@
 	if g.sessions != nil {
 		var agreementFleet *fleet.Fleet
 		if g.agreement != nil {
-			agreementFleet = g.agreement.f
+			agreementFleet = g.agreement.fleet
 		}
 		if err := g.sessions.Open(g.peerLink, agreementFleet); err != nil {
 			return fmt.Errorf("sessions: %w", err)
@@ -214,7 +214,7 @@
 		switch {
 		case peerwire.IsSealed(d.Data):
 			if g.agreement != nil {
-				g.agreement.f.Receive(d)
+				g.agreement.fleet.Receive(d)
 			}
 		case g.sessions != nil && g.sessions.HasPeers():
 			g.sessions.Receive(d.Data)
@@ -225,7 +225,7 @@
 // Reload applies what can change without a restart: the address of discovery. It may be called at any time and blocks until
 // Run has begun. If a value is missing or invalid, nothing changes.
 func (g *Gateway) Reload(c Config) error {
-	if _, _, err := c.check(); err != nil {
+	if _, _, err := c.validate(); err != nil {
 		return err
 	}
 	<-g.started
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -15,91 +15,91 @@
 	"magpieglade/routes"
 )
 
-// generations are the configurations that txns run under: the one in force, and older ones until their last txn has
-// ended. They belong to the loop.
+// generations holds the configurations that txns run under: the one in force, and older ones until their last txn has
+// ended. Only the event loop uses it.
 type generations struct {
 	g       *Gateway
 	module  *rollout.Rollout
-	next    rollout.Generation
+	lastNo  rollout.Generation
 	inForce *generation
-	told    *generation                        // one that the fleet agreed on and that is not in force: both bind; nil is none
-	saving  bool                               // the module's decisions wait until what it said is on the disk
-	all     map[rollout.Generation]*generation // in force, kept, staged, or with txns under way
+	pending *generation                        // agreed on by the fleet but not yet in force: the limits of both apply; nil if there is none
+	saving  bool                               // the module's decisions wait until its state is on disk
+	byNo    map[rollout.Generation]*generation // in force, kept, staged, or with txns in flight
 }
 
-// generation is one configuration. A txn is bound to the one that it arrived under, for good.
+// generation is one configuration. A txn keeps the one that was in force when it arrived.
 type generation struct {
-	no       rollout.Generation
-	document *routes.Document
-	text     []byte
-	digest   uint64
-	table    *routes.Table // nil for generation 0: all is as the platform says
-	shares   *routes.Shares
-	retries  *routes.RetryBudgets
-	txns     int
-	version  uint64          // that the fleet gave it, 0 for none
-	watch    int64           // for which that one is watched
-	fleet    []*fleetLimits  // by tenant; nil for one whose bounds are each gateway's own
-	barred   map[string]bool // members that it excludes or drains
+	no             rollout.Generation
+	document       *routes.Document
+	text           []byte
+	digest         uint64
+	table          *routes.Table // nil for generation 0: the platform's settings apply
+	shares         *routes.Shares
+	retryBudgets   *routes.RetryBudgets
+	openTxns       int
+	fleetVersion   uint64          // assigned by the fleet, 0 for none
+	watchDuration  int64           // of the fleet's version, in nanoseconds
+	fleetLimits    []*fleetLimits  // by tenant; nil for a tenant whose limits are per gateway
+	blockedMembers map[string]bool // members that it excludes or drains
 }
 
 func newGenerations(g *Gateway) *generations {
 	zero := &generation{}
 	return &generations{g: g, module: rollout.New(rollout.State{}), inForce: zero,
-		all: map[rollout.Generation]*generation{0: zero}}
+		byNo: map[rollout.Generation]*generation{0: zero}}
 }
 
-// start applies what the operator's file says at the start. What is wrong with it leaves all as the platform says.
-func (gs *generations) start(c *Change) {
+// applyStartConfig applies the change of the operator's file at the start. If it is invalid, the platform's settings apply.
+func (gs *generations) applyStartConfig(c *Change) {
 	if gs.g.agreement != nil {
 		if c != nil {
 			gs.g.log.Info("routes and limits are what the fleet agrees on: those of the operator's file wait for config apply")
 		}
 		return
 	}
-	watch, before := int64(0), uint64(0)
+	watchDuration, keptDigest := int64(0), uint64(0)
 	if gs.g.config.Changes != nil {
-		if before = gs.recall(); before != 0 && c != nil {
-			watch = c.Watch // it is not the first: it is watched like any
+		if keptDigest = gs.restoreKept(); keptDigest != 0 && c != nil {
+			watchDuration = c.WatchDuration // not the first change, so it is watched like any other
 		}
 	}
-	if c == nil || before != 0 && c.Digest == before {
+	if c == nil || keptDigest != 0 && c.Digest == keptDigest {
 		return
 	}
 	gs.module.Clock(int64(gs.g.clock.now()))
 	first := *c
-	first.Watch = watch
-	x, findings, err := compiled(first, gs.world())
+	first.WatchDuration = watchDuration
+	x, findings, err := compileChange(first, gs.environment())
 	if err == nil {
-		_, err = gs.propose(x, first)
+		_, err = gs.stage(x, first)
 	}
 	for _, f := range findings {
 		gs.g.log.Warn("operator's file", "finding", f.Error())
 	}
 	if err != nil {
-		gs.g.log.Error("routes and limits are not applied, all is as the platform says", "why", err)
+		gs.g.log.Error("routes and limits are not applied, the platform's settings apply", "why", err)
 	}
 }
 
-// Change is a new configuration of routes, tenants and members by hand.
+// Change is a new configuration of routes, tenants, and members that the operator excludes or drains.
 type Change struct {
-	Document *routes.Document // nil is all as the platform says
-	Digest   uint64           // the same for the same text
-	Text     []byte           // that says the same, for Config.Changes
-	Watch    int64            // nanoseconds in which it is undone if health worsens; 0 keeps it at once
-	Again    bool             // also if it was undone before
-	Alone    bool             // for this gateway, which is refused where the fleet agrees on changes
-	Who, Why string           // where the fleet agrees on changes: who wants it and what for
+	Document       *routes.Document // nil restores the platform's settings
+	Digest         uint64           // equal for equal texts
+	Text           []byte           // source of Document, stored by Config.Changes
+	WatchDuration  int64            // nanoseconds during which worse health undoes it; 0 keeps it at once
+	Reapply        bool             // accept it although it was undone before
+	LocalOnly      bool             // for this gateway only; rejected where the fleet agrees on changes
+	Author, Reason string           // recorded in the version where the fleet agrees on changes
 }
 
-// Apply checks a change and stages it; it is applied, watched, and kept or undone by what Status tells later. Findings
-// that are warnings do not refuse it. It may be called at any time from any goroutine, and waits until Run has begun.
+// Apply checks a change and stages it. It is then applied, watched, and kept or undone; Status shows the progress.
+// Findings that are warnings do not reject it. Apply is safe for concurrent use and waits until Run has started.
 func (g *Gateway) Apply(ctx context.Context, c Change) (no rollout.Generation, findings []routes.Finding, err error) {
-	var w *routes.Environment
-	if err = g.inLoop(ctx, func() error { w = g.generations.world(); return nil }); err != nil {
+	var environment *routes.Environment
+	if err = g.inLoop(ctx, func() error { environment = g.generations.environment(); return nil }); err != nil {
 		return 0, nil, err
 	}
-	x, findings, err := compiled(c, w) // beside the loop: a large document takes long
+	x, findings, err := compileChange(c, environment) // outside the event loop: compiling a large document takes long
 	if err != nil {
 		return 0, findings, err
 	}
@@ -107,35 +107,35 @@
 		return 0, findings, errors.New("a tenant's bounds are of the fleet (fleet = true), and this gateway agrees on nothing with others: its operator's file has no block agreement")
 	}
 	if g.agreement != nil {
-		if c.Alone {
+		if c.LocalOnly {
 			return 0, findings, errors.New("the gateways of a fleet act on one version: nothing is applied at one alone")
 		}
-		o, err := g.ask(ctx, func() (agreement.Proposal, []byte, error) { return g.agreement.propose(c) })
+		o, err := g.proposeAndWait(ctx, func() (agreement.Proposal, []byte, error) { return g.agreement.versionProposal(c) })
 		return rollout.Generation(o.Version), findings, err
 	}
 	err = g.inLoop(ctx, func() error {
-		no, err = g.generations.propose(x, c)
+		no, err = g.generations.stage(x, c)
 		return err
 	})
 	return no, findings, err
 }
 
-// Keep keeps the watched change by hand; Undo undoes it, or drops the staged one.
+// Keep keeps the watched change without waiting for the end of its watch.
 func (g *Gateway) Keep(ctx context.Context) error {
 	return g.inLoop(ctx, g.generations.module.KeepNow)
 }
 
-// Undo undoes the watched change by hand, or drops the staged one.
+// Undo undoes the watched change, or drops the staged one.
 func (g *Gateway) Undo(ctx context.Context) error {
 	return g.inLoop(ctx, g.generations.module.UndoNow)
 }
 
-// Status tells where changes stand.
+// Status returns the progress of changes.
 func (g *Gateway) Status(ctx context.Context) (s rollout.Status, err error) {
 	err = g.inLoop(ctx, func() error {
 		s = g.generations.module.Status()
 		s.Finished = slices.Clone(s.Finished)
-		if now := g.generations.inForce.no; now != s.InForce { // it waits until it is saved
+		if now := g.generations.inForce.no; now != s.InForce { // the change waits until its state is saved
 			s.Stage, s.Staged, s.InForce = rollout.Staged, s.InForce, now
 		}
 		return nil
@@ -143,7 +143,8 @@
 	return s, err
 }
 
-// InForce gives the text of the generation in force; none is of one that came without a text, or of all as the platform says.
+// InForce returns the number and text of the generation in force. The text is empty if the change came without one or
+// if the platform's settings apply.
 func (g *Gateway) InForce(ctx context.Context) (no rollout.Generation, text []byte, err error) {
 	err = g.inLoop(ctx, func() error {
 		no, text = g.generations.inForce.no, g.generations.inForce.text
@@ -152,7 +153,7 @@
 	return no, text, err
 }
 
-// inLoop runs something on the loop and waits for it.
+// inLoop runs f on the event loop and waits for it.
 func (g *Gateway) inLoop(ctx context.Context, f func() error) error {
 	select {
 	case <-g.started:
@@ -172,48 +173,48 @@
 	}
 }
 
-// world is what a document is checked against now.
-func (gs *generations) world() *routes.Environment {
+// environment returns the types, zones and members that a document is checked against.
+func (gs *generations) environment() *routes.Environment {
 	g := gs.g
-	w := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.total}
+	environment := &routes.Environment{Zones: g.names.Zones, Groups: map[int][]routes.Host{}, ClientDescriptors: g.budget.total}
 	for i := range g.names.Classes {
 		c := &g.names.Classes[i]
-		w.Types = append(w.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.PromiseMs)), Effect: c.Effect,
+		environment.Types = append(environment.Types, routes.Type{Name: c.Name, HardLimit: int64(decide.Millis(c.HardLimit)), TargetLatency: int64(decide.Millis(c.TargetLatencyMs)), Effect: c.Effect,
 			Need: g.names.FamilyInfo.Consistency[i], Window: int64(decide.Millis(c.Window))})
 	}
 	for _, h := range g.discovery.list.hosts {
 		primary, known := g.module.Primary(h.entry.Block)
-		w.Groups[h.entry.Block] = append(w.Groups[h.entry.Block], routes.Host{Name: h.entry.Host, Zone: h.entry.Site,
+		environment.Groups[h.entry.Block] = append(environment.Groups[h.entry.Block], routes.Host{Name: h.entry.Host, Zone: h.entry.Site,
 			Draining: h.entry.Health != "active", Primary: known && primary == h.server})
 	}
-	return w
+	return environment
 }
 
-// compiled is a change that has passed the checks.
-func compiled(c Change, w *routes.Environment) (x *generation, findings []routes.Finding, err error) {
-	x = &generation{document: c.Document, text: c.Text, digest: c.Digest, barred: barredBy(c.Document)}
+// compileChange checks a change and compiles its document.
+func compileChange(c Change, environment *routes.Environment) (compiled *generation, findings []routes.Finding, err error) {
+	compiled = &generation{document: c.Document, text: c.Text, digest: c.Digest, blockedMembers: blockedBy(c.Document)}
 	if c.Document != nil {
-		if x.table, findings = routes.Compile(c.Document, w); x.table == nil {
+		if compiled.table, findings = routes.Compile(c.Document, environment); compiled.table == nil {
 			return nil, findings, fmt.Errorf("the change is refused, the former configuration stays")
 		}
 	}
-	return x, findings, nil
+	return compiled, findings, nil
 }
 
-// propose stages a change.
-func (gs *generations) propose(x *generation, c Change) (rollout.Generation, error) {
-	x.no = gs.next + 1
-	p := rollout.Change{Generation: x.no, Digest: c.Digest, WatchDuration: c.Watch, Reapply: c.Again}
-	if err := gs.module.Propose(p); err != nil {
+// stage gives a compiled change the next number and stages it.
+func (gs *generations) stage(x *generation, c Change) (rollout.Generation, error) {
+	x.no = gs.lastNo + 1
+	change := rollout.Change{Generation: x.no, Digest: c.Digest, WatchDuration: c.WatchDuration, Reapply: c.Reapply}
+	if err := gs.module.Propose(change); err != nil {
 		return 0, err
 	}
-	gs.next = x.no
-	gs.all[x.no] = x
+	gs.lastNo = x.no
+	gs.byNo[x.no] = x
 	return x.no, nil
 }
 
-// carryOut does what the module decides until there is nothing left.
-func (gs *generations) carryOut() {
+// processDecisions carries out the module's decisions until none is left or one waits for the disk.
+func (gs *generations) processDecisions() {
 	gs.module.Clock(int64(gs.g.clock.now()))
 	for !gs.saving {
 		d, ok := gs.module.Next()
@@ -222,20 +223,20 @@
 		}
 		switch d.Kind {
 		case rollout.Undo:
-			if gs.g.agreement != nil { // all undo it, or none
-				gs.g.agreement.undo(gs.inForce)
+			if gs.g.agreement != nil { // all gateways undo it, or none does
+				gs.g.agreement.proposeUndo(gs.inForce)
 				continue
 			}
-			gs.enter(gs.all[d.Generation])
+			gs.activate(gs.byNo[d.Generation])
 		case rollout.Apply:
-			gs.enter(gs.all[d.Generation])
+			gs.activate(gs.byNo[d.Generation])
 		case rollout.Save:
-			gs.save()
+			gs.saveState()
 		case rollout.Keep:
 			if gs.g.agreement != nil {
-				gs.g.agreement.kept(gs.all[d.Generation])
+				gs.g.agreement.reportHealthy(gs.byNo[d.Generation])
 			}
-			gs.forget()
+			gs.dropUnused()
 		case rollout.Wake:
 			gs.g.deadlines.Add(int64(gs.g.clock.now())+d.After, timerEvent{kind: timerWake})
 		case rollout.Log:
@@ -244,43 +245,43 @@
 	}
 }
 
-// enter puts a generation in force, for all that arrives from now on, at this one point of the loop. What is under
-// way counts against the shares of its tenants, by name, whatever generation began it.
-func (gs *generations) enter(x *generation) {
+// activate puts a generation in force for every txn that arrives from now on, in one step of the event loop. Txns in
+// flight count against the shares of the tenant with the same name, whichever generation they started under.
+func (gs *generations) activate(x *generation) {
 	now := int64(gs.g.clock.now())
-	before := gs.bars()
+	blockedBefore := gs.blockedMembers()
 	gs.inForce = x
 	if x.table != nil {
-		if x != gs.told {
+		if x != gs.pending {
 			x.shares = routes.NewShares(x.table, now)
 		}
-		x.retries = routes.NewRetryBudgets(x.table)
+		x.retryBudgets = routes.NewRetryBudgets(x.table)
 		for _, ref := range gs.g.txns.Refs() {
-			if t := gs.g.txns.Get(ref); t.countedInFlight && x == gs.told {
+			if t := gs.g.txns.Get(ref); t.countedInFlight && x == gs.pending {
 				t.shares, t.tenant, t.nextShares = t.nextShares, t.nextTenant, nil
 			} else if t.countedInFlight {
-				gs.carry(x, t)
+				gs.carryOver(x, t)
 			}
 		}
 	}
-	if x == gs.told {
-		gs.told = nil
+	if x == gs.pending {
+		gs.pending = nil
 	}
 	gs.updateFleetLimits()
-	gs.g.clients.recount(x)
-	gs.listed(before)
-	gs.forget()
-	gs.g.logLevel.Set(levelOf(x.document))
+	gs.g.clients.recountConnections(x)
+	gs.reportBlockChanges(blockedBefore)
+	gs.dropUnused()
+	gs.g.logLevel.Set(minLogLevel(x.document))
 }
 
-// tell has another generation bind beside the one in force: what it takes away is taken at once, what it gives waits
-// until it is in force. nil ends that.
-func (gs *generations) tell(x *generation) {
-	if x == gs.told {
+// setPending applies another generation's restrictions beside the one in force: what it takes away is taken at once, what
+// it grants waits until it is in force. nil ends that.
+func (gs *generations) setPending(x *generation) {
+	if x == gs.pending {
 		return
 	}
-	before := gs.bars()
-	gs.told = x
+	blockedBefore := gs.blockedMembers()
+	gs.pending = x
 	if x != nil && x.table != nil {
 		x.shares = routes.NewShares(x.table, int64(gs.g.clock.now()))
 	}
@@ -293,10 +294,10 @@
 		}
 	}
 	gs.updateFleetLimits()
-	gs.listed(before)
+	gs.reportBlockChanges(blockedBefore)
 }
 
-// tenantIn is a txn's tenant in another table, by its name; below 0 is none.
+// tenantIn returns the index of a txn's tenant in another generation's table, by name; negative if there is none.
 func (gs *generations) tenantIn(x *generation, t *txn) int32 {
 	if t.generation.table == nil || t.route.Tenant < 0 {
 		return -1
@@ -305,75 +306,76 @@
 	return int32(slices.IndexFunc(x.table.Tenants, func(n routes.Tenant) bool { return n.Name == name }))
 }
 
-// carry counts a txn of another generation against the tenant of its name, if there is one.
-func (gs *generations) carry(x *generation, t *txn) {
+// carryOver counts a txn of another generation against the tenant with the same name, if there is one.
+func (gs *generations) carryOver(x *generation, t *txn) {
 	t.shares, t.tenant = x.shares, gs.tenantIn(x, t)
 	x.shares.CarryOver(t.tenant, int64(t.querySize))
 }
 
-// bars are the members that get nothing new by what is in force, or by what comes next.
-func (gs *generations) bars() map[string]bool {
-	if gs.told == nil {
-		return gs.inForce.barred
+// blockedMembers returns the members that get no new work under the generation in force or the pending one.
+func (gs *generations) blockedMembers() map[string]bool {
+	if gs.pending == nil {
+		return gs.inForce.blockedMembers
 	}
-	all := maps.Clone(gs.inForce.barred)
-	if all == nil {
-		all = map[string]bool{}
+	blocked := maps.Clone(gs.inForce.blockedMembers)
+	if blocked == nil {
+		blocked = map[string]bool{}
 	}
-	maps.Copy(all, gs.told.barred)
-	return all
+	maps.Copy(blocked, gs.pending.blockedMembers)
+	return blocked
 }
 
-// listed tells the module of members whose bar has changed. A drain of the list's goes before any table.
-func (gs *generations) listed(before map[string]bool) {
-	told, after := false, gs.bars()
+// reportBlockChanges reports to the module the members that became blocked or unblocked. A drain in the member list takes
+// precedence over any table.
+func (gs *generations) reportBlockChanges(blockedBefore map[string]bool) {
+	changed, blockedAfter := false, gs.blockedMembers()
 	for _, h := range gs.g.discovery.list.hosts {
-		if before[h.entry.Host] != after[h.entry.Host] {
+		if blockedBefore[h.entry.Host] != blockedAfter[h.entry.Host] {
 			gs.g.discovery.applyHost(h.entry)
-			told = true
+			changed = true
 		}
 	}
-	if told {
+	if changed {
 		gs.g.module.EndMemberList(decide.Delta)
 	}
 }
 
-// health is what the list says of a host, or the generation in force does.
-func (gs *generations) health(e *httpwire.Host) string {
-	if e.Health == "active" && (gs.inForce.barred[e.Host] || gs.told != nil && gs.told.barred[e.Host]) {
+// memberHealth returns a host's health by the member list, or "leaving" if a generation blocks it.
+func (gs *generations) memberHealth(e *httpwire.Host) string {
+	if e.Health == "active" && (gs.inForce.blockedMembers[e.Host] || gs.pending != nil && gs.pending.blockedMembers[e.Host]) {
 		return "leaving"
 	}
 	return e.Health
 }
 
-// forget drops generations that nothing needs any more.
-func (gs *generations) forget() {
+// dropUnused removes generations that nothing refers to any more.
+func (gs *generations) dropUnused() {
 	s := gs.module.Status()
-	for no, x := range gs.all {
-		if x.txns == 0 && x != gs.inForce && no != s.Kept && no != s.Staged && no != s.InForce {
-			delete(gs.all, no)
+	for no, x := range gs.byNo {
+		if x.openTxns == 0 && x != gs.inForce && no != s.Kept && no != s.Staged && no != s.InForce {
+			delete(gs.byNo, no)
 		}
 	}
 }
 
-// arrive binds a txn to the generation in force. why is why it is refused, with when to come back.
-func (gs *generations) arrive(t *txn, x *routes.Txn) (why routes.RejectReason, after int64) {
+// admit binds a txn to the generation in force. It returns why the txn is rejected, if it is, and when to retry.
+func (gs *generations) admit(t *txn, request *routes.Txn) (reason routes.RejectReason, retryAfter int64) {
 	t.generation = gs.inForce
-	t.route = routes.Match{Route: -1, Type: int32(x.Type), Tenant: -1}
+	t.route = routes.Match{Route: -1, Type: int32(request.Type), Tenant: -1}
 	if t.generation.table != nil {
-		t.route = t.generation.table.Lookup(x)
+		t.route = t.generation.table.Lookup(request)
 	}
 	if gs.g.agreement != nil {
-		if why, after = gs.g.agreement.may(t, x, t.comment.Group); why != routes.Allowed {
-			return why, after
+		if reason, retryAfter = gs.g.agreement.checkLease(t, request, t.comment.Group); reason != routes.Allowed {
+			return reason, retryAfter
 		}
 	}
 	now := int64(gs.g.clock.now())
-	if gs.told != nil && gs.told.table != nil {
-		if why, after = gs.told.shares.CanBegin(t.nextTenant, int64(t.querySize), now); why != routes.Allowed {
-			return why, after
+	if gs.pending != nil && gs.pending.table != nil {
+		if reason, retryAfter = gs.pending.shares.CanBegin(t.nextTenant, int64(t.querySize), now); reason != routes.Allowed {
+			return reason, retryAfter
 		}
-		t.nextShares = gs.told.shares
+		t.nextShares = gs.pending.shares
 	}
 	if t.generation.table == nil {
 		return routes.Allowed, 0
@@ -381,16 +383,16 @@
 	if !t.generation.table.AllowsGroup(t.route.Route, t.comment.Group) {
 		return routes.WrongGroup, 0
 	}
-	if why, after = t.generation.shares.CanBegin(t.route.Tenant, int64(t.querySize), now); why != routes.Allowed {
-		return why, after
+	if reason, retryAfter = t.generation.shares.CanBegin(t.route.Tenant, int64(t.querySize), now); reason != routes.Allowed {
+		return reason, retryAfter
 	}
 	t.shares, t.tenant = t.generation.shares, t.route.Tenant
 	return routes.Allowed, 0
 }
 
-// begin counts a txn that arrive allowed; end takes it back, once.
+// begin counts a txn that admit allowed.
 func (gs *generations) begin(t *txn) {
-	t.generation.txns++
+	t.generation.openTxns++
 	t.countedInFlight = true
 	if t.shares != nil {
 		t.shares.Begin(t.tenant, int64(t.querySize), int64(gs.g.clock.now()))
@@ -401,6 +403,7 @@
 	gs.acquireFleetLimits(t)
 }
 
+// end takes back what begin counted; further calls do nothing.
 func (gs *generations) end(t *txn) {
 	if !t.countedInFlight {
 		return
@@ -413,57 +416,58 @@
 		t.nextShares.End(t.nextTenant, int64(t.querySize))
 	}
 	gs.releaseFleetLimits(t)
-	if t.generation.txns--; t.generation.txns == 0 && t.generation != gs.inForce {
-		gs.forget()
+	if t.generation.openTxns--; t.generation.openTxns == 0 && t.generation != gs.inForce {
+		gs.dropUnused()
 	}
 }
 
-// bind tells the module what a txn's route says of it, once it has arrived.
-func (gs *generations) bind(t *txn) {
+// restrictReads reports to the module the zones and target latency that a txn's route sets, after the txn has arrived.
+func (gs *generations) restrictReads(t *txn) {
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return
 	}
-	if aim := t.generation.table.Routes[t.route.Route].TargetLatency; t.route.Zones != 0 || aim > 0 {
-		gs.g.module.RestrictReads(t.id, t.route.Zones, cmp.Or(decide.Nanos(aim), decide.Millis(gs.g.names.Classes[t.class].PromiseMs)))
+	if target := t.generation.table.Routes[t.route.Route].TargetLatency; t.route.Zones != 0 || target > 0 {
+		gs.g.module.RestrictReads(t.id, t.route.Zones, cmp.Or(decide.Nanos(target), decide.Millis(gs.g.names.Classes[t.class].TargetLatencyMs)))
 	}
 }
 
-// aimOf is a txn's SLA time: the txn type's, or its route's if that is shorter.
-func (gs *generations) aimOf(t *txn) decide.Nanos {
-	aim := decide.Millis(gs.g.names.Classes[t.class].PromiseMs)
+// targetLatency returns a txn's target latency: its type's, or its route's if that is shorter.
+func (gs *generations) targetLatency(t *txn) decide.Nanos {
+	target := decide.Millis(gs.g.names.Classes[t.class].TargetLatencyMs)
 	if t.generation != nil && t.generation.table != nil && t.route.Route >= 0 {
-		if own := t.generation.table.Routes[t.route.Route].TargetLatency; own > 0 {
-			aim = min(aim, decide.Nanos(own))
+		if routeTarget := t.generation.table.Routes[t.route.Route].TargetLatency; routeTarget > 0 {
+			target = min(target, decide.Nanos(routeTarget))
 		}
 	}
-	return aim
+	return target
 }
 
-// served tells of a txn's end for the health of its route.
-func (gs *generations) served(t *txn, committed bool) {
-	c := &gs.g.names.Classes[t.class]
-	got := 0.0
-	if took := gs.g.clock.now() - t.arrived; committed && took <= gs.aimOf(t) {
-		got = c.Worth
+// recordOutcome records the end of a txn for the health of its route.
+func (gs *generations) recordOutcome(t *txn, committed bool) {
+	class := &gs.g.names.Classes[t.class]
+	servedValue := 0.0
+	if latency := gs.g.clock.now() - t.arrived; committed && latency <= gs.targetLatency(t) {
+		servedValue = class.Value
 	} else if committed {
-		got = c.Worth * c.LateValue
+		servedValue = class.Value * class.LateValue
 	}
 	route := int32(-1)
 	if t.generation == gs.inForce {
 		route = t.route.Route
 	}
-	gs.module.RecordTxn(route, c.Worth, got)
+	gs.module.RecordTxn(route, class.Value, servedValue)
 }
 
-// mayRepeat tells whether a repeatable txn may be sent once more, by its route's budget.
-func (gs *generations) mayRepeat(t *txn, no int) bool {
+// allowAttempt reports whether a txn may be sent. Only retries of repeatable txns are limited, by the retry budget of
+// their route.
+func (gs *generations) allowAttempt(t *txn, attempt int) bool {
 	if t.generation == nil || t.generation.table == nil || t.route.Route < 0 {
 		return true
 	}
 	now := int64(gs.g.clock.now())
-	if no == 0 {
-		t.generation.retries.RecordFirst(t.route.Route, now)
+	if attempt == 0 {
+		t.generation.retryBudgets.RecordFirst(t.route.Route, now)
 		return true
 	}
-	return gs.g.names.Classes[t.class].Effect != "repeatable" || t.generation.retries.TryRetry(t.route.Route, now)
+	return gs.g.names.Classes[t.class].Effect != "repeatable" || t.generation.retryBudgets.TryRetry(t.route.Route, now)
 }
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	c := Config{Name: "n", Listen: l.Addr().(*net.TCPAddr).AddrPort(), Seed: "1", Settings: json.RawMessage(testSettings),
-		Discovery: discovery.address(), Known: &httpwire.List{Seq: 1, Whole: true, Hosts: known}}
+		Discovery: discovery.address(), KnownHosts: &httpwire.List{Seq: 1, Whole: true, Hosts: known}}
 	c.Limits.MemoryMB, c.Limits.Sockets = 128, 256
 	change(&c)
 	_ = l.Close() // nothing else in these tests uses this address
--- a/gateway/listed_test.go
+++ b/gateway/listed_test.go
@@ -20,7 +20,7 @@
 	otherResults map[string]int
 }
 
-func (u *union) startRoaming(clients int) *roamingClients {
+func (u *agreementFleet) startRoaming(clients int) *roamingClients {
 	w := &roamingClients{stop: make(chan struct{}), otherResults: map[string]int{}}
 	for i := range clients {
 		w.wg.Add(1)
@@ -71,7 +71,7 @@
 // all voters and learns of neither. The third is evicted while it is cut off and keeps serving; once reconnected it reports
 // that it has ended, and it rejoins after a restart.
 func TestSessionsOnAnAgreedList(t *testing.T) {
-	u := newUnionOf(t, 5, 3, agreeing+"sessions {\n  tokens = \"hints\"\n}\n")
+	u := newAgreementFleetWith(t, 5, 3, agreementOperatorFile+"sessions {\n  tokens = \"hints\"\n}\n")
 	for _, m := range u.members[1:] {
 		m.SetLag(200 * time.Millisecond)
 	}
@@ -79,7 +79,7 @@
 	awaitStatus := func(gateway int, text string, present bool) {
 		t.Helper()
 		u.await(fmt.Sprintf("status of gateway %d contains %q: %v", gateway, text, present), func() bool {
-			return strings.Contains(u.said(gateway, "fleet", "status"), text) == present
+			return strings.Contains(u.command(gateway, "fleet", "status"), text) == present
 		})
 	}
 	awaitWrite := func(gateway int, code, value, key string) {
@@ -101,11 +101,11 @@
 	}
 
 	// n3 is cut off from the other gateways, but not from its clients. n4 leaves permanently, and another takes its place.
-	u.wire.Isolate(3, true)
+	u.network.Isolate(3, true)
 	u.gateways[4].kill()
-	u.said(0, "fleet", "evict", "n4")
+	u.command(0, "fleet", "evict", "n4")
 	awaitStatus(0, "n4 at", true) // departed: as far as the others know, it may still be serving clients
-	u.said(0, "fleet", "evict", "n4", "--ended")
+	u.command(0, "fleet", "evict", "n4", "--ended")
 	awaitStatus(0, "n4 at", false)
 	must(os.RemoveAll(filepath.Join(u.dir, "ledger4")))
 	u.gateways[4].start()
@@ -115,14 +115,14 @@
 	}
 
 	// n3 is evicted without knowing it: it acknowledges writes; the others query it in vain and then fence at the primary.
-	u.said(0, "fleet", "evict", "n3")
+	u.command(0, "fleet", "evict", "n3")
 	awaitStatus(1, "n3 at", true)
 	awaitWrite(3, "ab02", "cut off", "y")
 	for i := range u.gateways {
 		checkRead(i, "ab02", "cut off")
 	}
 	// Reconnected, it learns of the eviction, acknowledges no session's write any more, and reports that it has ended.
-	u.wire.Isolate(3, false)
+	u.network.Isolate(3, false)
 	awaitStatus(1, "n3 at", false)
 	c := u.front.NewClient("ab03", txnTypes)
 	defer c.Close()
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -156,9 +156,9 @@
 			g.inputs[i] = input{}
 		}
 		g.inputs = g.inputs[:0]
-		g.generations.carryOut()
+		g.generations.processDecisions()
 		if g.agreement != nil {
-			g.agreement.carryOut()
+			g.agreement.processDecisions()
 			g.quotas.ProcessDecisions()
 			g.contracts.update()
 		}
@@ -337,7 +337,7 @@
 		if g.sessions != nil {
 			g.sessions.Started()
 		}
-		g.generations.start(g.config.Change)
+		g.generations.applyStartConfig(g.config.Change)
 		go g.acceptClients()
 		return nil, gnet.None
 	case ownerMember:
--- a/gateway/pools_test.go
+++ b/gateway/pools_test.go
@@ -49,16 +49,16 @@
 		}
 		return at
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
 	pollUntil(func() bool { return reads(1)["r2"] == 1 }) // the list was delivered, but nothing signals when the gateway has applied it
 	if at := reads(30); at["r2"] != 30 {
 		t.Fatal("reads leave their pool", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "near", Types: []string{"any"}, Zones: []string{"a"}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "near", Types: []string{"any"}, Zones: []string{"a"}, RetryRatio: -1}}}, 0)
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("reads leave their pool", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "far", Types: []string{"any"}, Zones: []string{"b"}, RetryRatio: -1}}}, 0)
 	hosts[2].Health = "leaving"
 	list.SetHosts(append(hosts, standin.NewGroup(5).NewMember("q", true).ListEntry("active"))...)
 	list.AwaitDelivered()
@@ -66,7 +66,7 @@
 	if at := reads(30); at["r2"] != 0 {
 		t.Fatal("reads go to a draining member of their pool", at)
 	}
-	changed(t, g, &routes.Document{Routes: []routes.Route{{Name: "other", Groups: []int{5}, RetryRatio: -1}}}, 0)
+	applyAndAwait(t, g, &routes.Document{Routes: []routes.Route{{Name: "other", Groups: []int{5}, RetryRatio: -1}}}, 0)
 	if a := c.Read(0); a.Code == "" {
 		t.Fatal("a route serves a group that is not in its pool")
 	}
@@ -93,14 +93,14 @@
 		return "served"
 	}
 	results := []string{connectAndRead(), connectAndRead()}
-	changed(t, g, withLimit(3, "warn"), 0)
+	applyAndAwait(t, g, withLimit(3, "warn"), 0)
 	results = append(results, connectAndRead(), connectAndRead())
-	changed(t, g, withLimit(2, "warn"), 0)
+	applyAndAwait(t, g, withLimit(2, "warn"), 0)
 	results = append(results, clients[0].Read(0).String(), connectAndRead())
 	clients[0].Close()
 	clients[1].Close()
 	pollUntil(func() bool { return connectAndRead() == "served" })
-	changed(t, g, withLimit(100, ""), time.Hour)
+	applyAndAwait(t, g, withLimit(100, ""), time.Hour)
 	if s := fmt.Sprint(results); s != "[served served served refused served  refused]" {
 		t.Fatal(s)
 	}
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -23,7 +23,7 @@
 	active   []*atomic.Bool // by gateway
 }
 
-func (u *union) startFlood(clients int) *readFlood {
+func (u *agreementFleet) startFlood(clients int) *readFlood {
 	f := &readFlood{stop: make(chan struct{})}
 	for i := range u.gateways {
 		f.active = append(f.active, new(atomic.Bool))
@@ -71,7 +71,7 @@
 }
 
 // readTimes returns when the stand-ins served reads, in order.
-func (u *union) readTimes() (at []time.Time) {
+func (u *agreementFleet) readTimes() (at []time.Time) {
 	for _, e := range u.group.Events() {
 		if e.Kind == "read" {
 			at = append(at, e.At)
@@ -81,7 +81,7 @@
 }
 
 // checkRate checks the reads at the stand-ins against a rate limit: no interval between two reads may exceed it.
-func (u *union) checkRate(rate, burst float64) {
+func (u *agreementFleet) checkRate(rate, burst float64) {
 	u.t.Helper()
 	all := u.readTimes()
 	tokens, worst := burst, -burst
@@ -102,12 +102,12 @@
 // stopped for twice its lease and resumes under load, and while the allocator is killed. The reads at the stand-ins never
 // exceed the limit, and where there is demand the limit is used.
 func TestFleetRateLimit(t *testing.T) {
-	u := newUnion(t, 5, 3)
+	u := newAgreementFleet(t, 5, 3)
 	const rate, burst = 100, 30
 	if said := u.apply(3, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\ntenant \"t\" {\n  fleet = true\n  rate  = %d\n  burst = %d\n}\n", rate, burst)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3, 4)
+	u.awaitVersion(1, 0, 1, 2, 3, 4)
 	f := u.startFlood(6)
 	checkUsed := func(what string, minFraction float64, duration time.Duration, gateways ...int) {
 		t.Helper()
@@ -126,7 +126,7 @@
 		at := -1
 		u.awaitFor(3*eventTimeout, "a gateway is the allocator", func() bool {
 			for i, p := range u.gateways {
-				if p.cmd != nil && strings.Contains(u.said(i, "fleet", "shares"), "not lent") {
+				if p.cmd != nil && strings.Contains(u.command(i, "fleet", "shares"), "not lent") {
 					at = i
 					return true
 				}
@@ -138,7 +138,7 @@
 	checkUsed("through one", 0.75, 2*time.Second, 4)
 	checkUsed("through all", 0.75, 2*time.Second, 0, 1, 2, 3, 4)
 	allocator := findAllocator()
-	if said := u.said(allocator, "metrics"); !strings.Contains(said, `magpieglade_bound_amount{bound="t, rate"} 100`) || !strings.Contains(said, `magpieglade_bound_lent{bound="t, rate"}`) ||
+	if said := u.command(allocator, "metrics"); !strings.Contains(said, `magpieglade_bound_amount{bound="t, rate"} 100`) || !strings.Contains(said, `magpieglade_bound_lent{bound="t, rate"}`) ||
 		!strings.Contains(said, "magpieglade_fleet_version_in_force 1") {
 		t.Fatal(said)
 	}
@@ -149,12 +149,12 @@
 		return 3
 	}
 	partitioned := other(allocator)
-	u.wire.Isolate(partitioned, true)
+	u.network.Isolate(partitioned, true)
 	checkUsed("one is partitioned", 0.6, 3*time.Second, 0, 1, 2, 3, 4)
-	u.wire.Isolate(partitioned, false)
+	u.network.Isolate(partitioned, false)
 	allocator = findAllocator()
 	stopped := other(allocator)
-	u.gateways[stopped].halt()
+	u.gateways[stopped].pause()
 	checkUsed("one is stopped", 0.6, 4*time.Second, 0, 1, 2, 3, 4)
 	must(u.gateways[stopped].cmd.Process.Signal(syscall.SIGCONT))
 	checkUsed("it resumes", 0.75, time.Second, 0, 1, 2, 3, 4)
@@ -177,7 +177,7 @@
 // at a time at the stand-ins, also after a gateway with an allocation is killed, whose allocation passes to the others once its
 // lease has expired; no more than 8 clients are admitted.
 func TestFleetConcurrencyLimits(t *testing.T) {
-	u := newUnion(t, 4, 3)
+	u := newAgreementFleet(t, 4, 3)
 	const inFlight, connections, serviceTime = 12, 8, 40 * time.Millisecond
 	for _, m := range u.members {
 		m.SetDelay(serviceTime)
@@ -186,7 +186,7 @@
 		inFlight, connections)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3)
+	u.awaitVersion(1, 0, 1, 2, 3)
 	f := u.startFlood(10)
 	checkUsed := func(what string, minFraction float64, gateways ...int) {
 		t.Helper()
@@ -265,12 +265,12 @@
 // A mass restart: of nine gateways seven, among them one voter, are killed at once and later started at once. The remaining two
 // have the whole limit within some seconds, then nine share it again, and it is never exceeded.
 func TestFleetRateLimitThroughMassRestart(t *testing.T) {
-	u := newUnion(t, 9, 3)
+	u := newAgreementFleet(t, 9, 3)
 	const rate, burst = 120, 40
 	if said := u.apply(5, fmt.Sprintf("route \"all\" {\n  types  = [\"any\"]\n  tenant = \"t\"\n}\ntenant \"t\" {\n  fleet = true\n  rate  = %d\n  burst = %d\n}\n", rate, burst)); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3, 4, 5, 6, 7, 8)
+	u.awaitVersion(1, 0, 1, 2, 3, 4, 5, 6, 7, 8)
 	f := u.startFlood(3)
 	awaitUsed := func(what string, minFraction float64, gateways ...int) {
 		t.Helper()
--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -53,12 +53,12 @@
 		return
 	}
 	var limits []quota.Limit
-	for _, x := range []*generation{gs.inForce, gs.told} {
+	for _, x := range []*generation{gs.inForce, gs.pending} {
 		if x == nil {
 			continue
 		}
 		var added []quota.Limit
-		x.fleet, added = fleetLimitsOf(x.table)
+		x.fleetLimits, added = fleetLimitsOf(x.table)
 		for _, limit := range added {
 			i := slices.IndexFunc(limits, func(o quota.Limit) bool { return o.Key == limit.Key })
 			if i < 0 {
@@ -87,11 +87,11 @@
 // fleetLimitsOf returns the fleet-wide limits that a txn counts against: those of its tenant in the version in force and in
 // the pending one.
 func (gs *generations) fleetLimitsOf(t *txn) (limits []*fleetLimits) {
-	if n := t.route.Tenant; n >= 0 && int(n) < len(gs.inForce.fleet) && gs.inForce.fleet[n] != nil && t.generation == gs.inForce {
-		limits = append(limits, gs.inForce.fleet[n])
+	if n := t.route.Tenant; n >= 0 && int(n) < len(gs.inForce.fleetLimits) && gs.inForce.fleetLimits[n] != nil && t.generation == gs.inForce {
+		limits = append(limits, gs.inForce.fleetLimits[n])
 	}
-	if gs.told != nil && t.nextTenant >= 0 && int(t.nextTenant) < len(gs.told.fleet) {
-		if pending := gs.told.fleet[t.nextTenant]; pending != nil && (len(limits) == 0 || limits[0].tenant != pending.tenant) {
+	if gs.pending != nil && t.nextTenant >= 0 && int(t.nextTenant) < len(gs.pending.fleetLimits) {
+		if pending := gs.pending.fleetLimits[t.nextTenant]; pending != nil && (len(limits) == 0 || limits[0].tenant != pending.tenant) {
 			limits = append(limits, pending)
 		}
 	}
@@ -102,7 +102,7 @@
 // yet and one has been requested.
 func (gs *generations) checkFleetLimits(t *txn) (reason routes.RejectReason, retryAfter int64, unallocated bool) {
 	quotas := gs.g.quotas
-	if quotas == nil || len(gs.inForce.fleet) == 0 && gs.told == nil {
+	if quotas == nil || len(gs.inForce.fleetLimits) == 0 && gs.pending == nil {
 		return routes.Allowed, 0, false
 	}
 	t.fleetLimits = gs.fleetLimitsOf(t)
@@ -154,10 +154,10 @@
 // acquireConnection reports whether the fleet-wide connection limit of a tenant admits a client, and counts the client if so.
 // unallocated is as for checkFleetLimits.
 func (gs *generations) acquireConnection(c *client, tenant int32) (ok, unallocated bool) {
-	if int(tenant) >= len(gs.inForce.fleet) || gs.inForce.fleet[tenant] == nil || gs.inForce.fleet[tenant].connectionsKey == 0 {
+	if int(tenant) >= len(gs.inForce.fleetLimits) || gs.inForce.fleetLimits[tenant] == nil || gs.inForce.fleetLimits[tenant].connectionsKey == 0 {
 		return true, false
 	}
-	quotas, key := gs.g.quotas, gs.inForce.fleet[tenant].connectionsKey
+	quotas, key := gs.g.quotas, gs.inForce.fleetLimits[tenant].connectionsKey
 	quotas.UpdateClock()
 	quotas.RequestRound()
 	if ok, _, unallocated = quotas.Module.CanBegin(key, 1); ok {
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -51,7 +51,7 @@
 
 // refreshBooks takes the books from the manifest that this gateway holds. A new book is decoded outside the event loop.
 func (r *contractManager) refreshBooks() {
-	m := r.g.agreement.f.Manifest()
+	m := r.g.agreement.fleet.Manifest()
 	if m.Revision == r.revision {
 		return
 	}
@@ -87,7 +87,7 @@
 		return
 	}
 	r.decoding[d] = true
-	text := r.g.agreement.f.Text(d)
+	text := r.g.agreement.fleet.Text(d)
 	go func() {
 		b, err := contracts.DecodeBook(text)
 		r.g.post(func() {
@@ -251,7 +251,7 @@
 func (r *contractManager) activeMembers() contracts.Fleet {
 	members := contracts.Fleet{}
 	for _, h := range r.g.discovery.list.hosts {
-		if r.g.generations.health(&h.entry) != "active" {
+		if r.g.generations.memberHealth(&h.entry) != "active" {
 			continue
 		}
 		if members[h.entry.Block] == nil {
@@ -290,7 +290,7 @@
 			if version.ProposedAt = proposal.At; proposal.ChangesReservations(book) {
 				version.Conflicts = []string{"a reserved share"}
 			}
-			_, err = g.ask(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &version}, text, nil })
+			_, err = g.proposeAndWait(ctx, func() (agreement.Proposal, []byte, error) { return agreement.Proposal{Version: &version}, text, nil })
 		}
 		if err == nil || !errors.Is(err, errBookNotRead) && !strings.Contains(err.Error(), "it follows version") {
 			return err
--- a/gateway/reserved_test.go
+++ b/gateway/reserved_test.go
@@ -20,7 +20,7 @@
 	served, declined, failed atomic.Int64
 }
 
-func (u *union) startUserLoad(user string, gateway, n int) *userLoad {
+func (u *agreementFleet) startUserLoad(user string, gateway, n int) *userLoad {
 	g := &userLoad{stop: make(chan struct{})}
 	for i := range n {
 		g.wg.Add(1)
@@ -61,22 +61,22 @@
 // served, also after a gateway that is no voter was killed shortly after its last report and all voters were killed one after
 // another.
 func TestUsageCountsAddUp(t *testing.T) {
-	u := newUnion(t, 5, 3)
+	u := newAgreementFleet(t, 5, 3)
 	rules := "in_flight = 20\nroute \"tv\" {\n  users  = [\"tv\"]\n  tenant = \"tv\"\n}\ntenant \"tv\" {}\ntenant \"others\" {}\n"
 	if said := u.apply(3, rules); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, 0, 1, 2, 3, 4)
+	u.awaitVersion(1, 0, 1, 2, 3, 4)
 	path := filepath.Join(u.dir, "now.hcl")
 	must(os.WriteFile(path, []byte(fmt.Sprintf("capacity {\n  group \"0\" {\n    reads = 1000\n    writes = 40\n  }\n}\ncontract \"now\" {\n  tenant = \"tv\"\n  reads = 500\n  in_flight = 12\n  window {\n    zone = \"UTC\"\n    start = %q\n    length = \"2h\"\n  }\n}\n",
 		time.Now().UTC().Add(-30*time.Minute).Format("2006-01-02 15:04"))), 0o600))
 	for _, w := range [][]string{{"capacity", path}, {"draft", path}, {"quote", "now"}, {"book", "now"}} {
-		if said := u.said(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
+		if said := u.command(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
 			t.Fatal(w, said)
 		}
 	}
 	for i := range u.gateways {
-		u.await("slots are reserved", func() bool { return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12") })
+		u.await("slots are reserved", func() bool { return strings.Contains(u.command(i, "contracts", "list"), "held here now: 12") })
 	}
 	reads := len(u.readTimes())
 	requested, served := int64(0), int64(0)
@@ -98,7 +98,7 @@
 		t.Fatalf("%d reads at the stand-ins, %d served at the clients", n, served)
 	}
 	stated := func(i int) (got, inTime int64) {
-		for _, line := range strings.Split(u.said(i, "contracts", "statement", "now", "--csv"), "\n") {
+		for _, line := range strings.Split(u.command(i, "contracts", "statement", "now", "--csv"), "\n") {
 			if f := strings.Split(line, ","); len(f) > 6 && f[0] == "now" {
 				var a, b int64
 				_, _ = fmt.Sscan(f[5]+" "+f[6], &a, &b)
@@ -118,15 +118,15 @@
 	}
 	checkCounts("every txn is counted once", 0, 1, 2)
 	t.Logf("%d requested, %d served, as stated by each voter", requested, served)
-	if said := u.said(4, "contracts", "usage"); !strings.Contains(said, "this gateway alone") {
+	if said := u.command(4, "contracts", "usage"); !strings.Contains(said, "this gateway alone") {
 		t.Fatal(said)
 	}
 	page := filepath.Join(u.dir, "page.html")
-	u.said(0, "contracts", "statement", "now", "--html", page)
+	u.command(0, "contracts", "statement", "now", "--html", page)
 	if text, err := os.ReadFile(page); err != nil || !strings.Contains(string(text), "<h1>now: what was kept</h1>") {
 		t.Fatal(err, string(text))
 	}
-	if said := u.said(0, "metrics"); !strings.Contains(said, fmt.Sprintf("magpieglade_contract_txns{contract=\"now\",outcome=\"asked\"} %d", requested)) {
+	if said := u.command(0, "metrics"); !strings.Contains(said, fmt.Sprintf("magpieglade_contract_txns{contract=\"now\",outcome=\"asked\"} %d", requested)) {
 		t.Fatal(said)
 	}
 	u.gateways[4].kill()
@@ -144,7 +144,7 @@
 // the slots reserved. After all gateways were killed the book is unchanged.
 func TestContracts(t *testing.T) {
 	t.Parallel()
-	u := newUnion(t, 5, 3)
+	u := newAgreementFleet(t, 5, 3)
 	all := []int{0, 1, 2, 3, 4}
 	for _, m := range u.members {
 		m.SetDelay(20 * time.Millisecond)
@@ -153,7 +153,7 @@
 	if said := u.apply(3, rules); !strings.Contains(said, "version 1 is agreed on") {
 		t.Fatal(said)
 	}
-	u.holds(1, all...)
+	u.awaitVersion(1, all...)
 	start := time.Now().UTC().Add(90 * time.Second).Truncate(time.Minute)
 	path := filepath.Join(u.dir, "peak.hcl")
 	text := "capacity {\n  floor = 0.2\n  group \"0\" {\n    reads  = 100\n    writes = 40\n  }\n}\n"
@@ -162,7 +162,7 @@
 	}
 	must(os.WriteFile(path, []byte(text), 0o600))
 	for _, w := range [][]string{{"capacity", path}, {"draft", path}, {"quote", "final"}, {"quote", "gala"}} {
-		if said := u.said(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
+		if said := u.command(4, append([]string{"contracts"}, w...)...); strings.Contains(said, "exit status") {
 			t.Fatal(w, said)
 		}
 	}
@@ -191,7 +191,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			said[i] = u.said(3+i, "contracts", "book", name)
+			said[i] = u.command(3+i, "contracts", "book", name)
 		}()
 	}
 	wg.Wait()
@@ -200,7 +200,7 @@
 	}
 	for _, i := range all {
 		u.await("slots are reserved at each gateway", func() bool {
-			return strings.Contains(u.said(i, "contracts", "list"), "held here now: 12 in flight for tv")
+			return strings.Contains(u.command(i, "contracts", "list"), "held here now: 12 in flight for tv")
 		})
 	}
 	time.Sleep(300 * time.Millisecond) // txns that used the now reserved slots have ended
@@ -214,17 +214,17 @@
 	leader := u.leader(0, 1, 2)
 	u.gateways[leader].kill()
 	partitioned := 4
-	u.wire.Isolate(partitioned, true)
+	u.network.Isolate(partitioned, true)
 	time.Sleep(4 * time.Second) // longer than its lease
 	rateAfter, _ := measureRate(3, time.Second)
 	t.Logf("through another gateway with the leader killed: %.0f", rateAfter)
 	if rateAfter < 0.4*aloneRate {
 		t.Fatal(rateAfter, aloneRate)
 	}
-	if said := u.said(partitioned, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
+	if said := u.command(partitioned, "contracts", "list"); !strings.Contains(said, "held here now: 12 in flight for tv") {
 		t.Fatal("a partitioned gateway has no reserved slots: ", said)
 	}
-	u.wire.Isolate(partitioned, false)
+	u.network.Isolate(partitioned, false)
 	for _, f := range flood {
 		f.end()
 	}
@@ -233,13 +233,13 @@
 	// All gateways are killed and started again.
 	u.awaitFor(2*eventTimeout, "all may act", func() bool {
 		for _, i := range all {
-			if !strings.Contains(u.said(i, "fleet", "status"), "may act") {
+			if !strings.Contains(u.command(i, "fleet", "status"), "may act") {
 				return false
 			}
 		}
 		return true
 	})
-	book := u.said(0, "contracts", "history", "final") + u.said(0, "contracts", "history", "gala")
+	book := u.command(0, "contracts", "history", "final") + u.command(0, "contracts", "history", "gala")
 	for _, p := range u.gateways {
 		p.kill()
 	}
@@ -248,7 +248,7 @@
 	}
 	for _, i := range all {
 		u.awaitFor(2*eventTimeout, "the book is unchanged", func() bool {
-			return u.said(i, "contracts", "history", "final")+u.said(i, "contracts", "history", "gala") == book && strings.Contains(u.said(i, "contracts", "list"), "held here now: 12 in flight for tv")
+			return u.command(i, "contracts", "history", "final")+u.command(i, "contracts", "history", "gala") == book && strings.Contains(u.command(i, "contracts", "list"), "held here now: 12 in flight for tv")
 		})
 	}
 	// A member is removed: a contract that the others can't fulfil is reported, and stays booked.
@@ -260,7 +260,7 @@
 	for _, p := range u.gateways {
 		p.awaitLog("contracts: at risk")
 	}
-	if said := u.said(1, "contracts", "list"); !strings.Contains(said, "at risk from") || !strings.Contains(said, "group 0 lacks 50 reads a second") {
+	if said := u.command(1, "contracts", "list"); !strings.Contains(said, "at risk from") || !strings.Contains(said, "group 0 lacks 50 reads a second") {
 		t.Fatal(said)
 	}
 	// After the cancellation no slots are reserved.
@@ -268,8 +268,8 @@
 	if strings.Contains(said[1], "is booked") {
 		booked = "gala"
 	}
-	u.awaitFor(2*eventTimeout, "it is cancelled", func() bool { return strings.Contains(u.said(2, "contracts", "cancel", booked), "is cancelled") })
+	u.awaitFor(2*eventTimeout, "it is cancelled", func() bool { return strings.Contains(u.command(2, "contracts", "cancel", booked), "is cancelled") })
 	for _, i := range all {
-		u.await("no slots are reserved", func() bool { return !strings.Contains(u.said(i, "contracts", "list"), "held here now") })
+		u.await("no slots are reserved", func() bool { return !strings.Contains(u.command(i, "contracts", "list"), "held here now") })
 	}
 }
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -118,7 +118,7 @@
 		g.rollBack(t.id)
 		return
 	}
-	g.generations.bind(t)
+	g.generations.restrictReads(t)
 }
 
 // Refuse rejects a read.
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -9,10 +9,10 @@
 	"magpieglade/routes"
 )
 
-// What a generation says of connections and of the log is in force with it.
+// Connection limits and the log level of a generation take effect together with it.
 
-// tenantOf is whose connections a client counts against, below 0 for nobody's: the tenant of the first route that goes by
-// users, databases and networks alone and matches.
+// tenantOf returns the tenant that a client's connection counts against, negative if none: the tenant of the first
+// matching route whose conditions are only users, databases and networks.
 func (cs *clients) tenantOf(x *generation, c *client) int32 {
 	if x.table == nil {
 		return -1
@@ -24,26 +24,27 @@
 	return x.table.ConnectionTenant(t)
 }
 
-// admit counts a client that has told its names against its tenant; ok is false where that may have no more.
+// admit counts a client against its tenant once its user and database are known; ok is false if the tenant has reached its
+// limit. first is that of mayConnect.
 func (cs *clients) admit(c *client) (ok, first bool) {
 	x := cs.g.generations.inForce
-	n := cs.tenantOf(x, c)
-	if n < 0 {
+	tenant := cs.tenantOf(x, c)
+	if tenant < 0 {
 		return true, false
 	}
-	if !x.shares.CanConnect(n) {
+	if !x.shares.CanConnect(tenant) {
 		return false, false
 	}
-	if ok, first = cs.g.generations.acquireConnection(c, n); !ok {
+	if ok, first = cs.g.generations.acquireConnection(c, tenant); !ok {
 		return false, first
 	}
-	x.shares.AddConnections(n, 1)
-	c.tenant = n + 1
+	x.shares.AddConnections(tenant, 1)
+	c.tenant = tenant + 1
 	return true, false
 }
 
-// leaves takes it back.
-func (cs *clients) leaves(c *client) {
+// releaseConnection takes back what admit counted.
+func (cs *clients) releaseConnection(c *client) {
 	if c.connectionLimit != 0 {
 		cs.g.quotas.Module.End(c.connectionLimit, 1)
 		c.connectionLimit = 0
@@ -54,9 +55,9 @@
 	}
 }
 
-// recount counts all clients against the tenants of a generation that comes in force. Who is there stays, also past a
-// new bound.
-func (cs *clients) recount(x *generation) {
+// recountConnections counts all clients against the tenants of a generation that comes into force. Connected clients stay,
+// even beyond a new limit.
+func (cs *clients) recountConnections(x *generation) {
 	for _, ref := range cs.conns.Refs() {
 		c := cs.conns.Get(ref)
 		if c.connectionLimit != 0 {
@@ -66,47 +67,47 @@
 		if c.tenant = 0; !c.admitted {
 			continue
 		}
-		if n := cs.tenantOf(x, c); n >= 0 {
-			x.shares.AddConnections(n, 1)
-			c.tenant = n + 1
-			if int(n) < len(x.fleet) && x.fleet[n] != nil && x.fleet[n].connectionsKey != 0 {
-				c.connectionLimit = x.fleet[n].connectionsKey
+		if tenant := cs.tenantOf(x, c); tenant >= 0 {
+			x.shares.AddConnections(tenant, 1)
+			c.tenant = tenant + 1
+			if int(tenant) < len(x.fleetLimits) && x.fleetLimits[tenant] != nil && x.fleetLimits[tenant].connectionsKey != 0 {
+				c.connectionLimit = x.fleetLimits[tenant].connectionsKey
 				cs.g.quotas.Module.AddExisting(c.connectionLimit, 1)
 			}
 		}
 	}
 }
 
-// everything is a level below all: what is logged is then for the handler to say.
-const everything = slog.Level(math.MinInt32)
+// levelAll is below every level, so that the wrapped handler alone decides what is logged.
+const levelAll = slog.Level(math.MinInt32)
 
-// levelled is a handler that takes no less than a level, which may change at any time.
-type levelled struct {
+// levelHandler drops records below a level that may change at any time.
+type levelHandler struct {
 	slog.Handler
-	least *slog.LevelVar
+	minLevel *slog.LevelVar
 }
 
-// Enabled is for slog.
-func (l levelled) Enabled(ctx context.Context, at slog.Level) bool {
-	return at >= l.least.Level() && l.Handler.Enabled(ctx, at)
+// Enabled implements slog.Handler.
+func (l levelHandler) Enabled(ctx context.Context, at slog.Level) bool {
+	return at >= l.minLevel.Level() && l.Handler.Enabled(ctx, at)
 }
 
-// WithAttrs is for slog.
-func (l levelled) WithAttrs(all []slog.Attr) slog.Handler {
-	return levelled{l.Handler.WithAttrs(all), l.least}
+// WithAttrs implements slog.Handler.
+func (l levelHandler) WithAttrs(all []slog.Attr) slog.Handler {
+	return levelHandler{l.Handler.WithAttrs(all), l.minLevel}
 }
 
-// WithGroup is for slog.
-func (l levelled) WithGroup(name string) slog.Handler {
-	return levelled{l.Handler.WithGroup(name), l.least}
+// WithGroup implements slog.Handler.
+func (l levelHandler) WithGroup(name string) slog.Handler {
+	return levelHandler{l.Handler.WithGroup(name), l.minLevel}
 }
 
-// levelOf is the least level that a document has logged.
-func levelOf(d *routes.Document) slog.Level {
+// minLogLevel returns the minimum level that a document sets for the log.
+func minLogLevel(d *routes.Document) slog.Level {
 	if d == nil || d.LogLevel == "" {
-		return everything
+		return levelAll
 	}
 	var at slog.Level
-	_ = at.UnmarshalText([]byte(d.LogLevel)) // it was checked
+	_ = at.UnmarshalText([]byte(d.LogLevel)) // validated with the document
 	return at
 }
--- a/gateway/transcript_test.go
+++ b/gateway/transcript_test.go
@@ -15,7 +15,7 @@
 // client with the reviewed transcript under testdata. Times, addresses, machine names and remaining lease times are
 // normalized. `-update` rewrites it.
 func TestTranscriptOfProcesses(t *testing.T) {
-	u := newUnion(t, 3, 1)
+	u := newAgreementFleet(t, 3, 1)
 	var out strings.Builder
 	normalizers := []struct {
 		pattern     *regexp.Regexp
@@ -33,7 +33,7 @@
 		fmt.Fprintf(&out, "%s> %s\n%s\n\n", source, what, strings.TrimSpace(output))
 	}
 	run := func(gateway int, args ...string) {
-		record(fmt.Sprint("n", gateway), strings.Join(args, " "), u.said(gateway, args...))
+		record(fmt.Sprint("n", gateway), strings.Join(args, " "), u.command(gateway, args...))
 	}
 	apply := func(gateway int, text string) {
 		record(fmt.Sprint("n", gateway), "config apply:\n"+strings.TrimSpace(text), u.apply(gateway, text))
@@ -45,31 +45,31 @@
 		record(fmt.Sprint("a client at n", gateway), "a read of type any", strings.TrimSpace(a.String()))
 	}
 	awaitAllConnected := func(n int) {
-		u.await("every gateway is listed as known to all", func() bool { return strings.Count(u.said(0, "fleet", "status"), " all") == n })
+		u.await("every gateway is listed as known to all", func() bool { return strings.Count(u.command(0, "fleet", "status"), " all") == n })
 	}
 	awaitAllConnected(3)
 	run(0, "fleet", "status")
-	apply(1, moves(1))
-	u.holds(1, 0, 1, 2)
+	apply(1, conflictingChange(1))
+	u.awaitVersion(1, 0, 1, 2)
 	run(2, "config", "history")
 	read(2)
 	apply(2, "route \"moved\" {\n  types = [\"none\"]\n}\n")
-	u.wire.Isolate(2, true)
-	u.await("n2 is careful", func() bool { return strings.Contains(u.said(2, "fleet", "status"), "careful") })
+	u.network.Isolate(2, true)
+	u.await("n2 is careful", func() bool { return strings.Contains(u.command(2, "fleet", "status"), "careful") })
 	run(2, "fleet", "status")
 	read(2)
-	apply(0, moves(2))
-	u.holds(2, 0, 1)
+	apply(0, conflictingChange(2))
+	u.awaitVersion(2, 0, 1)
 	read(1)
-	u.wire.Isolate(2, false)
-	u.holds(2, 2)
+	u.network.Isolate(2, false)
+	u.awaitVersion(2, 2)
 	read(2)
 	run(0, "config", "restore", "1")
-	u.holds(3, 0, 1, 2)
+	u.awaitVersion(3, 0, 1, 2)
 	run(0, "config", "history")
 	run(0, "fleet", "evict", "n9")
 	run(0, "fleet", "evict", "n2")
-	u.await("n2 is careful", func() bool { return strings.Contains(u.said(2, "fleet", "status"), "careful") })
+	u.await("n2 is careful", func() bool { return strings.Contains(u.command(2, "fleet", "status"), "careful") })
 	run(0, "fleet", "leave")
 	awaitAllConnected(2)
 	run(0, "fleet", "status")
--- a/gateway/txns.go
+++ b/gateway/txns.go
@@ -72,7 +72,7 @@
 		return "id belongs to an open txn"
 	}
 	t := txn{id: comment.ID, client: ref, querySize: size, comment: comment, arrived: g.clock.now()}
-	reason, retryAfter := g.generations.arrive(&t, g.routingAttributes(c, class, text))
+	reason, retryAfter := g.generations.admit(&t, g.routingAttributes(c, class, text))
 	if reason == routes.WrongGroup {
 		return reason.String()
 	}
@@ -144,7 +144,7 @@
 		g.releaseIfDone(c.txn, true)
 		return err.Error()
 	}
-	g.generations.bind(added)
+	g.generations.restrictReads(added)
 	if g.shuttingDown {
 		g.module.LimitExpiry(t.id, g.answerDeadline)
 	}
@@ -200,7 +200,7 @@
 		return
 	}
 	t.answered = true
-	g.generations.served(t, !t.failed)
+	g.generations.recordOutcome(t, !t.failed)
 	if g.contracts != nil {
 		g.contracts.countTxn(t, !t.failed)
 	}
@@ -307,7 +307,7 @@
 	}
 	submissionNo := len(t.submissions)
 	t.inFlight++
-	if !t.answered && !g.generations.mayRepeat(t, submissionNo) { // the client can safely send a repeatable txn again
+	if !t.answered && !g.generations.allowAttempt(t, submissionNo) { // the client can safely send a repeatable txn again
 		g.reject(id, 0)
 		if t = g.txns.Get(ref); t == nil {
 			return
--- a/gateway/usage.go
+++ b/gateway/usage.go
@@ -47,14 +47,14 @@
 }
 
 // ReceiveCounts merges the counts of another gateway, and replies with all counts known here if it requests them.
-func (a *agreed) ReceiveCounts(from agreement.ID, counts []contracts.Count, requestsAll bool) {
+func (a *fleetAgreement) ReceiveCounts(from agreement.ID, counts []contracts.Count, requestsAll bool) {
 	r := a.g.contracts
 	if r == nil || r.account == nil {
 		return
 	}
 	r.account.Merge(counts, r.unixNow())
 	if requestsAll {
-		a.f.SendCounts(from, r.account.All(), false)
+		a.fleet.SendCounts(from, r.account.All(), false)
 	}
 }
 
@@ -63,11 +63,11 @@
 
 // loadAccount creates the account from the counts that an earlier run saved.
 func (r *contractManager) loadAccount() error {
-	stored, err := r.g.agreement.f.LoadCounts()
+	stored, err := r.g.agreement.fleet.LoadCounts()
 	if err != nil {
 		return fmt.Errorf("the account of contracts can't be read, move it away: %w", err)
 	}
-	r.account = contracts.NewAccount(uint64(r.g.agreement.f.Self()), r.g.agreement.f.Epoch(), stored)
+	r.account = contracts.NewAccount(uint64(r.g.agreement.fleet.Self()), r.g.agreement.fleet.Epoch(), stored)
 	return nil
 }
 
@@ -100,7 +100,7 @@
 			len(contract.types) > 0 && !slices.Contains(contract.types, r.g.names.Classes[t.class].Name) {
 			continue
 		}
-		targetLatency := r.g.generations.aimOf(t)
+		targetLatency := r.g.generations.targetLatency(t)
 		if contract.targetLatency > 0 {
 			targetLatency = contract.targetLatency
 		}
@@ -139,7 +139,7 @@
 		return
 	}
 	r.nextReportAt = now + decide.Nanos(contracts.ReportInterval)
-	fleet := r.g.agreement.f
+	fleet := r.g.agreement.fleet
 	others, isVoter := fleet.Voters()
 	counts := r.account.Report(r.unixNow(), !isVoter)
 	// A voter that has started requests the counts of the others: its saved account may lack the last seconds.
@@ -183,7 +183,7 @@
 		if c == nil {
 			return fmt.Errorf("there is no contract %q", name)
 		}
-		_, complete = g.agreement.f.Voters()
+		_, complete = g.agreement.fleet.Voters()
 		all = g.contracts.account.Statements(c, from, to, g.contracts.unixNow())
 		return nil
 	})
