--- a/gateway/quotas.go
+++ b/gateway/quotas.go
@@ -135,18 +135,18 @@
 
 // acquireFleetLimits counts a txn that checkFleetLimits allowed.
 func (gs *generations) acquireFleetLimits(t *txn) {
-	for _, b := range t.bounds {
-		gs.g.quotas.Module.Begin(b.rateKey, quota.UnitsPerTxn)
-		gs.g.quotas.Module.Begin(b.inFlightKey, 1)
-		gs.g.quotas.Module.Begin(b.bytesKey, t.bytes)
+	for _, limits := range t.bounds {
+		gs.g.quotas.Module.Begin(limits.rateKey, quota.UnitsPerTxn)
+		gs.g.quotas.Module.Begin(limits.inFlightKey, 1)
+		gs.g.quotas.Module.Begin(limits.bytesKey, t.bytes)
 	}
 }
 
 // releaseFleetLimits ends the count of a txn's concurrency limits.
 func (gs *generations) releaseFleetLimits(t *txn) {
-	for _, b := range t.bounds {
-		gs.g.quotas.Module.End(b.inFlightKey, 1)
-		gs.g.quotas.Module.End(b.bytesKey, t.bytes)
+	for _, limits := range t.bounds {
+		gs.g.quotas.Module.End(limits.inFlightKey, 1)
+		gs.g.quotas.Module.End(limits.bytesKey, t.bytes)
 	}
 	t.bounds = nil
 }
--- a/gateway/sessions.go
+++ b/gateway/sessions.go
@@ -68,7 +68,7 @@
 }
 
 // retryBudget returns how long a write with an idempotency key may still be sent; ok is false if that time is over.
-func (g *Gateway) retryBudget(t *txn, window, budget decide.Nanos) (left decide.Nanos, ok bool) {
+func (g *Gateway) retryBudget(t *txn, window, budget decide.Nanos) (remaining decide.Nanos, ok bool) {
 	deadline, ok := g.sessions.Module.RetryDeadline(t.comment.Group, t.key, int64(window))
 	if deadline > 0 {
 		budget = min(budget, decide.Nanos(deadline)-g.clock.now())
