--- a/cli/chosen.go
+++ b/cli/chosen.go
@@ -20,7 +20,7 @@
 	if err != nil || s.JSON {
 		return err
 	}
-	return subsetsTo(out, r.Chosen, r.Names)
+	return subsetsTo(out, r.Coordination, r.MemberNames)
 }
 
 // subsetsTo writes who has which member; a bar of twenty is the mean of its group.
@@ -82,7 +82,7 @@
 	if err != nil || t.JSON {
 		return err
 	}
-	return turnsTo(out, r.Chosen, r.Names)
+	return turnsTo(out, r.Coordination, r.MemberNames)
 }
 
 func turnsTo(out io.Writer, v *fleet.CoordinationView, names map[uint64]string) error {
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -102,8 +102,8 @@
 	if err != nil {
 		return err
 	}
-	if s.Operator != "" && f.Control != "" {
-		if err := control.Serve(ctx, f.Control, g); err != nil {
+	if s.Operator != "" && f.ControlSocket != "" {
+		if err := control.Serve(ctx, f.ControlSocket, g); err != nil {
 			return err
 		}
 	}
@@ -134,12 +134,12 @@
 	if err != nil {
 		return err
 	}
-	no, findings, err := g.Apply(ctx, gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.Watch), LocalOnly: true})
+	no, findings, err := g.Apply(ctx, gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.WatchDuration), LocalOnly: true})
 	for _, x := range findings {
 		slog.Warn("operator's file", "finding", x.Error())
 	}
 	if err == nil {
-		slog.Info("change staged", "generation", no, "watch", f.Watch)
+		slog.Info("change staged", "generation", no, "watch", f.WatchDuration)
 	}
 	return err
 }
--- a/cli/config.go
+++ b/cli/config.go
@@ -54,7 +54,7 @@
 }
 
 func (s *socket) ask(out io.Writer, method, what string, q *control.Request) (control.Reply, error) {
-	r, err := control.Ask(context.Background(), s.Control, method, what, q)
+	r, err := control.Call(context.Background(), s.Control, method, what, q)
 	if s.JSON {
 		if e := json.NewEncoder(out).Encode(r); e != nil {
 			return r, e
@@ -110,9 +110,9 @@
 	if err != nil {
 		return err
 	}
-	q := control.Request{Text: string(text), Path: a.File, Watch: -1, Again: a.Again, Who: who(), Why: a.Why}
+	q := control.Request{Text: string(text), Path: a.File, WatchDuration: -1, Reapply: a.Again, Author: who(), Reason: a.Why}
 	if a.Watch != nil {
-		q.Watch = int64(*a.Watch)
+		q.WatchDuration = int64(*a.Watch)
 	}
 	r, err := a.ask(out, "POST", "apply", &q)
 	if !a.JSON {
@@ -123,14 +123,14 @@
 	if err != nil {
 		return err
 	}
-	if f, err := control.Ask(context.Background(), a.Control, "GET", "fleet", nil); err == nil && f.Fleet != nil {
+	if f, err := control.Call(context.Background(), a.Control, "GET", "fleet", nil); err == nil && f.Fleet != nil {
 		return a.agreed(out, uint64(r.Generation))
 	}
 	if !a.JSON {
 		fmt.Fprintf(out, "generation %d staged\n", r.Generation)
 	}
 	for a.Wait {
-		s, err := control.Ask(context.Background(), a.Control, "GET", "status", nil)
+		s, err := control.Call(context.Background(), a.Control, "GET", "status", nil)
 		if err != nil {
 			return err
 		}
@@ -171,7 +171,7 @@
 
 // Run lists it.
 func (h *history) Run(out io.Writer) error {
-	if f, err := control.Ask(context.Background(), h.Control, "GET", "fleet", nil); err == nil && f.Fleet != nil {
+	if f, err := control.Call(context.Background(), h.Control, "GET", "fleet", nil); err == nil && f.Fleet != nil {
 		return versionsTo(out, f.Fleet, h.JSON)
 	}
 	r, err := h.ask(out, "GET", "status", nil)
--- a/cli/contracts.go
+++ b/cli/contracts.go
@@ -51,7 +51,7 @@
 
 func (w *wishing) wish(out io.Writer, what string, x contracts.Proposal) error {
 	x.Author, x.Reason = who(), w.Why
-	if _, err := w.ask(out, "POST", "contract", &control.Request{Contract: &x}); err != nil {
+	if _, err := w.ask(out, "POST", "contract", &control.Request{ContractProposal: &x}); err != nil {
 		return err
 	}
 	if !w.JSON {
@@ -227,7 +227,7 @@
 }
 
 func (s *socket) find(out io.Writer, name string) (*contracts.Contract, *gateway.ContractsView, error) {
-	r, err := control.Ask(context.Background(), s.Control, "GET", "contracts", nil)
+	r, err := control.Call(context.Background(), s.Control, "GET", "contracts", nil)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -269,7 +269,7 @@
 	if c.Hours < 1 || c.Hours > 24*400 {
 		return fmt.Errorf("from 1 to %d hours", 24*400)
 	}
-	r, err := control.Ask(context.Background(), c.Control, "GET", "contracts", nil)
+	r, err := control.Call(context.Background(), c.Control, "GET", "contracts", nil)
 	if err != nil {
 		return err
 	}
@@ -304,7 +304,7 @@
 // stated asks a gateway for the statements of a contract.
 func (s *socket) stated(name string, from, to time.Time) (control.Reply, error) {
 	q := url.Values{"name": {name}, "from": {strconv.FormatInt(from.UnixNano(), 10)}, "to": {strconv.FormatInt(to.UnixNano(), 10)}}
-	return control.Ask(context.Background(), s.Control, "GET", "statement?"+q.Encode(), nil)
+	return control.Call(context.Background(), s.Control, "GET", "statement?"+q.Encode(), nil)
 }
 
 // alone warns where counts are one gateway's.
@@ -318,7 +318,7 @@
 
 // Run tells of it.
 func (c *contractsUsage) Run(out io.Writer) error {
-	r, err := control.Ask(context.Background(), c.Control, "GET", "contracts", nil)
+	r, err := control.Call(context.Background(), c.Control, "GET", "contracts", nil)
 	if err != nil {
 		return err
 	}
@@ -329,7 +329,7 @@
 		if err != nil {
 			return err
 		}
-		whole = s.Whole
+		whole = s.Complete
 		all = append(all, s.Statements...)
 	}
 	if c.JSON {
@@ -383,12 +383,12 @@
 	}
 	if c.HTML != "" {
 		var page bytes.Buffer
-		if err := results.Statements(&page, c.Name, r.Statements, r.Whole); err != nil {
+		if err := results.Statements(&page, c.Name, r.Statements, r.Complete); err != nil {
 			return err
 		}
 		return os.WriteFile(c.HTML, page.Bytes(), 0o644)
 	}
-	alone(out, r.Whole)
+	alone(out, r.Complete)
 	if len(r.Statements) == 0 {
 		_, err := fmt.Fprintln(out, "it had no window then")
 		return err
@@ -429,7 +429,7 @@
 }
 
 func (s contractScreen) look() tea.Msg {
-	r, err := control.Ask(context.Background(), s.socket.Control, "GET", "contracts", nil)
+	r, err := control.Call(context.Background(), s.socket.Control, "GET", "contracts", nil)
 	if err != nil {
 		s.problem = err.Error()
 		return s
@@ -444,7 +444,7 @@
 			s.problem = err.Error()
 			continue
 		}
-		s.live, s.whole = append(s.live, x.Statements...), s.whole && x.Whole
+		s.live, s.whole = append(s.live, x.Statements...), s.whole && x.Complete
 	}
 	return s
 }
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -163,7 +163,7 @@
 		fmt.Fprintf(out, "version %d is agreed on\n", no)
 	}
 	for a.Wait {
-		r, err := control.Ask(context.Background(), a.Control, "GET", "fleet", nil)
+		r, err := control.Call(context.Background(), a.Control, "GET", "fleet", nil)
 		if err != nil {
 			return err
 		}
@@ -185,7 +185,7 @@
 
 // Run asks for it.
 func (x *restore) Run(out io.Writer) error {
-	r, err := x.ask(out, "POST", "restore", &control.Request{No: x.Version, Who: who()})
+	r, err := x.ask(out, "POST", "restore", &control.Request{Version: x.Version, Author: who()})
 	if err == nil && !x.JSON {
 		fmt.Fprintf(out, "version %d is agreed on, with the text of version %d\n", r.Generation, x.Version)
 	}
@@ -202,7 +202,7 @@
 
 // byName finds a gateway of the list, or one that was taken out, those first if ended.
 func (s *socket) byName(name string, ended bool) (id agreement.ID, self agreement.ID, err error) {
-	r, err := control.Ask(context.Background(), s.Control, "GET", "fleet", nil)
+	r, err := control.Call(context.Background(), s.Control, "GET", "fleet", nil)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -235,7 +235,7 @@
 		for _, name := range x.names {
 			id, _, err := v.byName(name, false)
 			if err == nil {
-				_, err = v.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{VoterChange: &agreement.VoterChange{ID: id, Enabled: x.on}}})
+				_, err = v.ask(out, "POST", "wish", &control.Request{FleetProposal: &agreement.Proposal{VoterChange: &agreement.VoterChange{ID: id, Enabled: x.on}}})
 			}
 			if err != nil {
 				return err
@@ -251,7 +251,7 @@
 func (l *leave) Run(out io.Writer) error {
 	_, self, err := l.byName("", false)
 	if err == nil {
-		_, err = l.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: self}})
+		_, err = l.ask(out, "POST", "wish", &control.Request{FleetProposal: &agreement.Proposal{Leave: self}})
 	}
 	return err
 }
@@ -266,7 +266,7 @@
 func (e *evict) Run(out io.Writer) error {
 	id, _, err := e.byName(e.Gateway, e.Ended)
 	if err == nil {
-		_, err = e.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: id, ProcessEnded: e.Ended}})
+		_, err = e.ask(out, "POST", "wish", &control.Request{FleetProposal: &agreement.Proposal{Leave: id, ProcessEnded: e.Ended}})
 	}
 	return err
 }
--- a/cli/shares.go
+++ b/cli/shares.go
@@ -18,7 +18,7 @@
 	if err != nil || s.JSON {
 		return err
 	}
-	return sharesTo(out, r.Shares)
+	return sharesTo(out, r.Limits)
 }
 
 // sharesTo writes what a gateway holds of the fleet's bounds, and of those that it keeps who holds what.
--- a/cli/watch.go
+++ b/cli/watch.go
@@ -43,13 +43,13 @@
 
 // look asks the gateway.
 func (s screen) look() tea.Msg {
-	r, err := control.Ask(context.Background(), s.control, "GET", "fleet?all", nil)
+	r, err := control.Call(context.Background(), s.control, "GET", "fleet?all", nil)
 	if err != nil {
 		return looked{err: err}
 	}
-	x, err := control.Ask(context.Background(), s.control, "GET", "shares", nil)
-	c, _ := control.Ask(context.Background(), s.control, "GET", "chosen", nil) // it has none where the file has no such block
-	return looked{r.Fleet, x.Shares, c.Chosen, c.Names, err}
+	x, err := control.Call(context.Background(), s.control, "GET", "shares", nil)
+	c, _ := control.Call(context.Background(), s.control, "GET", "chosen", nil) // it has none where the file has no such block
+	return looked{r.Fleet, x.Limits, c.Coordination, c.MemberNames, err}
 }
 
 // Init is for bubbletea.
--- a/gateway/apart_test.go
+++ b/gateway/apart_test.go
@@ -45,7 +45,7 @@
 	must(err)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
-	must(control.Serve(ctx, f.Control, g))
+	must(control.Serve(ctx, f.ControlSocket, g))
 	must(g.Run(ctx))
 	os.Exit(0)
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,4 +1,5 @@
-// Package control lets an operator talk to a running gateway, over a Unix socket that only its owner may open.
+// Package control serves a running gateway's control API over HTTP on a Unix socket, which only its owner may open, and
+// holds the client of that API.
 package control
 
 import (
@@ -23,48 +24,48 @@
 	"magpieglade/rollout"
 )
 
-// Request asks for a change.
+// Request is the body of a POST request. Each endpoint reads only the fields that it needs.
 type Request struct {
-	Text     string
-	Path     string // where the text came from, for messages
-	Watch    int64  // nanoseconds; below 0 is what the text says
-	Again    bool
-	Who      string
-	Why      string
-	No       uint64              // of a version
-	Wish     *agreement.Proposal // of a fleet
-	Contract *contracts.Proposal // of the book of contracts
+	Text             string
+	Path             string              // path of the operator's file, for error positions
+	WatchDuration    int64               `json:"Watch"` // nanoseconds; negative uses the duration in Text
+	Reapply          bool                `json:"Again"`
+	Author           string              `json:"Who"`
+	Reason           string              `json:"Why"`
+	Version          uint64              `json:"No"`       // version to restore
+	FleetProposal    *agreement.Proposal `json:"Wish"`     // change to the fleet's list or voters
+	ContractProposal *contracts.Proposal `json:"Contract"` // change to the contracts
 }
 
-// Reply tells what came of a request.
+// Reply is the response to every request but GET /metrics.
 type Reply struct {
-	Generation rollout.Generation      `json:",omitempty"`
-	Findings   []string                `json:",omitempty"`
-	Problem    string                  `json:",omitempty"`
-	Text       string                  `json:",omitempty"` // of the generation in force
-	Status     *rollout.Status         `json:",omitempty"`
-	Fleet      *fleet.Status           `json:",omitempty"`
-	Shares     []fleet.LimitStatus     `json:",omitempty"`
-	Chosen     *fleet.CoordinationView `json:",omitempty"` // what gateways choose together
-	Contracts  *gateway.ContractsView  `json:",omitempty"`
-	Statements []contracts.Statement   `json:",omitempty"`
-	Whole      bool                    `json:",omitempty"` // they are of all gateways
-	Names      map[uint64]string       `json:",omitempty"` // of members, by their keys there
+	Generation   rollout.Generation      `json:",omitempty"`
+	Findings     []string                `json:",omitempty"`
+	Error        string                  `json:"Problem,omitempty"`
+	Text         string                  `json:",omitempty"` // configuration of the generation in force
+	Status       *rollout.Status         `json:",omitempty"`
+	Fleet        *fleet.Status           `json:",omitempty"`
+	Limits       []fleet.LimitStatus     `json:"Shares,omitempty"`
+	Coordination *fleet.CoordinationView `json:"Chosen,omitempty"` // what the gateways coordinate
+	Contracts    *gateway.ContractsView  `json:",omitempty"`
+	Statements   []contracts.Statement   `json:",omitempty"`
+	Complete     bool                    `json:"Whole,omitempty"` // whether Statements cover all gateways
+	MemberNames  map[uint64]string       `json:"Names,omitempty"` // member names by their keys in Coordination
 }
 
 const (
-	mostText    = 16 << 20
-	mostClients = 4 // at once; each holds a descriptor
-	patience    = 10 * time.Second
+	maxBodySize    = 16 << 20 // bytes
+	maxConnections = 4        // each holds a file descriptor
+	requestTimeout = 10 * time.Second
 )
 
-// Serve listens at a path until the context ends.
+// Serve listens on a Unix socket and serves requests in the background until the context is done.
 func Serve(ctx context.Context, path string, g *gateway.Gateway) error {
 	if c, err := net.Dial("unix", path); err == nil {
 		_ = c.Close()
 		return fmt.Errorf("control: %s is in use", path)
 	}
-	_ = os.Remove(path) // left by one that was killed
+	_ = os.Remove(path) // a killed process leaves its socket file
 	l, err := net.Listen("unix", path)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
@@ -73,193 +74,195 @@
 		_ = l.Close()
 		return fmt.Errorf("control: %w", err)
 	}
-	s := &http.Server{Handler: handler(g), ReadTimeout: patience, WriteTimeout: patience, IdleTimeout: time.Second}
+	s := &http.Server{Handler: newHandler(g), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: time.Second}
 	context.AfterFunc(ctx, func() { _ = s.Close() })
-	go func() { _ = s.Serve(&few{Listener: l, free: make(chan struct{}, mostClients)}) }()
+	go func() { _ = s.Serve(&limitedListener{Listener: l, slots: make(chan struct{}, maxConnections)}) }()
 	return nil
 }
 
-// few takes so many connections at once.
-type few struct {
+// limitedListener limits the number of open connections.
+type limitedListener struct {
 	net.Listener
-	free chan struct{}
+	slots chan struct{}
 }
 
-// Accept waits for one that may come. It fails once the listener is closed; other errors of accept pass.
-func (f *few) Accept() (net.Conn, error) {
-	f.free <- struct{}{}
-	var pause neterr.Backoff
+// Accept waits for a free slot and a connection. It fails only once the listener is closed; it retries after other errors
+// with backoff.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	l.slots <- struct{}{}
+	var backoff neterr.Backoff
 	for {
-		c, err := f.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err == nil {
-			return &one{Conn: c, f: f}, nil
+			return &limitedConn{Conn: c, listener: l}, nil
 		}
 		if errors.Is(err, net.ErrClosed) {
-			<-f.free
+			<-l.slots
 			return nil, err
 		}
-		time.Sleep(pause.Next())
+		time.Sleep(backoff.Next())
 	}
 }
 
-type one struct {
+// limitedConn occupies a slot of its listener until it is closed.
+type limitedConn struct {
 	net.Conn
-	f    *few
-	done bool
+	listener *limitedListener
+	closed   bool
 }
 
-// Close gives its place back.
-func (o *one) Close() error {
-	if !o.done {
-		o.done = true
-		<-o.f.free
+// Close frees the slot and closes the connection.
+func (c *limitedConn) Close() error {
+	if !c.closed {
+		c.closed = true
+		<-c.listener.slots
 	}
-	return o.Conn.Close()
+	return c.Conn.Close()
 }
 
-func handler(g *gateway.Gateway) http.Handler {
+func newHandler(g *gateway.Gateway) http.Handler {
 	mux := http.NewServeMux()
-	answer := func(w http.ResponseWriter, r Reply, err error) {
+	writeReply := func(w http.ResponseWriter, r Reply, err error) {
 		if err != nil {
-			r.Problem = err.Error()
+			r.Error = err.Error()
 		}
 		_ = json.NewEncoder(w).Encode(r)
 	}
 	mux.HandleFunc("POST /apply", func(w http.ResponseWriter, r *http.Request) {
-		var q Request
-		if err := json.NewDecoder(io.LimitReader(r.Body, mostText)).Decode(&q); err != nil {
-			answer(w, Reply{}, err)
+		var request Request
+		if err := json.NewDecoder(io.LimitReader(r.Body, maxBodySize)).Decode(&request); err != nil {
+			writeReply(w, Reply{}, err)
 			return
 		}
-		f, err := operator.Parse([]byte(q.Text), q.Path)
+		f, err := operator.Parse([]byte(request.Text), request.Path)
 		if err != nil {
-			answer(w, Reply{}, err)
+			writeReply(w, Reply{}, err)
 			return
 		}
-		if q.Watch < 0 {
-			q.Watch = int64(f.Watch)
+		if request.WatchDuration < 0 {
+			request.WatchDuration = int64(f.WatchDuration)
 		}
-		no, findings, err := g.Apply(r.Context(), gateway.Change{Document: f.Document, Digest: f.Digest, Text: []byte(q.Text), WatchDuration: q.Watch, Reapply: q.Again,
-			Author: q.Who, Reason: q.Why})
+		no, findings, err := g.Apply(r.Context(), gateway.Change{Document: f.Document, Digest: f.Digest, Text: []byte(request.Text), WatchDuration: request.WatchDuration, Reapply: request.Reapply,
+			Author: request.Author, Reason: request.Reason})
 		reply := Reply{Generation: no}
-		for _, x := range findings {
-			reply.Findings = append(reply.Findings, x.Error())
+		for _, finding := range findings {
+			reply.Findings = append(reply.Findings, finding.Error())
 		}
-		answer(w, reply, err)
+		writeReply(w, reply, err)
 	})
-	asked := func(r *http.Request) (q Request, err error) {
-		return q, json.NewDecoder(io.LimitReader(r.Body, mostText)).Decode(&q)
+	decodeRequest := func(r *http.Request) (request Request, err error) {
+		return request, json.NewDecoder(io.LimitReader(r.Body, maxBodySize)).Decode(&request)
 	}
 	mux.HandleFunc("GET /fleet", func(w http.ResponseWriter, r *http.Request) {
 		s, err := g.FleetStatus(r.Context(), r.URL.Query().Has("all"))
 		if err == nil && s == nil {
 			err = errors.New("this gateway agrees on nothing with others: its operator's file has no block agreement")
 		}
-		answer(w, Reply{Fleet: s}, err)
+		writeReply(w, Reply{Fleet: s}, err)
 	})
 	mux.HandleFunc("GET /shares", func(w http.ResponseWriter, r *http.Request) {
 		all, err := g.FleetLimits(r.Context())
-		answer(w, Reply{Shares: all}, err)
+		writeReply(w, Reply{Limits: all}, err)
 	})
 	mux.HandleFunc("GET /chosen", func(w http.ResponseWriter, r *http.Request) {
 		v, names, err := g.Coordination(r.Context())
 		if err == nil && v == nil {
 			err = errors.New("this gateway chooses nothing together with others: its operator's file has no block coordination")
 		}
-		answer(w, Reply{Chosen: v, Names: names}, err)
+		writeReply(w, Reply{Coordination: v, MemberNames: names}, err)
 	})
 	mux.HandleFunc("GET /contracts", func(w http.ResponseWriter, r *http.Request) {
 		v, err := g.Contracts(r.Context())
 		if err == nil && v == nil {
 			err = errors.New("this gateway agrees on nothing with others: its operator's file has no block agreement")
 		}
-		answer(w, Reply{Contracts: v}, err)
+		writeReply(w, Reply{Contracts: v}, err)
 	})
 	mux.HandleFunc("GET /statement", func(w http.ResponseWriter, r *http.Request) {
-		q := r.URL.Query()
-		from, err := strconv.ParseInt(q.Get("from"), 10, 64)
-		to, err2 := strconv.ParseInt(q.Get("to"), 10, 64)
+		query := r.URL.Query()
+		from, err := strconv.ParseInt(query.Get("from"), 10, 64)
+		to, err2 := strconv.ParseInt(query.Get("to"), 10, 64)
 		if err = errors.Join(err, err2); err != nil {
-			answer(w, Reply{}, err)
+			writeReply(w, Reply{}, err)
 			return
 		}
-		all, whole, err := g.Statements(r.Context(), q.Get("name"), from, to)
-		answer(w, Reply{Statements: all, Whole: whole}, err)
+		all, whole, err := g.Statements(r.Context(), query.Get("name"), from, to)
+		writeReply(w, Reply{Statements: all, Complete: whole}, err)
 	})
 	mux.HandleFunc("POST /contract", func(w http.ResponseWriter, r *http.Request) {
-		q, err := asked(r)
-		if err == nil && q.Contract == nil {
+		request, err := decodeRequest(r)
+		if err == nil && request.ContractProposal == nil {
 			err = errors.New("nothing is asked for")
 		}
 		if err == nil {
-			err = g.ProposeContract(r.Context(), *q.Contract)
+			err = g.ProposeContract(r.Context(), *request.ContractProposal)
 		}
-		answer(w, Reply{}, err)
+		writeReply(w, Reply{}, err)
 	})
-	mux.Handle("GET /metrics", metricsOf(g))
-	mux.HandleFunc("POST /found", func(w http.ResponseWriter, r *http.Request) { answer(w, Reply{}, g.BootstrapFleet(r.Context())) })
+	mux.Handle("GET /metrics", newMetricsHandler(g))
+	mux.HandleFunc("POST /found", func(w http.ResponseWriter, r *http.Request) { writeReply(w, Reply{}, g.BootstrapFleet(r.Context())) })
 	mux.HandleFunc("POST /wish", func(w http.ResponseWriter, r *http.Request) {
-		q, err := asked(r)
-		if err == nil && q.Wish == nil {
+		request, err := decodeRequest(r)
+		if err == nil && request.FleetProposal == nil {
 			err = errors.New("nothing is asked for")
 		}
 		if err == nil {
-			err = g.ProposeToFleet(r.Context(), *q.Wish)
+			err = g.ProposeToFleet(r.Context(), *request.FleetProposal)
 		}
-		answer(w, Reply{}, err)
+		writeReply(w, Reply{}, err)
 	})
 	mux.HandleFunc("POST /restore", func(w http.ResponseWriter, r *http.Request) {
-		q, err := asked(r)
+		request, err := decodeRequest(r)
 		var no rollout.Generation
 		if err == nil {
-			no, err = g.Restore(r.Context(), q.No, q.Who)
+			no, err = g.Restore(r.Context(), request.Version, request.Author)
 		}
-		answer(w, Reply{Generation: no}, err)
+		writeReply(w, Reply{Generation: no}, err)
 	})
-	mux.HandleFunc("POST /keep", func(w http.ResponseWriter, r *http.Request) { answer(w, Reply{}, g.Keep(r.Context())) })
-	mux.HandleFunc("POST /undo", func(w http.ResponseWriter, r *http.Request) { answer(w, Reply{}, g.Undo(r.Context())) })
+	mux.HandleFunc("POST /keep", func(w http.ResponseWriter, r *http.Request) { writeReply(w, Reply{}, g.Keep(r.Context())) })
+	mux.HandleFunc("POST /undo", func(w http.ResponseWriter, r *http.Request) { writeReply(w, Reply{}, g.Undo(r.Context())) })
 	mux.HandleFunc("GET /text", func(w http.ResponseWriter, r *http.Request) {
 		no, text, err := g.InForce(r.Context())
-		answer(w, Reply{Generation: no, Text: string(text)}, err)
+		writeReply(w, Reply{Generation: no, Text: string(text)}, err)
 	})
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, r *http.Request) {
 		s, err := g.Status(r.Context())
-		answer(w, Reply{Status: &s}, err)
+		writeReply(w, Reply{Status: &s}, err)
 	})
 	return mux
 }
 
-// Ask asks the gateway at a path. A reply with a problem is an error too.
-func Ask(ctx context.Context, path, method, what string, q *Request) (Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// Call sends a request to the gateway that listens on a Unix socket. It also fails if the reply holds an error.
+func Call(ctx context.Context, path, method, endpoint string, request *Request) (Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	c := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+	client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return new(net.Dialer).DialContext(ctx, "unix", path)
 	}}}
-	defer c.CloseIdleConnections()
+	defer client.CloseIdleConnections()
 	var body io.Reader
-	if q != nil {
-		text, err := json.Marshal(q)
+	if request != nil {
+		text, err := json.Marshal(request)
 		if err != nil {
 			return Reply{}, err
 		}
 		body = bytes.NewReader(text)
 	}
-	r, err := http.NewRequestWithContext(ctx, method, "http://gateway/"+what, body)
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://gateway/"+endpoint, body)
 	if err != nil {
 		return Reply{}, err
 	}
-	answer, err := c.Do(r)
+	response, err := client.Do(httpRequest)
 	if err != nil {
 		return Reply{}, err
 	}
-	defer answer.Body.Close()
+	defer response.Body.Close()
 	var reply Reply
-	if err := json.NewDecoder(io.LimitReader(answer.Body, mostText)).Decode(&reply); err != nil {
-		return reply, fmt.Errorf("the gateway's answer can't be read: %w", err)
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxBodySize)).Decode(&reply); err != nil {
+		return reply, fmt.Errorf("decode the gateway's response: %w", err)
 	}
-	if reply.Problem != "" {
-		return reply, errors.New(reply.Problem)
+	if reply.Error != "" {
+		return reply, errors.New(reply.Error)
 	}
 	return reply, nil
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// failingListener fails some times before it accepts.
+// failingListener returns the given errors before it accepts.
 type failingListener struct {
 	net.Listener
 	failures []error
@@ -18,14 +18,15 @@
 		l.failures = l.failures[1:]
 		return nil, err
 	}
-	ours, theirs := net.Pipe()
-	_ = theirs.Close()
-	return ours, nil
+	server, client := net.Pipe()
+	_ = client.Close()
+	return server, nil
 }
 
-// TestControlSurvivesFailedAccept guards against a control socket that nobody serves any more once accept has failed.
+// TestControlSurvivesFailedAccept guards against a server that stops accepting after a transient error of accept, such as
+// exhausted file descriptors or memory.
 func TestControlSurvivesFailedAccept(t *testing.T) {
-	f := &few{Listener: &failingListener{failures: []error{syscall.ENOBUFS, syscall.EMFILE, syscall.ENOMEM}}, free: make(chan struct{}, 1)}
+	f := &limitedListener{Listener: &failingListener{failures: []error{syscall.ENOBUFS, syscall.EMFILE, syscall.ENOMEM}}, slots: make(chan struct{}, 1)}
 	for range 3 {
 		c, err := f.Accept()
 		if err != nil {
@@ -37,6 +38,6 @@
 	}
 	f.Listener = &failingListener{failures: []error{net.ErrClosed}}
 	if _, err := f.Accept(); err != net.ErrClosed {
-		t.Errorf("behind the listener's close: %v", err)
+		t.Errorf("Accept on a closed listener: got %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -15,47 +15,47 @@
 	"magpieglade/quota"
 )
 
-// figures tells what a gateway counts when it is asked, and keeps nothing of its own.
-type figures struct {
-	g      *gateway.Gateway
-	all    []figure
-	bounds [4]*prometheus.Desc // of the fleet
-	used   *prometheus.Desc    // of contracts
-	causes []cause
+// metricsCollector reads a gateway's statistics at each scrape and keeps no state of its own.
+type metricsCollector struct {
+	gateway          *gateway.Gateway
+	metrics          []metric
+	limitDescs       [4]*prometheus.Desc // amount, allocation, demand and granted sum of the fleet-wide limits
+	contractTxnsDesc *prometheus.Desc    // outcomes of a contract's latest window
+	labeledCounters  []labeledCounter
 }
 
-// cause is a counter by cause.
-type cause struct {
-	desc *prometheus.Desc
-	of   func(*gateway.Outcomes) map[string]uint64
+// labeledCounter is a counter with one label.
+type labeledCounter struct {
+	desc   *prometheus.Desc
+	values func(*gateway.Outcomes) map[string]uint64
 }
 
-// figure is one of them; ok is false where the gateway has none.
-type figure struct {
-	desc *prometheus.Desc
-	kind prometheus.ValueType
-	of   func(*gateway.Stats) (value float64, ok bool)
+// metric is a metric without labels. Its value is omitted if ok is false.
+type metric struct {
+	desc      *prometheus.Desc
+	valueType prometheus.ValueType
+	value     func(*gateway.Stats) (value float64, ok bool)
 }
 
-func figuresOf(g *gateway.Gateway) *figures {
-	f := &figures{g: g}
-	add := func(name, help string, kind prometheus.ValueType, of func(*gateway.Stats) (float64, bool)) {
-		f.all = append(f.all, figure{prometheus.NewDesc("magpieglade_"+name, help, nil, nil), kind, of})
-	}
-	count := func(name, help string, of func(*gateway.Stats) int) {
-		add(name, help, prometheus.CounterValue, func(x *gateway.Stats) (float64, bool) { return float64(of(x)), true })
-	}
-	count("txns_taken_total", "Txns taken from clients.", func(x *gateway.Stats) int { return x.Accepted })
-	count("txns_declined_total", "Txns declined.", func(x *gateway.Stats) int { return x.Rejected })
-	count("txns_rolled_back_total", "Txns rolled back.", func(x *gateway.Stats) int { return x.RolledBack })
-	count("txns_withdrawn_total", "Txns whose client went away.", func(x *gateway.Stats) int { return x.Withdrawn })
-	count("txns_unagreed_total", "Of those declined, such that the fleet's agreement did not let this gateway decide.", func(x *gateway.Stats) int { return x.NoAgreement })
-	gauge := func(name, help string, of func(*gateway.Stats) float64) {
-		add(name, help, prometheus.GaugeValue, func(x *gateway.Stats) (float64, bool) {
+func newMetricsCollector(g *gateway.Gateway) *metricsCollector {
+	c := &metricsCollector{gateway: g}
+	addMetric := func(name, help string, valueType prometheus.ValueType, value func(*gateway.Stats) (float64, bool)) {
+		c.metrics = append(c.metrics, metric{prometheus.NewDesc("magpieglade_"+name, help, nil, nil), valueType, value})
+	}
+	counter := func(name, help string, value func(*gateway.Stats) int) {
+		addMetric(name, help, prometheus.CounterValue, func(x *gateway.Stats) (float64, bool) { return float64(value(x)), true })
+	}
+	counter("txns_taken_total", "Txns taken from clients.", func(x *gateway.Stats) int { return x.Accepted })
+	counter("txns_declined_total", "Txns declined.", func(x *gateway.Stats) int { return x.Rejected })
+	counter("txns_rolled_back_total", "Txns rolled back.", func(x *gateway.Stats) int { return x.RolledBack })
+	counter("txns_withdrawn_total", "Txns whose client went away.", func(x *gateway.Stats) int { return x.Withdrawn })
+	counter("txns_unagreed_total", "Of those declined, such that the fleet's agreement did not let this gateway decide.", func(x *gateway.Stats) int { return x.NoAgreement })
+	gauge := func(name, help string, value func(*gateway.Stats) float64) {
+		addMetric(name, help, prometheus.GaugeValue, func(x *gateway.Stats) (float64, bool) {
 			if x.Fleet == nil {
 				return 0, false
 			}
-			return of(x), true
+			return value(x), true
 		})
 	}
 	gauge("fleet_lease_left_seconds", "For how long this gateway may act on what it holds; below 0 it is careful.", func(x *gateway.Stats) float64 { return float64(x.Fleet.LeaseRemaining) / 1e9 })
@@ -83,117 +83,117 @@
 	gauge("fleet_version_next", "Version that binds beside it, 0 for none.", version(true))
 	for i, x := range [...][2]string{{"amount", "A bound of the fleet; of a rate txns a second."}, {"part", "What this gateway holds of it."}, {"wanted", "What is wanted of it here."},
 		{"lent", "What is lent of it, at the gateway that keeps it."}} {
-		f.bounds[i] = prometheus.NewDesc("magpieglade_bound_"+x[0], x[1], []string{"bound"}, nil)
+		c.limitDescs[i] = prometheus.NewDesc("magpieglade_bound_"+x[0], x[1], []string{"bound"}, nil)
 	}
-	f.used = prometheus.NewDesc("magpieglade_contract_txns", "Txns of a contract's latest window, as this gateway knows them: those of all at one that votes.", []string{"contract", "outcome"}, nil)
-	byCause := func(name, help, label string, of func(*gateway.Outcomes) map[string]uint64) {
-		f.causes = append(f.causes, cause{prometheus.NewDesc("magpieglade_"+name, help, []string{label}, nil), of})
+	c.contractTxnsDesc = prometheus.NewDesc("magpieglade_contract_txns", "Txns of a contract's latest window, as this gateway knows them: those of all at one that votes.", []string{"contract", "outcome"}, nil)
+	countByLabel := func(name, help, label string, values func(*gateway.Outcomes) map[string]uint64) {
+		c.labeledCounters = append(c.labeledCounters, labeledCounter{prometheus.NewDesc("magpieglade_"+name, help, []string{label}, nil), values})
 	}
-	byCause("client_connections_closed_total", "Client connections, by why they were closed.", "reason",
+	countByLabel("client_connections_closed_total", "Client connections, by why they were closed.", "reason",
 		func(x *gateway.Outcomes) map[string]uint64 { return x.ClientsClosed })
-	byCause("requests_unanswered_total", "Requests without a final answer, by why their connection was closed.", "reason",
+	countByLabel("requests_unanswered_total", "Requests without a final answer, by why their connection was closed.", "reason",
 		func(x *gateway.Outcomes) map[string]uint64 { return x.Unanswered })
-	byCause("attempts_total", "Attempts at members, by how they ended.", "result",
+	countByLabel("attempts_total", "Attempts at members, by how they ended.", "result",
 		func(x *gateway.Outcomes) map[string]uint64 { return x.Attempts })
-	byCause("accept_errors_total", "Failed accepts of client connections, by error.", "error",
+	countByLabel("accept_errors_total", "Failed accepts of client connections, by error.", "error",
 		func(x *gateway.Outcomes) map[string]uint64 { return x.AcceptErrors })
-	byCause("dial_errors_total", "Failed connects to members and discovery, by error.", "error",
+	countByLabel("dial_errors_total", "Failed connects to members and discovery, by error.", "error",
 		func(x *gateway.Outcomes) map[string]uint64 { return x.DialErrors })
-	return f
+	return c
 }
 
-// Describe is for the library.
-func (f *figures) Describe(to chan<- *prometheus.Desc) {
-	for _, x := range f.all {
-		to <- x.desc
+// Describe implements prometheus.Collector.
+func (c *metricsCollector) Describe(ch chan<- *prometheus.Desc) {
+	for _, x := range c.metrics {
+		ch <- x.desc
 	}
-	for _, d := range f.bounds {
-		to <- d
+	for _, d := range c.limitDescs {
+		ch <- d
 	}
-	to <- f.used
-	for _, x := range f.causes {
-		to <- x.desc
+	ch <- c.contractTxnsDesc
+	for _, x := range c.labeledCounters {
+		ch <- x.desc
 	}
 }
 
-// Collect is for the library.
-func (f *figures) Collect(to chan<- prometheus.Metric) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// Collect implements prometheus.Collector. It omits what the gateway does not report in time.
+func (c *metricsCollector) Collect(ch chan<- prometheus.Metric) {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	now, err := f.g.Stats(ctx)
+	stats, err := c.gateway.Stats(ctx)
 	if err != nil {
 		return
 	}
-	for _, x := range f.all {
-		if value, ok := x.of(now); ok {
-			to <- prometheus.MustNewConstMetric(x.desc, x.kind, value)
+	for _, x := range c.metrics {
+		if value, ok := x.value(stats); ok {
+			ch <- prometheus.MustNewConstMetric(x.desc, x.valueType, value)
 		}
 	}
-	for _, x := range f.causes {
-		for label, n := range x.of(&now.Outcomes) {
-			to <- prometheus.MustNewConstMetric(x.desc, prometheus.CounterValue, float64(n), label)
+	for _, x := range c.labeledCounters {
+		for label, n := range x.values(&stats.Outcomes) {
+			ch <- prometheus.MustNewConstMetric(x.desc, prometheus.CounterValue, float64(n), label)
 		}
 	}
-	if v, err := f.g.Contracts(ctx); err == nil && v != nil {
-		for _, c := range v.Book.BookedContracts() {
-			all, _, err := f.g.Statements(ctx, c.Latest().Terms.Name, v.Now-contracts.CountRetention, v.Now)
-			if err != nil || len(all) == 0 {
+	if v, err := c.gateway.Contracts(ctx); err == nil && v != nil {
+		for _, contract := range v.Book.BookedContracts() {
+			statements, _, err := c.gateway.Statements(ctx, contract.Latest().Terms.Name, v.Now-contracts.CountRetention, v.Now)
+			if err != nil || len(statements) == 0 {
 				continue
 			}
-			x := &all[len(all)-1].Total
-			for what, n := range map[string]uint64{"asked": x.Requested, "in_time": x.InTime, "late": x.Late, "no_room": x.Overloaded, "no_member": x.NoMember,
-				"unagreed": x.NoAgreement, "rolled_back": x.RolledBack, "left": x.Abandoned} {
-				to <- prometheus.MustNewConstMetric(f.used, prometheus.GaugeValue, float64(n), c.Latest().Terms.Name, what)
+			total := &statements[len(statements)-1].Total
+			for outcome, n := range map[string]uint64{"asked": total.Requested, "in_time": total.InTime, "late": total.Late, "no_room": total.Overloaded, "no_member": total.NoMember,
+				"unagreed": total.NoAgreement, "rolled_back": total.RolledBack, "left": total.Abandoned} {
+				ch <- prometheus.MustNewConstMetric(c.contractTxnsDesc, prometheus.GaugeValue, float64(n), contract.Latest().Terms.Name, outcome)
 			}
 		}
 	}
-	parts, err := f.g.FleetLimits(ctx)
+	limits, err := c.gateway.FleetLimits(ctx)
 	if err != nil {
 		return
 	}
-	for i := range parts {
-		p, unit := &parts[i], 1.0
-		if p.Rate {
+	for i := range limits {
+		limit, unit := &limits[i], 1.0
+		if limit.Rate {
 			unit = quota.UnitsPerTxn
 		}
-		lent := int64(0)
-		for _, l := range p.Grants {
-			lent += l.Amount
+		granted := int64(0)
+		for _, grant := range limit.Grants {
+			granted += grant.Amount
 		}
-		for k, value := range [...]int64{p.Amount, p.Allocation, p.Demand, lent} {
-			if k < 3 || len(p.Grants) > 0 {
-				to <- prometheus.MustNewConstMetric(f.bounds[k], prometheus.GaugeValue, float64(value)/unit, p.Name)
+		for k, value := range [...]int64{limit.Amount, limit.Allocation, limit.Demand, granted} {
+			if k < 3 || len(limit.Grants) > 0 {
+				ch <- prometheus.MustNewConstMetric(c.limitDescs[k], prometheus.GaugeValue, float64(value)/unit, limit.Name)
 			}
 		}
 	}
 }
 
-func metricsOf(g *gateway.Gateway) http.Handler {
+func newMetricsHandler(g *gateway.Gateway) http.Handler {
 	r := prometheus.NewPedanticRegistry()
-	r.MustRegister(figuresOf(g))
+	r.MustRegister(newMetricsCollector(g))
 	return promhttp.HandlerFor(r, promhttp.HandlerOpts{})
 }
 
-// Metrics asks the gateway at a path for what it counts, in Prometheus' text form.
-func Metrics(ctx context.Context, path string, to io.Writer) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// Metrics copies the metrics of the gateway that listens on a Unix socket, in the Prometheus text format.
+func Metrics(ctx context.Context, socketPath string, to io.Writer) error {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	c := &http.Client{Transport: &http.Transport{DisableCompression: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, "unix", path)
+	client := &http.Client{Transport: &http.Transport{DisableCompression: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return new(net.Dialer).DialContext(ctx, "unix", socketPath)
 	}}}
-	defer c.CloseIdleConnections()
-	r, err := http.NewRequestWithContext(ctx, "GET", "http://gateway/metrics", nil)
+	defer client.CloseIdleConnections()
+	request, err := http.NewRequestWithContext(ctx, "GET", "http://gateway/metrics", nil)
 	if err != nil {
 		return err
 	}
-	answer, err := c.Do(r)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer answer.Body.Close()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("the gateway answers %s", answer.Status)
+	defer response.Body.Close()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("the gateway responded with status %s", response.Status)
 	}
-	_, err = io.Copy(to, io.LimitReader(answer.Body, mostText))
+	_, err = io.Copy(to, io.LimitReader(response.Body, maxBodySize))
 	return err
 }
--- a/internal/operator/agreement.go
+++ b/internal/operator/agreement.go
@@ -16,15 +16,15 @@
 )
 
 // agreement takes how this gateway agrees with the others on what holds for all.
-func (r *reader) agreement(b *hcl.Block) *fleet.Config {
-	in := r.block(b, []string{"listen", "address", "ask", "folder", "zone", "lease", "clock_error", "turn", "share", "without_agreement"}, "key")
+func (r *reader) decodeAgreement(b *hcl.Block) *fleet.Config {
+	in := r.decodeBlock(b, []string{"listen", "address", "ask", "folder", "zone", "lease", "clock_error", "turn", "share", "without_agreement"}, "key")
 	p := &fleet.Config{Agreement: agreement.DefaultConfig()}
-	in.address("listen", &p.Listen)
+	in.decodeAddress("listen", &p.Listen)
 	if !p.Listen.IsValid() && in.Attrs["listen"] == nil {
 		r.AddError(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway: listen = \"10.0.0.4:7946\".")
 	}
 	p.Address = p.Listen
-	in.address("address", &p.Address)
+	in.decodeAddress("address", &p.Address)
 	for _, text := range in.Strings("ask") {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || !a.Addr().Is4() || a.Port() == 0 {
@@ -50,7 +50,7 @@
 	p.ServeWithoutAgreement = without == routes.Serve
 	var keys []fleet.PeerKey
 	for _, k := range in.Blocks {
-		r.key(k, &keys)
+		r.decodeKey(k, &keys)
 	}
 	if len(in.Blocks) == 0 {
 		r.AddError(b.DefRange, "a key is lacking", "Gateways believe one another by a key that they share: key \"1\" { file = \"...\" }.")
@@ -62,12 +62,12 @@
 }
 
 // besides names what of a file the agreement takes the place of.
-func (r *reader) besides(top *content, f *File) {
-	if f.Changes != "" {
+func (r *reader) checkAgreementConflicts(top *content, f *File) {
+	if f.ChangesFolder != "" {
 		r.AddError(top.RangeOf("changes"), "changes outlive the process by the agreement", "Take changes away: the log of those that vote keeps them.")
 	}
 	if s := f.Sessions; s != nil && len(s.Gateways) > 0 {
-		r.AddError(r.gateways, "the fleet agrees on its list of gateways", "Take gateways away: who joins is asked by all, and nobody restarts for it.")
+		r.AddError(r.gatewaysRange, "the fleet agrees on its list of gateways", "Take gateways away: who joins is asked by all, and nobody restarts for it.")
 	}
 	if s := f.Sessions; s != nil && s.Listen.IsValid() && f.Agreement.Listen.IsValid() && s.Listen != f.Agreement.Listen {
 		r.AddError(top.Blocks[0].DefRange, fmt.Sprintf("sessions listen at %v and the agreement at %v", s.Listen, f.Agreement.Listen), "Both use one address.")
--- a/internal/operator/coordination.go
+++ b/internal/operator/coordination.go
@@ -11,9 +11,9 @@
 )
 
 // coordination takes what this gateway chooses together with the others.
-func (r *reader) coordination(b *hcl.Block) *fleet.CoordinationConfig {
-	in := r.block(b, []string{"subset", "connections", "away", "signals", "turns", "wait"})
-	r.coordinated = b.DefRange
+func (r *reader) decodeCoordination(b *hcl.Block) *fleet.CoordinationConfig {
+	in := r.decodeBlock(b, []string{"subset", "connections", "away", "signals", "turns", "wait"})
+	r.coordinationRange = b.DefRange
 	p := &fleet.CoordinationConfig{Signals: true, Wait: turns.DefaultWait}
 	t := subset.DefaultConfig()
 	in.Int("subset", &t.MinMembers, 0, 1000)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -25,16 +25,16 @@
 
 // File is what the operator's file says.
 type File struct {
-	ClockError   time.Duration
-	Sessions     *fleet.SessionConfig // nil where it has no such block
-	Document     *routes.Document     // what can be changed while a gateway runs; nil where it says nothing of that
-	Watch        time.Duration        // for how long a change of that is undone if health worsens
-	Digest       uint64               // the same for the same text
-	Text         []byte
-	Agreement    *fleet.Config             // nil where it has no such block; Name and Build are the program's
-	Coordination *fleet.CoordinationConfig // nil where it has no such block
-	Control      string                    // the socket at which the gateway can be talked to; empty is none
-	Changes      string                    // the folder in which changes outlive the process; empty is none
+	ClockError    time.Duration
+	Sessions      *fleet.SessionConfig // nil where it has no such block
+	Document      *routes.Document     // what can be changed while a gateway runs; nil where it says nothing of that
+	WatchDuration time.Duration        // for how long a change of that is undone if health worsens
+	Digest        uint64               // the same for the same text
+	Text          []byte
+	Agreement     *fleet.Config             // nil where it has no such block; Name and Build are the program's
+	Coordination  *fleet.CoordinationConfig // nil where it has no such block
+	ControlSocket string                    // the socket at which the gateway can be talked to; empty is none
+	ChangesFolder string                    // the folder in which changes outlive the process; empty is none
 }
 
 // Apply puts it into a gateway's configuration.
@@ -44,18 +44,18 @@
 	if f.Agreement != nil {
 		p := *f.Agreement
 		p.Name, p.Build, p.FormatVersion = c.Name, Build(), routes.FormatVersion
-		c.Agreement, c.Parse = &p, parserOf("version of the fleet")
+		c.Agreement, c.Parse = &p, documentParser("version of the fleet")
 	}
 	c.Coordination = f.Coordination
 	if f.Document != nil {
-		c.Change = &gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.Watch)}
+		c.Change = &gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.WatchDuration)}
 	}
-	if f.Changes != "" {
-		c.Changes = &gateway.ChangeStore{Path: f.Changes, Parse: parserOf("kept change")}
+	if f.ChangesFolder != "" {
+		c.Changes = &gateway.ChangeStore{Path: f.ChangesFolder, Parse: documentParser("kept change")}
 	}
 }
 
-func parserOf(name string) func([]byte) (*routes.Document, error) {
+func documentParser(name string) func([]byte) (*routes.Document, error) {
 	return func(text []byte) (*routes.Document, error) { return Document(text, name) }
 }
 
@@ -75,39 +75,39 @@
 		return nil, err
 	}
 	r := newReader(filepath.Dir(path))
-	f := &File{Watch: time.Duration(rollout.DefaultWatch), Digest: digest(text), Text: text}
-	top := r.top(body)
+	f := &File{WatchDuration: time.Duration(rollout.DefaultWatch), Digest: digest(text), Text: text}
+	top := r.decodeTopLevel(body)
 	top.Duration("clock_error", (*int64)(&f.ClockError), 0)
-	top.Duration("watch", (*int64)(&f.Watch), 0)
-	top.Decode("control", &f.Control)
-	top.Decode("changes", &f.Changes)
+	top.Duration("watch", (*int64)(&f.WatchDuration), 0)
+	top.Decode("control", &f.ControlSocket)
+	top.Decode("changes", &f.ChangesFolder)
 	for _, b := range top.Blocks {
 		switch {
 		case b.Type == "sessions" && f.Sessions != nil:
 			r.AddError(b.DefRange, "a second block of sessions", "There may be one.")
 		case b.Type == "sessions":
-			f.Sessions = r.sessions(b)
+			f.Sessions = r.decodeSessions(b)
 		case b.Type == "agreement" && f.Agreement != nil:
 			r.AddError(b.DefRange, "a second block of agreement", "There may be one.")
 		case b.Type == "agreement":
-			f.Agreement = r.agreement(b)
+			f.Agreement = r.decodeAgreement(b)
 		case b.Type == "coordination" && f.Coordination != nil:
 			r.AddError(b.DefRange, "a second block of coordination", "There may be one.")
 		case b.Type == "coordination":
-			f.Coordination = r.coordination(b)
+			f.Coordination = r.decodeCoordination(b)
 		case b.Type == "spread":
 			r.AddError(b.DefRange, "changes go to all gateways by the agreement", "Take the block spread away and give a block agreement (docs/agreement.md): what is applied at one gateway is agreed on by all.")
 		}
 	}
 	if f.Coordination != nil && f.Agreement == nil {
-		r.AddError(r.coordinated, "gateways that choose together agree on their list", "Give a block agreement (docs/agreement.md).")
+		r.AddError(r.coordinationRange, "gateways that choose together agree on their list", "Give a block agreement (docs/agreement.md).")
 	}
 	if f.Agreement != nil {
-		r.besides(top, f)
-	} else if r.lonely != (hcl.Range{}) {
-		r.AddError(r.lonely, "positions need other gateways to be told to", "Name them in gateways.")
+		r.checkAgreementConflicts(top, f)
+	} else if r.positionsRange != (hcl.Range{}) {
+		r.AddError(r.positionsRange, "positions need other gateways to be told to", "Name them in gateways.")
 	}
-	f.Document = r.document(top)
+	f.Document = r.decodeDocument(top)
 	if r.Err() != nil {
 		return nil, r.Err()
 	}
@@ -115,14 +115,14 @@
 }
 
 // top is what the file itself may hold.
-func (r *reader) top(body hcl.Body) *content {
+func (r *reader) decodeTopLevel(body hcl.Body) *content {
 	return &content{r.Content(body, hcl.Range{}, "clock_error control changes watch log in_flight exclude drain", "sessions", "spread", "agreement", "coordination", "tenant", "route")}
 }
 
-func (r *reader) sessions(b *hcl.Block) *fleet.SessionConfig {
+func (r *reader) decodeSessions(b *hcl.Block) *fleet.SessionConfig {
 	p := &fleet.SessionConfig{Session: session.DefaultConfig(), Tokens: fleet.TokensHints}
 	t := &p.Session
-	in := r.block(b, []string{"source", "tokens", "span", "key_span", "most_marks", "fence_wait", "retry_after"}, "peers", "ledger")
+	in := r.decodeBlock(b, []string{"source", "tokens", "span", "key_span", "most_marks", "fence_wait", "retry_after"}, "peers", "ledger")
 	source, tokens := string(t.Source), string(p.Tokens)
 	in.OneOf("source", &source, string(session.SourceEntries), string(session.SourcePrimary), string(session.SourceLocal))
 	in.OneOf("tokens", &tokens, string(fleet.TokensHints), string(fleet.TokensComplete), string(fleet.TokensSigned))
@@ -141,9 +141,9 @@
 		seen[b.Type] = true
 		switch b.Type {
 		case "peers":
-			r.peers(b, p)
+			r.decodePeers(b, p)
 		case "ledger":
-			r.ledger(b, p)
+			r.decodeLedger(b, p)
 		}
 	}
 	if p.Tokens == fleet.TokensSigned && len(p.Keys) == 0 {
@@ -152,13 +152,13 @@
 	return p
 }
 
-func (r *reader) peers(b *hcl.Block, p *fleet.SessionConfig) {
-	in := r.block(b, []string{"listen", "gateways", "messages_per_txn", "peer_wait", "keepalive", "positions"}, "key")
-	in.address("listen", &p.Listen)
+func (r *reader) decodePeers(b *hcl.Block, p *fleet.SessionConfig) {
+	in := r.decodeBlock(b, []string{"listen", "gateways", "messages_per_txn", "peer_wait", "keepalive", "positions"}, "key")
+	in.decodeAddress("listen", &p.Listen)
 	var all []string
 	if a := in.Attrs["gateways"]; a != nil {
 		in.Decode("gateways", &all)
-		r.gateways = a.Range
+		r.gatewaysRange = a.Range
 		for _, text := range all {
 			address, err := netip.ParseAddrPort(text)
 			switch {
@@ -182,10 +182,10 @@
 	in.Duration("keepalive", &p.Session.KeepaliveInterval, 10*time.Millisecond)
 	in.Decode("positions", &p.SharePositions)
 	if p.SharePositions && len(p.Gateways) < 2 {
-		r.lonely = in.RangeOf("positions")
+		r.positionsRange = in.RangeOf("positions")
 	}
 	for _, k := range in.Blocks {
-		r.key(k, &p.Keys)
+		r.decodeKey(k, &p.Keys)
 	}
 	if len(p.Gateways) > 1 && len(p.Keys) == 0 {
 		r.AddError(b.DefRange, "a key is lacking", "Gateways believe one another by a key that they share: key \"1\" { file = \"...\" }.")
@@ -193,8 +193,8 @@
 }
 
 // key is a shared secret, of a file in hexadecimal or of the environment.
-func (r *reader) key(b *hcl.Block, keys *[]fleet.PeerKey) {
-	in := r.block(b, []string{"file", "variable"})
+func (r *reader) decodeKey(b *hcl.Block, keys *[]fleet.PeerKey) {
+	in := r.decodeBlock(b, []string{"file", "variable"})
 	var id uint8
 	if _, err := fmt.Sscanf(b.Labels[0], "%d", &id); err != nil || fmt.Sprint(id) != b.Labels[0] {
 		r.AddError(b.LabelRanges[0], "the name of a key is a number from 0 to 255", "As in key \"1\".")
@@ -237,8 +237,8 @@
 	}
 }
 
-func (r *reader) ledger(b *hcl.Block, p *fleet.SessionConfig) {
-	in := r.block(b, []string{"folder", "before_answer", "at_most"})
+func (r *reader) decodeLedger(b *hcl.Block, p *fleet.SessionConfig) {
+	in := r.decodeBlock(b, []string{"folder", "before_answer", "at_most"})
 	before := string(fleet.DurableNone)
 	in.Decode("folder", &p.Ledger.Folder)
 	if p.Ledger.Folder == "" {
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -133,7 +133,7 @@
 func FuzzDocument(f *testing.F) {
 	text, _ := os.ReadFile("../../deploy/operator.hcl")
 	f.Add(string(text), "portal", "10.1.2.3")
-	f.Add(routed, "portal", "10.1.2.3")
+	f.Add(documentText, "portal", "10.1.2.3")
 	f.Add("route \"a\" { networks = [\"0.0.0.0/0\", \"10.0.0.0/32\"] }\nroute \"b\" { users = [\"u\", \"u\"] }", "u", "::1")
 	w := &routes.Environment{Zones: []string{"a"}, Types: []routes.Type{{Name: "session", HardLimit: 1e9, Effect: "repeatable", Need: "causal"}},
 		Groups: map[int][]routes.Host{0: {{Name: "m1", Zone: "a"}, {Name: "m2", Zone: "a"}}}}
--- a/internal/operator/reader.go
+++ b/internal/operator/reader.go
@@ -13,10 +13,10 @@
 // reader takes an operator's file apart.
 type reader struct {
 	hclfile.File
-	folder      string
-	lonely      hcl.Range // where positions are asked for without a list of gateways, zero if not
-	gateways    hcl.Range // of that list
-	coordinated hcl.Range // the block coordination
+	folder            string
+	positionsRange    hcl.Range // where positions are asked for without a list of gateways, zero if not
+	gatewaysRange     hcl.Range // of that list
+	coordinationRange hcl.Range // the block coordination
 }
 
 // content is what a block holds.
@@ -27,12 +27,12 @@
 }
 
 // block takes a body of these attributes and blocks.
-func (r *reader) block(b *hcl.Block, attrs []string, blocks ...string) *content {
+func (r *reader) decodeBlock(b *hcl.Block, attrs []string, blocks ...string) *content {
 	return &content{r.Content(b.Body, b.DefRange, strings.Join(attrs, " "), blocks...)}
 }
 
 // address takes an IPv4 address with a port.
-func (c *content) address(name string, to *netip.AddrPort) {
+func (c *content) decodeAddress(name string, to *netip.AddrPort) {
 	var text string
 	if !c.Decode(name, &text) {
 		return
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -12,23 +12,23 @@
 )
 
 // place is where a block stands.
-func place(r hcl.Range) routes.SourceLocation {
+func sourceLocation(r hcl.Range) routes.SourceLocation {
 	return routes.SourceLocation{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
 }
 
 // document takes what of a file can be changed while a gateway runs; nil where it says nothing of that.
-func (r *reader) document(top *content) *routes.Document {
+func (r *reader) decodeDocument(top *content) *routes.Document {
 	d := new(routes.Document)
 	top.Int("in_flight", &d.MaxInFlight, 1, 1_000_000)
 	top.OneOf("log", &d.LogLevel, "info", "warn", "error")
-	d.Excluded = r.members(top, "exclude")
-	d.Drained = r.members(top, "drain")
+	d.Excluded = r.decodeMembers(top, "exclude")
+	d.Drained = r.decodeMembers(top, "drain")
 	for _, b := range top.Blocks {
 		switch b.Type {
 		case "tenant":
-			d.Tenants = append(d.Tenants, r.tenant(b))
+			d.Tenants = append(d.Tenants, r.decodeTenant(b))
 		case "route":
-			d.Routes = append(d.Routes, r.route(b))
+			d.Routes = append(d.Routes, r.decodeRoute(b))
 		}
 	}
 	if d.MaxInFlight == 0 && d.LogLevel == "" && len(d.Excluded)+len(d.Drained)+len(d.Tenants)+len(d.Routes) == 0 {
@@ -37,16 +37,16 @@
 	return d
 }
 
-func (r *reader) members(top *content, name string) (all []routes.Member) {
+func (r *reader) decodeMembers(top *content, name string) (all []routes.Member) {
 	for _, m := range top.Strings(name) {
-		all = append(all, routes.Member{Name: m, At: place(top.Attrs[name].Expr.Range())})
+		all = append(all, routes.Member{Name: m, At: sourceLocation(top.Attrs[name].Expr.Range())})
 	}
 	return all
 }
 
-func (r *reader) tenant(b *hcl.Block) routes.Tenant {
-	in := r.block(b, []string{"weight", "in_flight", "bytes", "rate", "burst", "connections", "fleet", "without_agreement"})
-	t := routes.Tenant{Name: b.Labels[0], At: place(b.DefRange), Weight: 1}
+func (r *reader) decodeTenant(b *hcl.Block) routes.Tenant {
+	in := r.decodeBlock(b, []string{"weight", "in_flight", "bytes", "rate", "burst", "connections", "fleet", "without_agreement"})
+	t := routes.Tenant{Name: b.Labels[0], At: sourceLocation(b.DefRange), Weight: 1}
 	in.Float("weight", &t.Weight, 0, 1e6)
 	in.Int("in_flight", &t.MaxInFlight, 1, 1_000_000)
 	bytes := 0
@@ -61,9 +61,9 @@
 	return t
 }
 
-func (r *reader) route(b *hcl.Block) routes.Route {
-	in := r.block(b, []string{"types", "users", "databases", "tables", "networks", "type", "tenant", "expiry", "retries", "aim", "zones", "groups"})
-	t := routes.Route{Name: b.Labels[0], At: place(b.DefRange), RetryRatio: -1}
+func (r *reader) decodeRoute(b *hcl.Block) routes.Route {
+	in := r.decodeBlock(b, []string{"types", "users", "databases", "tables", "networks", "type", "tenant", "expiry", "retries", "aim", "zones", "groups"})
+	t := routes.Route{Name: b.Labels[0], At: sourceLocation(b.DefRange), RetryRatio: -1}
 	t.Types, t.Users, t.Databases, t.Tables = in.Strings("types"), in.Strings("users"), in.Strings("databases"), in.Strings("tables")
 	for _, text := range in.Strings("networks") {
 		n, err := netip.ParsePrefix(text)
@@ -93,7 +93,7 @@
 		return nil, err
 	}
 	r := newReader("")
-	d := r.document(r.top(body))
+	d := r.decodeDocument(r.decodeTopLevel(body))
 	if r.Err() != nil {
 		return nil, r.Err()
 	}
--- a/internal/operator/routes_test.go
+++ b/internal/operator/routes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-const routed = `
+const documentText = `
 in_flight = 100
 watch     = "10s"
 exclude   = ["m1"]
@@ -28,7 +28,7 @@
 
 // A change is read without the rest of its file: keys and folders may be another gateway's.
 func Example_documentAlone() {
-	text := "sessions {\n  peers {\n    key \"1\" { file = \"nowhere\" }\n  }\n}\n" + routed
+	text := "sessions {\n  peers {\n    key \"1\" { file = \"nowhere\" }\n  }\n}\n" + documentText
 	_, err := Parse([]byte(text), "r.hcl")
 	fmt.Println(err != nil)
 	d, err := Document([]byte(text), "kept change")
@@ -43,12 +43,12 @@
 
 // What can be changed while a gateway runs, and what is wrong with it.
 func Example_routes() {
-	f, err := Parse([]byte(routed), "r.hcl")
+	f, err := Parse([]byte(documentText), "r.hcl")
 	d := f.Document
-	fmt.Println(err, f.Watch == 10*time.Second, d.MaxInFlight, d.Excluded, d.Tenants[0].Burst)
+	fmt.Println(err, f.WatchDuration == 10*time.Second, d.MaxInFlight, d.Excluded, d.Tenants[0].Burst)
 	fmt.Println(d.Routes[0].At, d.Routes[0].Networks, d.Routes[0].RetryRatio, d.Routes[0].Expiry == int64(500*time.Millisecond),
 		d.Routes[0].TargetLatency == int64(200*time.Millisecond), d.Routes[0].Zones, d.Routes[0].Groups)
-	same, _ := Parse([]byte(routed), "other.hcl")
+	same, _ := Parse([]byte(documentText), "other.hcl")
 	fmt.Println(same.Digest == f.Digest)
 	for _, text := range []string{"route {}", "route \"a\" \"b\" {}", "route \"a\" {\n  networks = [\"x\"]\n}", "route \"a\" {\n  retries = -1\n}",
 		"tenant \"t\" {\n  weight = \"much\"\n}", "in_flight = 0", "exclude = \"m\"",
