--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -120,6 +120,7 @@
 	return c.Conn.Close()
 }
 
+// newHandler returns the handler of all endpoints of the control API.
 func newHandler(g *gateway.Gateway) http.Handler {
 	mux := http.NewServeMux()
 	writeReply := func(w http.ResponseWriter, r Reply, err error) {
@@ -161,8 +162,8 @@
 		writeReply(w, Reply{Fleet: s}, err)
 	})
 	mux.HandleFunc("GET /shares", func(w http.ResponseWriter, r *http.Request) {
-		all, err := g.FleetLimits(r.Context())
-		writeReply(w, Reply{Limits: all}, err)
+		limits, err := g.FleetLimits(r.Context())
+		writeReply(w, Reply{Limits: limits}, err)
 	})
 	mux.HandleFunc("GET /chosen", func(w http.ResponseWriter, r *http.Request) {
 		v, names, err := g.Coordination(r.Context())
@@ -186,8 +187,8 @@
 			writeReply(w, Reply{}, err)
 			return
 		}
-		all, whole, err := g.Statements(r.Context(), query.Get("name"), from, to)
-		writeReply(w, Reply{Statements: all, Complete: whole}, err)
+		statements, complete, err := g.Statements(r.Context(), query.Get("name"), from, to)
+		writeReply(w, Reply{Statements: statements, Complete: complete}, err)
 	})
 	mux.HandleFunc("POST /contract", func(w http.ResponseWriter, r *http.Request) {
 		request, err := decodeRequest(r)
@@ -233,11 +234,11 @@
 }
 
 // Call sends a request to the gateway that listens on a Unix socket. It also fails if the reply holds an error.
-func Call(ctx context.Context, path, method, endpoint string, request *Request) (Reply, error) {
+func Call(ctx context.Context, socketPath, method, endpoint string, request *Request) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	client := &http.Client{Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, "unix", path)
+		return new(net.Dialer).DialContext(ctx, "unix", socketPath)
 	}}}
 	defer client.CloseIdleConnections()
 	var body io.Reader
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -37,6 +37,7 @@
 	value     func(*gateway.Stats) (value float64, ok bool)
 }
 
+// newMetricsCollector declares all metrics of a gateway.
 func newMetricsCollector(g *gateway.Gateway) *metricsCollector {
 	c := &metricsCollector{gateway: g}
 	addMetric := func(name, help string, valueType prometheus.ValueType, value func(*gateway.Stats) (float64, bool)) {
@@ -168,6 +169,7 @@
 	}
 }
 
+// newMetricsHandler returns the handler that serves a gateway's metrics to Prometheus.
 func newMetricsHandler(g *gateway.Gateway) http.Handler {
 	r := prometheus.NewPedanticRegistry()
 	r.MustRegister(newMetricsCollector(g))
--- a/internal/operator/coordination.go
+++ b/internal/operator/coordination.go
@@ -10,7 +10,7 @@
 	"magpieglade/turns"
 )
 
-// coordination takes what this gateway chooses together with the others.
+// decodeCoordination decodes the block coordination: what this gateway decides in coordination with the others.
 func (r *reader) decodeCoordination(b *hcl.Block) *fleet.CoordinationConfig {
 	in := r.decodeBlock(b, []string{"subset", "connections", "away", "signals", "turns", "wait"})
 	r.coordinationRange = b.DefRange
@@ -25,14 +25,14 @@
 	in.Duration("wait", &p.Wait, time.Millisecond)
 	if in.Attrs["subset"] != nil && t.MinMembers > 0 {
 		if p.Subset = &t; t.Validate() != nil {
-			r.AddError(in.RangeOf("subset"), t.Validate().Error(), "Two members of each group at the least, more than away; 0 is all of them.")
+			r.AddError(in.RangeOf("subset"), t.Validate().Error(), "Use at least two members of each group and more than away; 0 uses all of them.")
 			p.Subset = nil
 		}
 	} else if in.Attrs["connections"] != nil || in.Attrs["away"] != nil {
-		r.AddError(b.DefRange, "connections and away are of subsets", "Give subset = 4.")
+		r.AddError(b.DefRange, "connections and away require subset", "Set subset = 4.")
 	}
 	if p.Turns && !p.Signals {
-		r.AddError(in.RangeOf("turns"), "turns need signals", "Their words go by these: signals = true.")
+		r.AddError(in.RangeOf("turns"), "turns requires signals", "Signals carry the messages of turns: signals = true.")
 	}
 	return p
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator's own file, in HCL: what the platform's configuration does not know of. Each
-// mistake is told with file, line and column.
+// Package operator reads the operator's file, in HCL: the settings that the platform's configuration does not have. It
+// reports each error with file, line and column.
 package operator
 
 import (
@@ -23,21 +23,21 @@
 	"magpieglade/session"
 )
 
-// File is what the operator's file says.
+// File holds the settings of an operator's file.
 type File struct {
 	ClockError    time.Duration
-	Sessions      *fleet.SessionConfig // nil where it has no such block
-	Document      *routes.Document     // what can be changed while a gateway runs; nil where it says nothing of that
-	WatchDuration time.Duration        // for how long a change of that is undone if health worsens
-	Digest        uint64               // the same for the same text
+	Sessions      *fleet.SessionConfig // nil if there is no such block
+	Document      *routes.Document     // settings that can change while a gateway runs; nil if there are none
+	WatchDuration time.Duration        // how long after a change of Document it is undone if health worsens
+	Digest        uint64               // hash of Text, never 0
 	Text          []byte
-	Agreement     *fleet.Config             // nil where it has no such block; Name and Build are the program's
-	Coordination  *fleet.CoordinationConfig // nil where it has no such block
-	ControlSocket string                    // the socket at which the gateway can be talked to; empty is none
-	ChangesFolder string                    // the folder in which changes outlive the process; empty is none
+	Agreement     *fleet.Config             // nil if there is no such block; Apply sets Name and Build
+	Coordination  *fleet.CoordinationConfig // nil if there is no such block
+	ControlSocket string                    // path of the control socket; empty for none
+	ChangesFolder string                    // folder that stores changes across restarts; empty for none
 }
 
-// Apply puts it into a gateway's configuration.
+// Apply copies the settings into a gateway's configuration.
 func (f *File) Apply(c *gateway.Config) {
 	c.ClockError = f.ClockError
 	c.Sessions = f.Sessions
@@ -51,15 +51,16 @@
 		c.Change = &gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.WatchDuration)}
 	}
 	if f.ChangesFolder != "" {
-		c.Changes = &gateway.ChangeStore{Path: f.ChangesFolder, Parse: documentParser("kept change")}
+		c.Changes = &gateway.ChangeStore{Path: f.ChangesFolder, Parse: documentParser("stored change")}
 	}
 }
 
+// documentParser returns a parser of documents that reports error positions under the given name.
 func documentParser(name string) func([]byte) (*routes.Document, error) {
 	return func(text []byte) (*routes.Document, error) { return Document(text, name) }
 }
 
-// Read reads a file.
+// Read reads and parses a file.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return Parse(text, path)
 }
 
-// Parse reads the text of a file; paths in it count from the file's folder.
+// Parse parses the text of a file. Relative paths in it are relative to the folder of the file.
 func Parse(text []byte, path string) (*File, error) {
 	body, err := hclfile.Parse(text, path)
 	if err != nil {
@@ -84,28 +85,28 @@
 	for _, b := range top.Blocks {
 		switch {
 		case b.Type == "sessions" && f.Sessions != nil:
-			r.AddError(b.DefRange, "a second block of sessions", "There may be one.")
+			r.AddError(b.DefRange, "a second block of sessions", "Only one is allowed.")
 		case b.Type == "sessions":
 			f.Sessions = r.decodeSessions(b)
 		case b.Type == "agreement" && f.Agreement != nil:
-			r.AddError(b.DefRange, "a second block of agreement", "There may be one.")
+			r.AddError(b.DefRange, "a second block of agreement", "Only one is allowed.")
 		case b.Type == "agreement":
 			f.Agreement = r.decodeAgreement(b)
 		case b.Type == "coordination" && f.Coordination != nil:
-			r.AddError(b.DefRange, "a second block of coordination", "There may be one.")
+			r.AddError(b.DefRange, "a second block of coordination", "Only one is allowed.")
 		case b.Type == "coordination":
 			f.Coordination = r.decodeCoordination(b)
 		case b.Type == "spread":
-			r.AddError(b.DefRange, "changes go to all gateways by the agreement", "Take the block spread away and give a block agreement (docs/agreement.md): what is applied at one gateway is agreed on by all.")
+			r.AddError(b.DefRange, "spread is replaced by agreement", "Remove the block spread and add a block agreement (docs/agreement.md): all gateways agree on what is applied at one.")
 		}
 	}
 	if f.Coordination != nil && f.Agreement == nil {
-		r.AddError(r.coordinationRange, "gateways that choose together agree on their list", "Give a block agreement (docs/agreement.md).")
+		r.AddError(r.coordinationRange, "coordination requires agreement", "Add a block agreement (docs/agreement.md): gateways that coordinate agree on their list.")
 	}
 	if f.Agreement != nil {
 		r.checkAgreementConflicts(top, f)
 	} else if r.positionsRange != (hcl.Range{}) {
-		r.AddError(r.positionsRange, "positions need other gateways to be told to", "Name them in gateways.")
+		r.AddError(r.positionsRange, "positions requires other gateways to report to", "List them in gateways.")
 	}
 	f.Document = r.decodeDocument(top)
 	if r.Err() != nil {
@@ -114,11 +115,12 @@
 	return f, nil
 }
 
-// top is what the file itself may hold.
+// decodeTopLevel decodes the attributes and blocks of the file itself.
 func (r *reader) decodeTopLevel(body hcl.Body) *content {
 	return &content{r.Content(body, hcl.Range{}, "clock_error control changes watch log in_flight exclude drain", "sessions", "spread", "agreement", "coordination", "tenant", "route")}
 }
 
+// decodeSessions decodes the block sessions.
 func (r *reader) decodeSessions(b *hcl.Block) *fleet.SessionConfig {
 	p := &fleet.SessionConfig{Session: session.DefaultConfig(), Tokens: fleet.TokensHints}
 	t := &p.Session
@@ -135,7 +137,7 @@
 	seen := map[string]bool{}
 	for _, b := range in.Blocks {
 		if seen[b.Type] {
-			r.AddError(b.DefRange, "a second block of "+b.Type, "There may be one.")
+			r.AddError(b.DefRange, "a second block of "+b.Type, "Only one is allowed.")
 			continue
 		}
 		seen[b.Type] = true
@@ -147,35 +149,36 @@
 		}
 	}
 	if p.Tokens == fleet.TokensSigned && len(p.Keys) == 0 {
-		r.AddError(in.RangeOf("tokens"), "signed tokens need a key", "Give the block peers with a block key.")
+		r.AddError(in.RangeOf("tokens"), "signed tokens require a key", "Add the block peers with a block key.")
 	}
 	return p
 }
 
+// decodePeers decodes the block peers of sessions.
 func (r *reader) decodePeers(b *hcl.Block, p *fleet.SessionConfig) {
 	in := r.decodeBlock(b, []string{"listen", "gateways", "messages_per_txn", "peer_wait", "keepalive", "positions"}, "key")
 	in.decodeAddress("listen", &p.Listen)
-	var all []string
+	var texts []string
 	if a := in.Attrs["gateways"]; a != nil {
-		in.Decode("gateways", &all)
+		in.Decode("gateways", &texts)
 		r.gatewaysRange = a.Range
-		for _, text := range all {
+		for _, text := range texts {
 			address, err := netip.ParseAddrPort(text)
 			switch {
 			case err != nil || !address.Addr().Is4() || address.Port() == 0:
-				r.AddError(a.Expr.Range(), fmt.Sprintf("%q is no IPv4 address with a port", text), "Write it as 10.0.0.4:7946.")
+				r.AddError(a.Expr.Range(), fmt.Sprintf("%q is not an IPv4 address with a port", text), "Write it as 10.0.0.4:7946.")
 			case slices.Contains(p.Gateways, address):
-				r.AddError(a.Expr.Range(), fmt.Sprintf("%q stands twice", text), "Each gateway stands once, in the same order at all.")
+				r.AddError(a.Expr.Range(), fmt.Sprintf("%q is listed twice", text), "List each gateway once, in the same order at all gateways.")
 			default:
 				p.Gateways = append(p.Gateways, address)
 			}
 		}
-		if p.Listen.IsValid() && len(p.Gateways) == len(all) && !slices.Contains(p.Gateways, p.Listen) {
-			r.AddError(a.Expr.Range(), fmt.Sprintf("the list lacks %v, at which this gateway listens", p.Listen), "Name all gateways, this one among them.")
+		if p.Listen.IsValid() && len(p.Gateways) == len(texts) && !slices.Contains(p.Gateways, p.Listen) {
+			r.AddError(a.Expr.Range(), fmt.Sprintf("the list does not contain %v, at which this gateway listens", p.Listen), "List all gateways, including this one.")
 		}
 	}
 	if len(p.Gateways) > 1 && !p.Listen.IsValid() {
-		r.AddError(b.DefRange, "listen is lacking", "Say at which address the others reach this gateway.")
+		r.AddError(b.DefRange, "listen is missing", "Set the address at which the other gateways reach this one.")
 	}
 	in.Float("messages_per_txn", &p.Session.MessagesPerTxn, 0, 1000)
 	in.Duration("peer_wait", &p.Session.PeerTimeout, time.Millisecond)
@@ -188,16 +191,16 @@
 		r.decodeKey(k, &p.Keys)
 	}
 	if len(p.Gateways) > 1 && len(p.Keys) == 0 {
-		r.AddError(b.DefRange, "a key is lacking", "Gateways believe one another by a key that they share: key \"1\" { file = \"...\" }.")
+		r.AddError(b.DefRange, "no key is given", "Gateways authenticate each other with a shared key: key \"1\" { file = \"...\" }.")
 	}
 }
 
-// key is a shared secret, of a file in hexadecimal or of the environment.
+// decodeKey decodes a block key: a shared secret in hexadecimal, from a file or an environment variable.
 func (r *reader) decodeKey(b *hcl.Block, keys *[]fleet.PeerKey) {
 	in := r.decodeBlock(b, []string{"file", "variable"})
 	var id uint8
 	if _, err := fmt.Sscanf(b.Labels[0], "%d", &id); err != nil || fmt.Sprint(id) != b.Labels[0] {
-		r.AddError(b.LabelRanges[0], "the name of a key is a number from 0 to 255", "As in key \"1\".")
+		r.AddError(b.LabelRanges[0], "the name of a key must be a number from 0 to 255", "As in key \"1\".")
 		return
 	}
 	var file, variable, text string
@@ -205,7 +208,7 @@
 	in.Decode("variable", &variable)
 	switch {
 	case (file == "") == (variable == ""):
-		r.AddError(b.DefRange, "a key has either a file or a variable", "Give one of them.")
+		r.AddError(b.DefRange, "a key requires either file or variable", "Set exactly one of them.")
 		return
 	case file != "":
 		if !filepath.IsAbs(file) {
@@ -213,38 +216,39 @@
 		}
 		raw, err := os.ReadFile(file)
 		if err != nil {
-			r.AddError(in.RangeOf("file"), "the key can't be read", err.Error())
+			r.AddError(in.RangeOf("file"), "the key file cannot be read", err.Error())
 			return
 		}
 		text = string(raw)
 	default:
 		text = os.Getenv(variable)
 	}
-	where := in.RangeOf("file")
+	secretRange := in.RangeOf("file")
 	if variable != "" {
-		where = in.RangeOf("variable")
+		secretRange = in.RangeOf("variable")
 	}
 	secret, err := hex.DecodeString(strings.TrimSpace(text))
 	switch {
 	case err != nil || len(secret) < 16:
-		r.AddError(where, "the key is not at least 16 bytes in hexadecimal", "Make one with: openssl rand -hex 32.")
+		r.AddError(secretRange, "the key is not a hexadecimal string of at least 16 bytes", "Generate one with: openssl rand -hex 32.")
 	case len(*keys) == 2:
-		r.AddError(b.DefRange, "a third key", "Two are valid at once: the first signs.")
+		r.AddError(b.DefRange, "more than two keys", "Two are valid at once; the first one signs.")
 	case len(*keys) == 1 && (*keys)[0].ID == id:
-		r.AddError(b.LabelRanges[0], "the key stands twice", "A new key needs a new number.")
+		r.AddError(b.LabelRanges[0], "the key number is used twice", "A new key needs a new number.")
 	default:
 		*keys = append(*keys, fleet.PeerKey{ID: id, Secret: secret})
 	}
 }
 
+// decodeLedger decodes the block ledger of sessions.
 func (r *reader) decodeLedger(b *hcl.Block, p *fleet.SessionConfig) {
 	in := r.decodeBlock(b, []string{"folder", "before_answer", "at_most"})
-	before := string(fleet.DurableNone)
+	beforeAnswer := string(fleet.DurableNone)
 	in.Decode("folder", &p.Ledger.Folder)
 	if p.Ledger.Folder == "" {
-		r.AddError(in.RangeOf("folder"), "folder is lacking", "Name a folder that outlives the process.")
+		r.AddError(in.RangeOf("folder"), "folder is missing", "Set a folder that persists across restarts.")
 	}
-	in.OneOf("before_answer", &before, string(fleet.DurableNone), string(fleet.DurableProcess))
-	p.Ledger.BeforeAnswer, p.Ledger.MaxWait = fleet.Durability(before), ledger.DefaultMaxWait
+	in.OneOf("before_answer", &beforeAnswer, string(fleet.DurableNone), string(fleet.DurableProcess))
+	p.Ledger.BeforeAnswer, p.Ledger.MaxWait = fleet.Durability(beforeAnswer), ledger.DefaultMaxWait
 	in.Duration("at_most", &p.Ledger.MaxWait, time.Millisecond)
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -11,8 +11,8 @@
 	"magpieglade/routes"
 )
 
-// Each mistake is told with file, line and column, and the way out; all of a file's at once.
-func Example_mistakes() {
+// All errors of a file are reported at once, each with file, line, column and a remedy.
+func Example_errors() {
 	for _, text := range []string{
 		"",
 		"sessions {}",
@@ -43,60 +43,60 @@
 		if err != nil {
 			fmt.Println(err)
 		} else {
-			fmt.Println("good")
+			fmt.Println("valid")
 		}
 	}
 	// Output:
-	// good
-	// good
-	// good
+	// valid
+	// valid
+	// valid
 	// operator.hcl:1:15: clock_error is no span of at least 0s: Write it as "20ms" or "10s".
 	// operator.hcl:1:15: clock_error is no span of at least 0s: Write it as "20ms" or "10s".
 	// operator.hcl:1:10: Unclosed configuration block: There is no closing brace for this block before the end of the file. This may be caused by incorrect brace nesting elsewhere in this file.
 	// operator.hcl:1:1: Unsupported block type: Blocks of type "sesions" are not expected here. Did you mean "sessions"?
-	// operator.hcl:2:1: a second block of sessions: There may be one.
+	// operator.hcl:2:1: a second block of sessions: Only one is allowed.
 	// operator.hcl:2:12: source has the unknown value "cover": It is one of covered, fenced, own.
 	// operator.hcl:2:10: span is no span of at least 1s: Write it as "20ms" or "10s".
 	// operator.hcl:3:16: most_marks is out of range: It is from 1 to 10000000.
 	// operator.hcl:2:16: Unsuitable value type: Unsuitable value: value must be a whole number, between -9223372036854775808 and 9223372036854775807
-	// operator.hcl:2:12: signed tokens need a key: Give the block peers with a block key.
-	// operator.hcl:3:16: "x" is no IPv4 address with a port: Write it as 10.0.0.4:7946.
-	// operator.hcl:4:16: the list lacks 10.0.0.6:1, at which this gateway listens: Name all gateways, this one among them.
-	// operator.hcl:2:3: a key is lacking: Gateways believe one another by a key that they share: key "1" { file = "..." }.
+	// operator.hcl:2:12: signed tokens require a key: Add the block peers with a block key.
+	// operator.hcl:3:16: "x" is not an IPv4 address with a port: Write it as 10.0.0.4:7946.
+	// operator.hcl:4:16: the list does not contain 10.0.0.6:1, at which this gateway listens: List all gateways, including this one.
+	// operator.hcl:2:3: no key is given: Gateways authenticate each other with a shared key: key "1" { file = "..." }.
 	// operator.hcl:3:18: Unsuitable value type: Unsuitable value: a bool is required
-	// operator.hcl:3:17: positions need other gateways to be told to: Name them in gateways.
-	// operator.hcl:3:14: listen is no IPv4 address with a port: Write it as 10.0.0.4:7946.
+	// operator.hcl:3:17: positions requires other gateways to report to: List them in gateways.
+	// operator.hcl:3:14: listen is not an IPv4 address with a port: Write it as 10.0.0.4:7946.
 	// operator.hcl:4:24: messages_per_txn is out of range: It is from 0 to 1000.
-	// operator.hcl:3:9: the name of a key is a number from 0 to 255: As in key "1".
-	// operator.hcl:4:5: a key has either a file or a variable: Give one of them.
-	// operator.hcl:5:26: the key is not at least 16 bytes in hexadecimal: Make one with: openssl rand -hex 32.
-	// operator.hcl:6:22: the key can't be read: open nowhere: no such file or directory
-	// operator.hcl:2:3: folder is lacking: Name a folder that outlives the process.
+	// operator.hcl:3:9: the name of a key must be a number from 0 to 255: As in key "1".
+	// operator.hcl:4:5: a key requires either file or variable: Set exactly one of them.
+	// operator.hcl:5:26: the key is not a hexadecimal string of at least 16 bytes: Generate one with: openssl rand -hex 32.
+	// operator.hcl:6:22: the key file cannot be read: open nowhere: no such file or directory
+	// operator.hcl:2:3: folder is missing: Set a folder that persists across restarts.
 	// operator.hcl:3:21: before_answer has the unknown value "often": It is one of none, process.
 	// operator.hcl:4:15: at_most is no span of at least 1ms: Write it as "20ms" or "10s".
-	// operator.hcl:1:1: changes go to all gateways by the agreement: Take the block spread away and give a block agreement (docs/agreement.md): what is applied at one gateway is agreed on by all.
-	// operator.hcl:1:1: gateways that choose together agree on their list: Give a block agreement (docs/agreement.md).
-	// operator.hcl:2:12: subset: from 2 to 1000 members of a group: Two members of each group at the least, more than away; 0 is all of them.
-	// operator.hcl:3:11: turns need signals: Their words go by these: signals = true.
-	// operator.hcl:1:1: gateways that choose together agree on their list: Give a block agreement (docs/agreement.md).
-	// operator.hcl:1:1: connections and away are of subsets: Give subset = 4.
-	// operator.hcl:1:1: gateways that choose together agree on their list: Give a block agreement (docs/agreement.md).
-	// operator.hcl:3:3: a second block of ledger: There may be one.
+	// operator.hcl:1:1: spread is replaced by agreement: Remove the block spread and add a block agreement (docs/agreement.md): all gateways agree on what is applied at one.
+	// operator.hcl:1:1: coordination requires agreement: Add a block agreement (docs/agreement.md): gateways that coordinate agree on their list.
+	// operator.hcl:2:12: subset: from 2 to 1000 members of a group: Use at least two members of each group and more than away; 0 uses all of them.
+	// operator.hcl:3:11: turns requires signals: Signals carry the messages of turns: signals = true.
+	// operator.hcl:1:1: coordination requires agreement: Add a block agreement (docs/agreement.md): gateways that coordinate agree on their list.
+	// operator.hcl:1:1: connections and away require subset: Set subset = 4.
+	// operator.hcl:1:1: coordination requires agreement: Add a block agreement (docs/agreement.md): gateways that coordinate agree on their list.
+	// operator.hcl:3:3: a second block of ledger: Only one is allowed.
 }
 
-// The example in deploy/ is good, and what it says are the defaults.
+// The annotated example in deploy/ is valid, and its values are the defaults.
 func TestAnnotatedExample(t *testing.T) {
 	f, err := Read("../../deploy/operator.hcl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	plain, err := Parse([]byte("sessions {}"), "x")
-	if err != nil || f.Document != nil || fmt.Sprintf("%+v", *f.Sessions) != fmt.Sprintf("%+v", *plain.Sessions) {
-		t.Fatalf("%+v %+v %v", f.Sessions, plain.Sessions, err)
+	defaults, err := Parse([]byte("sessions {}"), "x")
+	if err != nil || f.Document != nil || fmt.Sprintf("%+v", *f.Sessions) != fmt.Sprintf("%+v", *defaults.Sessions) {
+		t.Fatalf("%+v %+v %v", f.Sessions, defaults.Sessions, err)
 	}
 }
 
-// Keys come from files beside the operator's file, or from the environment.
+// Keys come from files, relative to the operator's file, or from environment variables.
 func TestKeys(t *testing.T) {
 	dir := t.TempDir()
 	t.Setenv("SOME_KEY", strings.Repeat("cd", 16))
@@ -117,7 +117,7 @@
 	}
 }
 
-// Whatever a file holds, it is read or refused with a place.
+// FuzzParse checks that any text is parsed or rejected with a position.
 func FuzzParse(f *testing.F) {
 	text, _ := os.ReadFile("../../deploy/operator.hcl")
 	f.Add(string(text))
@@ -129,7 +129,8 @@
 	})
 }
 
-// Whatever a document says, the checks end, each finding is worded, and a table that passes answers for any txn.
+// FuzzDocument checks that compiling any document terminates, that each finding has a text and a remedy, and that a valid
+// table handles any txn.
 func FuzzDocument(f *testing.F) {
 	text, _ := os.ReadFile("../../deploy/operator.hcl")
 	f.Add(string(text), "portal", "10.1.2.3")
--- a/internal/operator/routes.go
+++ b/internal/operator/routes.go
@@ -11,12 +11,12 @@
 	"magpieglade/routes"
 )
 
-// place is where a block stands.
+// sourceLocation converts an HCL range to the location of its start.
 func sourceLocation(r hcl.Range) routes.SourceLocation {
 	return routes.SourceLocation{File: r.Filename, Line: r.Start.Line, Column: r.Start.Column}
 }
 
-// document takes what of a file can be changed while a gateway runs; nil where it says nothing of that.
+// decodeDocument decodes the settings that can change while a gateway runs. It returns nil if the file has none of them.
 func (r *reader) decodeDocument(top *content) *routes.Document {
 	d := new(routes.Document)
 	top.Int("in_flight", &d.MaxInFlight, 1, 1_000_000)
@@ -37,6 +37,7 @@
 	return d
 }
 
+// decodeMembers decodes a list of member names.
 func (r *reader) decodeMembers(top *content, name string) (all []routes.Member) {
 	for _, m := range top.Strings(name) {
 		all = append(all, routes.Member{Name: m, At: sourceLocation(top.Attrs[name].Expr.Range())})
@@ -44,6 +45,7 @@
 	return all
 }
 
+// decodeTenant decodes a block tenant.
 func (r *reader) decodeTenant(b *hcl.Block) routes.Tenant {
 	in := r.decodeBlock(b, []string{"weight", "in_flight", "bytes", "rate", "burst", "connections", "fleet", "without_agreement"})
 	t := routes.Tenant{Name: b.Labels[0], At: sourceLocation(b.DefRange), Weight: 1}
@@ -61,6 +63,7 @@
 	return t
 }
 
+// decodeRoute decodes a block route.
 func (r *reader) decodeRoute(b *hcl.Block) routes.Route {
 	in := r.decodeBlock(b, []string{"types", "users", "databases", "tables", "networks", "type", "tenant", "expiry", "retries", "aim", "zones", "groups"})
 	t := routes.Route{Name: b.Labels[0], At: sourceLocation(b.DefRange), RetryRatio: -1}
@@ -68,7 +71,7 @@
 	for _, text := range in.Strings("networks") {
 		n, err := netip.ParsePrefix(text)
 		if err != nil {
-			r.AddError(in.Attrs["networks"].Expr.Range(), fmt.Sprintf("%q is no IPv4 network", text), "Write it as 10.0.0.0/8.")
+			r.AddError(in.Attrs["networks"].Expr.Range(), fmt.Sprintf("%q is not an IPv4 network", text), "Write it as 10.0.0.0/8.")
 			continue
 		}
 		t.Networks = append(t.Networks, n)
@@ -85,8 +88,8 @@
 	return t
 }
 
-// Document reads what of a file can be changed while a gateway runs. The rest of it is not looked at: keys and folders
-// may be another gateway's, or of another folder than this process's.
+// Document parses a file and returns the settings in it that can change while a gateway runs, nil if it has none. It ignores
+// the rest: keys and folders may belong to another gateway or be relative to another folder than that of this process.
 func Document(text []byte, path string) (*routes.Document, error) {
 	body, err := hclfile.Parse(text, path)
 	if err != nil {
@@ -100,6 +103,7 @@
 	return d, nil
 }
 
+// digest hashes the text of a file. The result is never 0, which stands for no digest.
 func digest(text []byte) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(text)
--- a/internal/operator/routes_test.go
+++ b/internal/operator/routes_test.go
@@ -26,22 +26,22 @@
 }
 `
 
-// A change is read without the rest of its file: keys and folders may be another gateway's.
+// Document ignores the rest of the file: keys and folders may belong to another gateway.
 func Example_documentAlone() {
 	text := "sessions {\n  peers {\n    key \"1\" { file = \"nowhere\" }\n  }\n}\n" + documentText
 	_, err := Parse([]byte(text), "r.hcl")
 	fmt.Println(err != nil)
-	d, err := Document([]byte(text), "kept change")
+	d, err := Document([]byte(text), "stored change")
 	fmt.Println(d != nil, err)
-	_, err = Document([]byte("route {}"), "kept change")
+	_, err = Document([]byte("route {}"), "stored change")
 	fmt.Println(err)
 	// Output:
 	// true
 	// true <nil>
-	// kept change:1:7: Missing name for route: All route blocks must have 1 labels (name).
+	// stored change:1:7: Missing name for route: All route blocks must have 1 labels (name).
 }
 
-// What can be changed while a gateway runs, and what is wrong with it.
+// Decodes the settings that can change while a gateway runs, and reports errors in them.
 func Example_routes() {
 	f, err := Parse([]byte(documentText), "r.hcl")
 	d := f.Document
@@ -62,7 +62,7 @@
 	// true
 	// r.hcl:1:7: Missing name for route: All route blocks must have 1 labels (name).
 	// r.hcl:1:11: Extraneous label for route: Only 1 labels (name) are expected for route blocks.
-	// r.hcl:2:14: "x" is no IPv4 network: Write it as 10.0.0.0/8.
+	// r.hcl:2:14: "x" is not an IPv4 network: Write it as 10.0.0.0/8.
 	// r.hcl:2:13: retries is out of range: It is from 0 to 10.
 	// r.hcl:2:13: Unsuitable value type: Unsuitable value: a number is required
 	// r.hcl:1:13: in_flight is out of range: It is from 1 to 1000000.
