--- a/internal/operator/routes_test.go
+++ b/internal/operator/routes_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-const routed = `
+const documentText = `
 in_flight = 100
 watch     = "10s"
 exclude   = ["m1"]
@@ -26,29 +26,29 @@
 }
 `
 
-// A change is read without the rest of its file: keys and folders may be another gateway's.
+// Document ignores the rest of the file: keys and folders may belong to another gateway.
 func Example_documentAlone() {
-	text := "sessions {\n  peers {\n    key \"1\" { file = \"nowhere\" }\n  }\n}\n" + routed
+	text := "sessions {\n  peers {\n    key \"1\" { file = \"nowhere\" }\n  }\n}\n" + documentText
 	_, err := Parse([]byte(text), "r.hcl")
 	fmt.Println(err != nil)
-	d, err := Document([]byte(text), "kept change")
+	d, err := Document([]byte(text), "stored change")
 	fmt.Println(d != nil, err)
-	_, err = Document([]byte("route {}"), "kept change")
+	_, err = Document([]byte("route {}"), "stored change")
 	fmt.Println(err)
 	// Output:
 	// true
 	// true <nil>
-	// kept change:1:7: Missing name for route: All route blocks must have 1 labels (name).
+	// stored change:1:7: Missing name for route: All route blocks must have 1 labels (name).
 }
 
-// What can be changed while a gateway runs, and what is wrong with it.
+// Decodes the settings that can change while a gateway runs, and reports errors in them.
 func Example_routes() {
-	f, err := Parse([]byte(routed), "r.hcl")
+	f, err := Parse([]byte(documentText), "r.hcl")
 	d := f.Document
-	fmt.Println(err, f.Watch == 10*time.Second, d.MaxInFlight, d.Excluded, d.Tenants[0].Burst)
+	fmt.Println(err, f.WatchDuration == 10*time.Second, d.MaxInFlight, d.Excluded, d.Tenants[0].Burst)
 	fmt.Println(d.Routes[0].At, d.Routes[0].Networks, d.Routes[0].RetryRatio, d.Routes[0].Expiry == int64(500*time.Millisecond),
 		d.Routes[0].TargetLatency == int64(200*time.Millisecond), d.Routes[0].Zones, d.Routes[0].Groups)
-	same, _ := Parse([]byte(routed), "other.hcl")
+	same, _ := Parse([]byte(documentText), "other.hcl")
 	fmt.Println(same.Digest == f.Digest)
 	for _, text := range []string{"route {}", "route \"a\" \"b\" {}", "route \"a\" {\n  networks = [\"x\"]\n}", "route \"a\" {\n  retries = -1\n}",
 		"tenant \"t\" {\n  weight = \"much\"\n}", "in_flight = 0", "exclude = \"m\"",
@@ -62,7 +62,7 @@
 	// true
 	// r.hcl:1:7: Missing name for route: All route blocks must have 1 labels (name).
 	// r.hcl:1:11: Extraneous label for route: Only 1 labels (name) are expected for route blocks.
-	// r.hcl:2:14: "x" is no IPv4 network: Write it as 10.0.0.0/8.
+	// r.hcl:2:14: "x" is not an IPv4 network: Write it as 10.0.0.0/8.
 	// r.hcl:2:13: retries is out of range: It is from 0 to 10.
 	// r.hcl:2:13: Unsuitable value type: Unsuitable value: a number is required
 	// r.hcl:1:13: in_flight is out of range: It is from 1 to 1000000.
