--- a/cli/chosen.go
+++ b/cli/chosen.go
@@ -12,21 +12,21 @@
 	"magpieglade/fleet"
 )
 
-type subsets struct{ socket }
+type fleetSubsets struct{ controlOptions }
 
-// Run tells of them.
-func (s *subsets) Run(out io.Writer) error {
-	r, err := s.ask(out, "GET", "chosen", nil)
+// Run prints which gateways have which members.
+func (s *fleetSubsets) Run(out io.Writer) error {
+	r, err := s.request(out, "GET", "chosen", nil)
 	if err != nil || s.JSON {
 		return err
 	}
-	return subsetsTo(out, r.Chosen, r.Names)
+	return printSubsets(out, r.Chosen, r.Names)
 }
 
-// subsetsTo writes who has which member; a bar of twenty is the mean of its group.
-func subsetsTo(out io.Writer, v *fleet.CoordinationView, names map[uint64]string) error {
+// printSubsets prints each member with the gateways that have it. A bar of 20 characters is the mean of the member's group.
+func printSubsets(out io.Writer, v *fleet.CoordinationView, names map[uint64]string) error {
 	if !v.Subsets {
-		_, err := fmt.Fprintln(out, "each gateway has every member: subset = 4 in the block coordination gives each some")
+		_, err := fmt.Fprintln(out, "each gateway has every member: set subset (for example subset = 4) in the coordination block to give each gateway some of them")
 		return err
 	}
 	mean, count := map[int]float64{}, map[int]int{}
@@ -37,7 +37,7 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "group\tmember\tzone\there\tgateways\t\tin flight\twho")
-	for _, m := range inOrder(v, names) {
+	for _, m := range sortedMembers(v, names) {
 		here := "-"
 		if m.Assigned {
 			here = "yes"
@@ -50,42 +50,43 @@
 		if m.Summary.HealthReports+int(m.Summary.Latency) > 0 {
 			load = fmt.Sprint(m.Summary.Load)
 		}
-		who := m.Holders
-		if more := len(who) - 6; more > 0 {
-			who = append(slices.Clone(who[:6]), fmt.Sprintf("and %d more", more))
+		holders := m.Holders
+		if more := len(holders) - 6; more > 0 {
+			holders = append(slices.Clone(holders[:6]), fmt.Sprintf("and %d more", more))
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", m.Group, names[m.Key], cmp.Or(m.Zone, "-"), here, len(m.Holders), bar, load, strings.Join(who, " "))
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%d\t%s\t%s\t%s\n", m.Group, names[m.Key], cmp.Or(m.Zone, "-"), here, len(m.Holders), bar, load, strings.Join(holders, " "))
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
 	for no := range v.Size {
 		if v.WidenedBy[no] > 0 {
-			fmt.Fprintf(out, "group %d: wider by %d here, as members are suspect, lag or no primary is known\n", no, v.WidenedBy[no])
+			fmt.Fprintf(out, "group %d: subset widened by %d here: members are suspect or lag, or no primary is known\n", no, v.WidenedBy[no])
 		}
 	}
 	return nil
 }
 
-// inOrder are the members by group and name.
-func inOrder(v *fleet.CoordinationView, names map[uint64]string) []fleet.MemberView {
+// sortedMembers returns the members sorted by group and name.
+func sortedMembers(v *fleet.CoordinationView, names map[uint64]string) []fleet.MemberView {
 	return slices.SortedFunc(slices.Values(v.Members), func(x, y fleet.MemberView) int {
 		return cmp.Or(cmp.Compare(x.Group, y.Group), strings.Compare(names[x.Key], names[y.Key]))
 	})
 }
 
-type turnsNow struct{ socket }
+type fleetTurns struct{ controlOptions }
 
-// Run tells of them.
-func (t *turnsNow) Run(out io.Writer) error {
-	r, err := t.ask(out, "GET", "chosen", nil)
+// Run prints the turns and the health of members as other gateways report it.
+func (t *fleetTurns) Run(out io.Writer) error {
+	r, err := t.request(out, "GET", "chosen", nil)
 	if err != nil || t.JSON {
 		return err
 	}
-	return turnsTo(out, r.Chosen, r.Names)
+	return printTurns(out, r.Chosen, r.Names)
 }
 
-func turnsTo(out io.Writer, v *fleet.CoordinationView, names map[uint64]string) error {
+// printTurns prints the state of each turn and each member's summary of the other gateways' reports.
+func printTurns(out io.Writer, v *fleet.CoordinationView, names map[uint64]string) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(v.Turns) > 0 {
 		fmt.Fprintln(table, "turn\tround\there")
@@ -101,19 +102,19 @@
 		fmt.Fprintf(table, "%s\t%d\t%s\n", cmp.Or(names[t.Key], fmt.Sprintf("%x", t.Key)), t.Round, here)
 	}
 	fmt.Fprintln(table, "member\tothers find it\tlatency\tin flight\toldest word")
-	for _, m := range inOrder(v, names) {
-		k, found := m.Summary, "-"
-		if k.HealthReports > 0 {
-			found = fmt.Sprintf("ill %d of %d", k.UnhealthyReports, k.HealthReports)
+	for _, m := range sortedMembers(v, names) {
+		summary, health := m.Summary, "-"
+		if summary.HealthReports > 0 {
+			health = fmt.Sprintf("unhealthy %d of %d", summary.UnhealthyReports, summary.HealthReports)
 			if m.Unhealthy {
-				found += ", so it is taken for ill"
+				health += ", so it is treated as unhealthy"
 			}
 		}
 		latency := "-"
-		if k.Latency > 0 {
-			latency = (time.Duration(k.Latency) * time.Microsecond).Round(100 * time.Microsecond).String()
+		if summary.Latency > 0 {
+			latency = (time.Duration(summary.Latency) * time.Microsecond).Round(100 * time.Microsecond).String()
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.1fs\n", names[m.Key], found, latency, k.Load, float64(k.OldestAge)/1e9)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.1fs\n", names[m.Key], health, latency, summary.Load, float64(summary.OldestAge)/1e9)
 	}
 	if err := table.Flush(); err != nil {
 		return err
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line.
+// Package cli implements the commands of the magpieglade program.
 package cli
 
 import (
@@ -19,71 +19,72 @@
 	"magpieglade/internal/operator"
 )
 
-// commands are all that can be asked for; without a word the gateway serves.
+// commands holds all commands; the default one is serve. The names of commands and flags come from the names of the fields.
 type commands struct {
-	Serve     serve       `cmd:"" default:"withargs" help:"Serve as a gateway. The platform's configuration is in the file that EDGE_CONFIG names."`
-	Config    config      `cmd:"" help:"Look at an operator's file."`
-	Fleet     fleets      `cmd:"" help:"Look at what the fleet agrees on and who votes, and change that."`
-	Contracts contractsOf `cmd:"" help:"Book reserved capacity for tenants, and look at what is booked."`
-	Metrics   metrics     `cmd:"" help:"Print what a gateway counts, in Prometheus' text form."`
-	Ledger    books       `cmd:"" help:"Look at the ledger of sessions' marks."`
+	Serve     serveCommand      `cmd:"" default:"withargs" help:"Run the gateway. EDGE_CONFIG names the file with the platform's configuration."`
+	Config    configCommands    `cmd:"" help:"Check, compare and apply operator files."`
+	Fleet     fleetCommands     `cmd:"" help:"Show and change what the fleet agrees on and which gateways vote."`
+	Contracts contractsCommands `cmd:"" help:"Book reserved capacity for tenants, and show what is booked."`
+	Metrics   metricsCommand    `cmd:"" help:"Print a gateway's metrics in the Prometheus text format."`
+	Ledger    ledgerCommands    `cmd:"" help:"Verify and list the ledger of session positions."`
 
-	Rehearse rehearsal `cmd:"" help:"Play days in which things go wrong, on a virtual clock or with real processes on loopback, and report."`
+	Rehearse rehearseCommands `cmd:"" help:"Run fault scenarios on a virtual clock or with real processes on loopback, and report."`
 
-	Experiment experiments `cmd:"" help:"Play many days and compare variants, or search for the worst."`
-	Load       load        `cmd:"" help:"Drive gateways at some addresses with a scenario's traffic."`
+	Experiment experimentCommands `cmd:"" help:"Run many scenarios and compare variants, or search for the worst case."`
+	Load       loadCommand        `cmd:"" help:"Send a scenario's traffic to running gateways."`
 
-	Measure measure `cmd:"" help:"Play and measure parts of the program."`
+	Measure measureCommands `cmd:"" help:"Simulate and measure parts of the program."`
 
-	Completions kongplete.InstallCompletions `cmd:"" help:"Print what a shell needs to complete these commands: eval it, or put it where the shell starts."`
+	Completions kongplete.InstallCompletions `cmd:"" help:"Print the shell completion script: eval it, or add it to the shell's startup file."`
 }
 
-// Run carries out a command line and gives the status to end with.
-func Run(args []string, out, problems io.Writer) int {
-	var c commands
+// Run executes the command line args and returns the exit status.
+func Run(args []string, stdout, stderr io.Writer) int {
+	var cli commands
 	status := 0
-	parser, err := kong.New(&c, kong.Name("magpieglade"), kong.Writers(out, problems),
+	parser, err := kong.New(&cli, kong.Name("magpieglade"), kong.Writers(stdout, stderr),
 		kong.Description("A gateway that spreads database reads over replicas."),
-		kong.Exit(func(code int) { status = code; panic(ended{}) }), kong.UsageOnError())
+		kong.Exit(func(code int) { status = code; panic(exitRequested{}) }), kong.UsageOnError())
 	if err != nil {
-		fmt.Fprintln(problems, "magpieglade:", err)
+		fmt.Fprintln(stderr, "magpieglade:", err)
 		return 1
 	}
 	defer func() {
 		if e := recover(); e != nil {
-			if _, ok := e.(ended); !ok {
+			if _, ok := e.(exitRequested); !ok {
 				panic(e)
 			}
 		}
 	}()
 	kongplete.Complete(parser, kongplete.WithPredictor("file", complete.PredictFiles("*")),
-		kongplete.WithExitFunc(func(code int) { status = code; panic(ended{}) }))
-	k, err := parser.Parse(args)
+		kongplete.WithExitFunc(func(code int) { status = code; panic(exitRequested{}) }))
+	context, err := parser.Parse(args)
 	if err != nil {
-		fmt.Fprintln(problems, "magpieglade:", err)
+		fmt.Fprintln(stderr, "magpieglade:", err)
 		return 2
 	}
-	k.BindTo(out, (*io.Writer)(nil))
-	if err := k.Run(); err != nil {
-		fmt.Fprintln(problems, "magpieglade:", err)
+	context.BindTo(stdout, (*io.Writer)(nil))
+	if err := context.Run(); err != nil {
+		fmt.Fprintln(stderr, "magpieglade:", err)
 		return 1
 	}
 	return status
 }
 
-// ended is thrown where kong has said all, as after --help.
-type ended struct{}
+// exitRequested is the panic value that replaces os.Exit where kong ends the program, as after --help.
+type exitRequested struct{}
 
-type serve struct {
-	Operator string `help:"The operator's file." env:"EDGE_OPERATOR" type:"path" placeholder:"FILE"`
+type serveCommand struct {
+	Operator string `help:"The operator file." env:"EDGE_OPERATOR" type:"path" placeholder:"FILE"`
 }
 
-// Run serves until SIGTERM; SIGHUP reads the platform's configuration again.
-func (s *serve) Run() error {
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads is no reason to end
-	// Further SIGTERMs change nothing: what was taken is owed its answer. A second interrupt, from a terminal, ends it at once.
+// Run serves until SIGTERM or an interrupt; SIGHUP reloads the platform's configuration and the operator file.
+func (s *serveCommand) Run() error {
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
+	// Further SIGTERMs change nothing: accepted txns still get their responses. A second interrupt, from a terminal, ends
+	// the process at once.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	context.AfterFunc(ctx, func() { signal.Reset(os.Interrupt) })
@@ -107,36 +108,36 @@
 			return err
 		}
 	}
-	go s.reload(ctx, g, again)
+	go s.reload(ctx, g, reloadSignals)
 	return g.Run(ctx)
 }
 
-// reload reads both files anew at each signal.
-func (s *serve) reload(ctx context.Context, g *gateway.Gateway, signals <-chan os.Signal) {
+// reload reads the platform's configuration and the operator file again at each signal.
+func (s *serveCommand) reload(ctx context.Context, g *gateway.Gateway, signals <-chan os.Signal) {
 	for range signals {
 		c, err := gateway.FromFile()
 		if err == nil {
 			err = g.Reload(c)
 		}
 		if err == nil && s.Operator != "" {
-			err = s.apply(ctx, g)
+			err = s.applyOperatorFile(ctx, g)
 		}
 		if err != nil {
-			slog.Error("not reloaded, the former configuration stays", "why", err)
+			slog.Error("not reloaded, keeping the current configuration", "why", err)
 		}
 	}
 }
 
-// apply proposes what of the operator's file can be changed; the rest of it needs a restart. A signal is for this gateway
-// alone, so it is refused where the fleet agrees on changes.
-func (s *serve) apply(ctx context.Context, g *gateway.Gateway) error {
+// applyOperatorFile stages the settings of the operator file that can change at run time; the others need a restart. A
+// signal reaches this gateway alone, so the change is refused where the fleet agrees on changes.
+func (s *serveCommand) applyOperatorFile(ctx context.Context, g *gateway.Gateway) error {
 	f, err := operator.Read(s.Operator)
 	if err != nil {
 		return err
 	}
 	no, findings, err := g.Apply(ctx, gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.Watch), LocalOnly: true})
 	for _, x := range findings {
-		slog.Warn("operator's file", "finding", x.Error())
+		slog.Warn("finding in the operator file", "finding", x.Error())
 	}
 	if err == nil {
 		slog.Info("change staged", "generation", no, "watch", f.Watch)
--- a/cli/config.go
+++ b/cli/config.go
@@ -16,24 +16,25 @@
 	"magpieglade/rollout"
 )
 
-type config struct {
-	Check   check   `cmd:"" help:"Say what is wrong with an operator's file; nothing and status 0 if it is good."`
-	Diff    diff    `cmd:"" help:"Compare an operator's file with what is in force; status 1 if they differ."`
-	Apply   apply   `cmd:"" help:"Have a running gateway apply what of a file can be changed. It is watched, and undone if health worsens."`
-	Status  status  `cmd:"" help:"Tell which generation is in force and what is watched."`
-	History history `cmd:"" help:"List the changes that ended since the gateway's start."`
-	Keep    keep    `cmd:"" help:"Keep the watched change."`
-	Restore restore `cmd:"" help:"Have the fleet agree on a former version again."`
-	Undo    undo    `cmd:"" help:"Undo the watched change, or drop the staged one."`
+// configCommands holds the commands on operator files and the changes of a running gateway.
+type configCommands struct {
+	Check   configCheck   `cmd:"" help:"Validate an operator file; prints nothing and exits with status 0 if it is valid."`
+	Diff    configDiff    `cmd:"" help:"Compare an operator file with the configuration in force; status 1 if they differ."`
+	Apply   configApply   `cmd:"" help:"Apply to a running gateway the settings of a file that can change at run time. The change is watched, and undone if health worsens."`
+	Status  configStatus  `cmd:"" help:"Show which generation is in force and which change is watched."`
+	History configHistory `cmd:"" help:"List the changes that were kept or undone since the gateway started."`
+	Keep    configKeep    `cmd:"" help:"Keep the watched change."`
+	Restore configRestore `cmd:"" help:"Propose the text of an earlier version to the fleet again."`
+	Undo    configUndo    `cmd:"" help:"Undo the watched change, or drop the staged one."`
 }
 
-type check struct {
-	File string `arg:"" type:"existingfile" help:"The operator's file." predictor:"file"`
+type configCheck struct {
+	File string `arg:"" type:"existingfile" help:"The operator file." predictor:"file"`
 	JSON bool   `name:"json" help:"As JSON."`
 }
 
-// Run reads the file.
-func (c *check) Run(out io.Writer) error {
+// Run validates the file.
+func (c *configCheck) Run(out io.Writer) error {
 	_, err := operator.Read(c.File)
 	if c.JSON {
 		problem := ""
@@ -47,13 +48,14 @@
 	return err
 }
 
-// socket is how a running gateway is reached.
-type socket struct {
-	Control string `help:"The gateway's control socket, as its operator's file has it." env:"EDGE_CONTROL" required:"" type:"path" predictor:"file"`
+// controlOptions holds the flags of the commands that query a running gateway over its control socket.
+type controlOptions struct {
+	Control string `help:"The gateway's control socket, as set in its operator file." env:"EDGE_CONTROL" required:"" type:"path" predictor:"file"`
 	JSON    bool   `name:"json" help:"As JSON."`
 }
 
-func (s *socket) ask(out io.Writer, method, what string, q *control.Request) (control.Reply, error) {
+// request sends a request to the gateway and, with --json, prints the reply.
+func (s *controlOptions) request(out io.Writer, method, what string, q *control.Request) (control.Reply, error) {
 	r, err := control.Ask(context.Background(), s.Control, method, what, q)
 	if s.JSON {
 		if e := json.NewEncoder(out).Encode(r); e != nil {
@@ -63,26 +65,26 @@
 	return r, err
 }
 
-// json writes something as JSON, where that is asked for.
-func (s *socket) json(out io.Writer, x any) error {
+// printJSON prints x as JSON if --json is set.
+func (s *controlOptions) printJSON(out io.Writer, x any) error {
 	if !s.JSON {
 		return nil
 	}
 	return json.NewEncoder(out).Encode(x)
 }
 
-type diff struct {
-	socket
-	File string `arg:"" type:"existingfile" help:"The operator's file." predictor:"file"`
+type configDiff struct {
+	controlOptions
+	File string `arg:"" type:"existingfile" help:"The operator file." predictor:"file"`
 }
 
-// Run compares them line by line: what is in force was a file too.
-func (d *diff) Run(out io.Writer) error {
+// Run prints a line diff of the file and the text of the generation in force.
+func (d *configDiff) Run(out io.Writer) error {
 	text, err := os.ReadFile(d.File)
 	if err != nil {
 		return err
 	}
-	r, err := d.ask(out, "GET", "text", nil)
+	r, err := d.request(out, "GET", "text", nil)
 	if err != nil {
 		return err
 	}
@@ -95,26 +97,26 @@
 	return fmt.Errorf("%s is not what is in force", d.File)
 }
 
-type apply struct {
-	socket
-	File  string         `arg:"" type:"existingfile" help:"The operator's file." predictor:"file"`
-	Watch *time.Duration `help:"For how long it is undone if health worsens; 0 keeps it at once. Without it what the file says."`
-	Again bool           `help:"Also if it was undone before."`
-	Why   string         `help:"What it is for, where the fleet agrees on changes."`
-	Wait  bool           `help:"Wait until it is kept or undone; status 1 if it was undone."`
+type configApply struct {
+	controlOptions
+	File  string         `arg:"" type:"existingfile" help:"The operator file." predictor:"file"`
+	Watch *time.Duration `help:"How long the change is watched and undone if health worsens; 0 keeps it at once. The default is the file's value."`
+	Again bool           `help:"Apply it even if the same change was undone before."`
+	Why   string         `help:"The reason of the change, recorded where the fleet agrees on changes."`
+	Wait  bool           `help:"Wait until the change is kept or undone; status 1 if it was undone."`
 }
 
-// Run applies it.
-func (a *apply) Run(out io.Writer) error {
+// Run applies the file and, with --wait, waits for the outcome.
+func (a *configApply) Run(out io.Writer) error {
 	text, err := os.ReadFile(a.File)
 	if err != nil {
 		return err
 	}
-	q := control.Request{Text: string(text), Path: a.File, Watch: -1, Again: a.Again, Who: who(), Why: a.Why}
+	q := control.Request{Text: string(text), Path: a.File, Watch: -1, Again: a.Again, Who: currentUser(), Why: a.Why}
 	if a.Watch != nil {
 		q.Watch = int64(*a.Watch)
 	}
-	r, err := a.ask(out, "POST", "apply", &q)
+	r, err := a.request(out, "POST", "apply", &q)
 	if !a.JSON {
 		for _, f := range r.Findings {
 			fmt.Fprintln(out, f)
@@ -124,7 +126,7 @@
 		return err
 	}
 	if f, err := control.Ask(context.Background(), a.Control, "GET", "fleet", nil); err == nil && f.Fleet != nil {
-		return a.agreed(out, uint64(r.Generation))
+		return a.waitInForce(out, uint64(r.Generation))
 	}
 	if !a.JSON {
 		fmt.Fprintf(out, "generation %d staged\n", r.Generation)
@@ -147,34 +149,34 @@
 	return nil
 }
 
-type status struct{ socket }
+type configStatus struct{ controlOptions }
 
-// Run tells it.
-func (s *status) Run(out io.Writer) error {
-	r, err := s.ask(out, "GET", "status", nil)
+// Run prints the stage, the generations and the health of the gateway.
+func (s *configStatus) Run(out io.Writer) error {
+	r, err := s.request(out, "GET", "status", nil)
 	if err != nil || s.JSON {
 		return err
 	}
-	x := r.Status
-	fmt.Fprintf(out, "%s: generation %d in force, %d kept", x.Stage, x.InForce, x.Kept)
-	if x.Staged != 0 {
-		fmt.Fprintf(out, ", %d staged", x.Staged)
+	status := r.Status
+	fmt.Fprintf(out, "%s: generation %d in force, %d kept", status.Stage, status.InForce, status.Kept)
+	if status.Staged != 0 {
+		fmt.Fprintf(out, ", %d staged", status.Staged)
 	}
-	if x.Stage == rollout.Watched {
-		fmt.Fprintf(out, ", %v of its watch left", time.Duration(x.Left).Round(time.Millisecond))
+	if status.Stage == rollout.Watched {
+		fmt.Fprintf(out, ", %v of its watch left", time.Duration(status.Left).Round(time.Millisecond))
 	}
-	fmt.Fprintf(out, "; %s\n", x.Health)
+	fmt.Fprintf(out, "; %s\n", status.Health)
 	return nil
 }
 
-type history struct{ socket }
+type configHistory struct{ controlOptions }
 
-// Run lists it.
-func (h *history) Run(out io.Writer) error {
+// Run lists the fleet's versions, or the gateway's finished changes where no fleet agrees on them.
+func (h *configHistory) Run(out io.Writer) error {
 	if f, err := control.Ask(context.Background(), h.Control, "GET", "fleet", nil); err == nil && f.Fleet != nil {
-		return versionsTo(out, f.Fleet, h.JSON)
+		return printVersions(out, f.Fleet, h.JSON)
 	}
-	r, err := h.ask(out, "GET", "status", nil)
+	r, err := h.request(out, "GET", "status", nil)
 	if err != nil || h.JSON {
 		return err
 	}
@@ -186,18 +188,18 @@
 	return table.Flush()
 }
 
-type keep struct{ socket }
+type configKeep struct{ controlOptions }
 
-// Run keeps it.
-func (k *keep) Run(out io.Writer) error {
-	_, err := k.ask(out, "POST", "keep", nil)
+// Run keeps the watched change.
+func (k *configKeep) Run(out io.Writer) error {
+	_, err := k.request(out, "POST", "keep", nil)
 	return err
 }
 
-type undo struct{ socket }
+type configUndo struct{ controlOptions }
 
-// Run undoes it.
-func (u *undo) Run(out io.Writer) error {
-	_, err := u.ask(out, "POST", "undo", nil)
+// Run undoes the watched change or drops the staged one.
+func (u *configUndo) Run(out io.Writer) error {
+	_, err := u.request(out, "POST", "undo", nil)
 	return err
 }
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -16,28 +16,29 @@
 	"magpieglade/rehearse/results"
 )
 
-type experiments struct {
-	Run    experimentRun    `cmd:"" default:"withargs" help:"Play an experiment's days and say which variant does better; what was interrupted goes on."`
-	Search experimentSearch `cmd:"" help:"Find the day of faults by chance on which a policy loses most, and shrink it."`
+// experimentCommands holds the commands that run many scenarios.
+type experimentCommands struct {
+	Run    experimentRun    `cmd:"" default:"withargs" help:"Run an experiment and report which variant does better; an interrupted experiment is resumed."`
+	Search experimentSearch `cmd:"" help:"Search random faults for those that cost a policy the most, and shrink the scenario found."`
 }
 
 type experimentRun struct {
-	File string `arg:"" type:"existingfile" help:"The experiment's file." predictor:"file"`
-	Out  string `default:"experiment" type:"path" help:"A folder for runs.jsonl, verdicts.csv and verdicts.html."`
+	File string `arg:"" type:"existingfile" help:"The experiment file." predictor:"file"`
+	Out  string `default:"experiment" type:"path" help:"Folder for runs.jsonl, verdicts.csv and verdicts.html."`
 	JSON bool   `name:"json" help:"The verdicts as lines of JSON."`
 }
 
-// Run plays it.
+// Run executes the experiment, and prints and writes its verdicts.
 func (e *experimentRun) Run(out io.Writer) error {
-	p, err := experiment.Read(e.File)
+	plan, err := experiment.Read(e.File)
 	if err != nil {
 		return err
 	}
-	runs, err := p.Execute(e.Out, days(e.JSON))
+	runs, err := plan.Execute(e.Out, experimentProgress(e.JSON))
 	if err != nil {
 		return err
 	}
-	verdicts := p.Compare(runs)
+	verdicts := plan.Compare(runs)
 	file, err := os.Create(filepath.Join(e.Out, "verdicts.csv"))
 	if err != nil {
 		return err
@@ -69,14 +70,15 @@
 		return err
 	}
 	defer func() { _ = page.Close() }()
-	if err := results.Verdicts(page, p.Variants[0].Name, verdicts); err != nil {
+	if err := results.Verdicts(page, plan.Variants[0].Name, verdicts); err != nil {
 		return err
 	}
 	return table.Flush()
 }
 
-// days tells on standard error how far an experiment is, every few seconds, with the time that is left by what it took.
-func days(quiet bool) func(done, all int) {
+// experimentProgress returns a callback that prints the progress of an experiment to standard error, at most every two
+// seconds, with the remaining time estimated from the mean time of the runs so far.
+func experimentProgress(quiet bool) func(done, all int) {
 	began, shown, first := time.Now(), time.Now(), -1
 	return func(done, all int) {
 		if first < 0 {
@@ -92,21 +94,21 @@
 }
 
 type experimentSearch struct {
-	Scenario string `arg:"" default:"calm" help:"Whose fleet and traffic." predictor:"file"`
-	Policy   string `default:"decide" help:"That is to lose."`
-	Against  string `help:"Another policy; without it the same day without faults."`
-	Days     int    `default:"100" help:"So many are tried."`
-	Seed     uint64 `default:"1" help:"Of chance."`
-	Out      string `help:"A file for the shrunk day." type:"path" placeholder:"FILE"`
+	Scenario string `arg:"" default:"calm" help:"The scenario with the fleet and the traffic: a built-in name or a file." predictor:"file"`
+	Policy   string `default:"decide" help:"The policy whose worst case is searched for."`
+	Against  string `help:"Another policy to compare with; the default is the same scenario without faults."`
+	Days     int    `default:"100" help:"Number of scenarios to try."`
+	Seed     uint64 `default:"1" help:"Seed of the random numbers."`
+	Out      string `help:"File for the shrunk scenario." type:"path" placeholder:"FILE"`
 }
 
-// Run searches.
+// Run searches, prints the worst scenario and writes its shrunk form to a file.
 func (e *experimentSearch) Run(out io.Writer) error {
 	s, err := rehearse.Find(e.Scenario)
 	if err != nil {
 		return err
 	}
-	f, err := experiment.Search(s, e.Policy, e.Against, e.Days, e.Seed, days(false))
+	f, err := experiment.Search(s, e.Policy, e.Against, e.Days, e.Seed, experimentProgress(false))
 	if err != nil {
 		return err
 	}
@@ -122,54 +124,54 @@
 	return os.WriteFile(e.Out, f.Shrunk.HCL(), 0o644)
 }
 
-type load struct {
-	Address  []string      `arg:"" help:"Of gateways, as 10.0.0.4:5432; sessions are spread over them."`
-	Scenario string        `default:"calm" help:"Whose txn types and traffic: a ready scenario's name, or a file." predictor:"file"`
-	Rate     float64       `help:"First tries a second, in the place of the scenario's."`
-	For      time.Duration `help:"In the place of the scenario's length."`
-	Cluster  int           `help:"That all txns name."`
+type loadCommand struct {
+	Address  []string      `arg:"" help:"Addresses of gateways, as 10.0.0.4:5432; sessions are spread over them."`
+	Scenario string        `default:"calm" help:"The scenario with the txn types and the traffic: a built-in name or a file." predictor:"file"`
+	Rate     float64       `help:"Requests a second without retries; overrides the scenario's rate."`
+	Duration time.Duration `name:"for" help:"Duration of the load; overrides the scenario's length."`
+	Cluster  int           `help:"The cluster that all txns name."`
 	JSON     bool          `name:"json" help:"The figures as JSON."`
 }
 
-// Run drives them.
-func (l *load) Run(out io.Writer) error {
-	s, err := rehearse.Find(l.Scenario)
+// Run sends the load and prints the service of each txn type.
+func (l *loadCommand) Run(out io.Writer) error {
+	scenario, err := rehearse.Find(l.Scenario)
 	if err != nil {
 		return err
 	}
 	for _, a := range l.Address {
 		if _, err := netip.ParseAddrPort(a); err != nil {
-			return fmt.Errorf("%q is no address with a port", a)
+			return fmt.Errorf("%q is not an address with a port", a)
 		}
 	}
 	if l.Rate > 0 {
-		s.Traffic.Rate = l.Rate
+		scenario.Traffic.Rate = l.Rate
 	}
-	if l.For > 0 {
-		s.Length = int64(l.For)
+	if l.Duration > 0 {
+		scenario.Length = int64(l.Duration)
 	}
-	r, err := rehearse.RunLoad(&rehearse.Load{Scenario: s, Addresses: l.Address, Group: l.Cluster, SessionPrefix: uint32(time.Now().Unix())}, progress(l.JSON))
+	report, err := rehearse.RunLoad(&rehearse.Load{Scenario: scenario, Addresses: l.Address, Group: l.Cluster, SessionPrefix: uint32(time.Now().Unix())}, progressPrinter(l.JSON))
 	if err != nil {
 		return err
 	}
-	late := func(q float64) float64 { return float64(r.SendDelay.ValueAtQuantile(q)) / 1000 }
+	late := func(q float64) float64 { return float64(report.SendDelay.ValueAtQuantile(q)) / 1000 }
 	if l.JSON {
-		return json.NewEncoder(out).Encode(map[string]any{"service": r.Service.Overall, "asked": r.Service.Requested, "tries": r.Service.Attempts, "broken": len(r.Violations),
-			"late_p50_ms": late(50), "late_p99_ms": late(99), "errors": r.Errors})
+		return json.NewEncoder(out).Encode(map[string]any{"service": report.Service.Overall, "asked": report.Service.Requested, "tries": report.Service.Attempts, "broken": len(report.Violations),
+			"late_p50_ms": late(50), "late_p99_ms": late(99), "errors": report.Errors})
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "type\tservice\tasked\tserved\tdeclined\trolled back\tunanswered\tp50\tp99\t")
-	for i := range r.Service.Types {
-		t := &r.Service.Types[i]
+	for i := range report.Service.Types {
+		t := &report.Service.Types[i]
 		fmt.Fprintf(table, "%s\t%.3f\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t\n", t.Name, t.Service, t.Requested, t.Served, t.Declined, t.RolledBack, t.Unanswered,
 			time.Duration(t.P50).Round(100*time.Microsecond), time.Duration(t.P99).Round(100*time.Microsecond))
 	}
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "service %.3f; %d txns in %v, sent %.1f ms late at the median, %.1f ms at the 99th percentile; %d broken rules of answers and reads\n", r.Service.Overall,
-		r.Service.Requested, r.Elapsed.Round(time.Millisecond), late(50), late(99), len(r.Violations))
-	for what, n := range r.Errors {
+	fmt.Fprintf(out, "service %.3f; %d txns in %v, sent %.1f ms late at the median, %.1f ms at the 99th percentile; %d broken rules of answers and reads\n", report.Service.Overall,
+		report.Service.Requested, report.Elapsed.Round(time.Millisecond), late(50), late(99), len(report.Violations))
+	for what, n := range report.Errors {
 		fmt.Fprintf(out, "%6d  %s\n", n, what)
 	}
 	return nil
--- a/cli/fleet.go
+++ b/cli/fleet.go
@@ -19,19 +19,20 @@
 	"magpieglade/internal/control"
 )
 
-type fleets struct {
-	Status  fleetStatus `cmd:"" help:"Tell how this gateway stands to the fleet, who votes and which versions hold."`
-	Shares  shares      `cmd:"" help:"Tell of bounds of the fleet: who keeps each, what this gateway holds of it, and where it is kept who holds what."`
-	Subsets subsets     `cmd:"" help:"Tell which gateway has which members, and how even that is."`
-	Turns   turnsNow    `cmd:"" help:"Tell whose turn it is for what one gateway does for all, and what others say of members."`
-	Found   found       `cmd:"" help:"Begin a fleet with this gateway as its one voter: once in the fleet's life."`
-	Voters  voters      `cmd:"" help:"Have gateways vote, or no longer. Three, five or seven of them, spread over zones."`
-	Leave   leave       `cmd:"" help:"Take this gateway out of the fleet's list, as before it is turned off for good."`
-	Evict   evict       `cmd:"" help:"Take a gateway out of the fleet's list that will not come back."`
+// fleetCommands holds the commands on the fleet's agreement and its members.
+type fleetCommands struct {
+	Status  fleetStatus    `cmd:"" help:"Show this gateway's lease, the voters and the versions in force."`
+	Shares  fleetShares    `cmd:"" help:"Show the fleet-wide limits: the allocator of each, this gateway's allocation and, at the allocator, all grants."`
+	Subsets fleetSubsets   `cmd:"" help:"Show which gateways have which members, and how evenly they are spread."`
+	Turns   fleetTurns     `cmd:"" help:"Show the turns for work that one gateway does for all, and what other gateways report of members."`
+	Found   fleetBootstrap `cmd:"" help:"Bootstrap a fleet with this gateway as its only voter: once in the fleet's life."`
+	Voters  fleetVoters    `cmd:"" help:"Add or remove voters. A fleet has three, five or seven, spread over zones."`
+	Leave   fleetLeave     `cmd:"" help:"Remove this gateway from the fleet's list, before it is shut down for good."`
+	Evict   fleetEvict     `cmd:"" help:"Remove a gateway that will not come back from the fleet's list."`
 }
 
-// who is who asks, as histories show it.
-func who() string {
+// currentUser returns the user and host that histories show as the author of a change.
+func currentUser() string {
 	name := "somebody"
 	if u, err := user.Current(); err == nil {
 		name = u.Username
@@ -43,67 +44,67 @@
 }
 
 type fleetStatus struct {
-	socket
-	Watch bool `help:"Go on telling it, on a screen."`
+	controlOptions
+	Watch bool `help:"Show a live view."`
 }
 
-// Run tells it.
+// Run prints the status, or shows it as a live view.
 func (s *fleetStatus) Run(out io.Writer) error {
 	if s.Watch {
 		return s.watch(out)
 	}
-	r, err := s.ask(out, "GET", "fleet?all", nil)
+	r, err := s.request(out, "GET", "fleet?all", nil)
 	if err != nil || s.JSON {
 		return err
 	}
-	return fleetTo(out, r.Fleet)
+	return printFleetStatus(out, r.Fleet)
 }
 
-// fleetTo writes how a gateway stands.
-func fleetTo(out io.Writer, s *fleet.Status) error {
+// printFleetStatus prints the lease, the versions and the list of gateways as one gateway knows them.
+func printFleetStatus(out io.Writer, status *fleet.Status) error {
 	lease := "careful: its lease has run out"
-	if s.LeaseRemaining > 0 {
-		lease = fmt.Sprintf("may act for %v", time.Duration(s.LeaseRemaining).Round(10*time.Millisecond))
+	if status.LeaseRemaining > 0 {
+		lease = fmt.Sprintf("may act for %v", time.Duration(status.LeaseRemaining).Round(10*time.Millisecond))
 	}
 	name := func(id agreement.ID) string {
-		for _, g := range s.Manifest.Gateways {
+		for _, g := range status.Manifest.Gateways {
 			if g.ID == id {
 				return g.Name
 			}
 		}
 		return fmt.Sprintf("%x", uint64(id))
 	}
-	fmt.Fprintf(out, "%s %s; versions contradict each other for %v at most\n", name(s.Self), lease, time.Duration(s.MaxDivergence))
-	if s.IsVoter {
+	fmt.Fprintf(out, "%s %s; versions contradict each other for %v at most\n", name(status.Self), lease, time.Duration(status.MaxDivergence))
+	if status.IsVoter {
 		leader := "nobody it knows of"
-		if s.Leader != 0 {
-			leader = name(s.Leader)
+		if status.Leader != 0 {
+			leader = name(status.Leader)
 		}
-		fmt.Fprintf(out, "votes; %s leads, term %d\n", leader, s.Term)
+		fmt.Fprintf(out, "votes; %s leads, term %d\n", leader, status.Term)
 	}
-	for _, x := range s.Manifest.Subjects {
-		fmt.Fprintf(out, "%s: %s", x.Name, versionOf(x.InForce))
+	for _, x := range status.Manifest.Subjects {
+		fmt.Fprintf(out, "%s: %s", x.Name, formatVersion(x.InForce))
 		switch {
 		case x.Next != nil && x.Step > 0:
 			where := "elsewhere"
-			if x.InCanary(s.Self) {
+			if x.InCanary(status.Self) {
 				where = "here too"
 			}
-			fmt.Fprintf(out, ", step %d of 2 tries %s, %s", x.Step, versionOf(x.Next), where)
+			fmt.Fprintf(out, ", step %d of 2 tries %s, %s", x.Step, formatVersion(x.Next), where)
 		case x.Next != nil:
-			fmt.Fprintf(out, ", next %s", versionOf(x.Next))
+			fmt.Fprintf(out, ", next %s", formatVersion(x.Next))
 		}
 		fmt.Fprintln(out)
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "gateway\taddress\tzone\tbuild\tvotes\tlease\tholds\n")
-	for _, g := range s.Manifest.Gateways {
-		left, holds := "-", "-" // no voter heard of it of late: it is careful, away, or its voter is
-		if i := slices.IndexFunc(s.Leases, func(x agreement.GatewayLease) bool { return x.ID == g.ID }); i >= 0 {
-			if x := s.Leases[i]; x.Remaining > 0 {
+	for _, g := range status.Manifest.Gateways {
+		left, holds := "-", "-" // no voter has granted it a lease lately: its lease has expired, or it or its voter is unreachable
+		if i := slices.IndexFunc(status.Leases, func(x agreement.GatewayLease) bool { return x.ID == g.ID }); i >= 0 {
+			if x := status.Leases[i]; x.Remaining > 0 {
 				left = fmt.Sprintf("%.1fs", float64(x.Remaining)/1e9)
 			}
-			if holds = "all"; s.Leases[i].KnownRevision < s.Manifest.Revision {
+			if holds = "all"; status.Leases[i].KnownRevision < status.Manifest.Revision {
 				holds = "an earlier state"
 			}
 		}
@@ -112,29 +113,31 @@
 	if err := table.Flush(); err != nil {
 		return err
 	}
-	for _, g := range s.Manifest.Departed {
+	for _, g := range status.Manifest.Departed {
 		fmt.Fprintf(out, "%s at %s was taken out and may serve clients yet: reads of sessions ask it too, until it says that it has ended or fleet evict %s --ended does\n", g.Name, g.Address, g.Name)
 	}
 	return nil
 }
 
-func versionOf(v *agreement.Version) string {
+// formatVersion describes a version by number, digest and author.
+func formatVersion(v *agreement.Version) string {
 	if v == nil {
 		return "none"
 	}
 	return fmt.Sprintf("version %d (%s) by %s", v.No, v.Digest, cmp.Or(v.Author, "-"))
 }
 
-// versionsTo lists the versions that are kept, or at a gateway that does not vote those that are alive.
-func versionsTo(out io.Writer, s *fleet.Status, asJSON bool) error {
+// printVersions lists the versions in the history; a gateway that does not vote has none, and lists the version in force
+// and the next one.
+func printVersions(out io.Writer, status *fleet.Status, asJSON bool) error {
 	var all []agreement.Version
-	for _, x := range s.History {
+	for _, x := range status.History {
 		if x.Name == gateway.SubjectRoutes {
 			all = append(all, x.Versions...)
 		}
 	}
 	if len(all) == 0 {
-		for _, x := range s.Manifest.Subjects {
+		for _, x := range status.Manifest.Subjects {
 			for _, v := range []*agreement.Version{x.InForce, x.Next} {
 				if v != nil && x.Name == gateway.SubjectRoutes {
 					all = append(all, *v)
@@ -148,17 +151,17 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "version\tdigest\twho\twhen\twhy\tcontradicts its predecessor")
 	for _, v := range all {
-		clashes := cmp.Or(strings.Join(v.Conflicts, "; "), "no")
+		conflicts := cmp.Or(strings.Join(v.Conflicts, "; "), "no")
 		if v.AbortReason != "" {
-			clashes += "; dropped: " + v.AbortReason
+			conflicts += "; dropped: " + v.AbortReason
 		}
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", v.No, v.Digest, v.Author, time.Unix(0, v.ProposedAt).UTC().Format(time.DateTime), cmp.Or(v.Reason, "-"), clashes)
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\t%s\n", v.No, v.Digest, v.Author, time.Unix(0, v.ProposedAt).UTC().Format(time.DateTime), cmp.Or(v.Reason, "-"), conflicts)
 	}
 	return table.Flush()
 }
 
-// agreed waits until a version is in force at this gateway, if that is asked for.
-func (a *apply) agreed(out io.Writer, no uint64) error {
+// waitInForce waits until a version is in force at this gateway if --wait is set.
+func (a *configApply) waitInForce(out io.Writer, no uint64) error {
 	if !a.JSON {
 		fmt.Fprintf(out, "version %d is agreed on\n", no)
 	}
@@ -178,36 +181,37 @@
 	return nil
 }
 
-type restore struct {
-	socket
-	Version uint64 `arg:"" help:"Its number, as config history lists it."`
+type configRestore struct {
+	controlOptions
+	Version uint64 `arg:"" help:"The version's number, as config history lists it."`
 }
 
-// Run asks for it.
-func (x *restore) Run(out io.Writer) error {
-	r, err := x.ask(out, "POST", "restore", &control.Request{No: x.Version, Who: who()})
+// Run proposes the text of the earlier version.
+func (x *configRestore) Run(out io.Writer) error {
+	r, err := x.request(out, "POST", "restore", &control.Request{No: x.Version, Who: currentUser()})
 	if err == nil && !x.JSON {
 		fmt.Fprintf(out, "version %d is agreed on, with the text of version %d\n", r.Generation, x.Version)
 	}
 	return err
 }
 
-type found struct{ socket }
+type fleetBootstrap struct{ controlOptions }
 
-// Run founds it.
-func (f *found) Run(out io.Writer) error {
-	_, err := f.ask(out, "POST", "found", nil)
+// Run bootstraps the fleet.
+func (f *fleetBootstrap) Run(out io.Writer) error {
+	_, err := f.request(out, "POST", "found", nil)
 	return err
 }
 
-// byName finds a gateway of the list, or one that was taken out, those first if ended.
-func (s *socket) byName(name string, ended bool) (id agreement.ID, self agreement.ID, err error) {
+// findGateway returns the ID of the gateway with this name, 0 for an empty name, and the ID of the gateway asked. It
+// searches the list and the departed gateways, the latter first if departedFirst is set.
+func (s *controlOptions) findGateway(name string, departedFirst bool) (id agreement.ID, self agreement.ID, err error) {
 	r, err := control.Ask(context.Background(), s.Control, "GET", "fleet", nil)
 	if err != nil {
 		return 0, 0, err
 	}
 	all := slices.Concat(r.Fleet.Manifest.Gateways, r.Fleet.Manifest.Departed)
-	if ended {
+	if departedFirst {
 		all = slices.Concat(r.Fleet.Manifest.Departed, r.Fleet.Manifest.Gateways)
 	}
 	i := slices.IndexFunc(all, func(g agreement.Gateway) bool { return g.Name == name })
@@ -220,22 +224,22 @@
 	return id, r.Fleet.Self, nil
 }
 
-type voters struct {
-	socket
-	Add    []string `help:"Names of gateways that are to vote; each has a folder in its block agreement."`
-	Remove []string `help:"Names of gateways that are to vote no longer."`
+type fleetVoters struct {
+	controlOptions
+	Add    []string `help:"Names of gateways to make voters; each needs a folder in its agreement block."`
+	Remove []string `help:"Names of gateways that stop voting."`
 }
 
-// Run asks for it, one after the other.
-func (v *voters) Run(out io.Writer) error {
+// Run proposes the changes one after the other.
+func (v *fleetVoters) Run(out io.Writer) error {
 	for _, x := range []struct {
 		names []string
 		on    bool
 	}{{v.Add, true}, {v.Remove, false}} {
 		for _, name := range x.names {
-			id, _, err := v.byName(name, false)
+			id, _, err := v.findGateway(name, false)
 			if err == nil {
-				_, err = v.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{VoterChange: &agreement.VoterChange{ID: id, Enabled: x.on}}})
+				_, err = v.request(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{VoterChange: &agreement.VoterChange{ID: id, Enabled: x.on}}})
 			}
 			if err != nil {
 				return err
@@ -245,28 +249,28 @@
 	return nil
 }
 
-type leave struct{ socket }
+type fleetLeave struct{ controlOptions }
 
-// Run takes this gateway out.
-func (l *leave) Run(out io.Writer) error {
-	_, self, err := l.byName("", false)
+// Run proposes the removal of this gateway.
+func (l *fleetLeave) Run(out io.Writer) error {
+	_, self, err := l.findGateway("", false)
 	if err == nil {
-		_, err = l.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: self}})
+		_, err = l.request(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: self}})
 	}
 	return err
 }
 
-type evict struct {
-	socket
-	Gateway string `arg:"" help:"Its name in the list."`
-	Ended   bool   `help:"Its process has ended for certain, so it serves nobody any more and nobody has to ask it."`
+type fleetEvict struct {
+	controlOptions
+	Gateway string `arg:"" help:"The gateway's name in the list."`
+	Ended   bool   `help:"Its process has certainly ended: it serves no clients, and no gateway needs to query it."`
 }
 
-// Run takes it out.
-func (e *evict) Run(out io.Writer) error {
-	id, _, err := e.byName(e.Gateway, e.Ended)
+// Run proposes the removal of the gateway.
+func (e *fleetEvict) Run(out io.Writer) error {
+	id, _, err := e.findGateway(e.Gateway, e.Ended)
 	if err == nil {
-		_, err = e.ask(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: id, ProcessEnded: e.Ended}})
+		_, err = e.request(out, "POST", "wish", &control.Request{Wish: &agreement.Proposal{Leave: id, ProcessEnded: e.Ended}})
 	}
 	return err
 }
--- a/cli/ledger.go
+++ b/cli/ledger.go
@@ -11,65 +11,68 @@
 	"magpieglade/session"
 )
 
-type books struct {
-	Verify verify `cmd:"" help:"Read a ledger and say what is lacking: status 0 if nothing, 1 if its gateway fences after a restart."`
-	Show   show   `cmd:"" help:"List what a ledger holds."`
+// ledgerCommands holds the commands on a ledger's folder.
+type ledgerCommands struct {
+	Verify ledgerVerify `cmd:"" help:"Check that a ledger is complete: status 0 if it is, 1 if its gateway fences after a restart."`
+	Show   ledgerShow   `cmd:"" help:"List the changes in a ledger."`
 }
 
-type verify struct {
+type ledgerVerify struct {
 	Folder string `arg:"" type:"existingdir" help:"The ledger's folder."`
 	JSON   bool   `name:"json" help:"As JSON."`
 }
 
-// verdict is what verify tells.
-type verdict struct {
-	Complete bool   `json:"complete"`
-	Clean    bool   `json:"clean"`
-	Changes  int    `json:"changes"`
-	Torn     int64  `json:"torn_bytes"`
-	Spoilt   int    `json:"spoilt"`
-	Unread   int    `json:"unread"`
-	Verdict  string `json:"verdict"`
-	Segments []part `json:"segments"`
+// verifyResult is the JSON output of ledger verify.
+type verifyResult struct {
+	Complete  bool            `json:"complete"`
+	Clean     bool            `json:"clean"`
+	Changes   int             `json:"changes"`
+	TornBytes int64           `json:"torn_bytes"`
+	Spoilt    int             `json:"spoilt"`
+	Unread    int             `json:"unread"`
+	Verdict   string          `json:"verdict"`
+	Segments  []segmentResult `json:"segments"`
 }
 
-type part struct {
-	Name    string `json:"name"`
-	Bytes   int64  `json:"bytes"`
-	Records int    `json:"records"`
-	Whole   bool   `json:"whole"`
-	Torn    int64  `json:"torn_bytes"`
-	Spoilt  int    `json:"spoilt"`
+// segmentResult is the part of verifyResult on one segment.
+type segmentResult struct {
+	Name      string `json:"name"`
+	Bytes     int64  `json:"bytes"`
+	Records   int    `json:"records"`
+	Whole     bool   `json:"whole"`
+	TornBytes int64  `json:"torn_bytes"`
+	Spoilt    int    `json:"spoilt"`
 }
 
-// Run reads the folder, also while a gateway has it.
-func (v *verify) Run(out io.Writer) error {
+// Run reads the folder; a gateway may have it open meanwhile.
+func (v *ledgerVerify) Run(out io.Writer) error {
 	f, err := ledger.Read(v.Folder)
 	if err != nil {
 		return err
 	}
-	all := verdict{Complete: f.Complete, Clean: f.Clean, Changes: len(f.Changes), Torn: f.TornBytes, Spoilt: f.Corrupt,
-		Unread: f.UnknownRecords, Verdict: verdictOf(f), Segments: []part{}}
+	all := verifyResult{Complete: f.Complete, Clean: f.Clean, Changes: len(f.Changes), TornBytes: f.TornBytes, Spoilt: f.Corrupt,
+		Unread: f.UnknownRecords, Verdict: describeLedger(f), Segments: []segmentResult{}}
 	for _, s := range f.Segments {
-		all.Segments = append(all.Segments, part{s.Name, s.Bytes, s.Records, s.SnapshotComplete, s.Torn, s.Corrupt})
+		all.Segments = append(all.Segments, segmentResult{s.Name, s.Bytes, s.Records, s.SnapshotComplete, s.Torn, s.Corrupt})
 	}
 	if v.JSON {
 		err = json.NewEncoder(out).Encode(all)
 	} else {
 		for _, s := range all.Segments {
-			fmt.Fprintf(out, "%s: %d bytes, %d records, whole %v, torn bytes %d, spoilt %d\n", s.Name, s.Bytes, s.Records, s.Whole, s.Torn, s.Spoilt)
+			fmt.Fprintf(out, "%s: %d bytes, %d records, whole %v, torn bytes %d, spoilt %d\n", s.Name, s.Bytes, s.Records, s.Whole, s.TornBytes, s.Spoilt)
 		}
 		fmt.Fprintf(out, "%d changes, %s\n", all.Changes, all.Verdict)
 	}
 	if err == nil && !f.Complete {
-		return errIncomplete
+		return errLedgerIncomplete
 	}
 	return err
 }
 
-var errIncomplete = fmt.Errorf("the ledger is not complete")
+var errLedgerIncomplete = fmt.Errorf("the ledger is not complete")
 
-func verdictOf(f *ledger.Recovered) string {
+// describeLedger says whether the ledger is complete, and else why its gateway fences after a restart.
+func describeLedger(f *ledger.Recovered) string {
 	switch {
 	case len(f.Segments) == 0:
 		return "no ledger"
@@ -85,14 +88,14 @@
 	return "not complete: its gateway runs, or was killed, or the machine lost its power; it fences each group once after a restart"
 }
 
-type show struct {
-	Folder string `arg:"" type:"existingdir" help:"The ledger's folder."`
-	JSON   bool   `name:"json" help:"As JSON, a line for each change."`
-	Most   int    `default:"100" help:"So many of the latest changes; 0 is all."`
+type ledgerShow struct {
+	Folder     string `arg:"" type:"existingdir" help:"The ledger's folder."`
+	JSON       bool   `name:"json" help:"As JSON, one line for each change."`
+	MaxChanges int    `default:"100" name:"most" help:"Maximum number of changes, the latest ones; 0 is all."`
 }
 
-// line is one change as show lists it.
-type line struct {
+// changeRow is a change of the ledger as ledger show lists it.
+type changeRow struct {
 	Kind     string  `json:"kind"`
 	Peer     int     `json:"peer,omitempty"`
 	No       uint64  `json:"no,omitempty"`
@@ -103,22 +106,22 @@
 	Age      string  `json:"age,omitempty"`
 }
 
-// Run lists it.
-func (s *show) Run(out io.Writer) error {
+// Run lists the latest changes.
+func (s *ledgerShow) Run(out io.Writer) error {
 	f, err := ledger.Read(s.Folder)
 	if err != nil {
 		return err
 	}
 	changes := f.Changes
-	if s.Most > 0 && len(changes) > s.Most {
-		changes = changes[len(changes)-s.Most:]
+	if s.MaxChanges > 0 && len(changes) > s.MaxChanges {
+		changes = changes[len(changes)-s.MaxChanges:]
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if !s.JSON {
 		fmt.Fprintln(table, "kind\tpeer\tno\tentry\tgroup\tkey\tposition (Unix ms)\tage")
 	}
 	for i := range changes {
-		l := lineOf(&changes[i])
+		l := newChangeRow(&changes[i])
 		if s.JSON {
 			if err := json.NewEncoder(out).Encode(l); err != nil {
 				return err
@@ -130,9 +133,9 @@
 	return table.Flush()
 }
 
-func lineOf(c *session.Change) line {
+func newChangeRow(c *session.Change) changeRow {
 	kinds := [...]string{"began", "noted", "heard", "caught up", "floor", "lost"}
-	l := line{Kind: kinds[c.Kind], Peer: c.Peer, No: c.Sequence, Group: c.Entry.Group, Position: float64(c.Entry.Position) / 1e6}
+	l := changeRow{Kind: kinds[c.Kind], Peer: c.Peer, No: c.Sequence, Group: c.Entry.Group, Position: float64(c.Entry.Position) / 1e6}
 	if c.Kind == session.EntryRecorded || c.Kind == session.EntryReceived {
 		l.Entry = [...]string{"mark", "sent"}[min(c.Entry.Kind, session.KeyedWriteEntry)]
 		l.Key = fmt.Sprintf("%016x", c.Entry.Key)
--- a/cli/live.go
+++ b/cli/live.go
@@ -11,73 +11,74 @@
 	"magpieglade/rehearse"
 )
 
-// live is a view of a day under way.
-type live struct {
-	s    *rehearse.Scenario
-	at   rehearse.Progress
-	past []float64 // served of asked, by report
-	last rehearse.Progress
-	over bool
+// liveView shows the progress of a running scenario.
+type liveView struct {
+	scenario        *rehearse.Scenario
+	latest          rehearse.Progress
+	servedFractions []float64 // served of requested between two progress reports
+	previous        rehearse.Progress
+	finished        bool
 }
 
-type dayOver struct{}
+// runFinished is the message that ends the view.
+type runFinished struct{}
 
-// Init is for bubbletea.
-func (live) Init() tea.Cmd { return nil }
+// Init implements tea.Model.
+func (liveView) Init() tea.Cmd { return nil }
 
-// Update is for bubbletea.
-func (l live) Update(m tea.Msg) (tea.Model, tea.Cmd) {
+// Update implements tea.Model.
+func (l liveView) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := m.(type) {
 	case rehearse.Progress:
-		if asked := m.Requested - l.last.Requested; asked > 0 {
-			l.past = append(l.past, float64(m.Served-l.last.Served)/float64(asked))
+		if asked := m.Requested - l.previous.Requested; asked > 0 {
+			l.servedFractions = append(l.servedFractions, float64(m.Served-l.previous.Served)/float64(asked))
 		}
-		l.at, l.last = m, m
-	case dayOver:
-		l.over = true
+		l.latest, l.previous = m, m
+	case runFinished:
+		l.finished = true
 		return l, tea.Quit
 	case tea.KeyMsg:
-		if m.String() == "ctrl+c" || m.String() == "q" { // the day goes on, without a view
+		if m.String() == "ctrl+c" || m.String() == "q" { // the scenario continues without the view
 			return l, tea.Quit
 		}
 	}
 	return l, nil
 }
 
-// View is for bubbletea. Bars are by characters: no colour is needed.
-func (l live) View() string {
+// View implements tea.Model. Bars are drawn with characters, so no colour is needed.
+func (l liveView) View() string {
 	var b strings.Builder
 	done := 0.0
-	if l.at.Length > 0 {
-		done = float64(l.at.At) / float64(l.at.Length)
+	if l.latest.Length > 0 {
+		done = float64(l.latest.At) / float64(l.latest.Length)
 	}
-	left := time.Duration(l.s.Length - l.at.At).Round(time.Second)
-	fmt.Fprintf(&b, "%s  [%-40s] %v left\n%d asked, %d served\n", l.s.Name, strings.Repeat("#", int(40*min(1, done))), left, l.at.Requested, l.at.Served)
-	for i := max(0, len(l.past)-10); i < len(l.past); i++ {
-		fmt.Fprintf(&b, "%-40s %.3f\n", strings.Repeat("=", int(40*max(0, min(1, l.past[i])))), l.past[i])
+	left := time.Duration(l.scenario.Length - l.latest.At).Round(time.Second)
+	fmt.Fprintf(&b, "%s  [%-40s] %v left\n%d asked, %d served\n", l.scenario.Name, strings.Repeat("#", int(40*min(1, done))), left, l.latest.Requested, l.latest.Served)
+	for i := max(0, len(l.servedFractions)-10); i < len(l.servedFractions); i++ {
+		fmt.Fprintf(&b, "%-40s %.3f\n", strings.Repeat("=", int(40*max(0, min(1, l.servedFractions[i])))), l.servedFractions[i])
 	}
-	for _, f := range l.s.Faults {
-		if f.At <= l.at.At && (f.Duration == 0 || l.at.At < f.At+f.Duration) {
+	for _, f := range l.scenario.Faults {
+		if f.At <= l.latest.At && (f.Duration == 0 || l.latest.At < f.At+f.Duration) {
 			fmt.Fprintf(&b, "! %s\n", f)
 		}
 	}
 	return b.String()
 }
 
-// watched plays a day under a view; where there is no terminal it tells plain lines.
-func watched(s *rehearse.Scenario, play func(func(rehearse.Progress)) (*rehearse.Report, error)) (r *rehearse.Report, err error) {
+// runWithLiveView runs a scenario with a live view; without a terminal it prints progress lines.
+func runWithLiveView(s *rehearse.Scenario, run func(func(rehearse.Progress)) (*rehearse.Report, error)) (r *rehearse.Report, err error) {
 	if info, e := os.Stderr.Stat(); e != nil || info.Mode()&os.ModeCharDevice == 0 {
-		return play(progress(false))
+		return run(progressPrinter(false))
 	}
-	view := tea.NewProgram(live{s: s}, tea.WithOutput(os.Stderr))
+	view := tea.NewProgram(liveView{scenario: s}, tea.WithOutput(os.Stderr))
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r, err = play(func(p rehearse.Progress) { view.Send(p) })
-		view.Send(dayOver{})
+		r, err = run(func(p rehearse.Progress) { view.Send(p) })
+		view.Send(runFinished{})
 	}()
 	if _, e := view.Run(); e != nil {
-		fmt.Fprintln(os.Stderr, "no view:", e)
+		fmt.Fprintln(os.Stderr, "live view failed:", e)
 	}
 	<-done
 	return r, err
--- a/cli/shares.go
+++ b/cli/shares.go
@@ -10,36 +10,36 @@
 	"magpieglade/quota"
 )
 
-type shares struct{ socket }
+type fleetShares struct{ controlOptions }
 
-// Run tells of them.
-func (s *shares) Run(out io.Writer) error {
-	r, err := s.ask(out, "GET", "shares", nil)
+// Run prints the fleet-wide limits.
+func (s *fleetShares) Run(out io.Writer) error {
+	r, err := s.request(out, "GET", "shares", nil)
 	if err != nil || s.JSON {
 		return err
 	}
-	return sharesTo(out, r.Shares)
+	return printLimits(out, r.Shares)
 }
 
-// sharesTo writes what a gateway holds of the fleet's bounds, and of those that it keeps who holds what.
-func sharesTo(out io.Writer, all []fleet.LimitStatus) error {
+// printLimits prints a gateway's allocation of each fleet-wide limit, and all grants of those it is the allocator of.
+func printLimits(out io.Writer, all []fleet.LimitStatus) error {
 	if len(all) == 0 {
-		_, err := fmt.Fprintln(out, "no bound is of the fleet: a tenant's are with fleet = true")
+		_, err := fmt.Fprintln(out, "there are no fleet-wide limits: set fleet = true for a tenant to make its limits fleet-wide")
 		return err
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "bound\tof\tkeeper\tholder\tpart\tused\twanted\tfor")
-	row := func(p *fleet.LimitStatus, holder string, part, used, want, left int64) {
-		span := "-"
-		if left > 0 {
-			span = fmt.Sprintf("%.1fs", float64(left)/1e9)
+	row := func(p *fleet.LimitStatus, holder string, allocation, used, want, remaining int64) {
+		lease := "-"
+		if remaining > 0 {
+			lease = fmt.Sprintf("%.1fs", float64(remaining)/1e9)
 		}
-		unit := func(n int64) string { return amount(n, p.Rate) }
+		unit := func(n int64) string { return formatAmount(n, p.Rate) }
 		u := unit(used)
 		if p.Rate {
 			u = "-"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Name, unit(p.Amount), p.Allocator, holder, unit(part), u, unit(want), span)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Name, unit(p.Amount), p.Allocator, holder, unit(allocation), u, unit(want), lease)
 	}
 	for i := range all {
 		p := &all[i]
@@ -50,14 +50,14 @@
 			lent += l.Amount
 		}
 		if len(p.Grants) > 0 {
-			fmt.Fprintf(table, "%s\t%s\t%s\t  not lent\t%s\t\t\t\n", p.Name, amount(p.Amount, p.Rate), p.Allocator, amount(max(0, p.Amount-lent), p.Rate))
+			fmt.Fprintf(table, "%s\t%s\t%s\t  not lent\t%s\t\t\t\n", p.Name, formatAmount(p.Amount, p.Rate), p.Allocator, formatAmount(max(0, p.Amount-lent), p.Rate))
 		}
 	}
 	return table.Flush()
 }
 
-// amount words units of a bound.
-func amount(n int64, rate bool) string {
+// formatAmount formats an amount of a limit; that of a rate is in txns a second.
+func formatAmount(n int64, rate bool) string {
 	if !rate {
 		return fmt.Sprint(n)
 	}
--- a/cli/watch.go
+++ b/cli/watch.go
@@ -13,58 +13,59 @@
 	"magpieglade/internal/control"
 )
 
-// metrics prints what a gateway counts.
-type metrics struct {
-	Control string `help:"The gateway's control socket, as its operator's file has it." env:"EDGE_CONTROL" required:"" type:"path" predictor:"file"`
+// metricsCommand prints a gateway's metrics.
+type metricsCommand struct {
+	Control string `help:"The gateway's control socket, as set in its operator file." env:"EDGE_CONTROL" required:"" type:"path" predictor:"file"`
 }
 
-// Run prints it.
-func (m *metrics) Run(out io.Writer) error {
+// Run prints the metrics in the Prometheus text format.
+func (m *metricsCommand) Run(out io.Writer) error {
 	return control.Metrics(context.Background(), m.Control, out)
 }
 
-// screen is a view of the fleet as one gateway knows it, twice a second.
-type screen struct {
-	control string
-	now     *fleet.Status
-	shares  []fleet.LimitStatus
-	chosen  *fleet.CoordinationView // nil where gateways choose nothing together
-	names   map[uint64]string
-	problem string
+// fleetScreen is a live view of the fleet as one gateway knows it, refreshed twice a second.
+type fleetScreen struct {
+	control      string
+	status       *fleet.Status
+	limits       []fleet.LimitStatus
+	coordination *fleet.CoordinationView // nil where the gateways don't coordinate
+	names        map[uint64]string
+	problem      string
 }
 
-type looked struct {
-	status *fleet.Status
-	shares []fleet.LimitStatus
-	chosen *fleet.CoordinationView
-	names  map[uint64]string
-	err    error
+// fleetSnapshot holds the replies of a gateway at one time, or the error of the request.
+type fleetSnapshot struct {
+	status       *fleet.Status
+	limits       []fleet.LimitStatus
+	coordination *fleet.CoordinationView
+	names        map[uint64]string
+	err          error
 }
 
-// look asks the gateway.
-func (s screen) look() tea.Msg {
+// fetch requests the state of the fleet from the gateway.
+func (s fleetScreen) fetch() tea.Msg {
 	r, err := control.Ask(context.Background(), s.control, "GET", "fleet?all", nil)
 	if err != nil {
-		return looked{err: err}
+		return fleetSnapshot{err: err}
 	}
-	x, err := control.Ask(context.Background(), s.control, "GET", "shares", nil)
-	c, _ := control.Ask(context.Background(), s.control, "GET", "chosen", nil) // it has none where the file has no such block
-	return looked{r.Fleet, x.Shares, c.Chosen, c.Names, err}
+	limits, err := control.Ask(context.Background(), s.control, "GET", "shares", nil)
+	coordination, _ := control.Ask(context.Background(), s.control, "GET", "chosen", nil) // fails where the operator file has no coordination block
+	return fleetSnapshot{r.Fleet, limits.Shares, coordination.Chosen, coordination.Names, err}
 }
 
-// Init is for bubbletea.
-func (s screen) Init() tea.Cmd { return s.look }
+// Init implements tea.Model.
+func (s fleetScreen) Init() tea.Cmd { return s.fetch }
 
-// Update is for bubbletea.
-func (s screen) Update(m tea.Msg) (tea.Model, tea.Cmd) {
+// Update implements tea.Model.
+func (s fleetScreen) Update(m tea.Msg) (tea.Model, tea.Cmd) {
 	switch m := m.(type) {
-	case looked:
-		if s.problem = ""; m.err != nil { // what was seen last stays
+	case fleetSnapshot:
+		if s.problem = ""; m.err != nil { // the last state stays on the screen
 			s.problem = m.err.Error()
 		} else {
-			s.now, s.shares, s.chosen, s.names = m.status, m.shares, m.chosen, m.names
+			s.status, s.limits, s.coordination, s.names = m.status, m.limits, m.coordination, m.names
 		}
-		return s, tea.Tick(500*time.Millisecond, func(time.Time) tea.Msg { return s.look() })
+		return s, tea.Tick(500*time.Millisecond, func(time.Time) tea.Msg { return s.fetch() })
 	case tea.KeyMsg:
 		if m.String() == "ctrl+c" || m.String() == "q" {
 			return s, tea.Quit
@@ -73,34 +74,35 @@
 	return s, nil
 }
 
-// View is for bubbletea. The bar is by characters: no colour is needed.
-func (s screen) View() string {
+// View implements tea.Model. The bar is drawn with characters, so no colour is needed.
+func (s fleetScreen) View() string {
 	var b strings.Builder
 	if s.problem != "" {
 		fmt.Fprintf(&b, "! %s\n", s.problem)
 	}
-	if s.now != nil {
-		part := min(1, max(0, float64(s.now.LeaseRemaining)/float64(max(1, s.now.MaxDivergence))))
-		fmt.Fprintf(&b, "lease [%-30s]\n", strings.Repeat("#", int(30*part)))
-		_ = fleetTo(&b, s.now)
-		if len(s.shares) > 0 {
+	if s.status != nil {
+		leaseFraction := min(1, max(0, float64(s.status.LeaseRemaining)/float64(max(1, s.status.MaxDivergence))))
+		fmt.Fprintf(&b, "lease [%-30s]\n", strings.Repeat("#", int(30*leaseFraction)))
+		_ = printFleetStatus(&b, s.status)
+		if len(s.limits) > 0 {
 			b.WriteString("\n")
-			_ = sharesTo(&b, s.shares)
+			_ = printLimits(&b, s.limits)
 		}
-		if s.chosen != nil {
+		if s.coordination != nil {
 			b.WriteString("\n")
-			if s.chosen.Subsets {
-				_ = subsetsTo(&b, s.chosen, s.names)
+			if s.coordination.Subsets {
+				_ = printSubsets(&b, s.coordination, s.names)
 				b.WriteString("\n")
 			}
-			_ = turnsTo(&b, s.chosen, s.names)
+			_ = printTurns(&b, s.coordination, s.names)
 		}
 	}
 	b.WriteString("q ends\n")
 	return b.String()
 }
 
+// watch shows the live view until the user ends it.
 func (s *fleetStatus) watch(out io.Writer) error {
-	_, err := tea.NewProgram(screen{control: s.Control}, tea.WithOutput(out)).Run()
+	_, err := tea.NewProgram(fleetScreen{control: s.Control}, tea.WithOutput(out)).Run()
 	return err
 }
--- a/cli/watch_test.go
+++ b/cli/watch_test.go
@@ -12,9 +12,9 @@
 	"magpieglade/quota"
 )
 
-// The screen of a fleet: what it shows while the gateway answers, when it does not, and how it ends.
+// The live view of the fleet keeps the last state while the gateway does not respond, and ends on ctrl+c.
 func Example_fleetScreen() {
-	var m tea.Model = screen{control: "x"}
+	var m tea.Model = fleetScreen{control: "x"}
 	show := func(msg tea.Msg) {
 		m, _ = m.Update(msg)
 		for _, line := range strings.Split(strings.TrimSpace(m.View()), "\n") {
@@ -22,12 +22,12 @@
 		}
 	}
 	v := &agreement.Version{No: 3, Author: "ann"}
-	show(looked{status: &fleet.Status{Self: 1, IsVoter: true, Leader: 2, Term: 4, LeaseRemaining: 15e8, MaxDivergence: 3e9, Manifest: agreement.Manifest{
+	show(fleetSnapshot{status: &fleet.Status{Self: 1, IsVoter: true, Leader: 2, Term: 4, LeaseRemaining: 15e8, MaxDivergence: 3e9, Manifest: agreement.Manifest{
 		Subjects: []agreement.SubjectStatus{{Name: "routes", InForce: v, Next: &agreement.Version{No: 4, Author: "bob"}}},
 		Gateways: []agreement.Gateway{{ID: 1, Name: "n1", Address: "10.0.0.4:7946", Zone: "a", Vote: true}, {ID: 2, Name: "n2", Address: "10.0.0.5:7946", Vote: true}}},
-		Leases: []agreement.GatewayLease{{ID: 1, Voter: 1, Remaining: 15e8}}}, shares: []fleet.LimitStatus{{Name: "portal, rate", Rate: true, Amount: 20000, Allocator: "n1", Allocation: 5000, Demand: 4000, LeaseRemaining: 2e9,
+		Leases: []agreement.GatewayLease{{ID: 1, Voter: 1, Remaining: 15e8}}}, limits: []fleet.LimitStatus{{Name: "portal, rate", Rate: true, Amount: 20000, Allocator: "n1", Allocation: 5000, Demand: 4000, LeaseRemaining: 2e9,
 		Grants: []quota.Grant{{Holder: 1, Amount: 5000, Demand: 4000, Remaining: 3e9}}, HolderNames: []string{"n1"}}}})
-	show(looked{err: errors.New("the gateway is gone")})
+	show(fleetSnapshot{err: errors.New("the gateway is gone")})
 	_, end := m.Update(tea.KeyMsg{Type: tea.KeyCtrlC})
 	fmt.Println(end() == tea.Quit())
 	// Output:
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,5 @@
-// Command benchlink runs instances of the decision module for the simulator, whose frames it reads from
-// standard input and answers on standard output.
+// Command benchlink runs instances of the decision module for the simulator: it reads frames from standard input and
+// writes the responses to standard output.
 package main
 
 import (
--- a/cmd/magpieglade/main.go
+++ b/cmd/magpieglade/main.go
@@ -1,4 +1,4 @@
-// Command magpieglade is the gateway on sockets.
+// Command magpieglade runs the gateway and its operators' commands.
 package main
 
 import (
