--- a/cli/chosen.go
+++ b/cli/chosen.go
@@ -97,7 +97,7 @@
 		case t.Running:
 			here = "goes"
 		case t.After >= 0:
-			here = fmt.Sprintf("goes in %v if nobody does, lot %d", time.Duration(t.After).Round(time.Millisecond), t.Batch)
+			here = fmt.Sprintf("goes in %v unless another gateway does, batch %d", time.Duration(t.After).Round(time.Millisecond), t.Batch)
 		}
 		fmt.Fprintf(table, "%s\t%d\t%s\n", cmp.Or(names[t.Key], fmt.Sprintf("%x", t.Key)), t.Round, here)
 	}
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -58,13 +58,13 @@
 	}()
 	kongplete.Complete(parser, kongplete.WithPredictor("file", complete.PredictFiles("*")),
 		kongplete.WithExitFunc(func(code int) { status = code; panic(exitRequested{}) }))
-	context, err := parser.Parse(args)
+	kongContext, err := parser.Parse(args)
 	if err != nil {
 		fmt.Fprintln(stderr, "magpieglade:", err)
 		return 2
 	}
-	context.BindTo(stdout, (*io.Writer)(nil))
-	if err := context.Run(); err != nil {
+	kongContext.BindTo(stdout, (*io.Writer)(nil))
+	if err := kongContext.Run(); err != nil {
 		fmt.Fprintln(stderr, "magpieglade:", err)
 		return 1
 	}
@@ -137,7 +137,7 @@
 	}
 	no, findings, err := g.Apply(ctx, gateway.Change{Document: f.Document, Digest: f.Digest, Text: f.Text, WatchDuration: int64(f.Watch), LocalOnly: true})
 	for _, x := range findings {
-		slog.Warn("finding in the operator file", "finding", x.Error())
+		slog.Warn("operator's file", "finding", x.Error())
 	}
 	if err == nil {
 		slog.Info("change staged", "generation", no, "watch", f.Watch)
--- a/cli/contracts.go
+++ b/cli/contracts.go
@@ -485,8 +485,8 @@
 				fmt.Fprintf(&b, "%-20s no requests yet\n", x.Name)
 				continue
 			}
-			l := x.Lines[len(x.Lines)-1]
-			fmt.Fprintf(&b, "%-20s [%-20s] %.4f kept of %d asked, %.0f is its size %s\n", x.Name, strings.Repeat("#", int(20*l.ServedFraction)), l.ServedFraction, l.Requested, l.Size, l.Cause)
+			latest := x.Lines[len(x.Lines)-1]
+			fmt.Fprintf(&b, "%-20s [%-20s] %.4f kept of %d asked, %.0f is its size %s\n", x.Name, strings.Repeat("#", int(20*latest.ServedFraction)), latest.ServedFraction, latest.Requested, latest.Size, latest.Cause)
 		}
 		if len(s.statements) == 0 {
 			b.WriteString("no window is open\n")
--- a/cli/experiment.go
+++ b/cli/experiment.go
@@ -51,8 +51,8 @@
 		fmt.Fprintln(table, "scenario\tparameters\tvariant\tmeasure\tmean\tthan\tdifference\twithin\tsays")
 	}
 	for _, v := range verdicts {
-		x := func(x float64) string { return fmt.Sprintf("%.4f", x) }
-		_ = w.Write([]string{v.Scenario, v.ParameterValues, v.Variant, v.Measure, x(v.Mean), x(v.Baseline), x(v.Difference), x(v.Low), x(v.High), fmt.Sprint(v.Pairs), v.Conclusion})
+		format := func(value float64) string { return fmt.Sprintf("%.4f", value) }
+		_ = w.Write([]string{v.Scenario, v.ParameterValues, v.Variant, v.Measure, format(v.Mean), format(v.Baseline), format(v.Difference), format(v.Low), format(v.High), fmt.Sprint(v.Pairs), v.Conclusion})
 		if e.JSON {
 			if err := json.NewEncoder(out).Encode(v); err != nil {
 				return err
@@ -76,8 +76,8 @@
 	return table.Flush()
 }
 
-// experimentProgress returns a callback that prints the progress of an experiment to standard error, at most every two
-// seconds, with the remaining time estimated from the mean time of the runs so far.
+// experimentProgress returns a callback that prints the progress of an experiment to standard error, every two seconds at
+// most and at the end, with the remaining time estimated from the mean time of the runs so far.
 func experimentProgress(quiet bool) func(done, all int) {
 	began, shown, first := time.Now(), time.Now(), -1
 	return func(done, all int) {
@@ -89,7 +89,7 @@
 		}
 		shown = time.Now()
 		left := time.Duration(float64(time.Since(began)) / float64(done-first) * float64(all-done)).Round(time.Second)
-		fmt.Fprintf(os.Stderr, "%d of %d days, %v left\n", done, all, left)
+		fmt.Fprintf(os.Stderr, "%d of %d runs, %v left\n", done, all, left)
 	}
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "the worst of %d days loses %.3f with %d faults in %v; shrunk, %.3f with %d in %v (%d days played)\n", e.Days, f.Loss, len(f.Scenario.Faults),
+	fmt.Fprintf(out, "the worst of %d scenarios loses %.3f with %d faults in %v; shrunk, %.3f with %d in %v (%d scenarios run)\n", e.Days, f.Loss, len(f.Scenario.Faults),
 		time.Duration(f.Scenario.Length).Round(time.Millisecond), f.ShrunkLoss, len(f.Shrunk.Faults), time.Duration(f.Shrunk.Length).Round(time.Millisecond), f.Evaluations)
 	for _, x := range f.Shrunk.Faults {
 		fmt.Fprintf(out, "%8v  %s, for %v\n", time.Duration(x.At).Round(time.Millisecond), x, time.Duration(x.Duration).Round(time.Millisecond))
--- a/cli/shares.go
+++ b/cli/shares.go
@@ -29,28 +29,28 @@
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "bound\tof\tkeeper\tholder\tpart\tused\twanted\tfor")
-	row := func(p *fleet.LimitStatus, holder string, allocation, used, want, remaining int64) {
+	row := func(limit *fleet.LimitStatus, holder string, allocation, used, want, remaining int64) {
 		lease := "-"
 		if remaining > 0 {
 			lease = fmt.Sprintf("%.1fs", float64(remaining)/1e9)
 		}
-		unit := func(n int64) string { return formatAmount(n, p.Rate) }
-		u := unit(used)
-		if p.Rate {
-			u = "-"
+		unit := func(n int64) string { return formatAmount(n, limit.Rate) }
+		usedText := unit(used)
+		if limit.Rate {
+			usedText = "-"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", p.Name, unit(p.Amount), p.Allocator, holder, unit(allocation), u, unit(want), lease)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", limit.Name, unit(limit.Amount), limit.Allocator, holder, unit(allocation), usedText, unit(want), lease)
 	}
 	for i := range all {
-		p := &all[i]
-		row(p, "this gateway", p.Allocation, p.Used, p.Demand, p.LeaseRemaining)
-		lent := int64(0)
-		for k, l := range p.Grants {
-			row(p, "  "+p.HolderNames[k], l.Amount, l.Used, l.Demand, l.Remaining)
-			lent += l.Amount
+		limit := &all[i]
+		row(limit, "this gateway", limit.Allocation, limit.Used, limit.Demand, limit.LeaseRemaining)
+		granted := int64(0)
+		for k, grant := range limit.Grants {
+			row(limit, "  "+limit.HolderNames[k], grant.Amount, grant.Used, grant.Demand, grant.Remaining)
+			granted += grant.Amount
 		}
-		if len(p.Grants) > 0 {
-			fmt.Fprintf(table, "%s\t%s\t%s\t  not lent\t%s\t\t\t\n", p.Name, formatAmount(p.Amount, p.Rate), p.Allocator, formatAmount(max(0, p.Amount-lent), p.Rate))
+		if len(limit.Grants) > 0 {
+			fmt.Fprintf(table, "%s\t%s\t%s\t  not lent\t%s\t\t\t\n", limit.Name, formatAmount(limit.Amount, limit.Rate), limit.Allocator, formatAmount(max(0, limit.Amount-granted), limit.Rate))
 		}
 	}
 	return table.Flush()
