--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -97,6 +97,6 @@
 #   expiry    = "2s"
 #   aim       = "300ms" # a shorter SLA time
 #   zones     = ["a"]   # its reads go there while a member there is well
-#   groups    = [0]     # what names another cluster is turned away
+#   groups    = [0]     # what names another cluster is rejected
 #   retries   = 0.1 # repeated submissions as a share of first ones
 # }
