--- a/decide/decide.go
+++ b/decide/decide.go
@@ -22,7 +22,7 @@
 
 	// Consistency: waiting for and proving positions.
 	tokenWait               = 150 * ms  // step 4: how long a tokened read waits for a position (MAX_WAIT_MS in the original post)
-	stalenessMargin         = 0.02      // fraction of a staleness bound kept in reserve: positions err on the safe side
+	stalenessMargin         = 0.02      // fraction of a staleness bound kept in reserve: small, as proven positions already err on the safe side
 	positionProbeInterval   = 200 * ms  // min interval between position probes of a replica: the pause of a session
 	positionProbeLagDivisor = 8         // or its lag divided by this, which it cannot make up sooner
 	maxReportDelay          = 300 * ms  // a report may be this old: only what it lacks beyond this is lag
@@ -94,7 +94,7 @@
 
 	// Cold members.
 	coldBudgetFraction = 0.7 // of the multiple at which a cold member is overloaded: the fraction to plan for
-	coldBudgetWindows  = 2.0 // overload windows for which credit for a cold member may accrue; 4 reach its capacity
+	coldBudgetWindows  = 2.0 // overload windows for which the credit for one txn to a cold member may accrue; 4 reach its capacity
 )
 
 // AddTxn accepts a txn. writeAge is the age of the session's last write, 0 for none or unknown.
@@ -388,7 +388,7 @@
 
 // connectionBroken handles a broken connection. Single connections break, and corrupt answers arrive, on
 // healthy members too: only a failed probe, or several breaks without an answer between them, make a member
-// suspect.
+// suspect. Where probes are not allowed, one break is enough.
 func (g *Gateway) connectionBroken(m *member) {
 	if m.brokenConnections++; !g.checkByProbe(m) || m.brokenConnections >= maxBrokenConnections {
 		g.markSuspect(m, "connections broken", true)
@@ -463,9 +463,10 @@
 	m.limit, m.limitChangedAt = max(minimum, min(m.limit, float64(m.inFlight+1))*limitDecrease), g.now
 }
 
-// inTime reports whether a txn can reach a member before its SLA time is over. A txn that can no longer meet
-// it, or is taken for a client's retry of one, must not be held until its expiry either: it goes to an idle
-// member that is not crowded.
+// inTime reports whether a txn can reach a member while an answer still has value: before its SLA time is
+// over, or at any time if its type has a LateValue. A txn that can no longer earn anything, or is taken for a
+// client's retry of one, must not be held until its expiry either: it goes to an idle member that is not
+// crowded.
 func (g *Gateway) inTime(t *txn, m *member) bool {
 	lateness := m.lateness.valueWithPrior(g.now, latencyDecay,
 		g.lateness.valueWithPrior(g.now, classDecay, g.baseLateness, 1), peerPriorWeight)
@@ -739,8 +740,8 @@
 	}
 }
 
-// demandRank is the fraction of demand that is worth more than a txn, with ties broken at random: below a
-// limit of 1 the lowest rank goes first.
+// demandRank is the fraction of demand that is worth more than a txn, with ties broken at random: a member
+// with a limit below 1 gets only txns whose rank is below the limit.
 func (g *Gateway) demandRank(t *txn) float64 {
 	s := &g.stats[t.class]
 	return (s.demandAbove + g.randomDraw(t)*s.demand) / max(1, g.totalDemand)
@@ -833,7 +834,7 @@
 	return candidates[turn%len(candidates)].id, true
 }
 
-// chooseMember chooses a member for a txn by the numbered steps below, or nil while the txn must wait.
+// chooseMember chooses a member for a txn by the numbered steps of the design, or nil while the txn must wait.
 func (g *Gateway) chooseMember(t *txn) *member {
 	consistency := g.settings.Replication.Consistency[t.class]
 	p := g.primaryOf(t.group)
@@ -926,8 +927,8 @@
 }
 
 // primaryForRead is the primary for a read, as far as its writes leave capacity: nil while writes are queued
-// here, and less often the nearer its latency comes to the limit, so that reads give way before writes have
-// to.
+// here, and less often the nearer its latency comes to latenessLimit, so that reads give way before the writes
+// of any gateway have to.
 func (g *Gateway) primaryForRead(t *txn, p *member) *member {
 	isPrimary := p != nil && (p.role == RolePrimary || p.listedPrimary || g.settings.Replication.WhenBehind != "none")
 	if !isPrimary || p.suspect || !g.hasCapacity(p, t) || !g.inTime(t, p) || t.inFlight > 0 && t.sentTo(p, 0) {
@@ -938,8 +939,8 @@
 			return nil
 		}
 	}
-	// A gateway that rarely sends to this primary judges it by what it saw of all primaries. As hundreds of
-	// gateways see the same, each lets through only a random fraction of its reads.
+	// A gateway that sends this primary one txn in many seconds judges it by what it saw of all primaries. As
+	// hundreds of gateways see the same, each lets through only a random fraction of its reads.
 	prior := g.primaryLateness.valueWithPrior(g.now, classDecay, unseenPrimaryLateness*g.latenessLimit(p), 1)
 	free := 1 - p.lateness.valueWithPrior(g.now, latencyDecay, prior, peerPriorWeight)/g.latenessLimit(p)
 	if float64(p.inFlight) < p.limit*free && g.randomDraw(t) < primaryReadFactor*free {
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -828,7 +828,7 @@
 }
 
 // A replica that runs a long read may apply nothing. Spread by load, such reads left no replica current;
-// they go to a quarter of a group, one of four here, however idle the others are.
+// they go to a third of a group, rounded down: one of four here, however idle the others are.
 func Example_longReadReplicas() {
 	t := open(long...).list("p* a b c")
 	for id := range uint64(3) {
--- a/decide/state.go
+++ b/decide/state.go
@@ -74,7 +74,7 @@
 	roleAt                       Nanos   // when an answer last reported the role
 	listedPrimary                bool    // the list names it as primary
 	inFlight                     int     // submissions in flight from this gateway
-	busy                         bool    // in Gateway.busyList
+	busy                         bool    // in Gateway.busyMembers
 	needsPosition                bool    // in Gateway.needingPosition
 	inFlightRate, weightedSentAt float64 // sums over submissions in flight of rate and of rate * sentAt
 	limit                        float64
@@ -90,7 +90,7 @@
 	coldCredit                   float64      // service time that may still be sent to a cold member
 	coldCreditAt                 Nanos
 	silentSince, limitChangedAt  Nanos
-	unansweredWork               float64 // waits, in service times, of submissions that ended without an answer since silentSince
+	unansweredWork               float64 // waits, in service times, of submissions that ended without an answer since its last answer
 	suspect, unreachable         bool    // unreachable: no connection, or a broken one, since its last answer
 	nextTrialAt, trialInterval   Nanos
 }
--- a/routes/document.go
+++ b/routes/document.go
@@ -18,7 +18,7 @@
 	Line, Column int
 }
 
-// String returns the location as file:line:column.
+// String returns the location as file:line:column, or "document" where there is none.
 func (l SourceLocation) String() string {
 	if l.Line == 0 {
 		return "document"
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -166,8 +166,9 @@
 	// routes.hcl:3:1: route "r" is left without members: Name a group that has members.
 }
 
-// Limits are never exceeded, unused shares are lent except for a reserve, and a tenant within its share is rejected only
-// while the gateway is full; all compared with a plain count.
+// Limits are never exceeded, unused shares are lent except for a reserve, and a tenant within its share and its own
+// limit is rejected only while the gateway is full, so that it gets a slot as soon as any txn ends; all compared with a
+// plain count.
 func TestShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := &Table{MaxInFlight: rapid.IntRange(3, 60).Draw(t, "in flight")}
--- a/routes/table.go
+++ b/routes/table.go
@@ -20,7 +20,7 @@
 	Route  int32
 	Type   int32  // the txn type that the txn runs as
 	Tenant int32  // below 0 is none
-	Zones  uint64 // zones that its reads prefer, a bit each in the order of the settings; 0 is none
+	Zones  uint64 // zones that its reads are kept to while they have members, a bit each in the order of the settings; 0 is none
 }
 
 // Table is a checked document. It is immutable, so that any number of txns may use it at the same time.
--- a/session/session.go
+++ b/session/session.go
@@ -93,7 +93,7 @@
 	KeyedWriteExpiry  int64       // how long a keyed write is kept; later repeats are not recognized
 	MaxWatermarks     int         // limit on the watermarks, and on the keyed writes, that are kept
 	MessagesPerTxn    float64     // messages between gateways for each txn, both directions counted
-	KeepaliveInterval int64       // maximum interval between requests to each peer
+	KeepaliveInterval int64       // interval between requests to each peer; longer in large fleets, see keepaliveInterval
 	RetryAfter        int64       // delay that is reported to refused clients
 }
 
@@ -151,7 +151,7 @@
 	minWakeDelay          = 1e5  // between rounds that no input causes
 
 	// Reads and fences.
-	deadlineReserveDivisor = 8    // this fraction of a read's time is reserved for the way to a member
+	deadlineReserveDivisor = 8    // a read's time divided by this is reserved for the way to a member
 	minDeadlineReserve     = 20e6 // and at least this long
 	maxPendingFences       = 4    // fences of a group in flight whose answers still count
 	fenceRetryInterval     = 5e6  // a fence that failed is requested again after this
@@ -175,7 +175,7 @@
 	groupsByID  map[int]*group
 	reads       map[uint64]*read
 	lastArrival uint64 // arrival number of the latest read
-	lossCount   uint64 // how often entries of other gateways were lost to this one
+	lossCount   uint64 // how often entries were lost to this gateway: gaps, ended gateways, commits without a position
 
 	peers         []peer // by number; only those in otherGateways are used
 	otherGateways []int  // numbers of all other gateways, in order
@@ -205,7 +205,7 @@
 	WaitTime                                 int64  // nanoseconds that reads waited, in all
 	EntryRequests, PagesSent, FenceRequests  uint64 // messages and requests sent
 	Watermarks                               int    // watermarks held
-	EntryLosses                              uint64 // gaps in the entries of other gateways
+	EntryLosses                              uint64 // gaps in the entries of other gateways, ended gateways, commits without a position
 }
 
 // New returns an instance without any state. The epoch must differ at each start, unless Restore brings back the
