--- a/internal/benchwire/news.go
+++ b/internal/benchwire/news.go
@@ -38,8 +38,8 @@
 	n[id] = append(n[id], s)
 }
 
-// decode calls apply for each entry of a message, and skips entries that are corrupt or match no known
-// server.
+// decode calls apply for each entry of a message. It skips a truncated entry, and entries whose id matches no
+// known server or several.
 func (n serverIDs) decode(text []byte, now decide.Nanos, apply func(decide.MemberUpdate)) {
 	for ; len(text) >= entrySize; text = text[entrySize:] {
 		servers := n[le.Uint32(text)&(1<<idBits-1)]
--- a/internal/benchwire/serve.go
+++ b/internal/benchwire/serve.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// processBatch applies the events of a frame, then writes the decisions of every instance that had one.
+// processBatch applies the events of a frame, then writes the decisions of every instance that the frame names.
 func (h *host) processBatch(records uint32, f *frame) error {
 	now := f.millis()
 	var instance uint32
