--- a/agreement/voter.go
+++ b/agreement/voter.go
@@ -307,7 +307,7 @@
 		v.a.log("became leader in term %d", st.Term)
 	case !leading && v.leadTerm != 0:
 		v.nextElection = v.a.now + v.a.jitter(v.a.config.Lease/electionJitterParts)
-		if v.leaderUntil() != 0 { // only if it delegated; two candidates of one term did not
+		if v.leaderUntil() != 0 { // only if a majority had answered; a leader that another candidate replaced at once did not delegate
 			v.nextElection += v.a.config.MaxDivergence()
 		}
 		v.leadTerm = 0
--- a/contracts/contracts_test.go
+++ b/contracts/contracts_test.go
@@ -25,7 +25,7 @@
 		RampDuration: hour / 2, CooldownDuration: hour / 2, PromisedFraction: 0.99, ExcessPolicy: BestEffort, ToleratedLoss: MemberLoss, Price: decimal.RequireFromString("120.50"), Credit: decimal.RequireFromString("60.25")}
 }
 
-// Two groups of four members in two zones; each member has a capacity of 100 reads and 40 writes per second.
+// fleet has two groups of four members in two zones; each member has a capacity of 100 reads and 40 writes per second.
 var fleet = Fleet{0: {"a": 2, "b": 2}, 1: {"a": 2, "b": 2}}
 
 func sizedBook() *Book {
@@ -51,8 +51,8 @@
 }
 
 // A daily series at 20:00 in Paris must stay at 20:00 after the clocks go back, on a day of 25 hours, and skip
-// its exceptions. A time that does not exist because the clocks go forward is refused as a start, and moves
-// later within a series.
+// its exceptions. A time that does not exist because the clocks go forward is refused as a start, and within a
+// series moves later by the skipped time.
 func TestWindowsAcrossClockChanges(t *testing.T) {
 	w := Window{Zone: "Europe/Paris", Start: "2026-10-23 20:00", Length: 3 * hour, Every: "day", Until: "2026-10-27", Except: []string{"2026-10-24"}}
 	if err := w.Check(); err != nil {
--- a/contracts/usage.go
+++ b/contracts/usage.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Report returns the counts to send now: those changed recently, and periodically all. own limits it to this
+// Report returns the counts to send now: those changed recently, and periodically all. ownOnly limits it to this
 // gateway's counts of this run.
 func (a *Account) Report(now int64, ownOnly bool) (all []Count) {
 	full := now-a.lastFullReportAt >= fullReportInterval
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -15,8 +15,8 @@
 
 // simulation runs gateways on a virtual clock. Their own clocks drift up to 1% apart, and the network
 // loses, delays and duplicates messages. Assignments are agreed on as package agreement guarantees: a
-// version is in force once every gateway with a lease knows of it. Every unit that begins is checked
-// against the limits.
+// version is in force once every gateway with a lease knows of it, and a gateway that does not know of
+// it gets no lease. Every unit that begins is checked against the limits.
 type simulation struct {
 	t   testing.TB
 	rng *rand.Rand
@@ -56,7 +56,7 @@
 	demand          map[uint64]float64 // attempts per second, by limit
 }
 
-// The margins are small, so that an error larger than the clock error shows.
+// testConfig has small margins, so that an error larger than the clock error shows.
 var testConfig = Config{LeaseDuration: 2 * second, ClockError: second / 20, MaxEffectDelay: second / 100, MaxTxnDuration: second / 2}
 
 func newSimulation(tb testing.TB, seed uint64, gateways int, limits ...Limit) *simulation {
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -267,7 +267,8 @@
 }
 
 // reportUnresponsive tells the host that a shard has no allocator or its allocator does not respond.
-// It is repeated while that lasts, but logged once.
+// While that lasts it is repeated, at each request if there is no allocator, else after more than half
+// a lease, but logged once.
 func (q *Quota) reportUnresponsive(shardIndex int, allocator ID) {
 	state := &q.requests[shardIndex]
 	q.pending = append(q.pending, Decision{Kind: Reassign, Allocator: allocator})
--- a/quota/offices.go
+++ b/quota/offices.go
@@ -38,9 +38,9 @@
 	return encoded
 }
 
-// AssignAllocators picks an allocator among the eligible gateways for each shard. An allocator that is
-// still eligible keeps its shards; the others are assigned by rendezvous hashing, with at most an even
-// number of shards each, so that a change moves as few shards as possible.
+// AssignAllocators picks an allocator among the eligible gateways for each shard. Each gets at most an
+// equal share of the shards, rounded up. Up to that, an allocator that is still eligible keeps its
+// shards; the others are assigned by rendezvous hashing, so that a change moves as few as possible.
 func AssignAllocators(previous []ID, eligible []ID) []ID {
 	if len(eligible) == 0 {
 		return previous
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -23,7 +23,7 @@
 	maxDeviation                 = 6.0          // upper bound of a slot's shortfall in standard deviations: one slot alone proves nothing
 	demandJumpFactor             = 1.5          // ratio to the baseline's demand from which a slot is a jump of traffic
 	minServedRatio               = 0.8          // ratio to the value served in the baseline that counts as no less
-	slotsSkippedAfterDisturbance = 2
+	slotsSkippedAfterDisturbance = 2            // in addition to the slot of the disturbance
 )
 
 // series is the health of all txns or of one route.
--- a/signals/signals.go
+++ b/signals/signals.go
@@ -55,7 +55,7 @@
 	Items []Item
 }
 
-// Timing, limits and thresholds. docs/results.md has the measurements behind them.
+// Timing, limits and thresholds. Durations are in nanoseconds.
 const (
 	// Report age.
 	ReportTimeToLive = int64(10e9)          // older reports are ignored
--- a/turns/turns.go
+++ b/turns/turns.go
@@ -161,8 +161,9 @@
 	return rank
 }
 
-// PeerCompleted records that another gateway performed the task of a key in a round. It cancels a task that is
-// scheduled or running here, and returns whether there was one.
+// PeerCompleted records that another gateway performed the task of a key in a round. A task that is scheduled
+// here is cancelled, one that is running goes on; awaited is true if there was either. A notice of an earlier
+// round neither cancels nor counts.
 func (t *Turns) PeerCompleted(key uint64, round uint32) (awaited bool) {
 	x := t.getOrCreate(key)
 	x.lastRequestedAt = t.now
