--- a/gateway/clients.go
+++ b/gateway/clients.go
@@ -91,7 +91,7 @@
 	consecutiveErrors      int       // invalid statements in a row
 	bufferedBytes          int       // bytes in its buffers, as last counted
 	discardedBytes         int       // bytes read from it since stageClosing began
-	pollScheduled          bool      // a dueReadable deadline is pending for it
+	pollScheduled          bool      // a timerReadable deadline is pending for it
 	txn                    slots.Ref // the open txn; its query is the first in the connection's buffer
 	allocationWaitSince    int64     // since when it has been waiting for a first allocation of a fleet-wide limit, 0 if it is not
 	allocatorResponsesSeen int       // allocator responses received when that wait began or was renewed
--- a/gateway/coordination.go
+++ b/gateway/coordination.go
@@ -209,7 +209,8 @@
 	x.coordination.CompleteTurn(key, uint32(decide.NotSent))
 }
 
-// deferCall reports whether a call to a list service that was unavailable waits until another gateway's call has ended.
+// deferCall reports whether a call to a list service that was unavailable is deferred: it then waits for this gateway's turn,
+// or for the result of another gateway's call.
 func (x *coordinator) deferCall(kind callKind, failing bool) bool {
 	if x.coordination.Turns == nil || !failing {
 		return false
--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// stopAllowingErrors ends the load of a test whose members fail under txns: these may be rolled back or late, but not left
-// without an answer. At least one txn must have been served.
+// stopAllowingErrors ends the load of a test whose members fail under txns, so that these may be rolled back or late. It fails
+// the test only if nothing was served; it logs the counts, also of txns without an answer.
 func (l *backgroundReads) stopAllowingErrors(t testing.TB) {
 	t.Helper()
 	close(l.stop)
--- a/gateway/generations.go
+++ b/gateway/generations.go
@@ -22,7 +22,7 @@
 	module  *rollout.Rollout
 	lastNo  rollout.Generation
 	inForce *generation
-	pending *generation                        // agreed on by the fleet but not yet in force: the limits of both apply; nil if there is none
+	pending *generation                        // agreed on by the fleet but not yet in force: the restrictions of both apply; nil if there is none
 	saving  bool                               // the module's decisions wait until its state is on disk
 	byNo    map[rollout.Generation]*generation // in force, kept, staged, or with txns in flight
 }
--- a/gateway/held_test.go
+++ b/gateway/held_test.go
@@ -447,8 +447,8 @@
 	<-ended
 }
 
-// A retry may be sent only until the group's dedup window for the first attempt ends: it is not sent later, even if its
-// connection was set up too late.
+// A retry may be sent only until the group's dedup window for the first attempt ends: it is not sent later, when its
+// connection is established only after that time.
 func TestRetryNotSentAfterDedupWindow(t *testing.T) {
 	t.Parallel()
 	d, a := newScriptedServer(t), newScriptedServer(t)
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -105,8 +105,8 @@
 	position     decide.Nanos
 	report       []float64
 	list         *listUpdate
-	fenceAttempt uint64 // the fence attempt that a probe belongs to, 0 for none
-	group        int    // of the fence attempt
+	fenceAttempt uint64 // number of the fence request that a probe serves, 0 for none
+	group        int    // of the fence request
 }
 
 type inputKind int
--- a/gateway/members.go
+++ b/gateway/members.go
@@ -59,7 +59,7 @@
 	bufferedBytes   int          // bytes of an incomplete response in the buffer
 	sent            bool         // the query was written, though some of it may wait in the outbound buffer
 	abandoned       bool         // given up while dialling: closed as soon as it is established
-	localDialError  bool         // its dial failed with an error of this machine, which says nothing about the member
+	localDialError  bool         // an attempt to dial it failed with an error of this machine, which says nothing about the member
 	draining        bool         // its member began to drain or left the list after the dial: no further query is sent on it
 	since           decide.Nanos // when the dial began, then when the connection last became idle
 	connectDeadline *deadlines.Entry[timerEvent]
--- a/gateway/quota_test.go
+++ b/gateway/quota_test.go
@@ -174,8 +174,8 @@
 }
 
 // A tenant's 12 txns in flight and 8 connections are fleet-wide limits: of the txns through four gateways no more than 12 run
-// at a time at the stand-ins, also after a gateway with an allocation is killed, whose allocation passes to the others once its
-// lease has expired; no more than 8 clients are admitted.
+// at a time at the stand-ins, and at some time at least 9, also after a gateway with an allocation is killed, whose allocation
+// passes to the others once its lease has expired; of 24 clients no more than 8 are admitted, and at least 4.
 func TestFleetConcurrencyLimits(t *testing.T) {
 	u := newAgreementFleet(t, 4, 3)
 	const inFlight, connections, serviceTime = 12, 8, 40 * time.Millisecond
--- a/gateway/races_test.go
+++ b/gateway/races_test.go
@@ -35,7 +35,7 @@
 }
 
 // Many pipelined commands are served one after the other, even if together they exceed the limit of one message. The gateway
-// used to close the connection at a ninth of a megabyte of input, and all of them were lost.
+// used to close the connection once more than twice that limit, 384 KiB, was unprocessed, and all of them were lost.
 func Example_pipelineOfLargeWrites() {
 	w := startGateway(256, newMember("m", "read-write"))
 	defer w.stop()
--- a/gateway/reserved.go
+++ b/gateway/reserved.go
@@ -183,7 +183,7 @@
 	return plan
 }
 
-// apply holds room in the shares in force, and logs a change.
+// apply reserves the planned slots in the given shares, those in force, and logs a change.
 func (r *contractManager) apply(shares *routes.Shares) {
 	byTenant, tenants := r.plan.byTenant, r.plan.tenants
 	r.openContracts = r.plan.openContracts
--- a/gateway/soak/servers_test.go
+++ b/gateway/soak/servers_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// hang delays all responses by the given duration from now on.
+// hang holds back all responses until the given duration has passed from now.
 func (s *server) hang(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/tenants.go
+++ b/gateway/tenants.go
@@ -25,7 +25,7 @@
 }
 
 // admit counts a client against its tenant once its user and database are known; ok is false if the tenant has reached its
-// limit. first is that of mayConnect.
+// limit. first is the unallocated of acquireConnection.
 func (cs *clients) admit(c *client) (ok, first bool) {
 	x := cs.g.generations.inForce
 	tenant := cs.tenantOf(x, c)
