--- a/internal/store/recover.go
+++ b/internal/store/recover.go
@@ -57,7 +57,8 @@
 	wrongNumber      bool // its header has another number than its name
 }
 
-// ErrUnknownFormat reports that another version of this program wrote the directory.
+// ErrUnknownFormat reports that another version of this program wrote the directory, whose segments are then left as they
+// are.
 var ErrUnknownFormat = errors.New("unknown format version")
 
 func segmentName(n uint64) string { return fmt.Sprintf("segment-%016x", n) }
--- a/rehearse/audit/audit.go
+++ b/rehearse/audit/audit.go
@@ -238,8 +238,8 @@
 
 func ms(at int64) string { return fmt.Sprintf("%.1f ms", float64(at)/1e6) }
 
-// checkLost checks that each attempt has exactly one final response, in time. Attempts whose gateway was down
-// are excused.
+// checkLost checks that each attempt has exactly one final response, in time. An attempt whose gateway was down
+// in that time had no chance of one, so it may lack it; two responses or a late one still count.
 func (a *auditor) checkLost() {
 	type downtime struct{ from, to int64 }
 	down := map[int][]downtime{}
@@ -271,7 +271,7 @@
 }
 
 // checkDuplicates checks that each change takes effect once, and that declined attempts, which are reported as
-// not executed, took none.
+// not executed, have no effect.
 func (a *auditor) checkDuplicates() {
 	typeOf := map[uint64]int{}
 	for i := range a.log.Attempts {
--- a/rehearse/databases.go
+++ b/rehearse/databases.go
@@ -193,7 +193,8 @@
 	d.serve(q)
 }
 
-// withinColdCapacity crashes a cold member whose load of the last second exceeds its capacity, and then returns false.
+// withinColdCapacity crashes a cold member whose load of the last second exceeds OverloadFactor times its capacity at its age,
+// and then returns false.
 func (d *database) withinColdCapacity(q *query) bool {
 	if d.speedFraction() == 1 {
 		d.coldLoad, d.coldLoadSum = nil, 0
@@ -277,7 +278,7 @@
 	return c.lastPosition, q.version
 }
 
-// sendResponse sends a reply back to the gateway.
+// sendResponse sends a reply back to the gateway. The query's respond function ignores it if the gateway's process has ended.
 func (d *database) sendResponse(q *query, r reply) {
 	run := d.incarnation
 	d.w.send(d.zone, q.gateway.zone, func() {
--- a/rehearse/scenario.go
+++ b/rehearse/scenario.go
@@ -126,9 +126,9 @@
 // FaultKinds maps each kind of fault to the attributes that it requires besides its time.
 var FaultKinds = map[string][]string{
 	"crash":        {"member"},           // the member's process ends, and restarts cold after the duration
-	"pause":        {"member"},           // the member accepts queries and never responds
+	"pause":        {"member"},           // the member accepts queries, but responds to none before the fault ends
 	"slow":         {"member", "factor"}, // service times are multiplied by the factor
-	"lag":          {"member", "lag"},    // the replication lag is set to this value
+	"lag":          {"member", "lag"},    // the replication lag is this much longer in the simulation, and set to this value in real time
 	"drain":        {"member"},           // the member list marks the member as leaving
 	"errors":       {"member", "factor"}, // this fraction of its responses are errors
 	"answers_lost": {"member", "factor"}, // this fraction of its connections break after the query has run, before the response
--- a/rehearse/simulate_test.go
+++ b/rehearse/simulate_test.go
@@ -229,7 +229,7 @@
 	}
 }
 
-// Parsing ends whatever the file holds, and what it accepts passes Check.
+// Parsing ends whatever the file holds, and what it accepts passes Validate.
 func FuzzParse(f *testing.F) {
 	for _, name := range BuiltinNames() {
 		text, _ := BuiltinText(name)
--- a/rehearse/world.go
+++ b/rehearse/world.go
@@ -188,7 +188,7 @@
 func (w *simulation) scheduleFault(f Fault) {
 	var d *database
 	if slices.Contains(FaultKinds[f.Kind], "member") {
-		g, m, _ := w.scenario.findMember(f.Member) // Check has validated the name
+		g, m, _ := w.scenario.findMember(f.Member) // Validate has checked the name
 		d = w.groups[g].members[m]
 	}
 	w.incidents = append(w.incidents, Incident{f.At, f.Duration, f.String()})
