--- a/standin/front.go
+++ b/standin/front.go
@@ -95,7 +95,7 @@
 	return c.query(gateway, more, fmt.Sprintf("SELECT data FROM facts WHERE code = '%s'", c.SessionCode))
 }
 
-// Drop closes the connection to a gateway without a goodbye, as a failed one ends.
+// Drop closes the connection to a gateway without a Terminate message, like a client that fails.
 func (c *Client) Drop(gateway int) {
 	if conn := c.conns[gateway]; conn != nil {
 		_ = conn.Conn().Close()
