--- a/gateway/coordination_test.go
+++ b/gateway/coordination_test.go
@@ -171,7 +171,7 @@
 		u.await("each gateway has a report that the member is unhealthy", func() bool { return memberView(i, members[3].Name).Summary.UnhealthyReports >= 1 })
 	}
 	t.Logf("all gateways have a report after %v", time.Since(began).Round(10*time.Millisecond))
-	if said := u.command(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "ill ") {
+	if said := u.command(0, "fleet", "turns"); !strings.Contains(said, members[3].Name) || !strings.Contains(said, "unhealthy ") {
 		t.Fatal(said)
 	}
 	must(members[3].Start())
